--- a/stairplank/settings/room.py
+++ b/stairplank/settings/room.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import Any
 
 from .. import interface as api
 from . import values as v
@@ -62,6 +64,27 @@
     Key("tick", (v.positive_duration,)),
 )
 
+# Keys with one value: the field, which has the same name in `Room` and `api.Settings`, and its default.
+FIGURES: Mapping[str, tuple[str, Any]] = {
+    "mean-cores": ("mean_cores", None),
+    "mean-memory": ("mean_memory", None),
+    "cores-limit": ("cores_limit", 1.0),
+    "memory-limit": ("memory_limit", 1.0),
+    "preempts": ("preempts", False),
+    "max-attempts": ("max_attempts", 3),
+    "answer-slack": ("answer_slack_us", 50_000),
+    "drain-grace": ("drain_grace_us", 250_000),
+    "cold-share": ("cold_share", 0.2),
+    "cold-time": ("cold_us", 10_000_000),
+    "fall-multiple": ("fall_multiple", 2.0),
+    "fall-time": ("fall_us", 1_500_000),
+    "fresh-offers": ("fresh_offers", 20.0),
+    "retry-after-most": ("max_retry_after_us", 3_000_000),
+    "owner-wait": ("owner_wait_us", 3_000_000),
+    "list-ask-within": ("ask_within_us", 10_000_000),
+    "tick": ("tick_us", 10_000),
+}
+
 _EFFECTS = {e.value: e for e in api.Effect}
 _SCOPES = {"node": api.Scope.NODE, "rack": api.Scope.GROUP, "zone": api.Scope.ZONE, "all": api.Scope.ALL}
 
@@ -153,31 +176,14 @@
             problems.append(Problem(section.place(key), key, f"{twice} is there twice"))
     if problems:
         raise SettingsError(problems)
-    one = section.one
     return Room(
         classes=classes,
         kinds=kinds,
         zones=tuple(z for (z,) in section.all("zone")),
         tenants=tuple((t, s) for t, s in section.all("tenant")),
-        mean_cores=one("mean-cores"),
-        mean_memory=one("mean-memory"),
-        cores_limit=one("cores-limit", 1.0),
-        memory_limit=one("memory-limit", 1.0),
-        confirms_running=one("confirms", "running") == "running",
-        preempts=one("preempts", False),
-        max_attempts=one("max-attempts", 3),
-        answer_slack_us=one("answer-slack", 50_000),
-        drain_grace_us=one("drain-grace", 250_000),
-        cold_share=one("cold-share", 0.2),
-        cold_us=one("cold-time", 10_000_000),
-        fall_multiple=one("fall-multiple", 2.0),
-        fall_us=one("fall-time", 1_500_000),
-        fresh_offers=one("fresh-offers", 20.0),
-        max_retry_after_us=one("retry-after-most", 3_000_000),
-        owner_wait_us=one("owner-wait", 3_000_000),
-        ask_within_us=one("list-ask-within", 10_000_000),
-        tick_us=one("tick", 10_000),
+        confirms_running=section.one("confirms", "running") == "running",
         prices=dict(section.all("price")),
+        **{field: section.one(key, default) for key, (field, default) in FIGURES.items()},
     )
 
 
--- /dev/null
+++ b/stairplank/settings/site.py
@@ -0,0 +1,152 @@
+"""The part of a planner's settings that is the same at all planners of a site.
+
+A site file holds what a planner's file holds, without the keys that say which planner it is and where it
+listens. Both are read by the functions here, so that a key means the same in either file.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, fields, replace
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from . import values as v
+from .lines import Position, Problem, SettingsError
+from .room import ROOM, Room, room_from
+from .schema import Block, Key, Section, load, load_text
+
+if TYPE_CHECKING:
+    from .planner import PlannerConfig
+
+TUNABLES: tuple[Key, ...] = (
+    Key("dial-timeout", (v.positive_duration,)),
+    Key("dial-retry", (v.positive_duration, v.positive_duration)),
+    Key("link-grace", (v.duration,)),
+    Key("probe-timeout", (v.positive_duration,)),
+    Key("list-silence", (v.positive_duration,)),
+    Key("stop-grace", (v.duration,)),
+    Key("open-most", (v.whole(1, 10_000_000),)),
+    Key("owner-open-most", (v.whole(1, 10_000_000),)),
+    Key("running-most", (v.whole(1, 10_000_000),)),
+    Key("owners-most", (v.whole(1, 65_536),)),
+    Key("nodes-most", (v.whole(1, 1_000_000),)),
+    Key("dials-most", (v.whole(1, 100_000),)),
+    Key("wait-most", (v.positive_duration,)),
+    Key("send-buffer", (v.size,)),
+    Key("message-most", (v.size,)),
+    Key("keepalive", (v.positive_duration, v.positive_duration)),
+)
+SITE: tuple[Key | Block, ...] = ROOM + TUNABLES
+
+# The fields that each key sets. A key with one field gives it all its values, as a tuple where there are
+# several; a key with several fields gives one value to each.
+TUNABLE_FIELDS: Mapping[str, tuple[str, ...]] = {
+    "dial-timeout": ("dial_timeout_us",),
+    "dial-retry": ("dial_retry_us", "dial_retry_most_us"),
+    "link-grace": ("link_grace_us",),
+    "probe-timeout": ("probe_timeout_us",),
+    "list-silence": ("list_silence_us",),
+    "stop-grace": ("stop_grace_us",),
+    "open-most": ("open_most",),
+    "owner-open-most": ("owner_open_most",),
+    "running-most": ("running_most",),
+    "owners-most": ("owners_most",),
+    "nodes-most": ("nodes_most",),
+    "dials-most": ("dials_most",),
+    "wait-most": ("wait_most_us",),
+    "send-buffer": ("send_buffer",),
+    "message-most": ("message_most",),
+    "keepalive": ("keepalive_us",),
+}
+
+
+@dataclass(frozen=True, kw_only=True)
+class SiteSettings:
+    """What all planners of a site agree on. Times in microseconds, sizes in bytes."""
+
+    room: Room
+    dial_timeout_us: int = 250_000
+    dial_retry_us: int = 100_000
+    dial_retry_most_us: int = 2_000_000
+    link_grace_us: int = 1_000_000
+    probe_timeout_us: int = 500_000
+    list_silence_us: int = 5_000_000
+    stop_grace_us: int = 10_000_000
+    open_most: int = 20_000
+    owner_open_most: int = 20_000
+    running_most: int = 200_000
+    owners_most: int = 1_000
+    nodes_most: int = 10_000
+    dials_most: int = 16
+    wait_most_us: int = 3_600_000_000
+    send_buffer: int = 1 << 20
+    message_most: int = 1 << 20
+    keepalive_us: tuple[int, int] = (5_000_000, 2_000_000)
+
+
+def load_site(path: str | Path) -> SiteSettings:
+    """Read, check and type a site file. Raises SettingsError."""
+    return site_from(load(path, SITE))
+
+
+def load_site_text(text: str, name: str = "<site>") -> SiteSettings:
+    """The same for a text; ``name`` stands for the file in errors. Raises SettingsError."""
+    return site_from(load_text(text, SITE, name))
+
+
+def site_from(section: Section) -> SiteSettings:
+    """The typed settings of a section that was read by SITE, or by a schema that contains it.
+
+    Raises SettingsError for what contradicts itself.
+    """
+    room = room_from(section)
+    problems = tunable_problems(section)
+    if problems:
+        raise SettingsError(problems)
+    return typed_site(section, room)
+
+
+def tunable_problems(section: Section) -> list[Problem]:
+    """What the tunables of a section say that contradicts itself."""
+    first, most = section.one("dial-retry", (0, 0))
+    if first <= most:
+        return []
+    return [Problem(section.place("dial-retry"), "dial-retry", "the first wait is the longer one")]
+
+
+def typed_site(section: Section, room: Room) -> SiteSettings:
+    """The typed settings of a section that was checked, with the room that was read from it."""
+    return SiteSettings(room=room, **_given_tunables(section))
+
+
+def _given_tunables(section: Section) -> dict[str, Any]:
+    """The fields whose keys are in the section; the others keep their defaults."""
+    given: dict[str, Any] = {}
+    for key, names in TUNABLE_FIELDS.items():
+        value = section.one(key)
+        if value is None:
+            continue
+        given.update(zip(names, value if len(names) > 1 else (value,), strict=True))
+    return given
+
+
+def site_fields(site: SiteSettings) -> dict[str, Any]:
+    """The settings by field; of a planner's configuration only those that all planners share."""
+    return {field.name: getattr(site, field.name) for field in fields(SiteSettings)}
+
+
+def with_site(config: PlannerConfig, site: SiteSettings, name: str = "<site>") -> PlannerConfig:
+    """A planner's configuration with the site's settings in place of its own.
+
+    What says which planner it is and where it listens stays. Raises SettingsError where the site has no zone
+    of the name of the planner's home zone; ``name`` stands for the site's file.
+    """
+    home_zone = config.room.zones[config.settings.zone]
+    if home_zone not in site.room.zones:
+        message = f"no zone {home_zone}, in which this planner runs; known: {', '.join(site.room.zones)}"
+        raise SettingsError([Problem(Position(name, 1, 1), "zone", message)])
+    zone = site.room.zones.index(home_zone)
+    own = config.settings
+    settings = site.room.settings(own.planners, own.position, zone)
+    return replace(config, settings=settings, **site_fields(site))
--- /dev/null
+++ b/tests/settings/test_site.py
@@ -0,0 +1,197 @@
+"""A site file holds a planner's file without what names the planner, and means the same."""
+
+from __future__ import annotations
+
+from dataclasses import fields
+from pathlib import Path
+
+import pytest
+
+from stairplank.settings import PlannerConfig, SettingsError, load_planner
+from stairplank.settings.planner import OWN, PLANNER
+from stairplank.settings.site import (
+    SITE,
+    TUNABLE_FIELDS,
+    TUNABLES,
+    SiteSettings,
+    load_site,
+    load_site_text,
+    with_site,
+)
+
+SITE_TEXT = """\
+class worker
+    effect repeatable
+    aim 3.5s
+    deadline 7s
+end
+kind small cores 16 memory 32
+zone a
+zone b
+tenant archive share 2
+mean-cores 0.5
+mean-memory 1.5
+max-attempts 4
+dial-timeout 300ms
+dial-retry 50ms 3s
+link-grace 2s
+probe-timeout 600ms
+list-silence 6s
+stop-grace 11s
+open-most 100
+owner-open-most 50
+running-most 200
+owners-most 10
+nodes-most 20
+dials-most 3
+wait-most 2h
+send-buffer 64k
+message-most 128k
+keepalive 4s 1s
+"""
+OWN_TEXT = """\
+planner 1 of 3
+home-zone b
+listen 127.0.0.1:7400
+directory 127.0.0.1:7300
+seed 7
+"""
+# Every tunable with the value that SITE_TEXT gives it; none is a default.
+TUNED = {
+    "dial_timeout_us": 300_000,
+    "dial_retry_us": 50_000,
+    "dial_retry_most_us": 3_000_000,
+    "link_grace_us": 2_000_000,
+    "probe_timeout_us": 600_000,
+    "list_silence_us": 6_000_000,
+    "stop_grace_us": 11_000_000,
+    "open_most": 100,
+    "owner_open_most": 50,
+    "running_most": 200,
+    "owners_most": 10,
+    "nodes_most": 20,
+    "dials_most": 3,
+    "wait_most_us": 7_200_000_000,
+    "send_buffer": 65_536,
+    "message_most": 131_072,
+    "keepalive_us": (4_000_000, 1_000_000),
+}
+
+
+def planner(tmp_path: Path, text: str) -> PlannerConfig:
+    path = tmp_path / "planner.conf"
+    path.write_text(text)
+    return load_planner(path)
+
+
+def test_every_tunable_is_read_into_its_field() -> None:
+    site = load_site_text(SITE_TEXT)
+    assert {name: getattr(site, name) for name in TUNED} == TUNED
+    assert set(TUNED) == {field.name for field in fields(SiteSettings)} - {"room"}
+    assert site.room.max_attempts == 4
+    assert list(site.room.zones) == ["a", "b"]
+
+
+def test_the_table_of_fields_has_every_tunable_and_no_other_key() -> None:
+    assert list(TUNABLE_FIELDS) == [key.name for key in TUNABLES]
+
+
+def test_keys_that_are_not_given_keep_their_defaults() -> None:
+    text = SITE_TEXT[: SITE_TEXT.index("dial-timeout")]
+    site = load_site_text(text)
+    defaults = {f.name: f.default for f in fields(SiteSettings) if f.name != "room"}
+    assert {name: getattr(site, name) for name in defaults} == defaults
+
+
+def test_a_planners_file_is_a_site_file_and_its_own_keys(tmp_path: Path) -> None:
+    assert PLANNER == SITE + OWN
+    config = planner(tmp_path, OWN_TEXT + SITE_TEXT)
+    site = load_site_text(SITE_TEXT)
+    assert {f.name: getattr(config, f.name) for f in fields(SiteSettings)} == {
+        f.name: getattr(site, f.name) for f in fields(SiteSettings)
+    }
+
+
+def test_a_site_takes_the_place_of_what_a_planner_had(tmp_path: Path) -> None:
+    old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
+    changed = SITE_TEXT.replace("max-attempts 4", "max-attempts 5").replace("open-most 100", "open-most 7", 1)
+    new = with_site(old, load_site_text(changed))
+    assert new == planner(tmp_path, OWN_TEXT + changed)
+    assert new.settings.max_attempts == 5
+    assert new.open_most == 7
+
+
+def test_what_names_the_planner_stays_with_it(tmp_path: Path) -> None:
+    old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
+    new = with_site(old, load_site_text(SITE_TEXT))
+    assert new == old
+    assert (new.settings.position, new.settings.planners, new.settings.zone) == (1, 3, 1)
+    assert (new.listen, new.directory, new.seed) == (("127.0.0.1:7400",), "127.0.0.1:7300", 7)
+
+
+def test_the_home_zone_is_found_by_its_name(tmp_path: Path) -> None:
+    old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
+    turned = SITE_TEXT.replace("zone a\nzone b\n", "zone b\nzone a\n")
+    assert with_site(old, load_site_text(turned)).settings.zone == 0
+
+
+def test_a_site_without_the_home_zone_is_no_site_of_this_planner(tmp_path: Path) -> None:
+    old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
+    site = load_site_text(SITE_TEXT.replace("zone b\n", "zone c\n"))
+    with pytest.raises(SettingsError, match=r"site\.conf:1:1: zone: no zone b.*known: a, c"):
+        with_site(old, site, "site.conf")
+
+
+@pytest.mark.parametrize(
+    ("line", "key"),
+    [
+        ("planner 0 of 1", "planner"),
+        ("home-zone a", "home-zone"),
+        ("listen 127.0.0.1:0", "listen"),
+        ("directory 127.0.0.1:7300", "directory"),
+        ("beyond-loopback yes", "beyond-loopback"),
+        ("seed 7", "seed"),
+    ],
+)
+def test_what_names_a_planner_has_no_place_in_a_site_file(line: str, key: str) -> None:
+    with pytest.raises(SettingsError) as caught:
+        load_site_text(f"{line}\n{SITE_TEXT}", "site.conf")
+    (problem,) = caught.value.problems
+    assert str(problem.at) == "site.conf:1:1"
+    assert (problem.key, "unknown keyword" in problem.message) == (key, True)
+
+
+@pytest.mark.parametrize(
+    ("old", "new", "place", "key", "says"),
+    [
+        ("dial-retry 50ms 3s", "dial-retry 4s 3s", "14:1", "dial-retry", "longer one"),
+        ("open-most 100", "open-most 0", "19:11", "open-most", "not within 1"),
+        ("keepalive 4s 1s", "keepalive 4s", "28:1", "keepalive", "value 2 of 2 is missing"),
+        ("effect repeatable", "effect twice", "2:12", "effect", "none of repeatable"),
+        ("zone b", "zone a", "7:1", "zone", "there twice"),
+        ("mean-cores 0.5\n", "", "1:1", "mean-cores", "is required"),
+    ],
+)
+def test_errors_have_places(old: str, new: str, place: str, key: str, says: str) -> None:
+    assert old in SITE_TEXT
+    with pytest.raises(SettingsError) as caught:
+        load_site_text(SITE_TEXT.replace(old, new, 1), "site.conf")
+    found = [p for p in caught.value.problems if p.key == key and says in p.message]
+    assert found, str(caught.value)
+    assert str(found[0]).startswith(f"site.conf:{place}: ")
+
+
+def test_a_planners_file_tells_what_is_wrong_with_both_parts_at_once(tmp_path: Path) -> None:
+    text = OWN_TEXT.replace("planner 1 of 3", "planner 3 of 3")
+    text += SITE_TEXT.replace("dial-retry 50ms 3s", "dial-retry 4s 3s")
+    with pytest.raises(SettingsError) as caught:
+        planner(tmp_path, text)
+    assert sorted(p.key for p in caught.value.problems) == ["dial-retry", "planner"]
+
+
+def test_a_site_file_is_read(tmp_path: Path) -> None:
+    path = tmp_path / "site.conf"
+    path.write_text(SITE_TEXT)
+    assert load_site(path) == load_site_text(SITE_TEXT)
+    with pytest.raises(SettingsError, match="No such file"):
+        load_site(tmp_path / "none.conf")
