--- a/stairplank/cli/main.py
+++ b/stairplank/cli/main.py
@@ -12,6 +12,7 @@
 
 from ..settings import SettingsError
 from . import logs
+from .configuration import configuration
 
 
 class Group(click.Group):
@@ -397,3 +398,6 @@
     grid.write(rows, path, Path(out))
     click.echo(grid.table(rows), nl=False)
     click.echo(f"results in {out}", err=True)
+
+
+main.add_command(configuration)
--- a/stairplank/settings/planner.py
+++ b/stairplank/settings/planner.py
@@ -18,10 +18,13 @@
     Key("home-zone", (v.name,)),
     Key("listen", (v.address,), True, True),
     Key("directory", (v.address,), True),
+    Key("configuration", (v.address,), False, True),
+    Key("configuration-copy", (v.text,)),
     Key("beyond-loopback", (v.flag,)),
     Key("seed", (v.whole(0, 2**64 - 1),)),
 )
 PLANNER: tuple[Key | Block, ...] = SITE + OWN
+REPLICAS_MOST = 5  # of the configuration service: a planner holds a stream to each
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -32,6 +35,8 @@
     listen: tuple[str, ...]
     directory: str
     seed: int | None
+    configuration: tuple[str, ...] = ()  # replicas of the configuration service
+    configuration_copy: str | None = None  # file for the revision that the next start begins with
 
 
 def load_planner(path: str | Path) -> PlannerConfig:
@@ -53,6 +58,8 @@
         listen=tuple(address for (address,) in section.all("listen")),
         directory=section.one("directory"),
         seed=section.one("seed"),
+        configuration=tuple(address for (address,) in section.all("configuration")),
+        configuration_copy=section.one("configuration-copy"),
         **site_fields(site),
     )
 
@@ -67,6 +74,10 @@
     if zone not in room.zones:
         known = ", ".join(room.zones)
         problems.append(Problem(section.place("home-zone"), "home-zone", f"no zone {zone}; known: {known}"))
+    replicas = section.keys.get("configuration", [])
+    if len(replicas) > REPLICAS_MOST:
+        text = f"{len(replicas)} replicas are given, at most {REPLICAS_MOST} are allowed"
+        problems.append(Problem(replicas[REPLICAS_MOST][0], "configuration", text))
     if section.one("beyond-loopback", False):
         return problems
     for place, (address,) in section.keys["listen"]:
