--- /dev/null
+++ b/stairplank/configuration/rules.py
@@ -0,0 +1,114 @@
+"""Which settings of the decision module may change while a planner runs. No I/O or clock.
+
+A planner knows classes, kinds, zones and tenants by their numbers, and keeps books that were made with some
+of the settings: what would make a number or a book mean something else needs a restart. Everything else is
+read by the module at each use, and may change between two of its decisions.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator, Mapping, Sequence
+from dataclasses import dataclass, fields
+from typing import Any, Protocol
+
+from .. import interface as api
+
+_EFFECT = "a task in flight was sent under the promise that this makes about a second start"
+_KIND = "the books on nodes of this kind were made with it"
+_PROTOCOL = "it says what nodes and their list offer, which is agreed on when a connection is made"
+
+# Danger: a window, group or effect that changes after an attempt has left lets a task run twice; a spread of
+# another scope leaves counts behind that no end of a task takes off again.
+CLASS_NEEDS_RESTART: Mapping[str, str] = {
+    "effect": _EFFECT,
+    "dedup_scope": _EFFECT,
+    "window_us": _EFFECT,
+    "spread": "tasks in flight are counted in places of the former scope",
+}
+KIND_NEEDS_RESTART: Mapping[str, str] = {"cores": _KIND, "memory": _KIND}
+SETTINGS_NEED_RESTART: Mapping[str, str] = {
+    "planners": "the planners divide the nodes by it",
+    "position": "the planners divide the nodes by it",
+    "zone": "a planner's home zone is its own",
+    "confirms_running": "it is what Placed promises, and the mean time to an answer was measured with it",
+    "fall_us": "offers to a node that warms up are counted in slots of this length",
+    "must_ask": _PROTOCOL,
+    "shows_free": _PROTOCOL,
+    "may_probe": _PROTOCOL,
+    "may_cancel": _PROTOCOL,
+    "report_fields": _PROTOCOL,
+    "reports_in_answers": _PROTOCOL,
+}
+
+
+class Named(Protocol):
+    """What is known by its place in a list, and has a name."""
+
+    @property
+    def name(self) -> str: ...
+
+
+@dataclass(frozen=True, slots=True)
+class FieldChange:
+    """A field that differs.
+
+    ``path``: a field of ``api.Settings``; for an entry of one of its lists the list, the entry's name and its
+    field.
+    """
+
+    path: tuple[str, ...]
+    restart_reason: str | None = None  # why it may not change while the planner runs
+
+    def __str__(self) -> str:
+        return ".".join(self.path)
+
+
+def changed_settings(old: api.Settings, new: api.Settings) -> tuple[FieldChange, ...]:
+    """Every field that differs between two settings, in the order of the fields."""
+    out: list[FieldChange] = []
+    for name in (field.name for field in fields(api.Settings)):
+        if name == "classes":
+            out += _changed_entries(name, old.classes, new.classes, CLASS_NEEDS_RESTART)
+        elif name == "kinds":
+            out += _changed_entries(name, old.kinds, new.kinds, KIND_NEEDS_RESTART)
+        elif getattr(old, name) != getattr(new, name):
+            out.append(FieldChange((name,), SETTINGS_NEED_RESTART.get(name)))
+    return tuple(out)
+
+
+def changed_names(path: str, old: Sequence[str], new: Sequence[str]) -> tuple[FieldChange, ...]:
+    """Whether a list of names has changed, and whether it has only grown at its end.
+
+    Danger: tasks and nodes in flight are known by the number of the class, kind, zone or tenant; after a
+    removal or a change of order the number would mean another one.
+    """
+    if list(old) == list(new):
+        return ()
+    kept = list(new[: len(old)])
+    if kept == list(old):
+        return (FieldChange((path,)),)
+    gone = [name for name in old if name not in new]
+    what = f"{', '.join(gone)} would be removed" if gone else "the order would change"
+    return (FieldChange((path,), f"{what}; tasks and nodes are known by their number: add at the end only"),)
+
+
+def _changed_entries(
+    path: str, old: Sequence[Named], new: Sequence[Named], needs_restart: Mapping[str, str]
+) -> Iterator[FieldChange]:
+    """Changes of a list of named entries, and of the entries that are in both."""
+    yield from changed_names(path, _names(old), _names(new))
+    new_by_name = {entry.name: entry for entry in new}
+    for entry in old:
+        other = new_by_name.get(entry.name)
+        if other is None:
+            continue
+        for name in _different_fields(entry, other):
+            yield FieldChange((path, entry.name, name), needs_restart.get(name))
+
+
+def _names(entries: Iterable[Named]) -> list[str]:
+    return [entry.name for entry in entries]
+
+
+def _different_fields(old: Any, new: Any) -> list[str]:
+    return [f.name for f in fields(old) if getattr(old, f.name) != getattr(new, f.name)]
