--- /dev/null
+++ b/stairplank/scale/event_names.py
@@ -0,0 +1,20 @@
+"""The names that samples of a scale run have as their load, beside the plain ones. Data; no I/O."""
+
+from __future__ import annotations
+
+LIST_CHANGES = "list-changes-"  # and the changes of the node list a second
+
+PLANNER_RESTART = "planner-restart"
+ALL_PLANNERS_RESTART = "all-planners-restart"
+WORKERS_RESTART = "workers-restart"
+RACK_VANISHES = "rack-vanishes"
+ZONE_RETURNS_COLD = "zone-returns-cold"
+REGION_CUT = "region-cut"
+LIST_MOVES = "list-moves"  # the planners' configuration names another list
+
+
+def list_changes_per_s(load: str) -> float | None:
+    """The rate that a load names; None for any other load."""
+    if not load.startswith(LIST_CHANGES):
+        return None
+    return float(load.removeprefix(LIST_CHANGES))
--- /dev/null
+++ b/stairplank/scale/target.py
@@ -0,0 +1,137 @@
+"""What a site has to carry: the twelve lines of the target, read from a settings file. Decides nothing."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+from pathlib import Path
+
+from ..settings import values as v
+from ..settings.schema import Block, Key, Section, load
+
+SHIPPED = Path(__file__).resolve().parents[1] / "scales" / "target.conf"
+
+TARGET: tuple[Key | Block, ...] = (
+    Key("workers", (v.whole(1),), True),
+    Key("accelerators", (v.whole(0),), True),
+    Key("jobs-per-day", (v.whole(0),), True),
+    Key("starts-per-second", (v.number(above=True),), True),
+    Key("running", (v.whole(1),), True),
+    Key("gang-most", (v.whole(1),), True),
+    Key("teams", (v.whole(0),), True),
+    Key("urgent-start", (v.positive_duration,), True),
+    Key("regions", (v.whole(1),), True),
+    Key("zones", (v.whole(1),), True),
+    Key("configuration-changes-per-day", (v.whole(0),), True),
+    Key("configuration-in-force", (v.positive_duration,), True),
+    Key("control-cores", (v.share,), True),
+    Key("control-memory-mb", (v.number(above=True),), True),
+    Key("control-bytes-per-second", (v.number(above=True),), True),
+    Key("planner-machines", (v.whole(1),), True),
+    Key("machine-failures-per-day", (v.number(),), True),
+    Key("machine-restarts-per-day", (v.number(),), True),
+    Key("rack-failures-per-year", (v.span(v.number()),), True),
+    Key("zone-failures-per-year", (v.span(v.number()),), True),
+    Key("region-cut", (v.positive_duration,), True),
+)
+
+
+class TargetLine(Enum):
+    """The lines of the target, each with the heading that the page gives it."""
+
+    WORKERS = "workers and accelerators"
+    STARTS = "jobs a day and starts at the peak"
+    RUNNING = "running tasks and gangs"
+    TEAMS = "teams with quotas"
+    URGENT = "urgent work"
+    PLACES = "regions and zones"
+    CONFIGURATION = "configuration in force"
+    CONTROL = "control cost of a planner"
+    PLANNER_MACHINES = "machines that run planners"
+    MACHINE_EVENTS = "machines that fail or restart"
+    RACK_AND_ZONE = "a rack, a switch, a zone"
+    REGION_CUT = "regions cut off from each other"
+
+
+@dataclass(frozen=True, slots=True)
+class Target:
+    """Typed figures of one site. Times are in seconds, as those of the results file."""
+
+    workers: int
+    accelerators: int
+    jobs_per_day: int
+    starts_per_s: float
+    running: int
+    gang_most: int
+    teams: int
+    urgent_start_s: float
+    regions: int
+    zones: int
+    configuration_changes_per_day: int
+    configuration_in_force_s: float
+    control_cpu_share: float  # of one core
+    control_memory_mb: float
+    control_bytes_per_s: float
+    planner_machines: int
+    machine_failures_per_day: float
+    machine_restarts_per_day: float
+    rack_failures_per_year: tuple[float, float]
+    zone_failures_per_year: tuple[float, float]
+    region_cut_s: float
+
+
+def load_target(path: str | Path = SHIPPED) -> Target:
+    """Read, check and type a target file. Raises SettingsError."""
+    return target_from(load(path, TARGET))
+
+
+def target_from(section: Section) -> Target:
+    """The typed figures of a section that was checked against ``TARGET``."""
+    one = section.one
+    return Target(
+        workers=one("workers"),
+        accelerators=one("accelerators"),
+        jobs_per_day=one("jobs-per-day"),
+        starts_per_s=one("starts-per-second"),
+        running=one("running"),
+        gang_most=one("gang-most"),
+        teams=one("teams"),
+        urgent_start_s=one("urgent-start") / 1e6,
+        regions=one("regions"),
+        zones=one("zones"),
+        configuration_changes_per_day=one("configuration-changes-per-day"),
+        configuration_in_force_s=one("configuration-in-force") / 1e6,
+        control_cpu_share=one("control-cores"),
+        control_memory_mb=one("control-memory-mb"),
+        control_bytes_per_s=one("control-bytes-per-second"),
+        planner_machines=one("planner-machines"),
+        machine_failures_per_day=one("machine-failures-per-day"),
+        machine_restarts_per_day=one("machine-restarts-per-day"),
+        rack_failures_per_year=one("rack-failures-per-year"),
+        zone_failures_per_year=one("zone-failures-per-year"),
+        region_cut_s=one("region-cut") / 1e6,
+    )
+
+
+def described(target: Target) -> dict[TargetLine, str]:
+    """What each line asks for, as the page writes it."""
+    racks, zones = target.rack_failures_per_year, target.zone_failures_per_year
+    return {
+        TargetLine.WORKERS: f"{target.workers:,} workers, {target.accelerators:,} accelerators among them",
+        TargetLine.STARTS: f"{target.jobs_per_day:,} jobs a day, "
+        f"{target.starts_per_s:g} starts/s at the peak",
+        TargetLine.RUNNING: f"{target.running:,} running tasks, gangs of up to {target.gang_most}",
+        TargetLine.TEAMS: f"{target.teams:,} teams with quotas",
+        TargetLine.URGENT: f"urgent work starts within {target.urgent_start_s:g} s",
+        TargetLine.PLACES: f"{target.regions} regions, {target.zones} zones",
+        TargetLine.CONFIGURATION: f"{target.configuration_changes_per_day:,} changes a day, "
+        f"in force everywhere within {target.configuration_in_force_s:g} s",
+        TargetLine.CONTROL: f"at most {100 * target.control_cpu_share:g}% of a core, "
+        f"{target.control_memory_mb:g} MB, {target.control_bytes_per_s:,g} B/s",
+        TargetLine.PLANNER_MACHINES: f"{target.planner_machines} machines",
+        TargetLine.MACHINE_EVENTS: f"{target.machine_failures_per_day:g} machines fail a day, "
+        f"{target.machine_restarts_per_day:g} are restarted or replaced",
+        TargetLine.RACK_AND_ZONE: f"{racks[0]:g} to {racks[1]:g} times a year a rack or a switch, "
+        f"{zones[0]:g} to {zones[1]:g} times a zone",
+        TargetLine.REGION_CUT: f"now and then regions lose each other for {target.region_cut_s:,g} s",
+    }
