--- /dev/null
+++ b/stairplank/scale/carriers.py
@@ -0,0 +1,74 @@
+"""Which part of the program carries which line of the target, by form of the planner. Data; no I/O.
+
+Where nothing carries a line, ``GAPS`` says what is there instead, as the code has it. The tests of the page
+look each named part up, and look whether what a gap says is missing is missing still.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .verdicts import Form, Mechanism
+
+
+@dataclass(frozen=True, slots=True)
+class Carriers:
+    """The parts of one form. None: nothing in the program carries it."""
+
+    workers: Mechanism
+    starts: Mechanism
+    running: Mechanism
+    gangs: Mechanism | None
+    urgent_with_room: Mechanism
+    zones: Mechanism
+    list_address: Mechanism | None
+    machine_lost: Mechanism
+    restarted_workers: Mechanism
+    control: Mechanism
+
+
+_DECIDES = Mechanism("stairplank.decide", "Planner")
+_COLD_NODES = Mechanism("stairplank.decide", "cold_turn")
+
+CARRIERS = {
+    Form.PLATFORM: Carriers(
+        workers=Mechanism("stairplank.platform.machines", "Machines"),
+        starts=_DECIDES,
+        running=Mechanism("stairplank.platform.owed", "Owed"),
+        gangs=None,
+        urgent_with_room=_DECIDES,
+        zones=_DECIDES,
+        list_address=Mechanism("stairplank.platform.service", "Service"),
+        machine_lost=Mechanism("stairplank.platform.links", "Links"),
+        restarted_workers=_COLD_NODES,
+        control=Mechanism("stairplank.platform.links", "Links"),
+    ),
+    Form.GRPC: Carriers(
+        workers=Mechanism("stairplank.planner.nodelist", "NodeList"),
+        starts=_DECIDES,
+        running=Mechanism("stairplank.planner.owners", "Owners"),
+        gangs=Mechanism("stairplank.groups.coordinator", "Coordinator"),
+        urgent_with_room=_DECIDES,
+        zones=_DECIDES,
+        list_address=None,
+        machine_lost=Mechanism("stairplank.planner.linking", "Links"),
+        restarted_workers=_COLD_NODES,
+        control=Mechanism("stairplank.planner.linking", "Links"),
+    ),
+}
+
+ACCELERATORS_GAP = (
+    "a machine has cores and memory; a class may be bound to a kind of machine, devices are not counted"
+)
+QUOTAS_GAP = "shares and quotas of tenants are read into the settings, and no decision looks at them"
+URGENT_GAP = (
+    "held tasks go by the worth of their class; no running task is stopped to make room for an urgent one"
+)
+REGIONS_GAP = "the settings know zones; nothing knows which zones make a region"
+GANGS_GAP = "the platform's protocol has no gangs; those of the gRPC planner are not offered there"
+SETTINGS_GAP = "settings are read once, at the start of a process; a change is a restart"
+LIST_ADDRESS_GAP = "the address of the node list is read once, at the start of a process"
+REGION_CUT_GAP = (
+    "machines beyond the cut count as lost and their tasks as ended, while they run on there; "
+    "nothing tells a cut from machines that have died"
+)
--- /dev/null
+++ b/stairplank/scale/roles.py
@@ -0,0 +1,75 @@
+"""What each part of a site holds and spends at the target's size. The states held are data. No I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from . import figures as fig
+from .figures import Figure
+from .results import Size
+from .target_site import Site
+from .verdicts import Form
+
+
+@dataclass(frozen=True, slots=True)
+class RoleCost:
+    """A role's figures; None where one was not measured."""
+
+    role: str
+    state: str
+    messages_per_s: float | None = None
+    bytes_per_s: float | None = None
+    cpu_share: float | None = None
+    memory_mb: float | None = None
+    wanted: str = ""  # what would measure the figures that no sample has
+
+
+PLANNER_STATE = {
+    Form.PLATFORM: "every listed machine; its own tasks, attempts and connections; nothing on disk",
+    Form.GRPC: "every listed node and a link to each; its own tasks, attempts and gangs; nothing on disk",
+}
+LIST_STATE = {
+    Form.PLATFORM: "numbered notices of machines; planners watch it",
+    Form.GRPC: "entries of nodes with revisions; nodes announce themselves, planners watch it",
+}
+WORKER_STATE = {
+    Form.PLATFORM: "its tasks, and ends of tasks that were not heard; a connection of each planner at least",
+    Form.GRPC: "its tasks, and numbered last words for each life of a planner; a link of each planner",
+}
+CLIENT_STATE = "its tasks by id; connections to the planners that it asks"
+CONFIGURATION_STATE = "a file of each planner, read at its start"
+
+
+def role_costs(site: Site, size: Size) -> list[RoleCost]:
+    """One planner, the node list, one worker's side; clients and configuration, which no sample has."""
+
+    def measured(figure: Figure) -> float | None:
+        return site.worst(figure, size)
+
+    return [
+        RoleCost(
+            f"planner, {site.form.value}",
+            PLANNER_STATE[site.form],
+            measured(fig.ALL_MESSAGES),
+            measured(fig.ALL_BYTES),
+            measured(fig.CPU),
+            measured(fig.MEMORY),
+        ),
+        RoleCost(
+            "node list",
+            LIST_STATE[site.form],
+            None,
+            measured(fig.LIST_BYTES),
+            measured(fig.LIST_CPU),
+            wanted="messages, memory: counted at the list's process",
+        ),
+        RoleCost(
+            "a worker's side",
+            WORKER_STATE[site.form],
+            measured(fig.WORKER_MESSAGES),
+            measured(fig.WORKER_BYTES),
+            wanted="processor time, memory: a worker's process on its own instead of hollow ones",
+        ),
+        RoleCost("a client's side", CLIENT_STATE, wanted="all: counted at the process of clients"),
+        RoleCost("configuration", CONFIGURATION_STATE, wanted="all: a run in which settings change"),
+    ]
--- /dev/null
+++ b/tests/scale/test_capacity_rows.py
@@ -0,0 +1,107 @@
+"""The capacity table: a row for every line of the target, verdicts, and the parts that carry them."""
+
+from __future__ import annotations
+
+import importlib
+import inspect
+import math
+from dataclasses import fields, replace
+
+import pytest
+from invented import results
+
+import stairplank.decide
+import stairplank.interface
+import stairplank.platform.service
+from stairplank.scale.capacity import by_need, capacity
+from stairplank.scale.carriers import CARRIERS
+from stairplank.scale.figures import Unit
+from stairplank.scale.predict import Slopes
+from stairplank.scale.results import Results
+from stairplank.scale.target import TargetLine, load_target
+from stairplank.scale.target_site import Site
+from stairplank.scale.verdicts import Form, Mechanism, Row, Sense, Verdict
+
+PART = Mechanism("stairplank.decide", "Planner")
+ROW = Row(TargetLine.CONTROL, Form.PLATFORM, "a figure", Unit.COUNT, 10.0, Sense.AT_MOST, PART)
+
+
+def rows_of(form: Form, *runs: Results) -> list[Row]:
+    site = Site(load_target(), runs, form)
+    return capacity(site, Slopes(site.samples))
+
+
+@pytest.mark.parametrize("form", Form)
+@pytest.mark.parametrize("runs", [(), (results(),), (results(1), results(2))])
+def test_every_line_of_the_target_has_a_row(form: Form, runs: tuple[Results, ...]) -> None:
+    assert {row.line for row in rows_of(form, *runs)} == set(TargetLine)
+
+
+@pytest.mark.parametrize("form", Form)
+def test_without_a_run_nothing_is_said_to_hold(form: Form) -> None:
+    rows = rows_of(form)
+    assert {row.verdict for row in rows} == {Verdict.NOTHING_CARRIES_IT, Verdict.NOT_MEASURED}
+    assert all(row.wanted for row in rows if row.verdict is Verdict.NOT_MEASURED)
+    assert all(row.gap for row in rows if row.verdict is Verdict.NOTHING_CARRIES_IT)
+
+
+def test_verdicts() -> None:
+    assert ROW.verdict is Verdict.NOT_MEASURED and ROW.ratio is None
+    assert replace(ROW, measured=10.0).verdict is Verdict.HOLDS
+    short = replace(ROW, measured=25.0)
+    assert short.verdict is Verdict.SHORT and short.ratio == 2.5
+    assert replace(ROW, mechanism=None).verdict is Verdict.NOTHING_CARRIES_IT
+    reached = replace(ROW, sense=Sense.AT_LEAST, measured=4.0)
+    assert reached.verdict is Verdict.SHORT and reached.ratio == 2.5
+    assert replace(reached, measured=0.0).ratio == math.inf
+
+
+def test_what_is_missing_is_ranked() -> None:
+    rows = [
+        replace(ROW, figure="holds", measured=1.0),
+        replace(ROW, figure="twice", measured=20.0),
+        replace(ROW, figure="not measured"),
+        replace(ROW, figure="thrice", measured=30.0),
+        replace(ROW, figure="nothing", mechanism=None),
+    ]
+    assert [row.figure for row in by_need(rows)] == ["nothing", "thrice", "twice"]
+
+
+@pytest.mark.parametrize("form", Form)
+def test_the_worse_of_two_runs_counts(form: Form) -> None:
+    first, second = results(1), results(2)
+    both = {row.figure: row.measured for row in rows_of(form, first, second)}
+    each = [{row.figure: row.measured for row in rows_of(form, run)} for run in (first, second)]
+    figure = "processor time, tasks standing, one of 7 planners"
+    assert both[figure] == max(values[figure] or 0.0 for values in each)
+
+
+@pytest.mark.parametrize("form", Form)
+def test_a_size_that_was_not_reached_is_short(form: Form) -> None:
+    run = results()
+    samples = tuple(s for s in run.samples if s.size.workers <= 410)
+    workers = next(r for r in rows_of(form, replace(run, samples=samples)) if r.figure == "workers")
+    assert workers.verdict is Verdict.SHORT and workers.ratio == 2.0
+
+
+@pytest.mark.parametrize("form", Form)
+def test_the_parts_that_carry_a_line_are_there(form: Form) -> None:
+    carriers = CARRIERS[form]
+    for field in fields(carriers):
+        part = getattr(carriers, field.name)
+        if part is not None:
+            assert hasattr(importlib.import_module(part.module), part.name), part
+
+
+def test_what_nothing_carries_is_missing_still() -> None:
+    """Where one of these fails, the program has grown: its row needs the part that carries it now."""
+    decisions = inspect.getsource(stairplank.decide)
+    for name in ("tenant_quota_cores", "tenant_share", ".priority", "preempts", "api.Evict("):
+        assert name not in decisions, name
+    interface = inspect.getsource(stairplank.interface).lower()
+    for name in ("accelerator", "gpu", "region"):
+        assert name not in interface, name
+    kind = {field.name for field in fields(stairplank.interface.NodeKind)}
+    assert kind == {"name", "cores", "memory"}
+    reload = inspect.getsource(stairplank.platform.service.Service.reload)
+    assert "board_of" in reload and "config.load" not in reload
