--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -16,7 +16,7 @@
 from gevent import socket as gsocket
 from platform_standins import Live, Machine, Owner, cut, held, reset, running
 
-from stairplank.platform import binary, inbox, jsonlines, links, owed
+from stairplank.platform import binary, client_requests, event_queue, jsonlines, links
 from stairplank.platform import events as ev
 from stairplank.platform import service as module
 from stairplank.platform.messages import Cause, Kind, Message
@@ -49,12 +49,12 @@
     if how == "word":
         live.until(
             lambda: any(
-                isinstance(e, ev.OwnerSaid) and e.message.kind is Kind.RELEASE and e.message.id == id
+                isinstance(e, ev.ClientMessage) and e.message.kind is Kind.RELEASE and e.message.id == id
                 for e in live.read
             )
         )
     else:
-        live.until(lambda: live.has_read(ev.OwnerLeft))
+        live.until(lambda: live.has_read(ev.ClientDisconnected))
 
 
 @pytest.mark.parametrize("how", ["word", "close", "reset"])
@@ -65,7 +65,7 @@
     one.placed(stays, 1)  # a connection to the machine is up and free
     one.hold()
     id = one.off(leaves.ask, 2)
-    one.until(lambda: one.has_read(ev.OwnerSaid, id))
+    one.until(lambda: one.has_read(ev.ClientMessage, id))
     gives_up(one, leaves, id, how)
     one.go()
     last = one.placed(stays, 3)
@@ -76,17 +76,17 @@
     live: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Owners were not read at all while so many waited; now what is beyond is turned away."""
-    monkeypatch.setattr(inbox, "ASKS_MOST", 3)
+    monkeypatch.setattr(event_queue, "PLACEMENTS_MOST", 3)
     one = live()
     owner = one.owner()
     one.placed(owner, 1)
     one.hold()
     ids = [one.off(owner.ask, number) for number in range(2, 7)]
-    one.until(lambda: one.has_read(ev.OwnerSaid, ids[-1]))
+    one.until(lambda: one.has_read(ev.ClientMessage, ids[-1]))
     for id in ids[:2]:
         gives_up(one, owner, id, "word")
     one.go()
-    answers = {id: [m.kind for m in one.off(owner.words, id, 1, 2.0)] for id in ids[2:]}
+    answers = {id: [m.kind for m in one.off(owner.replies, id, 1, 2.0)] for id in ids[2:]}
     assert answers == {ids[2]: [Kind.ANSWER], ids[3]: [Kind.RELEASE], ids[4]: [Kind.RELEASE]}
     assert [m.id for m in one.fleet[0].launched()] == [f"{1:016x}", ids[2]]
 
@@ -105,10 +105,10 @@
     one.hold()
     full = Message(Kind.RELEASE, id, {"note": "nc"}, int(Cause.FULL))
     one.off(first.say, first.last(id), full)
-    one.until(lambda: one.has_read(ev.MachineSaid, id))
+    one.until(lambda: one.has_read(ev.MachineMessage, id))
     gives_up(one, owner, id, "word")
     one.go()
-    one.until(lambda: id not in one.service.core.owed.tasks and not one.service._inbox)
+    one.until(lambda: id not in one.service.core.requests.tasks and not one.service._event_queue)
     gevent.sleep(0.05)
     assert [m.id for machine in one.fleet for m in machine.launched()].count(id) == 1
 
@@ -139,7 +139,7 @@
         one.off(owner.say, Message(Kind.SET_UP, id, fields, body=body))
         ids.append(id)
         gevent.sleep(0.02)
-        stream = next(iter(one.service.machines.values()))
+        stream = next(iter(one.service.machine_streams.values()))
         before = -1
         while (written := stream._queued - len(stream._buffer)) != before:
             before = written
@@ -161,12 +161,12 @@
     last = jammed(one, machine, owner)[-1]
     if why == "drain":
         one.board.tell(machine.row("DRAINING"))
-        one.until(lambda: one.service.board.rev == 2)
+        one.until(lambda: one.service.node_list.revision == 2)
     else:
         gives_up(one, owner, last, "word")
-    one.until(lambda: not one.service._inbox)
+    one.until(lambda: not one.service._event_queue)
     machine.reads.set()
-    one.until(lambda: not any(s._buffer for s in one.service.machines.values()))
+    one.until(lambda: not any(s._buffer for s in one.service.machine_streams.values()))
     if why == "drain":
         one.until(lambda: one.service.core.counts.get("taken_out_unsent"))
     else:
@@ -178,39 +178,39 @@
 def test_an_idle_connection_is_not_closed_over_a_set_up_that_lies_in_its_socket(
     live: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(owed, "IDLE_US", 300_000)
+    monkeypatch.setattr(client_requests, "IDLE_US", 300_000)
     one = live()
     owner = one.owner()
     one.off(owner.say, Message(Kind.TEST, f"{1:016x}", cause=0))
-    assert one.off(owner.words, f"{1:016x}")
+    assert one.off(owner.replies, f"{1:016x}")
     choked = [True]
-    monkeypatch.setattr(one.service._inbox, "is_choked", lambda: choked[0])
+    monkeypatch.setattr(one.service._event_queue, "is_overloaded", lambda: choked[0])
     one.off(owner.say, Message(Kind.TEST, f"{2:016x}", cause=0))  # read, and from then on no more
-    assert one.off(owner.words, f"{2:016x}")
+    assert one.off(owner.replies, f"{2:016x}")
     id = one.off(owner.ask, 3)
-    gevent.sleep((owed.IDLE_US + 3 * owed.SWEEP_US) / 1e6)
+    gevent.sleep((client_requests.IDLE_US + 3 * client_requests.SWEEP_US) / 1e6)
     choked[0] = False
-    assert [m.kind for m in one.off(owner.words, id)] == [Kind.ANSWER]
+    assert [m.kind for m in one.off(owner.replies, id)] == [Kind.ANSWER]
 
 
 def test_no_connection_with_something_unread_is_closed_for_room(
     live: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     one = live()
-    one.service.owners_most = 2
+    one.service.client_streams_most = 2
     first, second = one.owner(), one.owner("127.0.0.9")
     for number, owner in ((1, first), (2, second)):  # the first has been quiet for longer
         one.off(owner.say, Message(Kind.TEST, f"{number:016x}", cause=0))
-        assert one.off(owner.words, f"{number:016x}")
-    one.service._inbox.is_choked = lambda: True  # type: ignore[method-assign]
+        assert one.off(owner.replies, f"{number:016x}")
+    one.service._event_queue.is_overloaded = lambda: True  # type: ignore[method-assign]
     one.off(first.say, Message(Kind.TEST, f"{3:016x}", cause=0))
-    assert one.off(first.words, f"{3:016x}")
+    assert one.off(first.replies, f"{3:016x}")
     id = one.off(first.ask, 4)
-    one.until(lambda: next(s for s in one.service.owners.values()).is_readable())
+    one.until(lambda: next(s for s in one.service.client_streams.values()).is_readable())
     third = one.owner("127.0.0.8")
     one.until(lambda: one.off(second.closed_within, 0.1))
-    del one.service._inbox.is_choked
-    assert [m.kind for m in one.off(first.words, id)] == [Kind.ANSWER]
+    del one.service._event_queue.is_overloaded
+    assert [m.kind for m in one.off(first.replies, id)] == [Kind.ANSWER]
     third.sock.close()
 
 
@@ -219,29 +219,29 @@
     live: Make, monkeypatch: pytest.MonkeyPatch, word: str
 ) -> None:
     """The timer of idle connections falls due in the very turn that handles the word."""
-    monkeypatch.setattr(owed, "IDLE_US", 100_000)
-    monkeypatch.setattr(owed, "SWEEP_US", 300_000)
+    monkeypatch.setattr(client_requests, "IDLE_US", 100_000)
+    monkeypatch.setattr(client_requests, "SWEEP_US", 300_000)
     one = live()
     owner = one.owner()
     one.placed(one.owner("127.0.0.9"), 1)
     one.off(owner.say, Message(Kind.TEST, f"{1:016x}", cause=0))
-    assert one.off(owner.words, f"{1:016x}")
+    assert one.off(owner.replies, f"{1:016x}")
     one.board.frozen = True  # the turn begins with nothing else
     gevent.sleep(0.1)
-    one.until(lambda: not one.service._inbox)
+    one.until(lambda: not one.service._event_queue)
     one.hold()
     id = f"{7:016x}"
     if word == "held":
         one.off(hands_over, owner, 7, one.fleet[0].name)
     else:
         one.off(owner.ask, 7)
-    one.until(lambda: one.has_read(ev.OwnerSaid, id))
+    one.until(lambda: one.has_read(ev.ClientMessage, id))
     gevent.sleep(0.5)  # time for the sweep, which no turn has felt
     one.go()
     if word == "held":
-        one.until(lambda: id in one.service.core.owed.tasks)
+        one.until(lambda: id in one.service.core.requests.tasks)
     else:
-        assert [m.kind for m in one.off(owner.words, id)] == [Kind.ANSWER]
+        assert [m.kind for m in one.off(owner.replies, id)] == [Kind.ANSWER]
 
 
 # Leaving
@@ -254,7 +254,7 @@
     id = one.placed(owner, 1)
     one.fleet[0].last_words.append(Message(Kind.RELEASE, id, cause=int(Cause.ENDED)))
     one.service.stop()
-    words = one.off(owner.words, id, 2)
+    words = one.off(owner.replies, id, 2)
     assert [(m.kind, m.cause) for m in words[1:]] == [(Kind.RELEASE, Cause.ENDED)]
     one.until(lambda: one.runs.dead)
 
@@ -262,7 +262,7 @@
 def test_a_set_up_that_has_begun_to_come_is_answered_before_a_planner_leaves(
     live: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(owed, "LEAVING_US", 50_000)
+    monkeypatch.setattr(client_requests, "LEAVING_US", 50_000)
     monkeypatch.setattr(module, "BEGUN_US", 60_000_000)
     monkeypatch.setattr(module, "PARTIAL_S", 60.0)
     one = live()
@@ -271,13 +271,13 @@
     fields = {"class": "worker", "left": "6000", "key": id, "extras": f"cores:1;memory:1;service:{id}"}
     data = binary.encode(Message(Kind.SET_UP, id, fields, body="b"))
     one.off(owner.sock.sendall, data[:40])
-    one.until(lambda: any(s.half for s in one.service.owners.values()))
+    one.until(lambda: any(s.half for s in one.service.client_streams.values()))
     one.service.stop()
-    one.until(lambda: one.service.core.owed.is_done())
+    one.until(lambda: one.service.core.requests.is_done())
     gevent.sleep(0.2)
     assert not one.runs.dead
     one.off(owner.sock.sendall, data[40:])
-    assert [(m.kind, m.cause) for m in one.off(owner.words, id)] == [(Kind.RELEASE, Cause.BUSY)]
+    assert [(m.kind, m.cause) for m in one.off(owner.replies, id)] == [(Kind.RELEASE, Cause.BUSY)]
     one.until(lambda: one.runs.dead)
 
 
@@ -288,8 +288,8 @@
     came = one.service._stopped_at
     gevent.sleep(0.3)
     one.go()
-    one.until(lambda: one.service.core.owed.leaving_at)
-    assert one.service.core.owed.leaving_at == came
+    one.until(lambda: one.service.core.requests.leaving_at)
+    assert one.service.core.requests.leaving_at == came
 
 
 def test_a_file_that_is_being_written_as_the_signal_comes_is_read_again(live: Make) -> None:
@@ -299,7 +299,7 @@
     gevent.spawn(one.service.reload)
     gevent.sleep(0.05)
     Path(one.service.path).write_text(whole.replace(one.board.address, "127.0.0.1:9"))
-    one.until(lambda: one.service.watch.address == "127.0.0.1:9")
+    one.until(lambda: one.service.node_watch.address == "127.0.0.1:9")
 
 
 # Hand-overs
@@ -315,18 +315,18 @@
 def test_a_task_at_a_machine_that_the_list_does_not_name_yet_stands(live: Make) -> None:
     """Its owner was told that it is over, while it ran: it would be run twice."""
     one = live(machines=2, known=1)
-    one.until(lambda: one.service.board.rev == 1)
+    one.until(lambda: one.service.node_list.revision == 1)
     owner = one.owner()
     holder = one.fleet[1]
     one.board.frozen = True
     id = one.off(hands_over, owner, 7, holder.name)
-    one.until(lambda: one.has_read(ev.OwnerSaid, id))
-    assert one.off(owner.words, id, 1, 0.3) == []
+    one.until(lambda: one.has_read(ev.ClientMessage, id))
+    assert one.off(owner.replies, id, 1, 0.3) == []
     one.board.frozen = False
     one.board.tell(holder.row())
     one.until(lambda: holder.socks)  # it is dialled, and heard
     holder.say(holder.socks[-1], Message(Kind.RELEASE, id, cause=int(Cause.ENDED)))
-    assert [(m.kind, m.cause) for m in one.off(owner.words, id)] == [(Kind.RELEASE, Cause.ENDED)]
+    assert [(m.kind, m.cause) for m in one.off(owner.replies, id)] == [(Kind.RELEASE, Cause.ENDED)]
 
 
 def test_one_that_its_owner_ends_before_the_list_names_its_machine_is_ended_there(live: Make) -> None:
@@ -336,16 +336,18 @@
     one.board.frozen = True
     id = one.off(hands_over, owner, 7, holder.name)
     one.off(owner.say, Message(Kind.RELEASE, id, cause=int(Cause.CANCELLED)))
-    one.until(lambda: one.has_read(ev.OwnerSaid, id) and not one.service.core.owed.tasks)
+    one.until(lambda: one.has_read(ev.ClientMessage, id) and not one.service.core.requests.tasks)
     one.board.tell(holder.row())
     one.board.frozen = False
     one.placed(owner, 8)
-    one.until(lambda: one.service.core.handover.waiting == {})
+    one.until(lambda: one.service.core.adoption.waiting == {})
     one.until(
         lambda: (
             one.service.core.links.machines
             and any(
-                m.words or m.links for m in one.service.core.links.machines.values() if m.name == holder.name
+                m.pending_messages or m.links
+                for m in one.service.core.links.machines.values()
+                if m.name == holder.name
             )
         )
     )
@@ -359,10 +361,10 @@
     machine = one.fleet[0]
     id = f"{7:016x}"
     machine.say(machine.socks[-1], Message(Kind.RELEASE, id, cause=int(Cause.ENDED)))
-    one.until(lambda: one.has_read(ev.MachineSaid, id) and not one.service._inbox)
+    one.until(lambda: one.has_read(ev.MachineMessage, id) and not one.service._event_queue)
     one.off(hands_over, owner, 7, machine.name)
-    assert [(m.kind, m.cause) for m in one.off(owner.words, id)] == [(Kind.RELEASE, Cause.ENDED)]
-    assert list(one.service.core.owed.tasks) == [f"{1:016x}"]
+    assert [(m.kind, m.cause) for m in one.off(owner.replies, id)] == [(Kind.RELEASE, Cause.ENDED)]
+    assert list(one.service.core.requests.tasks) == [f"{1:016x}"]
 
 
 @pytest.mark.parametrize("noted", [False, True])
@@ -377,14 +379,14 @@
     machine = one.fleet[0]
     gevent.sleep(0.05)
     id = one.off(hands_over, owner, 7, machine.name)
-    one.until(lambda: id in one.service.core.owed.tasks)
+    one.until(lambda: id in one.service.core.requests.tasks)
     if noted:
         note = Message(Kind.NOTE, id, {"note": "live", "value": "1"})
         machine.say(machine.socks[-1], note)
-        one.until(lambda: one.service.core.owed.tasks[id].out.noted)  # type: ignore[union-attr]
+        one.until(lambda: one.service.core.requests.tasks[id].attempt.noted)  # type: ignore[union-attr]
     one.board.tell(machine.row() | {"born_ms": born})
-    one.until(lambda: one.service.board.rev == 2 and not one.service._inbox)
-    words = [(m.kind, m.cause) for m in one.off(owner.words, id, 1, 0.5 if noted else 20.0)]
+    one.until(lambda: one.service.node_list.revision == 2 and not one.service._event_queue)
+    words = [(m.kind, m.cause) for m in one.off(owner.replies, id, 1, 0.5 if noted else 20.0)]
     assert words == ([] if noted else [(Kind.RELEASE, Cause.RESET)])
 
 
@@ -397,7 +399,7 @@
     owner = one.owner()
     one.fleet[0].fault = cut(after)
     id = one.off(owner.ask, 1, "ingest")
-    assert [(m.kind, m.cause) for m in one.off(owner.words, id)] == [(Kind.RELEASE, Cause.RESET)]
+    assert [(m.kind, m.cause) for m in one.off(owner.replies, id)] == [(Kind.RELEASE, Cause.RESET)]
     assert len(one.fleet[0].launched()) == 1
 
 
@@ -411,11 +413,11 @@
     gives_up(one, owner, id, "word")
     given_up = one.until(lambda: [m for _, m in machine.heard if m.kind is Kind.RELEASE])
     gate.set()
-    one.until(lambda: one.has_read(ev.MachineSaid, id) and not one.service._inbox)
+    one.until(lambda: one.has_read(ev.MachineMessage, id) and not one.service._event_queue)
     machine.fault = None
     one.placed(owner, 2)
-    assert [m.id for m in owner.said if m.id == id] == [] and [m.id for m in given_up] == [id]
-    assert list(one.service.core.owed.tasks) == [f"{2:016x}"]
+    assert [m.id for m in owner.received if m.id == id] == [] and [m.id for m in given_up] == [id]
+    assert list(one.service.core.requests.tasks) == [f"{2:016x}"]
 
 
 def test_a_second_answer_some_milliseconds_late_is_not_passed_on(live: Make) -> None:
@@ -425,12 +427,12 @@
     id = one.off(owner.ask, 1)
     one.until(machine.launched)
     gate.set()
-    assert [m.kind for m in one.off(owner.words, id)] == [Kind.ANSWER]
+    assert [m.kind for m in one.off(owner.replies, id)] == [Kind.ANSWER]
     one.read.clear()
     machine.say(machine.last(id), running(machine.launched()[0]))
-    one.until(lambda: one.has_read(ev.MachineSaid, id) and not one.service._inbox)
+    one.until(lambda: one.has_read(ev.MachineMessage, id) and not one.service._event_queue)
     one.placed(owner, 2)
-    assert [m.kind for m in owner.said if m.id == id] == [Kind.ANSWER]
+    assert [m.kind for m in owner.received if m.id == id] == [Kind.ANSWER]
 
 
 def test_an_answer_that_is_read_with_a_reset_behind_it_counts(live: Make) -> None:
@@ -445,6 +447,6 @@
     one.fleet[0].fault = answers_and_dies
     one.hold()
     id = one.off(owner.ask, 1)
-    one.until(lambda: one.has_read(ev.OwnerSaid, id))
+    one.until(lambda: one.has_read(ev.ClientMessage, id))
     one.go()
-    assert [m.kind for m in one.off(owner.words, id)][0] is Kind.ANSWER
+    assert [m.kind for m in one.off(owner.replies, id)][0] is Kind.ANSWER
--- a/tests/platform/test_platform_drawn.py
+++ b/tests/platform/test_platform_drawn.py
@@ -8,7 +8,7 @@
 from drawn_days import DrawnDay
 
 from stairplank import interface as api
-from stairplank.platform import links, out, owed, tables
+from stairplank.platform import attempts, client_requests, links, tables
 
 SEEDS = range(12)
 
@@ -35,23 +35,23 @@
 def drains_are_not_looked_at(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(links.Links, "is_open_to", lambda self, machine: machine in self.machines)
     patch.setattr(links.Links, "drop_waiting", lambda self, machine: None)
-    patch.setattr(out.Out, "may_leave", lambda self, thing: True)
+    patch.setattr(attempts.Attempts, "may_leave", lambda self, thing: True)
 
 
 def what_waits_leaves_unchecked(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(out.Out, "may_leave", lambda self, thing: True)
+    patch.setattr(attempts.Attempts, "may_leave", lambda self, thing: True)
 
 
 def a_broken_connection_is_taken_for_proof(patch: pytest.MonkeyPatch) -> None:
-    def broken(self: out.Out, thing: tables.Attempt | tables.Test) -> None:
+    def broken(self: attempts.Attempts, thing: tables.Attempt | tables.Test) -> None:
         if isinstance(thing, tables.Attempt):
             self._over(thing, api.Result.NOT_SENT)
 
-    patch.setattr(out.Out, "broken", broken)
+    patch.setattr(attempts.Attempts, "broken", broken)
 
 
 def withdrawn_tasks_are_forgotten(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(owed, "UNPROVEN_MOST", 0)
+    patch.setattr(client_requests, "UNPROVEN_MOST", 0)
 
 
 def the_same_id_goes_to_a_machine_again(patch: pytest.MonkeyPatch) -> None:
@@ -59,18 +59,18 @@
         def __contains__(self, key: object) -> bool:
             return False
 
-    init = out.Out.__init__
+    init = attempts.Attempts.__init__
 
-    def made(self: out.Out, *args: object) -> None:
+    def made(self: attempts.Attempts, *args: object) -> None:
         init(self, *args)  # type: ignore[arg-type]
-        self.at = Forgets()
+        self.by_machine_and_id = Forgets()
 
-    patch.setattr(out.Out, "__init__", made)
-    patch.setattr(owed, "UNPROVEN_MOST", 0)
+    patch.setattr(attempts.Attempts, "__init__", made)
+    patch.setattr(client_requests, "UNPROVEN_MOST", 0)
 
 
 def refusals_are_not_told(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(owed.Owed, "refuse", lambda self, action: None)
+    patch.setattr(client_requests.ClientRequests, "refuse", lambda self, action: None)
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_platform_links.py
+++ b/tests/platform/test_platform_links.py
@@ -60,9 +60,9 @@
     (one, _), (two, _) = desk.sent(1)[0], desk.sent(2)[0]
     assert one != two
     desk.feed(ev.LinkLost(one, frozenset()))
-    assert desk.words(1)[-1][1:] == (RELEASE, Cause.RESET)
+    assert desk.replies(1)[-1][1:] == (RELEASE, Cause.RESET)
     desk.machine(two, Message(ANSWER, name(2), body="b"))
-    assert [w[1] for w in desk.words(2)] == [ANSWER]
+    assert [w[1] for w in desk.replies(2)] == [ANSWER]
 
 
 def test_a_connection_on_which_an_answer_did_not_come_is_not_used_again() -> None:
@@ -106,18 +106,18 @@
     conn = desk.owner()
     link = desk.place(conn, 1)
     began = desk.now
-    while len(desk.words(1)) < 2 and desk.now < began + 20 * SECOND:
+    while len(desk.replies(1)) < 2 and desk.now < began + 20 * SECOND:
         desk.passes(50_000, answering=False)
         for dial in list(desk.dials):  # nobody answers
             del desk.dials[dial]
             desk.feed(ev.LinkFailed(dial, False))
-    assert desk.words(1)[-1] == (conn, RELEASE, Cause.RESET)
+    assert desk.replies(1)[-1] == (conn, RELEASE, Cause.RESET)
     assert links.DEAD_US < desk.now - began < 7_700_000  # its end is due within 8 s
     # it comes back with the task: the copy is ended there
     assert link not in desk.up
     desk.ask(conn, 2)
     desk.passes(5 * SECOND)
-    assert any(m == Message(RELEASE, name(1), cause=Cause.CANCELLED) for _, m in desk.out)
+    assert any(m == Message(RELEASE, name(1), cause=Cause.CANCELLED) for _, m in desk.to_machines)
 
 
 def test_one_that_is_heard_of_is_not_dead_though_dials_fail() -> None:
@@ -129,11 +129,11 @@
         for dial in list(desk.dials):
             del desk.dials[dial]
             desk.feed(ev.LinkFailed(dial, False))
-        tests = [m for k, m in desk.out if k == link and m.kind is Kind.TEST]
+        tests = [m for k, m in desk.to_machines if k == link and m.kind is Kind.TEST]
         for test in tests:
-            desk.out.remove((link, test))
+            desk.to_machines.remove((link, test))
             desk.machine(link, Message(Kind.TESTED, test.id, cause=1))
-    assert [w[1] for w in desk.words(1)] == [ANSWER]
+    assert [w[1] for w in desk.replies(1)] == [ANSWER]
 
 
 def test_one_that_refuses_connections_is_dead_soon() -> None:
@@ -142,7 +142,7 @@
     link = desk.place(conn, 1)
     desk.feed(ev.LinkLost(link, frozenset()))
     began = desk.now
-    while len(desk.words(1)) < 2 and desk.now < began + 5 * SECOND:
+    while len(desk.replies(1)) < 2 and desk.now < began + 5 * SECOND:
         desk.passes(50_000, answering=False)
         desk.refuse()
     assert desk.now - began < SECOND
@@ -154,8 +154,8 @@
     desk.place(conn, 1)
     desk.passes(SECOND)
     born = (1_000 * SECOND + desk.now) // 1000
-    desk.told(row(1, born_ms=born))
-    assert desk.words(1)[-1] == (conn, RELEASE, Cause.RESET)
+    desk.list_update(row(1, born_ms=born))
+    assert desk.replies(1)[-1] == (conn, RELEASE, Cause.RESET)
 
 
 def test_a_machine_that_is_gone_may_still_speak_and_is_then_forgotten() -> None:
@@ -165,11 +165,11 @@
     desk.ask(conn, 2, at="s-00000001")
     desk.passes(300_000)
     link = next(k for k in desk.up if desk.machine_of(k) == 1)
-    desk.told(row(1, "DELETED"))
+    desk.list_update(row(1, "DELETED"))
     desk.ends(link, 1, Cause.RESET, note="dr")
-    assert desk.words(1) == [(conn, RELEASE, Cause.RESET)] and desk.words(2) == []
+    assert desk.replies(1) == [(conn, RELEASE, Cause.RESET)] and desk.replies(2) == []
     desk.passes(links.GONE_US + SECOND)
-    assert desk.words(2) == [(conn, RELEASE, Cause.RESET)]
+    assert desk.replies(2) == [(conn, RELEASE, Cause.RESET)]
     assert len(desk.core.links.machines) == 1 and link in desk.hung
 
 
@@ -177,28 +177,28 @@
     desk = Desk(machines=1)
     conn = desk.owner()
     link = desk.place(conn, 1)
-    desk.told(row(1, "DELETED"), row(9, dial=desk.up[link]))
+    desk.list_update(row(1, "DELETED"), row(9, dial=desk.up[link]))
     desk.passes(5 * SECOND)
-    assert desk.words(1)[-1] == (conn, RELEASE, Cause.RESET)
+    assert desk.replies(1)[-1] == (conn, RELEASE, Cause.RESET)
     desk.ask(conn, 2)
     desk.connect()
     desk.machine(desk.sent(2)[0][0], Message(ANSWER, name(2), body="b"))
-    assert desk.core.owed.tasks[name(2)].out is not None
+    assert desk.core.requests.tasks[name(2)].attempt is not None
     assert link in desk.hung
 
 
 def test_words_for_a_machine_out_of_reach_are_bounded() -> None:
     desk = Desk(machines=1)
     machine = next(iter(desk.core.links.machines.values()))
-    for number in range(links.WORDS_MOST + 50):
-        desk.core.links.say(machine.id, Message(RELEASE, name(number), cause=31), keep=True)
-    assert len(machine.words) == links.WORDS_MOST
+    for number in range(links.PENDING_MESSAGES_MOST + 50):
+        desk.core.links.send_message(machine.id, Message(RELEASE, name(number), cause=31), keep=True)
+    assert len(machine.pending_messages) == links.PENDING_MESSAGES_MOST
 
 
 def test_machines_beyond_the_bound_are_not_taken(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(machines, "MACHINES_MOST", 4)
     desk = Desk(machines=3)
-    desk.told(*(row(n) for n in range(10, 20)))
+    desk.list_update(*(row(n) for n in range(10, 20)))
     assert len(desk.core.links.machines) == len(desk.core.module.nodes) == 4
 
 
@@ -212,7 +212,7 @@
         for dial in list(desk.dials):
             del desk.dials[dial]
             desk.feed(ev.LinkFailed(dial, False, ours=True))
-    assert [w[1] for w in desk.words(1)] == [ANSWER]
+    assert [w[1] for w in desk.replies(1)] == [ANSWER]
     desk.passes(SECOND)
     assert link not in desk.up and desk.up  # it is dialled as soon as that works
     desk.ask(conn, 2, "once")
@@ -227,7 +227,7 @@
     machine = next(iter(desk.core.links.machines.values()))
     assert len(machine.waiting) == 5
     desk.refuse()
-    assert not machine.waiting and desk.core.out.under_way == 0
+    assert not machine.waiting and desk.core.attempts.under_way == 0
 
 
 def test_a_release_on_a_connection_that_is_being_closed_counts() -> None:
@@ -240,7 +240,7 @@
         desk.connect()
     desk.core.links.closing.setdefault(first, next(iter(desk.core.links.machines)))
     desk.ends(first, 1)
-    assert desk.words(1)[-1] == (conn, RELEASE, Cause.ENDED)
+    assert desk.replies(1)[-1] == (conn, RELEASE, Cause.ENDED)
     desk.feed(ev.LinkLost(first, frozenset()))
     assert not desk.core.links.closing
 
@@ -258,7 +258,7 @@
     desk = Desk(machines=1)
     conn = desk.owner()
     link = desk.place(conn, 1)
-    desk.told(row(1, dial="127.8.1.99:2905"))
+    desk.list_update(row(1, dial="127.8.1.99:2905"))
     assert link in desk.hung
     desk.passes(300_000)
     assert set(desk.up.values()) == {"127.8.1.99:2905"}
@@ -276,9 +276,11 @@
 def test_what_is_out_on_a_connection_that_is_closed_is_called_back_before_it_goes_elsewhere() -> None:
     desk = Desk(machines=3)
     link = desk.send(desk.owner(), 1)
-    desk.told(row(desk.machine_of(link), dial="127.8.1.99:2905"))  # a new address: the old connection goes
+    desk.list_update(
+        row(desk.machine_of(link), dial="127.8.1.99:2905")
+    )  # a new address: the old connection goes
     desk.connect()
-    words = [(k, m.kind, m.cause) for k, m in desk.out if m.id == name(1)]
+    words = [(k, m.kind, m.cause) for k, m in desk.to_machines if m.id == name(1)]
     assert words[1] == (link, RELEASE, int(Cause.ENDED)) and len(words) == 3
     assert words[2][1] is Kind.SET_UP and words[2][0] != link
 
@@ -298,7 +300,7 @@
     desk.passes(100_000)
     assert link in desk.up
     desk.machine(link, Message(ANSWER, name(3), body="b"))
-    assert [w[1] for w in desk.words(3)] == [ANSWER]
+    assert [w[1] for w in desk.replies(3)] == [ANSWER]
 
 
 def test_a_set_up_that_goes_again_does_not_go_to_a_machine_that_drains_by_now() -> None:
@@ -309,7 +311,7 @@
         desk.connect()
     first = desk.sent(1)[0][0]
     assert desk.sent(2)[0][0] != first
-    desk.told(row(1, "DRAINING"))
+    desk.list_update(row(1, "DRAINING"))
     desk.feed(ev.LinkLost(first, frozenset({name(1)})))  # not every byte of it had left
     desk.passes(300_000)
     assert len(desk.sent(1)) == 1
@@ -319,7 +321,7 @@
     desk = Desk(machines=1)
     conn = desk.owner()
     desk.ask(conn, 1, "keyed")
-    desk.told(row(1, block=7))
+    desk.list_update(row(1, block=7))
     desk.connect()
     assert desk.sent(1) == [] and desk.core.counts["may_not_leave"] == 1
 
@@ -375,7 +377,7 @@
     link = desk.send(desk.owner(), 1)
     while link not in desk.hung:  # nothing else is out on it: it is closed with that
         desk.feed(after=50_000)
-    words = [(k, m.kind, m.cause) for k, m in desk.out if m.id == name(1)]
+    words = [(k, m.kind, m.cause) for k, m in desk.to_machines if m.id == name(1)]
     assert words == [(link, Kind.SET_UP, None), (link, RELEASE, int(Cause.ENDED))]
 
 
@@ -462,7 +464,7 @@
     waits = next(m for m in table.machines.values() if not m.links)
     table.wanted = {waits.id: None}
     table.links_most = 0
-    desk.told(row(int(waits.name[2:], 16), "DELETED"))
+    desk.list_update(row(int(waits.name[2:], 16), "DELETED"))
     desk.feed(after=links.GONE_US + SECOND)
     assert waits.id not in table.machines and waits.id not in table.wanted
 
--- a/tests/platform/test_platform_process.py
+++ b/tests/platform/test_platform_process.py
@@ -16,7 +16,7 @@
 from platform_config import CONFIG
 from platform_standins import BoardStand, Machine, Owner, Process, reset, running, until
 
-from stairplank.platform import binary, jsonlines, owed
+from stairplank.platform import binary, client_requests, jsonlines
 from stairplank.platform.messages import Cause, Kind, Message
 
 Start = Callable[..., tuple[Process, BoardStand, list[Machine]]]
@@ -51,20 +51,20 @@
     process, _, fleet = start()
     owner = Owner(process.where)
     owner.say(Message(Kind.TEST, f"{1:016x}", cause=0))
-    assert owner.words(f"{1:016x}")[0].cause == 1
+    assert owner.replies(f"{1:016x}")[0].cause == 1
     ids = [owner.ask(n, ("worker", "ingest")[n % 2]) for n in range(10, 20)]
     for id in ids:
-        (word,) = owner.words(id)
+        (word,) = owner.replies(id)
         assert (word.kind, word.body) == (Kind.ANSWER, "stands " + id)
     first = next(m for f in fleet for m in f.launched() if m.id == ids[1])
     assert first.body == "body 11" and first.fields["idem"] == f"{11:032x}"
     assert 5_000 < int(first.fields["left"]) <= 6_000
     holder = next(f for f in fleet if any(m.id == ids[0] for m in f.launched()))
     holder.say(holder.socks[-1], Message(Kind.RELEASE, ids[0], cause=int(Cause.ENDED)))
-    assert kinds(owner.words(ids[0], 2))[1] == (Kind.RELEASE, Cause.ENDED)
+    assert kinds(owner.replies(ids[0], 2))[1] == (Kind.RELEASE, Cause.ENDED)
     process.child.send_signal(signal.SIGTERM)
     late = owner.ask(50)  # still taken
-    assert owner.words(late)[0].kind is Kind.ANSWER
+    assert owner.replies(late)[0].kind is Kind.ANSWER
     assert process.child.wait(20) == 0
     stops = [m for f in fleet for _, m in f.heard if m.kind is Kind.RELEASE]
     assert stops == []  # what stands runs on
@@ -97,11 +97,11 @@
     process, _, fleet = start(1, fault)
     owner = Owner(process.where)
     id = owner.ask(1, "ingest")
-    assert kinds(owner.words(id)) == [(Kind.RELEASE, Cause.RESET)]
+    assert kinds(owner.replies(id)) == [(Kind.RELEASE, Cause.RESET)]
     assert len(fleet[0].launched()) == 1
     fleet[0].fault = None
-    good = until(lambda: [w for n in [time.monotonic_ns() % 2**40] for w in owner.words(owner.ask(n))])
-    assert kinds(owner.words(id)) == [(Kind.RELEASE, Cause.RESET)] and good
+    good = until(lambda: [w for n in [time.monotonic_ns() % 2**40] for w in owner.replies(owner.ask(n))])
+    assert kinds(owner.replies(id)) == [(Kind.RELEASE, Cause.RESET)] and good
 
 
 def test_more_than_belongs_to_an_answer_does_no_harm(start: Start) -> None:
@@ -113,17 +113,17 @@
     process, _, _ = start(1, double)
     owner = Owner(process.where)
     first, second = owner.ask(1), owner.ask(2)
-    assert [m.body for m in owner.words(first, 2, 1.0)] == ["stands " + first]
-    assert [m.body for m in owner.words(second, 2, 1.0)] == ["stands " + second]
+    assert [m.body for m in owner.replies(first, 2, 1.0)] == ["stands " + first]
+    assert [m.body for m in owner.replies(second, 2, 1.0)] == ["stands " + second]
 
 
 def test_a_machine_that_dies_releases_what_stood_there(start: Start) -> None:
     process, _, fleet = start(1)
     owner = Owner(process.where)
     id = owner.ask(1)
-    owner.words(id)
+    owner.replies(id)
     fleet[0].close()
-    assert kinds(owner.words(id, 2))[1] == (Kind.RELEASE, Cause.RESET)
+    assert kinds(owner.replies(id, 2))[1] == (Kind.RELEASE, Cause.RESET)
 
 
 BAD = [
@@ -151,10 +151,10 @@
     except OSError:
         pass
     id = good.ask(1)
-    assert good.words(id)[0].kind is Kind.ANSWER
+    assert good.replies(id)[0].kind is Kind.ANSWER
     for one in bad:
-        until(lambda one=one: one.closed_within(0.1) or one.said)
-        assert all(m.kind is Kind.RELEASE and m.cause == Cause.INVALID for m in one.said)
+        until(lambda one=one: one.closed_within(0.1) or one.received)
+        assert all(m.kind is Kind.RELEASE and m.cause == Cause.INVALID for m in one.received)
     assert flood.closed_within(20)
     assert {m.id for f in fleet for m in f.launched()} == {id}
 
@@ -164,7 +164,7 @@
     silent = [Owner(process.where) for _ in range(100)]
     good = Owner(process.where, "127.0.0.9")
     id = good.ask(1)
-    assert good.words(id)[0].kind is Kind.ANSWER
+    assert good.replies(id)[0].kind is Kind.ANSWER
     assert process.descriptors() < 64
     assert all(s.closed_within(20) for s in silent)
 
@@ -180,7 +180,7 @@
     until(lambda: len(board.watches) >= 2 and board.watches[-1] == 1)
     time.sleep(0.3)
     for number in range(1, 8):
-        owner.words(owner.ask(number))
+        owner.replies(owner.ask(number))
     assert fleet[0].launched() == [] and len(fleet[1].launched()) == 7
     # it falls silent: watched anew
     board.frozen = True
@@ -200,7 +200,7 @@
     other.tell(fleet[0].row("SERVING"), fleet[1].row("DRAINING"))
     time.sleep(0.5)
     id = owner.ask(30)
-    assert owner.words(id)[0].kind is Kind.ANSWER
+    assert owner.replies(id)[0].kind is Kind.ANSWER
     assert [m.id for m in fleet[0].launched()] == [id]
     other.close()
 
@@ -217,7 +217,7 @@
     until(lambda: _state(process) == "T")
     time.sleep(2.0)  # past its owner's wait
     process.child.send_signal(signal.SIGCONT)
-    assert kinds(owner.words(id)) == [(Kind.ANSWER, None)]
+    assert kinds(owner.replies(id)) == [(Kind.ANSWER, None)]
 
 
 def _state(process: Process) -> str:
@@ -231,10 +231,10 @@
     until(lambda: len(fleet[0].launched()) == 2)
     began = time.monotonic()
     process.child.send_signal(signal.SIGTERM)
-    assert kinds(owner.words(repeat)) == [(Kind.RELEASE, Cause.BUSY)]
-    assert kinds(owner.words(keyed)) == [(Kind.RELEASE, Cause.RESET)]
+    assert kinds(owner.replies(repeat)) == [(Kind.RELEASE, Cause.BUSY)]
+    assert kinds(owner.replies(keyed)) == [(Kind.RELEASE, Cause.RESET)]
     assert process.child.wait(20) == 0
-    assert time.monotonic() - began >= owed.LEAVING_US / 1e6  # it went on accepting
+    assert time.monotonic() - began >= client_requests.LEAVING_US / 1e6  # it went on accepting
 
 
 def test_signals_before_it_is_ready_do_not_end_it(tmp_path: Path) -> None:
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -16,8 +16,8 @@
 
 from stairplank.platform import binary, jsonlines
 from stairplank.platform import events as ev
+from stairplank.platform import node_watch as watching
 from stairplank.platform import service as module
-from stairplank.platform import watch as watching
 from stairplank.platform.config import ConfigError
 from stairplank.platform.messages import Kind, Message
 from stairplank.platform.service import Service
@@ -30,12 +30,12 @@
     path.write_text(json.dumps(CONFIG))
     made = Service(str(path))
     yield made
-    for stream in [*made.machines.values(), *made.owners.values()]:
+    for stream in [*made.machine_streams.values(), *made.client_streams.values()]:
         stream.close(hard=True)
 
 
 def hears(service: Service, monkeypatch: pytest.MonkeyPatch, note: Any) -> None:
-    monkeypatch.setattr(service, "feed", lambda *events: [note(event) for event in events])
+    monkeypatch.setattr(service, "enqueue", lambda *events: [note(event) for event in events])
 
 
 def test_a_spoilt_connection_is_closed_before_the_core_hears_of_it(
@@ -45,7 +45,7 @@
     monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
     closed: list[bool] = []
     hears(service, monkeypatch, lambda e: closed.append(ours.closed) if isinstance(e, ev.LinkLost) else None)
-    service.dialling[7] = gevent.spawn(service._machine, 7, "127.0.0.1:1")
+    service.dialling[7] = gevent.spawn(service._serve_machine, 7, "127.0.0.1:1")
     theirs.sendall(b"noise\n")
     service.dialling[7].join(5)
     assert closed == [True]
@@ -56,7 +56,7 @@
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ours, theirs = gsocket.socketpair()
-    stream = service.machines[7] = module.Stream(ours, 7, service._machine_gone)
+    stream = service.machine_streams[7] = module.Stream(ours, 7, service._machine_gone)
     closed: list[bool] = []
     hears(service, monkeypatch, lambda e: closed.append(stream.closed))
     stream.put(b"x" * 4_000_000)
@@ -67,23 +67,23 @@
 def test_nothing_is_taken_before_the_board_has_said_what_came_since_the_file_was_written(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "BOARD_QUIET_S", 1.0)
+    monkeypatch.setattr(module, "LIST_QUIET_S", 1.0)
     order: list[str] = []
 
     def watch() -> None:
-        service.watch.said = time.monotonic()
+        service.node_watch.last_heard = time.monotonic()
         order.append("watched")
         for _ in range(3):
             gevent.sleep(0.02)
             order.append("told")
-            service.watch.said = time.monotonic()
+            service.node_watch.last_heard = time.monotonic()
         gevent.sleep(30)
 
     def accept(listener: object) -> None:
         order.append("accepts")
         service.stop()
 
-    monkeypatch.setattr(service.watch, "run", watch)
+    monkeypatch.setattr(service.node_watch, "run", watch)
     monkeypatch.setattr(service, "_accept", accept)
     assert service.run() == 0
     assert order == ["watched", "told", "told", "told", "accepts"]
@@ -93,7 +93,7 @@
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "CATCH_UP_S", 0.05)
-    monkeypatch.setattr(service.watch, "run", lambda: gevent.sleep(30))
+    monkeypatch.setattr(service.node_watch, "run", lambda: gevent.sleep(30))
     monkeypatch.setattr(service, "_accept", lambda listener: service.stop())
     with gevent.Timeout(5):
         assert service.run() == 0
@@ -111,7 +111,7 @@
 
     message = Message(Kind.SET_UP, "00000000000000aa", {"class": "worker"}, body="x")
     service.core.links.links[7] = Link(7, 1)
-    service._carry_out([ev.SayMachine(n, message) for n in (7, 8)])
+    service._execute_all([ev.SendToMachine(n, message) for n in (7, 8)])
     assert list(service._unwritten) == [7]  # of the other the core knows already: it would be kept for good
     service.core = Core()  # type: ignore[assignment]
     service._handle([ev.LinkLost(7, frozenset({"00000000000000bb"}))])
@@ -133,27 +133,27 @@
         return []
 
     monkeypatch.setattr(service.core, "handle", handle)
-    asks = [ev.OwnerSaid(1, Message(Kind.SET_UP, f"{n:016x}", {}, body="x")) for n in range(100)]
-    service.feed(*asks)
+    asks = [ev.ClientMessage(1, Message(Kind.SET_UP, f"{n:016x}", {}, body="x")) for n in range(100)]
+    service.enqueue(*asks)
     turns = gevent.spawn(service._turns)
-    gevent.spawn(service.feed, ev.BoardTold(module.Board((), (), module.clocks)))  # type: ignore[arg-type]
+    gevent.spawn(service.enqueue, ev.NodeListUpdated(module.NodeList((), (), module.clocks)))  # type: ignore[arg-type]
     with gevent.Timeout(10):
         while len(handled) < 101:
             gevent.sleep(0.01)
     turns.kill()
-    assert handled.index("BoardTold") <= 20
+    assert handled.index("NodeListUpdated") <= 20
 
 
 def test_it_does_not_leave_while_something_that_was_read_waits(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(service.core.owed, "is_done", lambda: True)
-    service.feed(ev.OwnerSaid(1, Message(Kind.SET_UP, "00000000000000aa", {}, body="x")))
+    monkeypatch.setattr(service.core.requests, "is_done", lambda: True)
+    service.enqueue(ev.ClientMessage(1, Message(Kind.SET_UP, "00000000000000aa", {}, body="x")))
     assert not service._is_done()
-    service._inbox.take_all()
-    gevent.spawn(service.feed, ev.OwnerLeft(1))  # comes as it looks at the sockets once more
+    service._event_queue.take_all()
+    gevent.spawn(service.enqueue, ev.ClientDisconnected(1))  # comes as it looks at the sockets once more
     assert not service._is_done()
-    service._inbox.take_all()
+    service._event_queue.take_all()
     assert service._is_done()
 
 
@@ -165,10 +165,10 @@
     real = gevent.sleep
     monkeypatch.setattr(module.gevent, "sleep", lambda s=0.0: (waits.append(s), real(s)))
     for number in range(1, 100):
-        service.feed(ev.OwnerSaid(1, Message(Kind.SET_UP, f"{number:016x}", {}, body="x")))
+        service.enqueue(ev.ClientMessage(1, Message(Kind.SET_UP, f"{number:016x}", {}, body="x")))
     turns = gevent.spawn(service._turns)
     with gevent.Timeout(10):
-        while len(service._inbox):
+        while len(service._event_queue):
             real(0.01)
     turns.kill()
     assert sum(1 for s in waits if s >= 0.001) >= 10
@@ -186,17 +186,17 @@
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
     ours, theirs = gsocket.socketpair()
-    stream = service.owners[1] = module.Stream(ours, 1, service._owner_gone)
-    reads = gevent.spawn(service._owner, stream)
+    stream = service.client_streams[1] = module.Stream(ours, 1, service._client_gone)
+    reads = gevent.spawn(service._serve_client, stream)
     data = b"".join(binary.encode(asks(n)) for n in range(1, 61))
     step = len(data) // 60 + 1  # never at the end of one but for the last
     for at in range(0, len(data), step):
         theirs.sendall(data[at : at + step])
         gevent.sleep(0.01)
-    assert not stream.ending and sum(isinstance(e, ev.OwnerSaid) for e in heard) == 60
+    assert not stream.ending and sum(isinstance(e, ev.ClientMessage) for e in heard) == 60
     theirs.sendall(data[:9])  # and one that does not go on ends it
     reads.join(5)
-    assert stream.closed and any(isinstance(e, ev.OwnerLeft) for e in heard)
+    assert stream.closed and any(isinstance(e, ev.ClientDisconnected) for e in heard)
     theirs.close()
 
 
@@ -208,13 +208,13 @@
     monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
-    service.dialling[7] = reads = gevent.spawn(service._machine, 7, "127.0.0.1:1")
+    service.dialling[7] = reads = gevent.spawn(service._serve_machine, 7, "127.0.0.1:1")
     data = b"".join(jsonlines.encode(Message(Kind.ANSWER, f"{n:016x}", body="x" * 200)) for n in range(1, 61))
     step = len(data) // 60 + 1
     for at in range(0, len(data), step):
         theirs.sendall(data[at : at + step])
         gevent.sleep(0.01)
-    assert sum(isinstance(e, ev.MachineSaid) for e in heard) == 60 and not ours.closed
+    assert sum(isinstance(e, ev.MachineMessage) for e in heard) == 60 and not ours.closed
     theirs.sendall(data[:9])
     reads.join(5)
     assert ours.closed and isinstance(heard[-1], ev.LinkLost)
@@ -236,7 +236,7 @@
                 raise TimeoutError("timed out")
             return b"rest"
 
-    assert module.received(Late(), 10, time.monotonic() - 1.0) == b"rest"
+    assert module.receive(Late(), 10, time.monotonic() - 1.0) == b"rest"
 
 
 def test_much_said_in_one_turn_costs_no_reader_its_connection() -> None:
@@ -265,8 +265,8 @@
         asked.append(wait)
         raise ZeroDivisionError("a fault")
 
-    monkeypatch.setattr(service.watch, "_dial", dial)
-    watch = gevent.spawn(service.watch.run)
+    monkeypatch.setattr(service.node_watch, "_dial", dial)
+    watch = gevent.spawn(service.node_watch.run)
     with gevent.Timeout(10):
         while len(asked) < 3:
             gevent.sleep(0.005)
@@ -275,9 +275,9 @@
 
 def test_what_cannot_be_said_takes_nothing_else_along(service: Service) -> None:
     ours, theirs = gsocket.socketpair()
-    service.owners[1] = module.Stream(ours, 1, service._owner_gone)
+    service.client_streams[1] = module.Stream(ours, 1, service._client_gone)
     unspeakable = Message(Kind.RELEASE, "00000000000000aa", {"no such field": "x"}, 41)
-    service._carry_out([ev.SayOwner(1, unspeakable), ev.SayOwner(1, asks(2))])
+    service._execute_all([ev.SendToClient(1, unspeakable), ev.SendToClient(1, asks(2))])
     service._flush()
     assert theirs.recv(1000) == binary.encode(asks(2))
     theirs.close()
@@ -295,10 +295,12 @@
 
     pairs = [gsocket.socketpair() for _ in range(2)]
     for number, (ours, _) in enumerate(pairs, 1):
-        service.machines[number] = Line(ours, number, service._machine_gone)
+        service.machine_streams[number] = Line(ours, number, service._machine_gone)
     heard = Message(Kind.HEARD, "00000000000000bb")
     given_up = Message(Kind.RELEASE, "00000000000000aa", cause=16)
-    service._carry_out([ev.SayMachine(2, heard), ev.SayMachine(1, given_up), ev.SayMachine(2, asks(0xAA))])
+    service._execute_all(
+        [ev.SendToMachine(2, heard), ev.SendToMachine(1, given_up), ev.SendToMachine(2, asks(0xAA))]
+    )
     service._flush()
     first = [number for number, _ in left]
     assert first[0] == 1 and first[-1] == 2
@@ -323,25 +325,25 @@
     """All in one turn they are the next stall, and the drain that comes meanwhile is not read."""
     batches: list[list[ev.Event]] = []
 
-    def woke(now: int, events: list[ev.Event]) -> list[ev.Action]:
+    def handle_after_stall(now: int, events: list[ev.Event]) -> list[ev.Action]:
         batches.append(events)
         return []
 
-    monkeypatch.setattr(service.core, "woke", woke)
-    over = ev.MachineSaid(9, Message(Kind.RELEASE, "00000000000000ff", cause=16))
-    service.feed(*(ev.OwnerSaid(1, asks(n)) for n in range(1, 100)), ev.LinkUp(9), over)
-    service._wake(300_000)
+    monkeypatch.setattr(service.core, "handle_after_stall", handle_after_stall)
+    over = ev.MachineMessage(9, Message(Kind.RELEASE, "00000000000000ff", cause=16))
+    service.enqueue(*(ev.ClientMessage(1, asks(n)) for n in range(1, 100)), ev.LinkUp(9), over)
+    service._resume_after_stall(300_000)
     assert batches == [[ev.LinkUp(9), over]]
-    assert sum(isinstance(e, ev.OwnerSaid) for e in service._inbox.take_all()) == 99
+    assert sum(isinstance(e, ev.ClientMessage) for e in service._event_queue.take_all()) == 99
 
 
 def test_a_dial_that_is_called_off_ends_at_once(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
     """Else its descriptor counts for nobody until the dial's time is over."""
     monkeypatch.setattr(module.address, "dial", lambda where, wait: gevent.sleep(3600))
-    service._carry_out([ev.Dial(7, "127.0.0.1:1")])
+    service._execute_all([ev.Dial(7, "127.0.0.1:1")])
     dial = service.dialling[7]
     gevent.sleep(0)
-    service._carry_out([ev.HangUp(7)])
+    service._execute_all([ev.CloseLink(7)])
     dial.join(5)
     assert dial.dead and not service.dialling
 
@@ -354,10 +356,10 @@
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
     full = [True]
-    monkeypatch.setattr(service._inbox, "is_choked", lambda: full[0])
+    monkeypatch.setattr(service._event_queue, "is_overloaded", lambda: full[0])
     ours, theirs = gsocket.socketpair()
-    stream = service.owners[1] = module.Stream(ours, 1, service._owner_gone)
-    reads = gevent.spawn(service._owner, stream)
+    stream = service.client_streams[1] = module.Stream(ours, 1, service._client_gone)
+    reads = gevent.spawn(service._serve_client, stream)
     data = binary.encode(asks(1))
     theirs.sendall(data[:50])
     gevent.sleep(0.3)
@@ -370,7 +372,7 @@
     with gevent.Timeout(10):
         while not heard:
             gevent.sleep(0.01)
-    assert isinstance(heard[0], ev.OwnerSaid) and not stream.ending
+    assert isinstance(heard[0], ev.ClientMessage) and not stream.ending
     theirs.close()
     reads.join(5)
 
@@ -382,17 +384,17 @@
     """A read that finds bytes does not wait: all of it would be read before anybody else is."""
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
-    monkeypatch.setattr(module, "READ", 256)
+    monkeypatch.setattr(module, "CLIENT_READ", 256)
     monkeypatch.setattr(module, "MACHINE_READ", 256)
     ours, theirs = gsocket.socketpair()
     answer = Message(Kind.ANSWER, "00000000000000aa", body="x" * 200)
     theirs.sendall((binary.encode(asks(1)) if owner else jsonlines.encode(answer)) * 100)
     if owner:
-        stream = service.owners[1] = module.Stream(ours, 1, service._owner_gone)
-        reads = gevent.spawn(service._owner, stream)
+        stream = service.client_streams[1] = module.Stream(ours, 1, service._client_gone)
+        reads = gevent.spawn(service._serve_client, stream)
     else:
         monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
-        service.dialling[1] = reads = gevent.spawn(service._machine, 1, "127.0.0.1:1")
+        service.dialling[1] = reads = gevent.spawn(service._serve_machine, 1, "127.0.0.1:1")
     gevent.sleep(0)
     assert 0 < len(heard) < 50
     theirs.close()
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -12,11 +12,11 @@
 from desk import Desk, name, set_up
 from platform_config import CONFIG
 
-from stairplank.platform import config, door
+from stairplank.platform import config, validation
 from stairplank.platform import events as ev
-from stairplank.platform.board import Board
 from stairplank.platform.core import Core
 from stairplank.platform.messages import Kind
+from stairplank.platform.node_list import NodeList
 
 ABSENT = object()
 VALUES: list[Any] = [ABSENT, None, 0, -1, 1, 10**18, 1e308, float("nan"), "", "x", [], {}, True]
@@ -45,26 +45,26 @@
     """A moment of a day: two machines, a few tasks of each class, time passes."""
     priced = c.handshake_price > 0
     core = Core(c.settings, c.fields, c.seed, c.sockets, c.dial_timeout_us, priced, c.idle_us, c.tenants)
-    board = Board(c.zones, tuple(k.name for k in c.settings.kinds), lambda: (10**15, 10**9))
+    board = NodeList(c.zones, tuple(k.name for k in c.settings.kinds), lambda: (10**15, 10**9))
     rows = [
         {"host": f"s-{n}", "dial": f"127.8.1.{n}:1", "site": "hall 1", "class": "node-32", "block": 1}
         | {"health": "SERVING", "born_ms": 0, "spare": [30.0, 90.0]}
         for n in (1, 2)
     ]
-    told, _ = board.take({"rev": 1, "pool": {"whole": True, "hosts": rows}})
+    told, _ = board.apply({"rev": 1, "pool": {"whole": True, "hosts": rows}})
     assert told is not None
     now = 10**9
     actions = core.start(now, [told])
-    actions += core.handle(now, [ev.OwnerCame(1, "c")])
+    actions += core.handle(now, [ev.ClientConnected(1, "c")])
     for number, sort in enumerate(c.settings.classes, 1):
         message = set_up(number, sort.name, idem="5c0f6e1a2b3d4c59a8b7c6d5e4f30211", left="900")
-        actions += core.handle(now, [ev.OwnerSaid(1, message)])
-    owed = [a.message.id for a in actions if isinstance(a, ev.SayOwner)]
+        actions += core.handle(now, [ev.ClientMessage(1, message)])
+    owed = [a.message.id for a in actions if isinstance(a, ev.SendToClient)]
     for _ in range(12):
         now += 100_000
         actions = core.handle(now, [ev.Due()])
         actions += core.handle(now, [ev.LinkUp(a.link) for a in actions if isinstance(a, ev.Dial)])
-        owed += [a.message.id for a in actions if isinstance(a, ev.SayOwner)]
+        owed += [a.message.id for a in actions if isinstance(a, ev.SendToClient)]
     assert set(owed) == {name(n) for n in range(1, len(c.settings.classes) + 1)}
 
 
@@ -104,8 +104,8 @@
     desk.ask(conn, 4, at="s-00000001", tenant="rua")
     desk.ask(conn, 5, tenant="nobody")
     assert seen == [0, 1, 0, 1]
-    assert [w[1:] for w in desk.words(5)] == [(Kind.RELEASE, 100)]
+    assert [w[1:] for w in desk.replies(5)] == [(Kind.RELEASE, 100)]
 
 
 def test_where_there_are_no_tenants_none_is_looked_for() -> None:
-    assert door.checked(set_up(1, tenant="casa"), "c", Desk().settings).tenant == 0
+    assert validation.validate_request(set_up(1, tenant="casa"), "c", Desk().settings).tenant == 0
--- a/tests/platform/test_platform_watch.py
+++ b/tests/platform/test_platform_watch.py
@@ -12,10 +12,10 @@
 
 from stairplank import interface as api
 from stairplank.platform import events as ev
-from stairplank.platform import watch as module
-from stairplank.platform.board import Board
+from stairplank.platform import node_watch as module
+from stairplank.platform.node_list import NodeList
+from stairplank.platform.node_watch import NodeWatch
 from stairplank.platform.service import clocks
-from stairplank.platform.watch import Watch
 
 ROW: dict[str, Any] = {"host": "s-1", "dial": "127.0.0.1:1", "health": "SERVING", "block": 0, "site": "a"}
 ROW |= {"class": "k", "born_ms": 0, "spare": [1.0, 1.0]}
@@ -26,8 +26,8 @@
         self.board = BoardStand([ROW])
         self.told: list[ev.Event] = []
         self.counts: list[str] = []
-        made = Board(("a",), ("k",), clocks)
-        self.watch = Watch(made, self.board.address, self.told.append, self.counts.append)
+        made = NodeList(("a",), ("k",), clocks)
+        self.watch = NodeWatch(made, self.board.address, self.told.append, self.counts.append)
         self.runs = gevent.spawn(self.watch.run)
 
     def until(self, what: Callable[[], Any]) -> Any:
@@ -39,7 +39,7 @@
     def hears(self, rev: int) -> float:
         """Seconds until it has that notice."""
         began = time.monotonic()
-        self.until(lambda: self.watch.board.rev >= rev)
+        self.until(lambda: self.watch.node_list.revision >= rev)
         return time.monotonic() - began
 
 
@@ -96,10 +96,10 @@
 def test_at_most_two_connections_are_open_and_the_old_one_goes_once_the_new_one_speaks(one: Watched) -> None:
     seen = len(one.board.watches)
     one.until(lambda: len(one.board.watches) > seen)  # it is only time
-    one.until(lambda: len(one.watch._conns) == 1)
+    one.until(lambda: len(one.watch._connections) == 1)
     one.board.silent = set(range(100))
     for _ in range(100):
-        assert len(one.watch._conns) <= module.CONNECTIONS_MOST
+        assert len(one.watch._connections) <= module.CONNECTIONS_MOST
         gevent.sleep(0.03)
 
 
@@ -136,8 +136,8 @@
     other = BoardStand([])
     other.lines = [*one.board.lines]
     one.until(lambda: gate)
-    one.watch.move("127.0.0.1:9")
-    one.watch.move(other.address)  # two in a row: the last counts
+    one.watch.set_address("127.0.0.1:9")
+    one.watch.set_address(other.address)  # two in a row: the last counts
     other.tell(ROW | {"health": "DRAINING"})
     assert one.hears(2) < 2.0 and other.watches == [1]
     other.close()
@@ -146,5 +146,5 @@
 def test_an_entry_that_cannot_be_used_hides_no_drain(one: Watched) -> None:
     one.board.tell({"host": "s-2", "health": "SERVING"}, 5, ROW | {"health": "DRAINING", "spare": "?"})
     assert one.hears(2) < 1.0
-    (told,) = (e for e in one.told[1:] if isinstance(e, ev.BoardTold))
-    assert [m.entry.status for m in told.notice.machines] == [api.NodeStatus.DRAINING]
+    (told,) = (e for e in one.told[1:] if isinstance(e, ev.NodeListUpdated))
+    assert [m.entry.status for m in told.update.machines] == [api.NodeStatus.DRAINING]
--- a/tests/platform/test_told.py
+++ b/tests/platform/test_told.py
@@ -12,19 +12,19 @@
 
 from stairplank import wire
 from stairplank.interface import NodeStatus
-from stairplank.platform import board as board_module
-from stairplank.platform import config, door
-from stairplank.platform.board import Board, number_of
+from stairplank.platform import config, validation
+from stairplank.platform import node_list as node_list_module
 from stairplank.platform.messages import Unreadable
+from stairplank.platform.node_list import NodeList, machine_number
 
 FIGURES = "service:00000000b4d65521"
 
 
 def test_a_good_set_up_is_read() -> None:
-    got = door.checked(set_up(1, retry="1"), "c", SETTINGS)
+    got = validation.validate_request(set_up(1, retry="1"), "c", SETTINGS)
     assert (got.spec.cores, got.spec.memory, got.spec.service, got.wait_us) == (1, 2, 0xB4D65521, 6 * SECOND)
     assert got.spec.again and got.class_index == 0 and got.at == ""
-    assert door.checked(set_up(1, at="s-1"), "c", SETTINGS).at == "s-1"
+    assert validation.validate_request(set_up(1, at="s-1"), "c", SETTINGS).at == "s-1"
 
 
 @pytest.mark.parametrize(
@@ -56,48 +56,48 @@
     ],
 )
 def test_what_the_module_must_not_see(changes: dict[str, str]) -> None:
-    with pytest.raises(door.Invalid):
-        door.checked(set_up(1, **changes), "c", SETTINGS)
+    with pytest.raises(validation.InvalidRequest):
+        validation.validate_request(set_up(1, **changes), "c", SETTINGS)
 
 
 def test_a_set_up_without_an_id_is_not_taken() -> None:
-    with pytest.raises(door.Invalid, match="no id"):
-        door.checked(set_up(0), "c", SETTINGS)
+    with pytest.raises(validation.InvalidRequest, match="no id"):
+        validation.validate_request(set_up(0), "c", SETTINGS)
 
 
 def test_reports_are_read_in_the_settings_order_or_not_at_all() -> None:
-    assert door.report_of("x1:40;queue:3;x0:12", ("x0", "x1")) == (12.0, 40.0)
+    assert validation.load_report_of("x1:40;queue:3;x0:12", ("x0", "x1")) == (12.0, 40.0)
     for bad in ("x0:12", "x0:12;x1:nan", "x0:12;x1:", "x0:12;x1:a", ""):
-        assert door.report_of(bad, ("x0", "x1")) == ()
+        assert validation.load_report_of(bad, ("x0", "x1")) == ()
 
 
-def board(now: list[int]) -> Board:
+def board(now: list[int]) -> NodeList:
     """Our clock is ``now[0]``; Unix time is ahead, by ``now[1]`` more where there is one."""
-    return Board(("east",), ("std",), lambda: (5_000 * SECOND + sum(now), now[0]))
+    return NodeList(("east",), ("std",), lambda: (5_000 * SECOND + sum(now), now[0]))
 
 
 def test_notices_count_once_and_gaps_are_told() -> None:
     b = board([0])
-    first, missed = b.take(notice(1, row(1), row(2), whole=True))
-    assert first is not None and first.whole and not missed
-    assert first.machines[0].entry.id == number_of("s-00000001")
-    assert b.take(notice(1, row(1), whole=True)) == (None, False)  # a repeat
-    assert b.take(notice(3, row(1))) == (None, True)  # a gap: not taken
-    assert b.take({"rev": 1}) == (None, False)
-    assert b.take({"rev": 2}) == (None, True)  # the number alone shows a gap too
-    assert b.rev == 1
-    second, _ = b.take(notice(2, row(1, "DELETED")))
+    first, missed = b.apply(notice(1, row(1), row(2), whole=True))
+    assert first is not None and first.full and not missed
+    assert first.machines[0].entry.id == machine_number("s-00000001")
+    assert b.apply(notice(1, row(1), whole=True)) == (None, False)  # a repeat
+    assert b.apply(notice(3, row(1))) == (None, True)  # a gap: not taken
+    assert b.apply({"rev": 1}) == (None, False)
+    assert b.apply({"rev": 2}) == (None, True)  # the number alone shows a gap too
+    assert b.revision == 1
+    second, _ = b.apply(notice(2, row(1, "DELETED")))
     assert second is not None and second.machines[0].entry.status is NodeStatus.GONE
-    assert b.take(notice(9, row(1), whole=True))[0] is not None  # a whole list needs none before it
+    assert b.apply(notice(9, row(1), whole=True))[0] is not None  # a whole list needs none before it
 
 
 def test_a_start_is_worked_out_once() -> None:
     now = [10 * SECOND]
     b = board(now)
-    one, _ = b.take(notice(1, row(1, born_ms=5_007_000), whole=True))
+    one, _ = b.apply(notice(1, row(1, born_ms=5_007_000), whole=True))
     now += [3 * SECOND]  # Unix time is set
     now[0] += 12_345
-    two, _ = b.take(notice(2, row(1, born_ms=5_007_000)))
+    two, _ = b.apply(notice(2, row(1, born_ms=5_007_000)))
     assert one is not None and two is not None
     assert one.machines[0].entry.launched_us == two.machines[0].entry.launched_us == 7 * SECOND
 
@@ -117,19 +117,19 @@
 def test_a_notice_that_cannot_be_read_changes_nothing(value: dict[str, Any]) -> None:
     b = board([0])
     with pytest.raises(Unreadable):
-        b.take(value)
-    assert b.rev == 0
+        b.apply(value)
+    assert b.revision == 0
 
 
 def test_a_notice_that_cannot_be_read_again_hides_nothing_behind_it() -> None:
     b = board([0])
-    b.take(notice(1, row(1), whole=True))
+    b.apply(notice(1, row(1), whole=True))
     bad = {"rev": 2, "pool": {"hosts": 7}}
     with pytest.raises(Unreadable):
-        b.take(bad)  # asked for anew: it may have been spoilt on its way
-    assert b.take(bad) == (None, False) and b.unusable == 1
-    got, _ = b.take(notice(3, row(1, "DRAINING")))
-    assert got is not None and b.rev == 3
+        b.apply(bad)  # asked for anew: it may have been spoilt on its way
+    assert b.apply(bad) == (None, False) and b.unusable_entries == 1
+    got, _ = b.apply(notice(3, row(1, "DRAINING")))
+    assert got is not None and b.revision == 3
 
 
 def test_the_file_is_read_by_the_reader_of_the_simulators_settings(tmp_path: Path) -> None:
@@ -170,26 +170,26 @@
     changes: dict[str, Any],
 ) -> None:
     b = board([0])
-    got, missed = b.take(notice(1, row(1, **changes), row(2, "DRAINING"), {}, 7, whole=True))  # type: ignore[arg-type]
-    assert got is not None and not missed and b.rev == 1 and b.unusable == 3
+    got, missed = b.apply(notice(1, row(1, **changes), row(2, "DRAINING"), {}, 7, whole=True))  # type: ignore[arg-type]
+    assert got is not None and not missed and b.revision == 1 and b.unusable_entries == 3
     assert [(m.name, m.entry.status) for m in got.machines] == [("s-00000002", NodeStatus.DRAINING)]
     # the same with the word of a drain, or of an end: it is heard
     for state, status in (("DRAINING", NodeStatus.DRAINING), ("DELETED", NodeStatus.GONE)):
-        got, _ = b.take(notice(b.rev + 1, row(1, state, **changes)))
+        got, _ = b.apply(notice(b.revision + 1, row(1, state, **changes)))
         assert got is not None and [m.entry.status for m in got.machines] == [status]
 
 
 @pytest.mark.parametrize("state", ["ODD", "", None, 5, []])
 def test_a_state_that_is_not_known_keeps_new_work_away(state: Any) -> None:
-    got, _ = board([0]).take(notice(1, row(1, health=state), whole=True))
+    got, _ = board([0]).apply(notice(1, row(1, health=state), whole=True))
     assert got is not None and got.machines[0].entry.status is NodeStatus.DRAINING
 
 
 @pytest.mark.parametrize("host", ["", "x" * 201, "\ud800", 5, None])
 def test_a_machine_without_a_name_is_none(host: Any) -> None:
     b = board([0])
-    got, _ = b.take(notice(1, row(1, host=host), row(2), whole=True))
-    assert got is not None and [m.name for m in got.machines] == ["s-00000002"] and b.unusable == 1
+    got, _ = b.apply(notice(1, row(1, host=host), row(2), whole=True))
+    assert got is not None and [m.name for m in got.machines] == ["s-00000002"] and b.unusable_entries == 1
 
 
 def test_names_are_those_of_the_file_blanks_and_all(tmp_path: Path) -> None:
@@ -207,16 +207,16 @@
 
 
 def test_zones_that_the_settings_do_not_name_are_places_of_their_own() -> None:
-    board = Board(("east",), ("std",), lambda: (1_000 * SECOND, 0))
+    board = NodeList(("east",), ("std",), lambda: (1_000 * SECOND, 0))
     rows = [row(n, site=site) for n, site in enumerate(("east", "north", "south", "north"), 1)]
-    got, _ = board.take(notice(1, *rows, whole=True))
+    got, _ = board.apply(notice(1, *rows, whole=True))
     assert got is not None
     zones = [m.entry.zone for m in got.machines]
     assert len(set(zones)) == 3 and zones[1] == zones[3]
 
 
 def test_zones_that_are_told_of_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(board_module, "ZONES_MOST", 3)
-    board = Board(("east",), ("std",), lambda: (1_000 * SECOND, 0))
-    got, _ = board.take(notice(1, *(row(n, site=f"z{n}") for n in range(1, 20)), whole=True))
+    monkeypatch.setattr(node_list_module, "ZONES_MOST", 3)
+    board = NodeList(("east",), ("std",), lambda: (1_000 * SECOND, 0))
+    got, _ = board.apply(notice(1, *(row(n, site=f"z{n}") for n in range(1, 20)), whole=True))
     assert got is not None and len({m.entry.zone for m in got.machines}) == 3
