--- a/stairplank/scale/carriers.py
+++ b/stairplank/scale/carriers.py
@@ -34,7 +34,7 @@
     Form.PLATFORM: Carriers(
         workers=Mechanism("stairplank.platform.machines", "Machines"),
         starts=_DECIDES,
-        running=Mechanism("stairplank.platform.owed", "Owed"),
+        running=Mechanism("stairplank.platform.client_requests", "ClientRequests"),
         gangs=None,
         urgent_with_room=_DECIDES,
         zones=_DECIDES,
