--- a/stairplank/platform/service.py
+++ b/stairplank/platform/service.py
@@ -15,7 +15,7 @@
 from ..planner.clock import now_us
 from ..planner.pulse import Pulse
 from ..rpc import address
-from . import binary, config, jsonlines
+from . import binary, config, descriptors, jsonlines
 from . import events as ev
 from .core import Core
 from .event_queue import EventQueue
@@ -76,14 +76,15 @@
         self.node_list = NodeList(c.zones, kinds, clocks)
         priced = c.handshake_price > 0
         dial_us = c.dial_timeout_us
-        self.core = Core(c.settings, c.fields, c.seed, c.sockets, dial_us, priced, c.idle_us, c.tenants)
+        sockets = descriptors.usable(c.sockets, descriptors.process_limit())
+        self.core = Core(c.settings, c.fields, c.seed, sockets, dial_us, priced, c.idle_us, c.tenants)
         self.node_watch = NodeWatch(self.node_list, c.board, self.enqueue, self.core.loop.count)
         self.client_streams: dict[int, Stream] = {}
         self.machine_streams: dict[int, Stream] = {}
         self.dialling: dict[int, gevent.Greenlet] = {}
         self.accepted: set[Stream] = set()  # clients' connections, those that are closing included
         # clients hold a third; half is for machines, the rest is ours
-        self.client_streams_most = c.sockets * 2 // 5
+        self.client_streams_most = sockets * 2 // 5
         self.where = ""  # it listens there
         self._number = 0
         self._dirty: dict[Stream, None] = {}
--- a/tests/platform/platform_standins.py
+++ b/tests/platform/platform_standins.py
@@ -179,7 +179,8 @@
 class BoardStand(Server):
     """Keeps notices; ``frozen`` makes it say nothing more, ``mangled`` break off in the middle of the next.
     ``stuck`` connections (by their number, from 0) go on with the number they have; ``silent`` ones come up
-    and say nothing; ``bare`` ones say the last number without the notices before it."""
+    and say nothing; ``bare`` ones say the last number without the notices before it. While ``away`` is set
+    every connection is reset; ``dialled`` counts connections, ``told`` is the last number that was said."""
 
     def __init__(self, rows: list[dict[str, Any]]) -> None:
         self.lines = [json.dumps({"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": rows}}).encode()]
@@ -188,6 +189,8 @@
         self.stuck: set[int] = set()
         self.silent: set[int] = set()
         self.bare: set[int] = set()
+        self.away = threading.Event()
+        self.dialled = self.told = 0
         super().__init__()
 
     def tell(self, *rows: Any, whole: bool = False) -> None:
@@ -196,6 +199,10 @@
         self.lines.append(json.dumps({"rev": rev, "pool": pool}).encode())
 
     def serve(self, sock: socket.socket) -> None:
+        self.dialled += 1
+        if self.away.is_set():
+            reset(sock)
+            return
         line = b""
         while not line.endswith(b"\n"):
             line += sock.recv(1)
@@ -204,6 +211,9 @@
         self.watches.append(at)
         spoke = 0.0
         while True:
+            if self.away.is_set():
+                reset(sock)
+                return
             if number in self.silent:
                 pass
             elif number in self.bare:
@@ -217,6 +227,7 @@
                     return
                 sock.sendall(self.lines[at] + b"\n" + self.lines[at] + b"\n")
                 at += 1
+                self.told = at
             elif not self.frozen and time.monotonic() - spoke > 0.4:
                 spoke = time.monotonic()
                 sock.sendall(b'{"rev":%d}\n' % at)
@@ -276,16 +287,21 @@
 
 
 class Process:
-    """The real process, as ``run`` starts it."""
+    """The real process, as ``run`` starts it. ``files_limit``: how many files it may have open."""
 
-    def __init__(self, folder: Path, board: BoardStand, sockets: int = 256) -> None:
+    def __init__(
+        self, folder: Path, board: BoardStand, sockets: int = 256, files_limit: int | None = None
+    ) -> None:
         self.path = folder / "config.json"
         self.board = board
         self.sockets = sockets
         self.write(board.address)
         self.log: list[dict[str, Any]] = []
+        run = [sys.executable, "-m", "stairplank.platform"]
+        if files_limit is not None:
+            run = ["sh", "-c", f'ulimit -n {files_limit}; exec "$@"', "sh", *run]
         self.child = subprocess.Popen(
-            [sys.executable, "-m", "stairplank.platform"],
+            run,
             cwd=ROOT,
             env=os.environ | {"GW_CONFIG": str(self.path)},
             stderr=subprocess.PIPE,
