--- a/stairplank/scale/capacity.py
+++ b/stairplank/scale/capacity.py
@@ -102,16 +102,14 @@
     if carriers.list_address is None:
         found.missing_within(TargetLine.CONFIGURATION, figure, allowance, car.LIST_ADDRESS_GAP)
         return
-    measured = site.slowest(events.LIST_MOVES, lambda e: e.in_force_s)
-    wanted = f"samples of the event {events.LIST_MOVES} at the target's size"
     found.stay(
         TargetLine.CONFIGURATION,
         figure,
         Unit.SECONDS,
         allowance,
         carriers.list_address,
-        measured,
-        wanted,
+        site.slowest(events.LIST_MOVES, lambda e: e.in_force_s),
+        site.wanted(events.LIST_MOVES),
     )
 
 
@@ -182,21 +180,21 @@
             target.urgent_start_s,
             carriers.machine_lost,
             site.slowest(load, lambda e: e.known_s),
-            f"samples of the event {load} at the target's size",
+            site.wanted(load),
         )
 
-    known(TargetLine.MACHINE_EVENTS, "a failed machine is known, as one of a rack", events.RACK_VANISHES)
+    known(TargetLine.MACHINE_EVENTS, "a failed machine is known", events.MACHINE_FAILS)
     found.stay(
         TargetLine.MACHINE_EVENTS,
-        "work has caught up after restarts, before the next of an even day",
+        "work has caught up after restarts at once, before the next of an even day",
         Unit.SECONDS,
         SECONDS_OF_DAY / target.machine_restarts_per_day,
         carriers.restarted_workers,
-        site.slowest(events.WORKERS_RESTART, lambda e: e.caught_up_s),
-        f"samples of the event {events.WORKERS_RESTART} at the target's size",
+        site.slowest(events.RESTARTS, lambda e: e.caught_up_s),
+        site.wanted(events.RESTARTS),
     )
-    known(TargetLine.RACK_AND_ZONE, "a failed rack is known", events.RACK_VANISHES)
-    known(TargetLine.RACK_AND_ZONE, "a zone that returns cold is known", events.ZONE_RETURNS_COLD)
+    known(TargetLine.RACK_AND_ZONE, "a failed rack is known", events.RACK_FAILS)
+    known(TargetLine.RACK_AND_ZONE, "a zone that returns cold is known", events.ZONE_RETURNS)
     found.missing(
         TargetLine.REGION_CUT,
         "seconds that a cut region runs on by itself",
--- a/stairplank/scale/days.py
+++ b/stairplank/scale/days.py
@@ -12,6 +12,7 @@
 from .results import EventTimes
 from .target_site import Site
 
+RESTARTS_OF_PLANNERS = (events.PLANNER_RESTARTS, events.ALL_PLANNERS_RESTART)
 SECONDS_OF_HOUR, SECONDS_OF_DAY = 3_600.0, 86_400.0
 
 
@@ -20,7 +21,9 @@
 
     MEASURED = "measured"
     COMPUTED = "computed"
+    NOT_SEEN = "not seen"  # the event ran, and the time was not reached while it was watched
     NOT_MEASURED = "not measured"
+    NO_SUCH = "no such"  # the event has no such time
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,6 +34,9 @@
     seconds: float | None = None
 
 
+NO_TIME = Time(Source.NO_SUCH)
+
+
 @dataclass(frozen=True, slots=True)
 class DayEvent:
     """An event at the target's size. ``tasks`` is computed: those that start anew where work is spread
@@ -56,12 +62,14 @@
     build = _Builder(site, slopes, planners)
     fallen = restarts * tasks_of_worker
     return [
-        build.event("a planner restarts", events.PLANNER_RESTART, 0.0),
+        build.event("a planner restarts", events.PLANNER_RESTARTS, 0.0),
         build.event("all planners restart", events.ALL_PLANNERS_RESTART, 0.0),
+        build.event("one machine fails", events.MACHINE_FAILS, tasks_of_worker),
         build.event(f"{restarts:g} machines restart over a day", "", fallen, SECONDS_OF_DAY),
-        build.event("the same within an hour", events.WORKERS_RESTART, fallen, SECONDS_OF_HOUR),
-        build.event("a rack or a switch fails", events.RACK_VANISHES, None),
-        build.event("a zone returns cold", events.ZONE_RETURNS_COLD, target.running / target.zones),
+        build.event("the same within an hour", "", fallen, SECONDS_OF_HOUR),
+        build.event("the same at once", events.RESTARTS, fallen),
+        build.event("a rack or a switch fails", events.RACK_FAILS, None),
+        build.event("a zone returns cold", events.ZONE_RETURNS, target.running / target.zones),
         build.event("a region is cut off and comes back", events.REGION_CUT, target.running / target.regions),
     ]
 
@@ -75,20 +83,24 @@
         caught_up = self._time(load, lambda e: e.caught_up_s)
         if caught_up.source is Source.NOT_MEASURED and tasks and not over_s:
             caught_up = Time(Source.COMPUTED, tasks / self.site.target.starts_per_s)
+        ready = self._time(load, lambda e: e.ready_s) if load in RESTARTS_OF_PLANNERS else NO_TIME
+        known = NO_TIME if load in RESTARTS_OF_PLANNERS else self._time(load, lambda e: e.known_s)
         return DayEvent(
             title,
             load,
             tasks,
             over_s,
             self._messages(tasks),
-            self._time(load, lambda e: e.known_s),
-            self._time(load, lambda e: e.ready_s),
+            known,
+            ready,
             caught_up,
         )
 
     def _time(self, load: str, read: Callable[[EventTimes], float | None]) -> Time:
         seconds = self.site.slowest(load, read)
-        return Time(Source.NOT_MEASURED if seconds is None else Source.MEASURED, seconds)
+        if seconds is not None:
+            return Time(Source.MEASURED, seconds)
+        return Time(Source.NOT_SEEN if self.site.ran(load) else Source.NOT_MEASURED)
 
     def _messages(self, tasks: float | None) -> Prediction:
         """One start's messages at a planner, times the starts that fall to it."""
--- a/stairplank/scale/event_names.py
+++ b/stairplank/scale/event_names.py
@@ -4,11 +4,12 @@
 
 LIST_CHANGES = "list-changes-"  # and the changes of the node list a second
 
-PLANNER_RESTART = "planner-restart"
+PLANNER_RESTARTS = "planner-restarts"
 ALL_PLANNERS_RESTART = "all-planners-restart"
-WORKERS_RESTART = "workers-restart"
-RACK_VANISHES = "rack-vanishes"
-ZONE_RETURNS_COLD = "zone-returns-cold"
+MACHINE_FAILS = "machine-fails"
+RACK_FAILS = "rack-fails"
+RESTARTS = "restarts"  # of workers, at once
+ZONE_RETURNS = "zone-returns"  # cold
 REGION_CUT = "region-cut"
 LIST_MOVES = "list-moves"  # the planners' configuration names another list
 
--- a/stairplank/scale/figures.py
+++ b/stairplank/scale/figures.py
@@ -136,12 +136,28 @@
     lambda s: (s.size.planners, s.size.running, s.size.starts_per_s),
     "idle samples at four numbers of workers",
 )
+WHOLE_SITE = Axis(
+    "workers, tasks and starts growing with them",
+    _only(is_plain, lambda s: s.size.workers),
+    lambda s: (
+        s.size.starts_per_s / s.size.workers,
+        s.size.running / s.size.workers,
+        s.size.planners,
+    ),
+    "samples at the peak of sites of four sizes",
+)
 RUNNING = Axis(
     "running tasks of a planner",
     _only(stands, running_per_planner),
     lambda s: (s.size.workers, s.size.planners, s.size.starts_per_s),
     "samples without starts at four numbers of running tasks",
 )
+TASK_WORKERS = Axis(
+    "workers with tasks of a planner",
+    lambda s: s.planner.task_machines if stands(s) else None,
+    lambda s: (s.size.workers, s.size.planners, s.size.starts_per_s),
+    "samples without starts at four numbers of running tasks",
+)
 STARTS = Axis(
     "starts a second of a planner",
     _only(is_plain, starts_per_planner),
@@ -166,4 +182,4 @@
     lambda s: (),
     "samples at four rates of restarts, with the rate among the sizes of the results",
 )
-AXES = (WORKERS, RUNNING, STARTS, PLANNERS, LIST_CHANGES, RESTARTS)
+AXES = (WORKERS, WHOLE_SITE, RUNNING, TASK_WORKERS, STARTS, PLANNERS, LIST_CHANGES, RESTARTS)
--- a/stairplank/scale/slope_tables.py
+++ b/stairplank/scale/slope_tables.py
@@ -13,6 +13,8 @@
 PLANNER_COST = (fig.CPU, fig.MEMORY, fig.CONTROL_BYTES, fig.CONTROL_MESSAGES, fig.CONNECTIONS, fig.DIALS)
 FIGURES_OF_AXIS = {
     fig.WORKERS.title: PLANNER_COST,
+    fig.WHOLE_SITE.title: (*PLANNER_COST, fig.ALL_BYTES),
+    fig.TASK_WORKERS.title: (fig.CPU, fig.CONTROL_BYTES, fig.CONTROL_MESSAGES, fig.CONNECTIONS, fig.DIALS),
     fig.RUNNING.title: (*PLANNER_COST, fig.TASK_MACHINES),
     fig.STARTS.title: (*PLANNER_COST, fig.ALL_BYTES, fig.ALL_MESSAGES),
     fig.PLANNERS.title: (fig.CPU, fig.MEMORY, fig.CONTROL_BYTES, *fig.PEER_FIGURES),
--- a/stairplank/scale/tables.py
+++ b/stairplank/scale/tables.py
@@ -18,6 +18,7 @@
 from .target_site import Site
 from .verdicts import Form, Row, Verdict
 
+NO_EVENT = "with so many restarts spread over time"
 COMPARED = (CPU, MEMORY, CONTROL_BYTES)  # of each sample, between two runs
 
 
@@ -222,8 +223,13 @@
 
 
 def _time(time: Time, load: str) -> str:
-    if time.seconds is None:
-        return f"{NOT_MEASURED}: event {load}" if load else NOT_MEASURED
+    match time.source:
+        case Source.NO_SUCH:
+            return ""
+        case Source.NOT_SEEN:
+            return "not seen while it was watched"
+        case Source.NOT_MEASURED:
+            return f"{NOT_MEASURED}: event {load or NO_EVENT}"
     text = amount(time.seconds, Unit.SECONDS)
     return f"at least {text}, computed" if time.source is Source.COMPUTED else text
 
--- a/stairplank/scale/target_site.py
+++ b/stairplank/scale/target_site.py
@@ -34,10 +34,20 @@
         return max((mean for mean in means if mean is not None), default=None)
 
     def slowest(self, load: str, read: Callable[[EventTimes], float | None]) -> float | None:
-        """The longest time that the event took in any sample; None where none has it."""
-        times = (read(s.event) for s in self.samples if s.load == load)
+        """The longest time that the event took in any sample of the target's size; None where none has it."""
+        times = map(read, self._events(load))
         return max((time for time in times if time is not None), default=None)
 
+    def ran(self, load: str) -> bool:
+        """Whether the event is among the samples, whatever was seen of it."""
+        return bool(self._events(load))
+
+    def wanted(self, load: str) -> str:
+        """What would measure a time of the event that no sample has."""
+        if self.ran(load):
+            return f"the event {load} ran, and the time was not reached while it was watched"
+        return f"samples of the event {load} at the target's size"
+
     def size(self, planners: int, starts_per_s: float) -> Size:
         """The target's workers and running tasks with so many planners and starts."""
         return Size(self.target.workers, planners, starts_per_s, self.target.running)
@@ -55,6 +65,10 @@
                 planners.setdefault(size.starts_per_s, set()).add(size.planners)
         return [rate for rate, numbers in planners.items() if len(numbers) > 1]
 
+    def _events(self, load: str) -> list[EventTimes]:
+        samples = (s for s in self.samples if s.load == load)
+        return [s.event for s in samples if _same(self.size(s.size.planners, s.size.starts_per_s), s.size)]
+
     def _at(self, run: Sequence[Sample], size: Size) -> list[Sample]:
         return [s for s in run if is_plain(s) and _same(s.size, size)]
 
--- a/tests/scale/invented.py
+++ b/tests/scale/invented.py
@@ -61,5 +61,5 @@
     for changes in (1, 4, 16):
         add(f"{events.LIST_CHANGES}{changes}", WORKERS, PLANNERS, 7.4, RUNNING)
     known = EventTimes(known_s=6.5 + rng.random(), caught_up_s=20.0)
-    add(events.RACK_VANISHES, WORKERS, PLANNERS, 7.4, RUNNING, event=known, note="invented")
+    add(events.RACK_FAILS, WORKERS, PLANNERS, 7.4, RUNNING, event=known, note="invented")
     return Results("invented", "8 cores, 16 GB", tuple(samples), seconds=300.0)
--- a/tests/scale/test_capacity_fits.py
+++ b/tests/scale/test_capacity_fits.py
@@ -88,6 +88,13 @@
     assert lacking.value is None and lacking.missing == (fig.RUNNING, fig.STARTS)
 
 
+def test_a_site_that_grows_as_a_whole_is_one_series() -> None:
+    sizes = [Size(n, 7, 52.0 * n / 820, round(6200 * n / 820)) for n in (50, 200, 410, 820)]
+    samples = [Sample("platform", "peak", size, 1.0, planner=PlannerCost(cpu_share=0.01)) for size in sizes]
+    assert len(series(samples, fig.WHOLE_SITE, fig.CPU).points) == 4
+    assert series(samples, fig.STARTS, fig.CPU).points[0].value == 0.01
+
+
 def test_list_changes_are_read_from_the_load() -> None:
     found = series((s for s in results().samples if s.form == "platform"), fig.LIST_CHANGES, fig.CPU)
     assert [point.size for point in found.points] == [0, 1, 4, 16]
--- a/tests/scale/test_capacity_rows.py
+++ b/tests/scale/test_capacity_rows.py
@@ -17,7 +17,7 @@
 from stairplank.scale.carriers import CARRIERS
 from stairplank.scale.figures import Unit
 from stairplank.scale.predict import Slopes
-from stairplank.scale.results import Results
+from stairplank.scale.results import EventTimes, Results
 from stairplank.scale.target import TargetLine, load_target
 from stairplank.scale.target_site import Site
 from stairplank.scale.verdicts import Form, Mechanism, Row, Sense, Verdict
@@ -84,6 +84,20 @@
     assert workers.verdict is Verdict.SHORT and workers.ratio == 2.0
 
 
+@pytest.mark.parametrize("form", Form)
+def test_an_event_counts_at_the_targets_size_alone(form: Form) -> None:
+    figure = "a failed rack is known"
+    run = results()
+    full = next(r for r in rows_of(form, run) if r.figure == figure)
+    assert full.verdict is Verdict.HOLDS
+    small = tuple(replace(s, size=replace(s.size, workers=24)) for s in run.samples)
+    small_row = next(r for r in rows_of(form, replace(run, samples=small)) if r.figure == figure)
+    assert small_row.verdict is Verdict.NOT_MEASURED and "samples of the event" in small_row.wanted
+    unseen = tuple(replace(s, event=EventTimes()) for s in run.samples)
+    unseen_row = next(r for r in rows_of(form, replace(run, samples=unseen)) if r.figure == figure)
+    assert unseen_row.verdict is Verdict.NOT_MEASURED and "not reached" in unseen_row.wanted
+
+
 @pytest.mark.parametrize("form", Form)
 def test_the_parts_that_carry_a_line_are_there(form: Form) -> None:
     carriers = CARRIERS[form]
