--- a/stairplank/scale/capacity.py
+++ b/stairplank/scale/capacity.py
@@ -12,7 +12,7 @@
 from .row_list import RowList
 from .target import TargetLine
 from .target_site import Site
-from .verdicts import Row, Verdict
+from .verdicts import Mechanism, Row, Verdict
 
 SECONDS_OF_DAY = 86_400
 FULL = "samples at the target's workers and running tasks"
@@ -94,22 +94,21 @@
 
 def _configuration(site: Site, found: RowList) -> None:
     target, carriers = site.target, CARRIERS[site.form]
-    allowance = target.configuration_in_force_s
-    found.missing_within(
-        TargetLine.CONFIGURATION, "settings in force everywhere", allowance, car.SETTINGS_GAP
-    )
-    figure = "address of the list in force everywhere"
-    if carriers.list_address is None:
-        found.missing_within(TargetLine.CONFIGURATION, figure, allowance, car.LIST_ADDRESS_GAP)
-        return
-    found.stay(
-        TargetLine.CONFIGURATION,
-        figure,
-        Unit.SECONDS,
-        allowance,
+
+    def in_force(figure: str, mechanism: Mechanism | None, gap: str, load: str) -> None:
+        line, allowance = TargetLine.CONFIGURATION, target.configuration_in_force_s
+        if mechanism is None:
+            found.missing_within(line, figure, allowance, gap)
+            return
+        measured = site.slowest(load, lambda e: e.in_force_s)
+        found.stay(line, figure, Unit.SECONDS, allowance, mechanism, measured, site.wanted(load))
+
+    in_force("settings in force everywhere", carriers.settings, car.SETTINGS_GAP, events.SETTINGS_CHANGE)
+    in_force(
+        "address of the list in force everywhere",
         carriers.list_address,
-        site.slowest(events.LIST_MOVES, lambda e: e.in_force_s),
-        site.wanted(events.LIST_MOVES),
+        car.LIST_ADDRESS_GAP,
+        events.LIST_MOVES,
     )
 
 
--- a/stairplank/scale/carriers.py
+++ b/stairplank/scale/carriers.py
@@ -21,6 +21,7 @@
     gangs: Mechanism | None
     urgent_with_room: Mechanism
     zones: Mechanism
+    settings: Mechanism | None
     list_address: Mechanism | None
     machine_lost: Mechanism
     restarted_workers: Mechanism
@@ -38,6 +39,7 @@
         gangs=None,
         urgent_with_room=_DECIDES,
         zones=_DECIDES,
+        settings=None,
         list_address=Mechanism("stairplank.platform.service", "Service"),
         machine_lost=Mechanism("stairplank.platform.links", "Links"),
         restarted_workers=_COLD_NODES,
@@ -50,6 +52,7 @@
         gangs=Mechanism("stairplank.groups.coordinator", "Coordinator"),
         urgent_with_room=_DECIDES,
         zones=_DECIDES,
+        settings=None,
         list_address=None,
         machine_lost=Mechanism("stairplank.planner.linking", "Links"),
         restarted_workers=_COLD_NODES,
--- a/stairplank/scale/event_names.py
+++ b/stairplank/scale/event_names.py
@@ -11,6 +11,7 @@
 RESTARTS = "restarts"  # of workers, at once
 ZONE_RETURNS = "zone-returns"  # cold
 REGION_CUT = "region-cut"
+SETTINGS_CHANGE = "settings-change"
 LIST_MOVES = "list-moves"  # the planners' configuration names another list
 
 
--- a/tests/scale/counted_site.py
+++ b/tests/scale/counted_site.py
@@ -22,7 +22,7 @@
 ENDED, ANSWERED = Kind.RELEASE, Kind.ANSWER
 FIRST_LATER_TASK = 100_000  # numbers of tasks that are asked for, beside those that are adopted
 # Not by task: totals by kind of thing that happened; the list sorted and cut, as it is with the first task.
-NOT_BY_TASK = {"counts", "transitions", "ready", "parts"}
+NOT_BY_TASK = {"counts", "transition_counts", "ready", "parts"}
 
 
 @dataclass(frozen=True)
@@ -108,14 +108,14 @@
 
     def counts(self) -> Counts:
         dials = self.core.counts.get("dials", 0)
-        return Counts(self.now, dials, len(self.out), len(self.said), self.turns, self.events)
+        return Counts(self.now, dials, len(self.to_machines), len(self.to_clients), self.turns, self.events)
 
     # Work
 
     def connect_client(self) -> None:
         """Anew for each piece of work: the planner closes a connection on which nothing is said."""
         if self.client_link in self.closed:
-            self.feed(ev.OwnerLeft(self.client_link))
+            self.feed(ev.ClientDisconnected(self.client_link))
             self.client_link = 0
         self.client_link = self.client_link or self.owner()
 
@@ -150,12 +150,14 @@
     def end_adopted(self) -> None:
         """The client ends everything that it handed over."""
         for number in range(1, self.last_task + 1):
-            self.feed(ev.OwnerSaid(self.client_link, Message(ENDED, name(number), cause=int(Cause.ENDED))))
+            self.feed(
+                ev.ClientMessage(self.client_link, Message(ENDED, name(number), cause=int(Cause.ENDED)))
+            )
         self.settle()
 
     def leave(self) -> None:
         """The client goes."""
-        self.feed(ev.OwnerLeft(self.client_link))
+        self.feed(ev.ClientDisconnected(self.client_link))
         self.client_link = 0
 
     # Tables
--- a/tests/scale/test_scaling_counts.py
+++ b/tests/scale/test_scaling_counts.py
@@ -131,7 +131,7 @@
     site = standing(workers, 25)
     before = site.counts()
     for number in range(1, 11):
-        site.told(row(30 + number, spare=[8.0, 16.0]))
+        site.list_update(row(30 + number, spare=[8.0, 16.0]))
     after = site.counts()
     assert after.events - before.events == 10
     assert (after.to_workers, after.to_clients) == (before.to_workers, before.to_clients)
@@ -143,7 +143,7 @@
     gone, each = 5, 4
     site = standing(workers, 25, each=each)
     before = site.counts()
-    site.told(*(row(number, "DELETED") for number in range(1, gone + 1)))
+    site.list_update(*(row(number, "DELETED") for number in range(1, gone + 1)))
     site.run(links.GONE_US / SECOND + 1.0)
     after = site.counts()
     assert after.to_clients - before.to_clients == gone * each  # a release of each task
