--- a/stairplank/scale/planner_counts.py
+++ b/stairplank/scale/planner_counts.py
@@ -44,6 +44,11 @@
         known = [ratio for ratio in ratios if ratio is not None]
         return max(known) if len(known) == len(ratios) else None
 
+    @property
+    def holds(self) -> bool:
+        """Whether every cost is known and within its allowance."""
+        return self.ratio is not None and self.ratio <= 1
+
     @property
     def is_measured(self) -> bool:
         """Whether every cost was measured, and none is known by the slopes alone."""
@@ -74,11 +79,14 @@
 
 
 def fewest_within(site: Site, slopes: Slopes, starts_per_s: float) -> int | None:
-    """The fewest planners of which each stays within its allowances, measured or by the slopes."""
+    """The fewest planners of which each stays within its allowances, measured or by the slopes. Where so many
+    or more were measured and were not within them, the slopes are not believed."""
     machines = site.target.planner_machines
-    numbers = range(machines, machines * SEARCHED + 1)
+    shown = (planner_count(site, slopes, n, starts_per_s) for n in site.planner_counts())
+    beyond = max((c.planners for c in shown if c.is_measured and not c.holds), default=0)
+    numbers = range(max(machines, beyond + 1), machines * SEARCHED + 1)
     counts = (planner_count(site, slopes, n, starts_per_s) for n in numbers)
-    return next((c.planners for c in counts if c.ratio is not None and c.ratio <= 1), None)
+    return next((count.planners for count in counts if count.holds), None)
 
 
 def best_measured(site: Site, slopes: Slopes) -> PlannerCount | None:
--- a/stairplank/scale/tables.py
+++ b/stairplank/scale/tables.py
@@ -189,7 +189,7 @@
 
 
 def _fewest(planners: int | None) -> str:
-    return "none of the numbers looked at" if planners is None else f"{planners} planners"
+    return "no number looked at" if planners is None else f"{planners} planners"
 
 
 def _role_cells(cost: RoleCost) -> tuple[str, ...]:
--- /dev/null
+++ b/tests/scale/test_capacity_planners.py
@@ -0,0 +1,80 @@
+"""How many planners: measured beside the slopes, and the fewest that stay within their allowances."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from invented import results
+
+from stairplank.scale.planner_counts import best_measured, counts_to_show, fewest_within, planner_count
+from stairplank.scale.predict import Slopes
+from stairplank.scale.results import Results, Sample
+from stairplank.scale.target import load_target
+from stairplank.scale.target_site import Site
+from stairplank.scale.verdicts import Form
+
+TARGET = load_target()
+
+
+def site_of(run: Results, **changes: float) -> tuple[Site, Slopes]:
+    site = Site(replace(TARGET, **changes), [run], Form.PLATFORM)  # type: ignore[arg-type]
+    return site, Slopes(site.samples)
+
+
+def without(run: Results, planners: int) -> Results:
+    kept = tuple(s for s in run.samples if s.size.planners != planners)
+    return replace(run, samples=kept)
+
+
+def costlier(run: Results, planners: int, factor: float) -> Results:
+    """The same, with a planner among so many using so many times the processor time."""
+
+    def changed(sample: Sample) -> Sample:
+        cpu = sample.planner.cpu_share
+        if sample.size.planners != planners or cpu is None:
+            return sample
+        return replace(sample, planner=replace(sample.planner, cpu_share=cpu * factor))
+
+    return replace(run, samples=tuple(map(changed, run.samples)))
+
+
+def test_measured_and_predicted_stand_side_by_side() -> None:
+    site, slopes = site_of(results())
+    counts = counts_to_show(site, slopes)
+    assert [count.planners for count in counts[:4]] == [7, 14, 28, 56]
+    assert {count.starts_per_s for count in counts} == {0.0, 7.4, 52.0}
+    for count in counts[:8]:
+        for cost in count.costs:
+            assert cost.measured is not None and cost.predicted.value is not None
+            assert abs(cost.measured / cost.predicted.value - 1) < 0.05
+
+
+def test_a_number_that_was_not_measured_goes_by_the_slopes() -> None:
+    site, slopes = site_of(without(results(), 28))
+    count = planner_count(site, slopes, 28, 0.0)
+    assert not count.is_measured and count.ratio is not None
+
+
+def test_the_fewest_within_the_allowances() -> None:
+    site, slopes = site_of(results())
+    assert fewest_within(site, slopes, 0.0) == 7
+    site, slopes = site_of(results(), control_cpu_share=0.0148)
+    fewest = fewest_within(site, slopes, 0.0)
+    assert fewest is not None and 7 < fewest <= 28
+    site, slopes = site_of(results(), control_cpu_share=0.001)
+    assert fewest_within(site, slopes, 0.0) is None
+
+
+def test_the_slopes_are_not_believed_against_what_was_measured() -> None:
+    site, slopes = site_of(costlier(results(), 28, 3.0))
+    fewest = fewest_within(site, slopes, 0.0)
+    assert fewest is not None and fewest > 28
+
+
+def test_the_best_number_is_the_fewest_that_holds_else_the_least_short() -> None:
+    best = best_measured(*site_of(results()))
+    assert best is not None and best.planners == 7
+    best = best_measured(*site_of(costlier(results(), 7, 2.0)))
+    assert best is not None and best.planners == 14
+    best = best_measured(*site_of(results(), control_cpu_share=0.001))
+    assert best is not None and best.planners == 56
