--- a/stairplank/scale/planner_counts.py
+++ b/stairplank/scale/planner_counts.py
@@ -10,6 +10,7 @@
 from .results import Size
 from .target_site import Site
 
+ALIKE_SHARE = 0.10  # factors that differ by less are alike: two runs of one state differ by some percent
 SEARCHED = 32  # planners a machine up to which the slopes are asked
 
 
@@ -91,7 +92,11 @@
 
 def best_measured(site: Site, slopes: Slopes) -> PlannerCount | None:
     """Of the numbers measured without starts, where all that a planner does is control: the fewest within
-    the allowances, else the least short."""
+    the allowances, else the fewest that is no more short than noise tells from the least short."""
     counts = [planner_count(site, slopes, n, 0.0) for n in site.planner_counts()]
-    measured = [count for count in counts if count.is_measured]
-    return min(measured, key=lambda c: max(1.0, c.ratio or 0.0), default=None)
+    short = {count: max(1.0, count.ratio) for count in counts if count.is_measured and count.ratio}
+    if not short:
+        return None
+    least = min(short.values())
+    bound = least * (1 + ALIKE_SHARE) if least > 1 else 1.0
+    return next(count for count, factor in short.items() if factor <= bound)
--- a/stairplank/scale/tables.py
+++ b/stairplank/scale/tables.py
@@ -2,24 +2,32 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Sequence
 
 from .capacity import by_need, capacity
-from .days import DayEvent, Source, Time, day_events
-from .figures import CONTROL_BYTES, CPU, MEMORY, PLANNER_FIGURES, Figure, Unit
-from .markdown import NOT_MEASURED, amount, factor, number, share, table
+from .cells import (
+    COMPARED,
+    capacity_cells,
+    cost_cells,
+    event_cells,
+    fewest_cell,
+    pair_cells,
+    role_cells,
+    verdict_cell,
+    yes_or_no,
+)
+from .days import day_events
+from .figures import PLANNER_FIGURES, Figure
+from .markdown import NOT_MEASURED, factor, number, share, table
 from .noise import Pair, by_sample, noise, pairs
-from .planner_counts import Cost, PlannerCount, best_measured, counts_to_show, fewest_within
-from .predict import Prediction, Slopes
+from .planner_counts import PlannerCount, best_measured, counts_to_show, fewest_within
+from .predict import Slopes
 from .results import Results
-from .roles import RoleCost, role_costs
+from .roles import role_costs
 from .slope_tables import shapes_table, slopes_table
 from .target import Target, TargetLine, described
 from .target_site import Site
-from .verdicts import Form, Row, Verdict
-
-NO_EVENT = "with so many restarts spread over time"
-COMPARED = (CPU, MEMORY, CONTROL_BYTES)  # of each sample, between two runs
+from .verdicts import Form, Row
 
 
 class CapacityTables:
@@ -64,20 +72,20 @@
     def _runs(self) -> str:
         heads = ("run", "state of the program", "machine", "samples", "seconds", "whole")
         rows = (
-            (str(i), r.label, r.machine, str(len(r.samples)), number(r.seconds), _yes(not r.partial))
+            (str(i), r.label, r.machine, str(len(r.samples)), number(r.seconds), yes_or_no(not r.partial))
             for i, r in enumerate(self.runs, 1)
         )
         return table(heads, rows)
 
     def _capacity(self) -> str:
         heads = ("line", "form", "figure", "measured", "allowance", "ratio", "carried by", "verdict")
-        return table(heads, _merged(self.rows()))
+        return table(heads, capacity_cells(self.rows()))
 
     def _missing(self) -> str:
         heads = ("rank", "figure", "form", "verdict", "line")
         ranked: dict[tuple[str, str, str], list[str]] = {}
         for row in by_need(self.rows()):
-            ranked.setdefault((row.figure, _verdict(row), row.line.value), []).append(row.form.value)
+            ranked.setdefault((row.figure, verdict_cell(row), row.line.value), []).append(row.form.value)
         rows = (
             (str(rank), figure, ", ".join(forms), verdict, line)
             for rank, ((figure, verdict, line), forms) in enumerate(ranked.items(), 1)
@@ -92,7 +100,7 @@
             heads += [cost.figure.title.removesuffix(" of a planner"), "by the slopes"]
         body = table([*heads, "largest over its allowance"], map(self._planner_cells, counts))
         peak = self.target.starts_per_s
-        standing, at_peak = (_fewest(fewest_within(site, slopes, rate)) for rate in (0.0, peak))
+        standing, at_peak = (fewest_cell(fewest_within(site, slopes, rate)) for rate in (0.0, peak))
         return (
             f"{body}\nFewest within all three allowances: {standing} without starts, {at_peak} at the peak.\n"
         )
@@ -102,7 +110,7 @@
         cells = [number(count.starts_per_s), str(planners), number(planners / target.planner_machines)]
         cells.append(number(target.running / planners))
         for cost in count.costs:
-            cells += _cost_cells(cost)
+            cells += cost_cells(cost)
         return [*cells, factor(count.ratio) or NOT_MEASURED]
 
     def _roles(self) -> str:
@@ -112,7 +120,7 @@
             planners = self._planners_of(site)
             size = site.size(planners, self.target.starts_per_s)
             for cost in role_costs(site, size):
-                rows.append((site.form.value, str(planners), *_role_cells(cost)))
+                rows.append((site.form.value, str(planners), *role_cells(cost)))
         return table((*heads, "what would measure the rest"), rows)
 
     def _planners_of(self, site: Site) -> int:
@@ -125,7 +133,7 @@
         rows: list[tuple[str, ...]] = []
         for site in self.sites:
             events = day_events(site, self.slopes[site.form], self._planners_of(site))
-            rows += [_event_cells(site, event) for event in events]
+            rows += [event_cells(site, event) for event in events]
         return table((*heads, "known", "ready", "caught up"), rows)
 
     def _noise(self) -> str:
@@ -139,117 +147,14 @@
         heads = ["form", "load", "workers", "planners", "starts/s", "running"]
         for figure in COMPARED:
             heads += [f"{figure.title.removesuffix(' of a planner')}, run 1", "run 2", "difference"]
-        return table(heads, map(_pair_cells, by_sample(self._pairs(COMPARED))))
+        return table(heads, map(pair_cells, by_sample(self._pairs(COMPARED))))
 
     def _pairs(self, figures: Sequence[Figure] = PLANNER_FIGURES) -> list[Pair]:
         return pairs(self.runs[0], self.runs[1], figures) if len(self.runs) > 1 else []
 
     def _limits(self) -> str:
-        notes = {(s.form, s.load, s.note): None for run in self.runs for s in run.samples if s.note}
-        return table(("form", "load", "limit of the sample"), notes)
-
-
-def _merged(rows: Sequence[Row]) -> list[list[str]]:
-    """The cells of rows; those that differ in nothing but the form of the planner are one."""
-    forms: dict[tuple[str, ...], list[str]] = {}
-    for row in rows:
-        forms.setdefault(_capacity_cells(row), []).append(row.form.value)
-    return [[cells[0], ", ".join(names), *cells[1:]] for cells, names in forms.items()]
-
-
-def _capacity_cells(row: Row) -> tuple[str, ...]:
-    """All but the form of the planner."""
-    carried = str(row.mechanism) if row.mechanism else row.gap
-    measured = "" if row.mechanism is None else amount(row.measured, row.unit)
-    if row.computed and row.measured is not None:
-        measured += ", computed"
-    bound = f"{row.sense.value} {amount(row.allowance, row.unit)}"
-    figure = row.line.value, row.figure
-    return (*figure, measured, bound, factor(row.ratio), carried, _verdict(row))
-
-
-def _verdict(row: Row) -> str:
-    if row.verdict is Verdict.SHORT:
-        return f"short by a factor of {factor(row.ratio)}"
-    if row.verdict is Verdict.NOT_MEASURED:
-        return f"{NOT_MEASURED}: {row.wanted}"
-    return row.verdict.value
-
-
-def _cost_cells(cost: Cost) -> tuple[str, str]:
-    unit = cost.figure.unit
-    return amount(cost.measured, unit), _predicted(cost.predicted, unit)
-
-
-def _predicted(prediction: Prediction, unit: Unit) -> str:
-    if prediction.value is not None:
-        return amount(prediction.value, unit)
-    missing = ", ".join(axis.title for axis in prediction.missing)
-    return f"{NOT_MEASURED}: no slope by {missing}"
-
-
-def _fewest(planners: int | None) -> str:
-    return "no number looked at" if planners is None else f"{planners} planners"
-
-
-def _role_cells(cost: RoleCost) -> tuple[str, ...]:
-    return (
-        cost.role,
-        cost.state,
-        amount(cost.messages_per_s, Unit.PER_S),
-        amount(cost.bytes_per_s, Unit.BYTES_PER_S),
-        amount(cost.cpu_share, Unit.SHARE),
-        amount(cost.memory_mb, Unit.MEGABYTES),
-        cost.wanted,
-    )
-
-
-def _event_cells(site: Site, event: DayEvent) -> tuple[str, ...]:
-    tasks = f"{NOT_MEASURED}: the target names no size" if event.tasks is None else _computed(event.tasks)
-    messages = event.messages.value
-    sent = NOT_MEASURED if messages is None else _computed(messages)
-    times = (_time(time, event.load) for time in (event.known, event.ready, event.caught_up))
-    return (event.title, site.form.value, tasks, _added_starts(event), sent, *times)
-
-
-def _added_starts(event: DayEvent) -> str:
-    if event.tasks is None or not event.over_s:
-        return "at once"
-    return _computed(event.tasks / event.over_s)
-
-
-def _computed(value: float) -> str:
-    return f"{number(value)}, computed"
-
-
-def _time(time: Time, load: str) -> str:
-    match time.source:
-        case Source.NO_SUCH:
-            return ""
-        case Source.NOT_SEEN:
-            return "not seen while it was watched"
-        case Source.NOT_MEASURED:
-            return f"{NOT_MEASURED}: event {load or NO_EVENT}"
-    text = amount(time.seconds, Unit.SECONDS)
-    return f"at least {text}, computed" if time.source is Source.COMPUTED else text
-
-
-def _pair_cells(of_sample: Mapping[Figure, Pair]) -> list[str]:
-    first = next(iter(of_sample.values()))
-    size = first.size
-    cells = [first.form, first.load, str(size.workers), str(size.planners)]
-    cells += [number(size.starts_per_s), number(size.running)]
-    for figure in COMPARED:
-        cells += _compared_cells(of_sample.get(figure))
-    return cells
-
-
-def _compared_cells(pair: Pair | None) -> tuple[str, str, str]:
-    if pair is None:
-        return NOT_MEASURED, NOT_MEASURED, ""
-    unit = pair.figure.unit
-    return amount(pair.first, unit), amount(pair.second, unit), share(pair.difference)
-
-
-def _yes(value: bool) -> str:
-    return "yes" if value else "no"
+        loads: dict[tuple[str, str], dict[str, None]] = {}
+        for sample in (s for run in self.runs for s in run.samples if s.note):
+            loads.setdefault((sample.form, sample.note), {})[sample.load] = None
+        rows = ((form, note, ", ".join(names)) for (form, note), names in loads.items())
+        return table(("form", "what the run noted", "loads"), rows)
