--- a/stairplank/scale/roles.py
+++ b/stairplank/scale/roles.py
@@ -29,12 +29,12 @@
     Form.GRPC: "every listed node and a link to each; its own tasks, attempts and gangs; nothing on disk",
 }
 LIST_STATE = {
-    Form.PLATFORM: "numbered notices of machines; planners watch it",
+    Form.PLATFORM: "numbered updates of machines; planners watch it",
     Form.GRPC: "entries of nodes with revisions; nodes announce themselves, planners watch it",
 }
 WORKER_STATE = {
-    Form.PLATFORM: "its tasks, and ends of tasks that were not heard; a connection of each planner at least",
-    Form.GRPC: "its tasks, and numbered last words for each life of a planner; a link of each planner",
+    Form.PLATFORM: "its tasks, and their ends until acknowledged; connections of planners with tasks there",
+    Form.GRPC: "its tasks, and numbered final messages for each life of a planner; a link of each planner",
 }
 CLIENT_STATE = "its tasks by id; connections to the planners that it asks"
 CONFIGURATION_STATE = "a file of each planner, read at its start"
