--- a/stairplank/scale/cells.py
+++ b/stairplank/scale/cells.py
@@ -43,7 +43,7 @@
         return f"short by a factor of {factor(row.ratio)}"
     if row.verdict is Verdict.NOT_MEASURED:
         return f"{NOT_MEASURED}: {row.wanted}"
-    return row.verdict.value
+    return f"{row.verdict.value}, by less than a tenth" if row.is_close else row.verdict.value
 
 
 def cost_cells(cost: Cost) -> tuple[str, str]:
--- a/stairplank/scale/tables.py
+++ b/stairplank/scale/tables.py
@@ -101,9 +101,9 @@
         body = table([*heads, "largest over its allowance"], map(self._planner_cells, counts))
         peak = self.target.starts_per_s
         standing, at_peak = (fewest_cell(fewest_within(site, slopes, rate)) for rate in (0.0, peak))
-        return (
-            f"{body}\nFewest within all three allowances: {standing} without starts, {at_peak} at the peak.\n"
-        )
+        found = f"{standing} without starts, {at_peak} at the peak"
+        head = "Fewest within all three allowances, by the slopes between and beyond the measured numbers"
+        return f"{body}\n{head}: {found}.\n"
 
     def _planner_cells(self, count: PlannerCount) -> list[str]:
         target, planners = self.target, count.planners
--- a/stairplank/scale/verdicts.py
+++ b/stairplank/scale/verdicts.py
@@ -32,6 +32,9 @@
     AT_LEAST = "at least"
 
 
+CLOSE_SHARE = 0.10  # a cost so near its allowance holds or fails by less than runs of one state may differ
+
+
 @dataclass(frozen=True, slots=True)
 class Mechanism:
     """The part of the program that carries a figure; ``name`` is found in ``module``."""
@@ -69,6 +72,12 @@
             return self.measured / self.allowance
         return self.allowance / self.measured if self.measured else float("inf")
 
+    @property
+    def is_close(self) -> bool:
+        """Whether a cost holds by less than noise may hide."""
+        ratio = self.ratio
+        return self.sense is Sense.AT_MOST and ratio is not None and 1 - CLOSE_SHARE < ratio <= 1
+
     @property
     def verdict(self) -> Verdict:
         if self.mechanism is None:
--- a/tests/scale/test_capacity_rows.py
+++ b/tests/scale/test_capacity_rows.py
@@ -50,6 +50,8 @@
     assert replace(ROW, measured=10.0).verdict is Verdict.HOLDS
     short = replace(ROW, measured=25.0)
     assert short.verdict is Verdict.SHORT and short.ratio == 2.5
+    assert replace(ROW, measured=9.5).is_close and not replace(ROW, measured=8.9).is_close
+    assert not short.is_close and not replace(ROW, sense=Sense.AT_LEAST, measured=10.0).is_close
     assert replace(ROW, mechanism=None).verdict is Verdict.NOTHING_CARRIES_IT
     reached = replace(ROW, sense=Sense.AT_LEAST, measured=4.0)
     assert reached.verdict is Verdict.SHORT and reached.ratio == 2.5
