--- a/stairplank/configuration/live.py
+++ b/stairplank/configuration/live.py
@@ -71,7 +71,13 @@
 
 # A connection's limits are its own: a buffer or a clock of one that stands is not made anew.
 NEW_CONNECTIONS = frozenset({"send-buffer", "message-most", "keepalive"})
-OWN_KEYS: Mapping[str, str] = {"listen": "listen", "directory": "directory", "seed": "seed"}
+OWN_KEYS: Mapping[str, str] = {
+    "listen": "listen",
+    "directory": "directory",
+    "seed": "seed",
+    "configuration": "configuration",
+    "configuration_copy": "configuration-copy",
+}
 _OWN_MESSAGE = "it is this planner's own, and read when the process starts"
 
 LIST_KEYS: Mapping[str, str] = {"classes": "class", "kinds": "kind", "zones": "zone", "tenants": "tenant"}
--- a/stairplank/configuration/rules.py
+++ b/stairplank/configuration/rules.py
@@ -15,7 +15,7 @@
 
 _EFFECT = "a task in flight was sent under the promise that this makes about a second start"
 _KIND = "the books on nodes of this kind were made with it"
-_PROTOCOL = "it says what nodes and their list offer, which is agreed on when a connection is made"
+_PROTOCOL = "it describes what nodes and their list offer, which is agreed on when a connection is made"
 
 # Danger: a window, group or effect that changes after an attempt has left lets a task run twice; a spread of
 # another scope leaves counts behind that no end of a task takes off again.
--- a/stairplank/fence/epochs.py
+++ b/stairplank/fence/epochs.py
@@ -19,6 +19,10 @@
     def __len__(self) -> int:
         return len(self._highest)
 
+    def allow(self, most: int) -> None:
+        """Raise the bound. Danger: by a lower one peers whose streams stand would be forgotten."""
+        self._most = max(self._most, most)
+
     def take(self, peer: Hashable, epoch: int) -> bool:
         """Whether a stream with this epoch is newer than all that were seen of this peer."""
         known = self._highest.get(peer, -1)
--- a/stairplank/groups/coordinator.py
+++ b/stairplank/groups/coordinator.py
@@ -176,6 +176,11 @@
         self._due: list[tuple[int, int, int]] = []
         self.keep_at = 0
 
+    def set_settings(self, settings: api.Settings, config: GroupConfig) -> None:
+        """Settings and waits from now on; timers that are set keep their time."""
+        self.settings = settings
+        self.config = config
+
     def next_due(self) -> int | None:
         return self._due[0][0] if self._due else None
 
--- a/stairplank/planner/context.py
+++ b/stairplank/planner/context.py
@@ -42,9 +42,13 @@
 
     def __init__(self, settings: api.Settings, config: CoreConfig, life: int) -> None:
         super().__init__()
+        self.life = life
+        self.set_settings(settings, config)
+
+    def set_settings(self, settings: api.Settings, config: CoreConfig) -> None:
+        """Settings and bounds from now on; classes and tenants keep their numbers."""
         self.settings = settings
         self.config = config
-        self.life = life
         self.classes = {c.name: i for i, c in enumerate(settings.classes)}
         self.tenants = {name: i for i, name in enumerate(config.tenants)}
 
--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -87,6 +87,7 @@
             ev.NodeKept: self.leases.kept,
             ev.ProbeTold: self._probe_told,
             ev.StopAsked: self._stop_asked,
+            ev.SettingsChanged: self._settings_changed,
             ev.Due: self._due,
         }
         self._carriers: dict[type, Callable[[Any], None]] = {
@@ -199,6 +200,21 @@
     def _module_log(self, action: api.Log) -> None:
         self.context.log("module", text=action.text)
 
+    # Settings
+
+    def _settings_changed(self, event: ev.SettingsChanged) -> None:
+        """Every place that holds settings takes the new ones in this turn.
+
+        Danger: a component that kept the former ones would number a new class or tenant differently from the
+        others. Tasks in flight keep the deadline and the class that they were taken with.
+        """
+        self.context.set_settings(event.settings, event.config)
+        self.module.s = event.settings
+        self.groups.settings_changed()
+        self.links.settings_changed()
+        self.list.settings_changed()
+        self.context.count("settings_changed")
+
     # Leaving
 
     def _stop_asked(self, event: ev.StopAsked) -> None:
--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -20,6 +20,7 @@
 import structlog
 from gevent.event import Event as Flag
 
+from ..configuration.live import LiveChanges, live_changes
 from ..fence import Epochs, Grants, StepWatch
 from ..proto import (
     caller,
@@ -34,12 +35,12 @@
 from ..settings import PlannerConfig
 from . import convert
 from . import events as ev
-from .admission import Bounds
 from .clock import now_us as now_us
 from .clock import raw_us
-from .core import Core, CoreConfig
+from .core import Core
 from .events import AttemptId
 from .links import Heard
+from .live_settings import core_config, epochs_most, prepared, server_limits
 from .nodelink import NODE as NODE
 from .nodelink import WORK_BATCH, NodeLink
 from .pulse import Pulse
@@ -59,19 +60,7 @@
         self.life = int.from_bytes(os.urandom(8), "big") >> 1 or 1
         self.log = structlog.get_logger("planner").bind(planner=self.position)
         seed = config.seed if config.seed is not None else self.life
-        core_config = CoreConfig(
-            bounds=Bounds(config.open_most, config.owner_open_most, config.running_most, config.wait_most_us),
-            tenants=tuple(name for name, _ in config.room.tenants),
-            zones=config.room.zones,
-            dial_timeout_us=config.dial_timeout_us,
-            dial_retry_us=config.dial_retry_us,
-            dial_retry_most_us=config.dial_retry_most_us,
-            link_grace_us=config.link_grace_us,
-            stop_grace_us=config.stop_grace_us,
-            nodes_most=config.nodes_most,
-            dials_most=config.dials_most,
-        )
-        self.core = Core(config.settings, core_config, self.life, seed)
+        self.core = Core(config.settings, core_config(config), self.life, seed)
         self.health = Health((PLACEMENT.full_name,))
         names = (PLACEMENT.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
         served = {
@@ -79,19 +68,12 @@
             **self.health.methods(),
             **Reflection(names).methods(),
         }
-        limits = Limits(
-            message_bytes=config.message_most,
-            send_bytes=config.send_buffer,
-            keepalive_s=config.keepalive_us[0] / 1e6,
-            keepalive_timeout_s=config.keepalive_us[1] / 1e6,
-            connections=config.owners_most * 2,
-        )
-        self.server = Server(config.listen, served, limits)
+        self.server = Server(config.listen, served, server_limits(config))
         self.links: dict[int, NodeLink] = {}
         self.heard: dict[int, tuple[int, Heard]] = {}  # node: its life, and its words so far
         self.owners: dict[int, ServerCall] = {}
         self.peers: dict[int, tuple[str, int]] = {}  # owner's stream: its owner and that one's session
-        self.epochs = Epochs(config.owners_most * 4)  # of owners' sessions
+        self.epochs = Epochs(epochs_most(config))  # of owners' sessions
         self.grants: dict[int, Grants] = {}  # an owner's stream
         self._rng = random.Random(os.urandom(16))
         self._epoch = 0
@@ -167,6 +149,29 @@
         self.log.info("planner has left", owed=self.core.owners.open_tasks, **self.core.counts)
         return self.core.finished and clean
 
+    # Settings
+
+    def prepare_site(self, text: str, name: str) -> PlannerConfig:
+        """This planner's configuration once the site's text is in force; ``name`` stands for its file.
+
+        Changes nothing, and may run in another thread. Raises SettingsError and NeedsRestartError.
+        """
+        return prepared(self.config, text, name)
+
+    def apply_site(self, config: PlannerConfig) -> LiveChanges:
+        """Put a prepared configuration into force, at once; what has changed. Raises NeedsRestartError."""
+        # Danger: another one may have come into force since it was prepared.
+        changes = live_changes(self.config, config)
+        changes.check()
+        if changes.identical:
+            return changes
+        self.config = config
+        self.server.limits = server_limits(config)
+        self.epochs.allow(epochs_most(config))
+        self.feed(ev.SettingsChanged(config.settings, core_config(config)))
+        self.log.info("settings changed", keys=list(changes.keys))
+        return changes
+
     # The core
 
     def feed(self, event: ev.Event) -> None:
@@ -358,7 +363,8 @@
             self.log.debug(
                 "told", session=action.session, word=type(action.word).__name__, ask=action.word.ask
             )
-        full = call.stream.out_bytes > self.config.send_buffer // 2
+        # The bound of this connection: it may have been made before send-buffer changed.
+        full = call.stream.out_bytes > call.stream.connection.limits.send_bytes // 2
         if full and isinstance(action.word, ev.Offered):
             self.dropped_words += 1  # the first to go where an owner is slow: no outcome hangs on it
             return
@@ -447,12 +453,11 @@
 
     def _watch_list(self, revision: int) -> None:
         channel = self._directory()
-        silence = self.config.list_silence_us / 1e6
         try:
             call = caller(channel, DIRECTORY, "Watch")
             call.send(directory_pb2.WatchRequest(planner=self.position, revision=revision))
             call.close_send()
-            while (message := call.recv(silence)) is not None:
+            while (message := call.recv(self.config.list_silence_us / 1e6)) is not None:
                 self.feed(convert.list_from(message))
         except RpcError as error:
             self.log.info("node list out of reach", error=str(error))
--- a/stairplank/planner/events.py
+++ b/stairplank/planner/events.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import TYPE_CHECKING
 
 from .. import interface as api
 from ..tasks import AttemptId as AttemptId
@@ -11,6 +12,9 @@
 from ..tasks import Rejection as Rejection
 from ..tasks import TaskSpec as TaskSpec
 
+if TYPE_CHECKING:
+    from .context import CoreConfig
+
 
 class StopWhy(Enum):
     WITHDRAWN = "withdrawn"
@@ -218,6 +222,14 @@
     """The planner is to leave: nothing new is taken, what is owed is answered."""
 
 
+@dataclass(frozen=True, slots=True)
+class SettingsChanged:
+    """Settings that may change while the planner runs (``configuration.live``) are others from now on."""
+
+    settings: api.Settings
+    config: CoreConfig
+
+
 @dataclass(frozen=True, slots=True)
 class Due:
     """Time has passed; what is due is done."""
@@ -247,6 +259,7 @@
     | HeldFailed
     | ProbeTold
     | StopAsked
+    | SettingsChanged
     | Due
 )
 
--- a/stairplank/planner/grouping.py
+++ b/stairplank/planner/grouping.py
@@ -186,6 +186,10 @@
     def withdrawn(self, number: int) -> None:
         self._carry(self.coordinator.withdrawn(self.context.now, number))
 
+    def settings_changed(self) -> None:
+        """Groups in flight are tried by the new settings from their next try on."""
+        self.coordinator.set_settings(self.context.settings, self.context.config.groups)
+
     def leave(self) -> None:
         self._carry(self.coordinator.leave(self.context.now))
 
--- a/stairplank/planner/linking.py
+++ b/stairplank/planner/linking.py
@@ -79,6 +79,23 @@
         self.links: dict[int, Link] = {}
         self.redial = Redial(config.dial_retry_us, config.dial_retry_most_us, rng)
         self.dials = Dials(config.dials_most)
+        self._unknown_class: set[int] = set()  # nodes that hold a task of a class that is not known
+
+    def settings_changed(self) -> None:
+        config = self.context.config
+        self.redial.set_waits(config.dial_retry_us, config.dial_retry_most_us)
+        self._dial_these(self.dials.set_most(config.dials_most))
+        # Danger: a task of a class that was not known would never be adopted, nor its client notified.
+        nodes, self._unknown_class = self._unknown_class, set()
+        for node in sorted(nodes):
+            self._ask_later_than((node, self.context.now))
+
+    def _ask_later_than(self, node_and_time: tuple[int, int]) -> None:
+        """Ask what the node holds, unless it is asked after that time anyhow, as soon as it may be asked."""
+        node, time = node_and_time
+        again = self.question(node, time + 1)
+        if again is not None:
+            self.context.call_at(again, self._ask_later_than, node_and_time)
 
     # Questions
 
@@ -276,6 +293,7 @@
         index = self.context.classes.get(held.task.task_class)
         if index is None:
             self.context.log("held task of an unknown class", node=node, task_class=held.task.task_class)
+            self._unknown_class.add(node)
             return
         if held.group is not None:
             self.groups.held_member(node, held, held.group)
@@ -329,6 +347,7 @@
             self._drop(link)
 
     def _drop(self, link: Link) -> None:
+        self._unknown_class.discard(link.node)
         if self.links.pop(link.node, None) is not None and link.state is not State.DOWN:
             self.context.emit(ev.HangUp(link.node))
             self._dial_these(self.dials.over(link.node))
--- a/stairplank/planner/links.py
+++ b/stairplank/planner/links.py
@@ -56,6 +56,11 @@
             self._waiting.setdefault(node)
         return self._next()
 
+    def set_most(self, most: int) -> list[int]:
+        """Another bound; the nodes to dial now. Dials under way above a lower bound go on."""
+        self._most = most
+        return self._next()
+
     def over(self, node: int) -> list[int]:
         """A dial has ended, or its link was given up."""
         self._under_way.discard(node)
@@ -103,6 +108,11 @@
         self._most = most_us
         self._rng = rng
 
+    def set_waits(self, first_us: int, most_us: int) -> None:
+        """Other waits, from the next dial that fails on."""
+        self._first = first_us
+        self._most = most_us
+
     def after_failure(self, link: Link, now: int) -> None:
         """The node did not answer; the wait grows."""
         wait = min(self._first << min(link.fails, 16), self._most)
--- a/stairplank/planner/nodelist.py
+++ b/stairplank/planner/nodelist.py
@@ -49,13 +49,58 @@
         self.attempts: Attempts
         self.entries: dict[int, api.NodeEntry] = {}
         self.started: dict[int, tuple[int, int]] = {}  # node: its life on the list's clock, and on ours
-        self.kinds = {k.name: i for i, k in enumerate(context.settings.kinds)}
+        self.kinds = self._numbered_kinds()
         self.zones = {name: i for i, name in enumerate(context.config.zones)}
         self.racks: dict[str, int] = {}
         self.revision = 0
         self._refetch_at = 0
+        self._unknown_kinds: dict[int, str] = {}  # of nodes whose kind is not in the settings
+        self._table_was_full = False  # nodes of the list were left out
+        self._fetch_waits = False
         self._places: tuple[Place, ...] | None = None
 
+    def _numbered_kinds(self) -> dict[str, int]:
+        return {kind.name: number for number, kind in enumerate(self.context.settings.kinds)}
+
+    def settings_changed(self) -> None:
+        self.kinds = self._numbered_kinds()
+        # Danger: zones that nodes have named already are counted by the numbers that they got then.
+        for name in self.context.config.zones:
+            self.zones.setdefault(name, len(self.zones))
+        self._places = None  # their room follows the settings' limits
+        self._fetch_if_more()
+
+    def _fetch_if_more(self) -> None:
+        """Fetch the whole list where it has more nodes for this planner, at most once in a while."""
+        if not self._may_take_more() or self._fetch_waits:
+            return
+        if self.context.now >= self._refetch_at:
+            self._fetch_whole()
+            return
+        self._fetch_waits = True
+        self.context.call_at(self._refetch_at, self._fetch_now)
+
+    def _fetch_now(self, _: None) -> None:
+        self._fetch_waits = False
+        self._fetch_if_more()
+
+    def _may_take_more(self) -> bool:
+        """Whether nodes of the list that were left out may be taken by the new settings.
+
+        Danger: fetched at each change, the whole list would load the directory hundreds of times an hour.
+        """
+        if any(name in self.kinds for name in self._unknown_kinds.values()):
+            return True
+        return self._table_was_full and len(self.links.nodes()) < self.context.config.nodes_most
+
+    def _fetch_whole(self) -> None:
+        """Changes of the list do not name what was left out of it."""
+        self._table_was_full = False
+        self._unknown_kinds.clear()
+        self.revision = 0
+        self._refetch_at = self.context.now + LIST_RETRY_US
+        self.context.emit(ev.StartWatch(True, 0))
+
     # Questions
 
     def rack(self, node: int) -> str:
@@ -174,13 +219,17 @@
             self._gone(node.id)
             return
         if not self.links.listed(node.id, node.addresses):
+            self._table_was_full = True
             return
+        self._unknown_kinds.pop(node.id, None)
         if entry.kind < 0:
+            self._unknown_kinds[node.id] = node.kind
             self.context.log("node of an unknown kind", node=node.id, kind=node.kind)
         self.links.dial_if_due(node.id)
 
     def _gone(self, node: int) -> None:
         if self.links.is_linked(node):
+            self._unknown_kinds.pop(node, None)
             self._places = None
             self.entries.pop(node, None)
             self.started.pop(node, None)
--- a/tests/configuration/test_live.py
+++ b/tests/configuration/test_live.py
@@ -187,6 +187,8 @@
     ("listen 127.0.0.1:7400", "listen 127.0.0.1:7401", "listen", "this planner's own"),
     ("directory 127.0.0.1:7300", "directory 127.0.0.1:7301", "directory", "this planner's own"),
     ("seed 7", "seed 8", "seed", "this planner's own"),
+    ("seed 7", "seed 7\nconfiguration 127.0.0.1:7500", "configuration", "this planner's own"),
+    ("seed 7", "seed 7\nconfiguration-copy /tmp/copy", "configuration-copy", "this planner's own"),
 ]
 
 
--- /dev/null
+++ b/tests/planner/test_settings_changed.py
@@ -0,0 +1,447 @@
+"""Changed settings come into force at one turn of the core; what is in flight keeps its terms."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import replace
+from typing import Any
+
+import pytest
+from world import MS, SECOND, SETTINGS, World, held
+
+from stairplank import interface as api
+from stairplank.planner import events as ev
+from stairplank.planner.core import Core, CoreConfig
+from stairplank.planner.linking import HELD_GAP_US
+from stairplank.planner.nodelist import LIST_RETRY_US
+
+HUGE = api.NodeKind("huge", 64.0, 128.0)
+FRESH = api.TaskClass("fresh", api.Effect.ONCE, api.Scope.ALL, 0, SECOND, 6 * SECOND)
+
+
+def change(world: World, settings: dict[str, Any] | None = None, **config: Any) -> list[ev.Action]:
+    """Feed a core settings that differ from its own in these fields."""
+    return world.feed(changed(world.core, settings, **config))
+
+
+def changed(core: Core, settings: dict[str, Any] | None = None, **config: Any) -> ev.SettingsChanged:
+    context = core.context
+    new = replace(context.settings, **(settings or {}))
+    return ev.SettingsChanged(new, replace(context.config, **config))
+
+
+def with_class(settings: api.Settings, name: str, **fields: Any) -> tuple[api.TaskClass, ...]:
+    return tuple(replace(c, **fields) if c.name == name else c for c in settings.classes)
+
+
+def with_bounds(world: World, **bounds: int) -> dict[str, Any]:
+    return {"bounds": replace(world.core.context.config.bounds, **bounds)}
+
+
+def of_kind(world: World, node: int, kind: str, zone: str = "z1") -> ev.ListedNode:
+    return replace(world.listed(node), kind=kind, zone=zone)
+
+
+def tell_list(world: World, revision: int, *nodes: ev.ListedNode) -> list[ev.Action]:
+    return world.feed(ev.ListTold(revision, 0, True, nodes, 10**15))
+
+
+def offers(actions: list[ev.Action]) -> list[ev.SendOffer]:
+    return [a for a in actions if isinstance(a, ev.SendOffer)]
+
+
+def rejections(world: World) -> list[str]:
+    return [word.rejection.code for word in world.words(ev.Rejected)]
+
+
+def watches(actions: list[ev.Action]) -> list[ev.StartWatch]:
+    return [a for a in actions if isinstance(a, ev.StartWatch)]
+
+
+# Tasks
+
+
+def test_a_task_in_flight_keeps_the_terms_it_was_taken_with() -> None:
+    """A deadline that grows makes a task of six seconds one that comes too late to start in time."""
+    w = World()
+    large = 12.0  # more than a node has left once the reserve for tasks in time is kept
+    (first,) = offers(w.ask(1, cores=large))
+    change(w, {"classes": with_class(SETTINGS, "worker", deadline_us=60 * SECOND)})
+    (second,) = offers(w.feed(ev.NodeRefused(first.node, first.id, api.Reason.QUEUE_FULL)))
+    assert second.node != first.node
+    assert offers(w.ask(2, cores=large)) == []
+
+
+def test_a_task_in_flight_is_answered_at_the_end_of_its_own_wait() -> None:
+    w = World()
+    offer = w.offer(1, "report")
+    asked = w.now
+    change(w, {"classes": with_class(SETTINGS, "report", deadline_us=SECOND, aim_us=SECOND)})
+    w.wait(5 * SECOND)
+    assert w.words() == []
+    w.wait(SECOND)
+    assert w.words() == [ev.FailedTask(1, True)]
+    assert w.now == asked + 6 * SECOND
+    assert offer.wait_us > 5 * SECOND
+
+
+@pytest.mark.parametrize("tick", [MS, 100 * MS])
+def test_a_task_in_flight_has_one_answer_in_time_whatever_the_tick_becomes(tick: int) -> None:
+    w = World()
+    w.offer(1, "report")
+    change(w, {"tick_us": tick})
+    w.wait(6 * SECOND + SETTINGS.answer_slack_us)
+    assert w.words() == [ev.FailedTask(1, True)]
+
+
+def test_a_class_is_used_in_the_turn_after_its_coming() -> None:
+    w = World()
+    w.ask(1, "fresh")
+    assert rejections(w) == ["INVALID_ARGUMENT"]
+    change(w, {"classes": (*SETTINGS.classes, FRESH)})
+    offer = w.offer(2, "fresh")
+    assert offer.class_index == len(SETTINGS.classes)
+    w.wait(6 * SECOND)
+    assert w.words(ev.FailedTask) == [ev.FailedTask(2, True)]  # its effect is known: it may run
+
+
+def test_a_tenant_is_used_in_the_turn_after_its_coming() -> None:
+    w = World()
+    w.ask(1, tenant="t3")
+    assert rejections(w) == ["INVALID_ARGUMENT"]
+    change(w, tenants=("t1", "t2", "t3"))
+    offer = w.offer(2, tenant="t3")
+    job = w.core.module.open[offer.id.placing]
+    assert job.task.tenant == 2
+
+
+def test_a_group_of_a_class_is_taken_in_the_turn_after_its_coming() -> None:
+    w = World()
+    change(w, {"classes": (*SETTINGS.classes, FRESH)})
+    members = tuple(w.spec(100 + i, "fresh") for i in range(2))
+    w.feed(ev.AskedGroup(1, 1, members, 9 * SECOND))
+    assert len(w.all(ev.SendOffer)) == 2
+
+
+def test_a_lower_bound_stops_new_tasks_only() -> None:
+    w = World()
+    first, second = w.offer(1), w.offer(2)
+    change(w, **with_bounds(w, open_tasks=1))
+    assert w.words() == []
+    w.ask(3)
+    assert rejections(w) == ["RESOURCE_EXHAUSTED"]
+    w.feed(ev.NodeRunning(first.node, first.id))
+    w.feed(ev.NodeRunning(second.node, second.id))
+    assert len(w.words(ev.PlacedAt)) == 2
+    assert offers(w.ask(4))
+
+
+def test_a_higher_bound_lets_new_tasks_in_at_once() -> None:
+    w = World(bounds=replace(World().core.context.config.bounds, owner_open=1))
+    w.offer(1)
+    w.ask(2)
+    assert rejections(w) == ["RESOURCE_EXHAUSTED"]
+    change(w, **with_bounds(w, owner_open=2))
+    assert offers(w.ask(3))
+
+
+def test_a_held_task_finds_the_room_that_a_higher_limit_gives() -> None:
+    w = World(nodes=1)
+    w.running(1, cores=10.0)
+    assert offers(w.ask(2, cores=10.0)) == []
+    change(w, {"cores_limit": 2.0})
+    assert offers(w.wait(SECOND))
+
+
+def test_fewer_attempts_hold_for_tasks_in_flight_too() -> None:
+    w = World()
+    first = w.offer(1)
+    change(w, {"max_attempts": 1})
+    w.feed(ev.NodeRefused(first.node, first.id, api.Reason.QUEUE_FULL))
+    assert len(w.words(ev.RefusedTask)) == 1
+
+
+# Groups
+
+
+def test_groups_count_with_the_new_limits() -> None:
+    """The places of nodes are kept between lists."""
+    w = World(nodes=2)
+    apart = {"distinct_nodes": True}
+    large = tuple(w.spec(100 + i, cores=20.0) for i in range(2))
+    w.core.list.places()
+    change(w, {"cores_limit": 2.0})
+    assert [p.cores for p in w.core.list.places()] == [32.0, 32.0]
+    w.feed(ev.AskedGroup(1, 1, large, 9 * SECOND, **apart))
+    assert w.words(ev.GroupTried) == []
+    assert len(w.all(ev.SendOffer)) >= 1
+
+
+# The node list
+
+
+def test_nodes_of_a_kind_that_comes_later_are_taken_with_it() -> None:
+    w = World(nodes=1)
+    tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
+    assert sorted(w.core.module.nodes) == [1]
+    (watch,) = watches(change(w, {"kinds": (*SETTINGS.kinds, HUGE)}))
+    assert watch == ev.StartWatch(True, 0)
+    tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
+    assert w.core.module.nodes[2].cores == HUGE.cores
+
+
+@pytest.mark.parametrize("list_first", [True, False])
+@pytest.mark.parametrize("after_a_stall", [True, False])
+def test_a_kind_and_a_list_that_names_it_come_together(list_first: bool, after_a_stall: bool) -> None:
+    w = World(nodes=1)
+    whole = ev.ListTold(2, 0, True, (of_kind(w, 1, "std"), of_kind(w, 2, "huge")), 10**15)
+    both: list[ev.Event] = [whole, changed(w.core, {"kinds": (*SETTINGS.kinds, HUGE)})]
+    events = both if list_first else both[::-1]
+    actions = w.core.woke(w.now, events) if after_a_stall else [a for e in events for a in w.feed(e)]
+    if watches(actions):
+        w.feed(whole)
+    assert sorted(w.core.module.nodes) == [1, 2]
+    w.feed(ev.ListTold(3, 2, False, (of_kind(w, 3, "huge"),), 10**15))
+    assert sorted(w.core.module.nodes) == [1, 2, 3]
+
+
+def test_a_list_change_that_is_on_its_way_while_the_whole_is_fetched_does_no_harm() -> None:
+    w = World(nodes=1)
+    tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
+    change(w, {"kinds": (*SETTINGS.kinds, HUGE)})
+    late = w.feed(ev.ListTold(3, 2, False, (of_kind(w, 3, "std"),), 10**15))
+    assert watches(late) == []  # it is being fetched
+    tell_list(w, 3, of_kind(w, 1, "std"), of_kind(w, 2, "huge"), of_kind(w, 3, "std"))
+    assert sorted(w.core.module.nodes) == [1, 2, 3]
+
+
+def test_a_fetch_of_the_whole_that_fails_is_asked_for_again_from_the_beginning() -> None:
+    w = World(nodes=1)
+    tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
+    change(w, {"kinds": (*SETTINGS.kinds, HUGE)})
+    w.feed(ev.ListFailed())
+    assert watches(w.wait(5 * SECOND)) == [ev.StartWatch(True, 0)]
+
+
+def test_nodes_above_a_table_that_grows_are_taken() -> None:
+    w = World(nodes=1, nodes_most=1)
+    tell_list(w, 2, w.listed(1), w.listed(2))
+    assert w.core.links.nodes() == [1]
+    assert watches(change(w, nodes_most=2)) == [ev.StartWatch(True, 0)]
+    tell_list(w, 2, w.listed(1), w.listed(2))
+    assert w.core.links.nodes() == [1, 2]
+
+
+@pytest.mark.parametrize("more", [{"settings": {"kinds": (*SETTINGS.kinds, HUGE)}}, {"nodes_most": 3}])
+def test_the_whole_list_is_fetched_once_for_what_is_left_out(more: dict[str, Any]) -> None:
+    w = World(nodes=1, nodes_most=2)
+    tell_list(w, 2, w.listed(1), of_kind(w, 2, "huge"), w.listed(3))
+    assert len(watches(change(w, **more))) == 1
+    w.wait(2 * LIST_RETRY_US)
+    assert watches(change(w, {"max_attempts": 5})) == []  # it is on its way
+
+
+def test_a_node_that_has_left_is_not_fetched_for_its_kind() -> None:
+    w = World(nodes=1)
+    tell_list(w, 2, w.listed(1), of_kind(w, 2, "huge"))
+    tell_list(w, 3, w.listed(1))
+    assert watches(change(w, {"kinds": (*SETTINGS.kinds, HUGE)})) == []
+
+
+def test_a_smaller_table_keeps_the_nodes_it_has() -> None:
+    w = World(nodes=3)
+    assert watches(change(w, nodes_most=1)) == []
+    w.feed(ev.ListTold(2, 1, False, (w.listed(4),), 10**15))
+    assert sorted(w.core.links.nodes()) == [1, 2, 3]
+
+
+def test_a_zone_that_nodes_named_before_keeps_its_number() -> None:
+    """Danger: counts of tasks in a zone are kept by its number."""
+    w = World(nodes=1)
+    tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "std", zone="z9"))
+    before = w.core.module.nodes[2].entry.zone
+    change(w, zones=("z1", "z2", "z3", "z9"))
+    tell_list(w, 3, of_kind(w, 1, "std"), of_kind(w, 2, "std", zone="z9"), of_kind(w, 3, "std", zone="z3"))
+    zones = {n: node.entry.zone for n, node in w.core.module.nodes.items()}
+    assert zones[2] == before
+    assert len(set(zones.values())) == 3
+
+
+# Links
+
+
+def test_more_dials_begin_at_once() -> None:
+    w = World(nodes=0, dials_most=1)
+    listed = w.list(1, 2, 3)
+    assert [a.node for a in listed if isinstance(a, ev.Dial)] == [1]
+    dials = [a.node for a in change(w, dials_most=2) if isinstance(a, ev.Dial)]
+    assert dials == [2]
+
+
+def test_waits_between_dials_follow_the_settings() -> None:
+    w = World(nodes=1)
+    w.feed(ev.LinkDown(1))
+    w.wait(SECOND)
+    change(w, dial_retry_us=20 * SECOND, dial_retry_most_us=20 * SECOND)
+    failed = w.now
+    w.feed(ev.DialFailed(1))
+    assert w.core.links.links[1].dial_at >= failed + 10 * SECOND
+
+
+def test_tasks_of_a_class_that_comes_later_are_adopted() -> None:
+    w = World(nodes=1)
+    task = held(w, 9)
+    task = replace(task, task=replace(task.task, task_class="fresh"))
+    w.feed(ev.HeldTold(1, 0, (task,)))
+    assert w.words(ev.Found) == []
+    change(w, {"classes": (*SETTINGS.classes, FRESH)})
+    assert w.all(ev.AskHeld) == []  # it was asked a moment ago
+    w.wait(HELD_GAP_US)
+    assert w.all(ev.AskHeld) == [ev.AskHeld(1)]
+    w.feed(ev.HeldTold(1, 0, (task,)))
+    assert w.words(ev.Found) == [ev.Found(0, 9, 1)]
+    w.said.clear()
+    change(w, {"max_attempts": 5})
+    w.wait(2 * HELD_GAP_US)
+    assert w.all(ev.AskHeld) == []
+
+
+def test_a_node_whose_link_is_broken_is_not_asked() -> None:
+    w = World(nodes=1)
+    task = held(w, 9)
+    w.feed(ev.HeldTold(1, 0, (replace(task, task=replace(task.task, task_class="fresh")),)))
+    w.wait(2 * HELD_GAP_US)
+    w.feed(ev.LinkDown(1))
+    assert change(w, {"classes": (*SETTINGS.classes, FRESH)}) == []
+
+
+def test_a_node_that_has_left_is_not_remembered_for_its_tasks() -> None:
+    w = World(nodes=1)
+    task = held(w, 9)
+    w.feed(ev.HeldTold(1, 0, (replace(task, task=replace(task.task, task_class="fresh")),)))
+    assert w.core.links._unknown_class == {1}
+    w.list(2, revision=2)
+    assert w.core.links._unknown_class == set()
+
+
+# Many changes
+
+
+def test_hundreds_of_changes_in_a_row_leave_nothing_behind() -> None:
+    """A node of a kind that never comes, a full table and a held task of an unknown class stand by."""
+    w = World(nodes=2, nodes_most=3)
+    task = held(w, 9)
+    unknown = replace(task, task=replace(task.task, task_class="never"))
+    w.feed(ev.HeldTold(1, 0, (unknown,)))
+    tell_list(w, 2, w.listed(1), w.listed(2), of_kind(w, 3, "never"), w.listed(4))
+    w.offer(1, wait=60 * SECOND)
+    before = len(w.core.context._timers)
+    actions: list[ev.Action] = []
+    classes = SETTINGS.classes
+    for n in range(400):
+        classes = (*classes, replace(FRESH, name=f"fresh-{n}")) if n % 100 == 0 else classes
+        settings = {"classes": classes, "max_attempts": 2 + n % 5, "cores_limit": 1.0 + n % 3}
+        actions += change(w, settings, nodes_most=3 - n % 2, dials_most=1 + n % 4)
+    assert watches(actions) == []
+    assert len([a for a in actions if isinstance(a, ev.AskHeld)]) <= 1
+    assert len(w.core.context._timers) <= before + 2
+    assert len(w.core.context.classes) == len(SETTINGS.classes) + 4
+    assert len(w.core.list.zones) == 2
+    assert w.core.counts["settings_changed"] == 400
+
+
+def test_tables_that_grow_again_and_again_fetch_the_list_at_a_bounded_pace() -> None:
+    w = World(nodes=1, nodes_most=1)
+    nodes = [w.listed(n) for n in range(1, 50)]
+    tell_list(w, 2, *nodes)
+    fetches = 0
+    began = w.now
+    for n in range(2, 40):
+        found = watches(change(w, nodes_most=n)) + watches(w.wait(50 * MS))
+        fetches += len(found)
+        if found:
+            tell_list(w, 2, *nodes)
+    assert 1 <= fetches <= 2 + (w.now - began) // LIST_RETRY_US
+    timers = len(w.core.context._timers)
+    for _ in range(100):
+        change(w, nodes_most=39)
+        change(w, nodes_most=1)
+    assert len(w.core.context._timers) <= timers + 1
+    change(w, nodes_most=39)
+    for _ in range(3):
+        if watches(w.wait(LIST_RETRY_US)):
+            tell_list(w, 2, *nodes)
+    assert len(w.core.links.nodes()) == 39
+
+
+# The same as a core that was started so
+
+
+def drawn_life(core: Core, now: int, seed: int) -> list[Any]:
+    """What a core does over a hundred drawn events; nodes answer as drawn."""
+    rng = random.Random(seed)
+    out: list[Any] = []
+    open_offers: list[ev.SendOffer] = []
+    ask = 0
+
+    def feed(event: ev.Event) -> None:
+        actions = core.handle(now, event)
+        out.extend(actions)
+        open_offers.extend(offers(actions))
+
+    feed(ev.OwnerCame(1, "o"))
+    entries = [
+        ev.ListedNode(
+            n, f"n{n}", (f"127.0.0.1:{n}",), f"z{n % 3}", f"r{n % 4}", "huge" if n % 3 else "std",
+            api.NodeStatus.READY, 16.0, 32.0, 0,
+        )
+        for n in range(1, 13)
+    ]  # fmt: skip
+    feed(ev.ListTold(1, 0, True, tuple(entries), 10**15))
+    for entry in entries:
+        feed(ev.LinkUp(entry.id, 0, False))
+    for _ in range(100):
+        now += rng.randrange(200 * MS)
+        while (due := core.next_due()) is not None and due <= now:
+            feed(ev.Due())
+        if open_offers and rng.random() < 0.5:
+            offer = open_offers.pop(rng.randrange(len(open_offers)))
+            refused = ev.NodeRefused(offer.node, offer.id, rng.choice(list(api.Reason)))
+            feed(refused if rng.random() < 0.4 else ev.NodeRunning(offer.node, offer.id))
+        else:
+            ask += 1
+            sort = rng.choice(["worker", "ingest", "report", "apart", "fresh"])
+            spec = ev.TaskSpec(
+                "o", ask, sort, rng.choice(["", "t1", "t3"]), 1 + rng.randrange(5),
+                1.0 + rng.random() * 20, 2.0, 0, False,
+            )  # fmt: skip
+            feed(ev.Asked(1, ask, spec, 3 * SECOND))
+    return out
+
+
+@pytest.mark.parametrize("seed", range(5))
+def test_a_changed_core_decides_as_one_that_was_started_so(seed: int) -> None:
+    start = 1000 * SECOND
+    old_config = CoreConfig(World().core.context.config.bounds, ("t1", "t2"), ("z1", "z2"))
+    new_config = replace(old_config, tenants=("t1", "t2", "t3"), zones=("z1", "z2", "z0"), dials_most=3)
+    new = replace(
+        SETTINGS,
+        classes=(*with_class(SETTINGS, "worker", aim_us=300 * MS, deadline_us=2 * SECOND), FRESH),
+        kinds=(*SETTINGS.kinds, HUGE),
+        max_attempts=2,
+        cores_limit=1.5,
+        tick_us=20 * MS,
+        answer_slack_us=90 * MS,
+        price_probe=0.0,
+    )
+    started = Core(new, new_config, 7, seed)
+    started.start(start)
+    taken = Core(SETTINGS, old_config, 7, seed)
+    taken.start(start)
+    assert taken.handle(start, ev.SettingsChanged(new, new_config)) == []
+    lives = [drawn_life(core, start, seed) for core in (started, taken)]
+    assert lives[0] == lives[1]
+    assert len(offers(lives[0])) > 20
+    unchanged = Core(SETTINGS, old_config, 7, seed)
+    unchanged.start(start)
+    assert drawn_life(unchanged, start, seed) != lives[0]
