--- a/stairplank/platform/links.py
+++ b/stairplank/platform/links.py
@@ -400,8 +400,7 @@
         self._looks += 1
         turn = self._looks % LOOKS
         for machine in list(self.machines.values()):
-            awaited = machine.waiting or machine.failing_since or machine.gone_at or not machine.links
-            if awaited or machine.id % LOOKS == turn:
+            if self._is_awaited(machine) or machine.id % LOOKS == turn:
                 self._look_at(machine)
         # Danger: without room kept, each task for a machine that has no connection would wait for a close.
         short = self.links_most // ROOM_SHARE - self._room() - len(self.closing)
@@ -411,6 +410,14 @@
         for number in list(self.wanted):
             self._waited(self.machines[number])
 
+    @staticmethod
+    def _is_awaited(machine: Machine) -> bool:
+        """Whether something is due there soon. Danger: counted among these for having no connection, nearly
+        the whole list of a large site would be looked at each time, by each planner, with nothing to do."""
+        if machine.standing and not machine.links:
+            return True
+        return bool(machine.waiting or machine.failing_since or machine.gone_at)
+
     def _waited(self, machine: Machine) -> None:
         """Danger: what waits for room would wait for the answers of others, up to its own time. After as long
         as a dial may take it goes elsewhere."""
--- a/tests/scale/counted_site.py
+++ b/tests/scale/counted_site.py
@@ -67,6 +67,18 @@
         self.client_link = 0
         self.last_task = 0
 
+    def count_looks(self) -> list[str]:
+        """The workers at which the planner looks from now on, by name."""
+        looked: list[str] = []
+        look_at = self.core.links._look_at
+
+        def counted(machine: Any) -> None:
+            looked.append(machine.name)
+            look_at(machine)
+
+        self.core.links._look_at = counted  # type: ignore[method-assign]
+        return looked
+
     # Time
 
     def run(self, seconds: float) -> None:
--- a/tests/scale/test_scaling_counts.py
+++ b/tests/scale/test_scaling_counts.py
@@ -42,6 +42,20 @@
     assert found == [found[0]] * len(SIZES)
 
 
+@pytest.mark.parametrize("workers", SIZES)
+def test_a_worker_of_which_nothing_is_awaited_is_looked_at_now_and_then(workers: int) -> None:
+    """A large list with nothing to do once took a planner most of what it may spend for control."""
+    site = CountedSite(workers)
+    site.run(SETTLE_S)
+    looks = site.count_looks()
+    site.run(SPAN_S)
+    assert len(looks) == pytest.approx(workers * SPAN_S / LOOK_S, rel=TOLERANCE)
+    busy = standing(workers, workers // 2)
+    looks = busy.count_looks()
+    busy.run(SPAN_S)
+    assert len(looks) == pytest.approx(workers * SPAN_S / LOOK_S, rel=TOLERANCE)
+
+
 @pytest.mark.parametrize("workers", SIZES)
 def test_dials_follow_the_workers_with_tasks(workers: int) -> None:
     busy = workers // 2
