--- a/stairplank/planner/admission.py
+++ b/stairplank/planner/admission.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from .. import interface as api
-from .events import Rejection, TaskSpec
+from ..tasks import Rejection, TaskSpec
 
 BUSY_RETRY_US = 1_000_000
 UNSETTLED_RETRY_US = 1_000_000
--- a/stairplank/planner/event_loop.py
+++ b/stairplank/planner/event_loop.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from .. import interface as api
-from .transitions import Table
+from .state_table import Table
 
 
 class _Timer(NamedTuple):
--- a/stairplank/planner/transitions.py
+++ b/stairplank/planner/transitions.py
@@ -6,36 +6,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from enum import Enum
-from typing import Any
 
 from .leftovers import Fate
 from .links import State
-
-
-class IllegalTransition(RuntimeError):
-    """Something happened that cannot in this state; the text names both."""
-
-
-class Table:
-    """Rows of state and event, each with the state that follows."""
-
-    def __init__(self, name: str, rows: Mapping[tuple[Any, str], Any]) -> None:
-        self.name = name
-        self.rows = dict(rows)
-
-    def after(self, state: Any, event: str) -> Any:
-        try:
-            return self.rows[state, event]
-        except KeyError:
-            raise IllegalTransition(f"{self.name}: {event!r} while {state.value!r}") from None
-
-    def markdown(self) -> str:
-        """As a page shows it."""
-        lines = [f"| {self.name} | event | becomes |", "| --- | --- | --- |"]
-        lines += [f"| {state.value} | {event} | {then.value} |" for (state, event), then in self.rows.items()]
-        return "\n".join(lines)
+from .state_table import IllegalTransition as IllegalTransition
+from .state_table import Table
 
 
 class Stage(Enum):
--- a/stairplank/platform/tables.py
+++ b/stairplank/platform/tables.py
@@ -8,7 +8,7 @@
 
 from .. import interface as api
 from ..planner.leftovers import Fate
-from ..planner.transitions import Table
+from ..planner.state_table import Table
 from .messages import Message
 from .validation import PlacementRequest
 
--- a/tests/platform/platform_standins.py
+++ b/tests/platform/platform_standins.py
@@ -103,9 +103,14 @@
         super().__init__()
 
     def row(self, health: str = "SERVING") -> dict[str, Any]:
+        return self.row_of(self.name, self.address, health)
+
+    @staticmethod
+    def row_of(name: str, address: str, health: str = "SERVING") -> dict[str, Any]:
+        """A machine's entry in a node list."""
         return {
-            "host": self.name,
-            "dial": self.address,
+            "host": name,
+            "dial": address,
             "site": "hall 1",
             "class": "node-32",
             "block": 1,
@@ -287,14 +292,22 @@
 
 
 class Process:
-    """The real process, as ``run`` starts it. ``files_limit``: how many files it may have open."""
+    """The real process, as ``run`` starts it. ``files_limit``: how many files it may have open; ``changes``:
+    of its configuration. With ``waits`` it serves by the time this returns."""
 
     def __init__(
-        self, folder: Path, board: BoardStand, sockets: int = 256, files_limit: int | None = None
+        self,
+        folder: Path,
+        board: BoardStand,
+        sockets: int = 256,
+        files_limit: int | None = None,
+        changes: dict[str, Any] | None = None,
+        waits: bool = True,
     ) -> None:
         self.path = folder / "config.json"
         self.board = board
         self.sockets = sockets
+        self.changes = changes or {}
         self.write(board.address)
         self.log: list[dict[str, Any]] = []
         run = [sys.executable, "-m", "stairplank.platform"]
@@ -308,11 +321,16 @@
             stdout=subprocess.DEVNULL,
         )
         threading.Thread(target=self._read, daemon=True).start()
-        self.where: str = until(lambda: next((e for e in self.log if e["event"] == "serves"), None))["listen"]
+        self.where = self.serves() if waits else ""
+
+    def serves(self, wait: float = WAIT) -> str:
+        """Its address, once it accepts clients."""
+        found = until(lambda: next((e for e in self.log if e["event"] == "serves"), None), wait)
+        return str(found["listen"])
 
     def write(self, board: str) -> None:
         known = {"rev": 1, "notices": [json.loads(self.board.lines[0])]}
-        value = CONFIG | {"board": board, "known": known, "limits": {"sockets": self.sockets}}
+        value = CONFIG | {"board": board, "known": known, "limits": {"sockets": self.sockets}} | self.changes
         self.path.write_text(json.dumps(value))
 
     def _read(self) -> None:
