--- a/stairplank/cli/main.py
+++ b/stairplank/cli/main.py
@@ -87,10 +87,12 @@
     from ..settings import load_planner
 
     config = load_planner(file)
+    from ..configuration.joining import starting_config
     from ..planner.daemon import Daemon
 
+    config, revision = starting_config(config)
     try:
-        daemon = Daemon(config)
+        daemon = Daemon(config, revision)
     except OSError as error:
         raise click.ClickException(f"cannot listen: {error}") from None
     sys.exit(daemon.run())
--- a/stairplank/configuration/watch.py
+++ b/stairplank/configuration/watch.py
@@ -64,17 +64,19 @@
         self._calls: dict[str, Call] = {}
         self._checked: tuple[Revision, Checked, str] | None = None
         self._greenlets: list[gevent.Greenlet] = []
+        self._timer: gevent.Greenlet | None = None
         self._copy_wanted: Stored | None = None
         self._writing_copy = False
 
     def start(self) -> None:
         """Follow every replica, each on a stream of its own."""
         self._greenlets = [gevent.spawn(self._follow, replica) for replica in self.replicas]
-        self._greenlets.append(gevent.spawn(self._clock))
 
     def stop(self) -> None:
         """Close the streams."""
         gevent.killall(self._greenlets, block=False)
+        if self._timer is not None:
+            self._timer.kill(block=False)
 
     # Streams
 
@@ -116,13 +118,15 @@
                 revision = revision_from(text.revision)
                 self._carry_out(self.follower.text_arrived(now_us(), replica, revision, text.text))
 
-    def _clock(self) -> None:
+    def _arm(self) -> None:
         """Danger: without it a fetch that nobody answers would never go to another replica."""
-        while True:
-            gevent.sleep(0.1)
-            due = self.follower.next_due()
-            if due is not None and now_us() >= due:
-                self._carry_out(self.follower.pass_time(now_us()))
+        due = self.follower.next_due()
+        if due is not None and self._timer is None:
+            self._timer = gevent.spawn_later(max(0, due - now_us()) / 1e6, self._pass_time)
+
+    def _pass_time(self) -> None:
+        self._timer = None
+        self._carry_out(self.follower.pass_time(now_us()))
 
     # Actions
 
@@ -137,6 +141,7 @@
                     self._apply(action.revision)
                 case Report():
                     self._send(action.replica, pb.FollowRequest(report=_report_to(action)))
+        self._arm()
 
     def _send(self, replica: str, message: Any) -> None:
         call = self._calls.get(replica)
--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -20,7 +20,9 @@
 import structlog
 from gevent.event import Event as Flag
 
+from ..configuration.joining import follow
 from ..configuration.live import LiveChanges, live_changes
+from ..configuration.revision import NO_REVISION, Revision
 from ..fence import Epochs, Grants, StepWatch
 from ..proto import (
     caller,
@@ -54,7 +56,8 @@
 class Daemon:
     """One planner on real sockets."""
 
-    def __init__(self, config: PlannerConfig) -> None:
+    def __init__(self, config: PlannerConfig, revision: Revision = NO_REVISION) -> None:
+        """``revision``: of the site's configuration that ``config`` was made with."""
         self.config = config
         self.position = config.settings.position
         self.life = int.from_bytes(os.urandom(8), "big") >> 1 or 1
@@ -88,6 +91,7 @@
         self._armed: int | None = None
         self._watch: Any = None
         self._stop = Flag()
+        self.configuration = follow(self, revision)
 
     # The fence
 
@@ -128,6 +132,7 @@
         self._carry_out(self.core.start(now_us()))
         gevent.spawn(self._clock)
         self.pulse.start()
+        self.configuration.start()
 
     def stop(self) -> None:
         self._stop.set()
@@ -136,6 +141,7 @@
         """Take nothing new, answer what is owed, close. Bounded by stop-grace and two seconds."""
         self.log.info("planner leaves", owed=self.core.owners.open_tasks)
         self.health.set(False)
+        self.configuration.stop()
         self.server.leave()
         self.feed(ev.StopAsked())
         until = now_us() + self.config.stop_grace_us + 1_000_000
