--- /dev/null
+++ b/stairplank/platform/actions.py
@@ -0,0 +1,86 @@
+"""Carries out the core's actions on the connections: messages, dials, closes, log lines."""
+
+from __future__ import annotations
+
+import traceback
+
+from . import binary, jsonlines
+from . import events as ev
+from .client_connections import ClientConnections
+from .core import Core
+from .logs import log
+from .machine_connections import MachineConnections
+from .messages import Kind
+from .node_watch import NodeWatch
+from .streams import Stream
+
+MARKED = (Kind.SET_UP, Kind.TEST)  # the core is notified where these are not written whole
+
+
+class ActionExecutor:
+    """Carries out actions in order; ``flush`` writes what a turn has sent."""
+
+    def __init__(
+        self, core: Core, clients: ClientConnections, machines: MachineConnections, node_watch: NodeWatch
+    ) -> None:
+        self._core = core
+        self._clients = clients
+        self._machines = machines
+        self._node_watch = node_watch
+        self._unflushed: dict[Stream, None] = {}  # in the order of their first message
+
+    def with_unwritten(self, events: list[ev.Event]) -> list[ev.Event]:
+        """These events, where a lost link also names the messages that found it gone."""
+        return [
+            self._machines.with_unwritten(event) if isinstance(event, ev.LinkLost) else event
+            for event in events
+        ]
+
+    def execute_all(self, actions: list[ev.Action]) -> None:
+        """Carry out actions; one that fails is logged."""
+        for action in actions:
+            try:
+                self._execute(action)
+            except Exception:
+                # Danger: a message that cannot be sent would take along all that the turn has still to send.
+                self._core.loop.count("faults")
+                log("fault", at=traceback.format_exc(limit=-3))
+
+    def flush(self) -> None:
+        """The messages of one turn to one side leave in one piece."""
+        while self._unflushed:
+            streams, self._unflushed = self._unflushed, {}
+            for stream in streams:
+                stream.flush()
+
+    def _execute(self, action: ev.Action) -> None:
+        match action:
+            case ev.SendToClient():
+                self._put(self._clients.streams.get(action.conn), binary.encode(action.message))
+            case ev.SendToMachine():
+                self._send_to_machine(action)
+            case ev.CloseClient():
+                self._clients.end(action.conn)
+            case ev.Dial():
+                self._machines.dial(action.link, action.address)
+            case ev.CloseLink():
+                self._machines.close(action.link)
+            case ev.WatchNodeList():
+                self._node_watch.ensure_connected()
+            case ev.Report():
+                log(action.event, **action.fields)
+
+    def _send_to_machine(self, action: ev.SendToMachine) -> None:
+        message = action.message
+        mark = message.id if message.kind in MARKED else ""
+        stream = self._machines.stream_for(action.link, mark)
+        self._put(stream, jsonlines.encode(message), mark)
+        if stream is not None and message.kind is Kind.RELEASE:
+            # Danger: left to the turn's end, a set-up that is given up here may be out elsewhere before this
+            # line leaves: connections are written in the order of their first message.
+            stream.flush()
+
+    def _put(self, stream: Stream | None, data: bytes, mark: str = "") -> None:
+        if stream is not None:
+            stream.put(data, mark)
+            self._unflushed[stream] = None
--- a/stairplank/platform/streams.py
+++ b/stairplank/platform/streams.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import errno
 import select
 import time
 from collections import deque
@@ -22,6 +23,27 @@
 WRITE_S = 5.0  # without a byte taken by the other side
 BLOCKED_S = 0.01  # between looks whether it takes more
 DRAIN_S, DRAIN_MOST = 0.5, 1_048_576  # a connection that is closed is read so long, and so much
+# Reads of one connection: one that sends at full speed would be read for ever, and nobody else.
+READS_IN_A_ROW = 4
+# Errors that show that this process has no descriptors, memory or ports left.
+NO_MEANS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL})
+
+
+def receive(sock: Any, most: int, until: float | None) -> bytes:
+    """What has come, at most so many bytes. Raises TimeoutError after ``until`` (monotonic, in seconds).
+
+    Danger: after a stall the timer is ready together with the bytes, and the connection would be closed under
+    all that is open on it.
+    """
+    sock.settimeout(None if until is None else max(0.01, until - time.monotonic()))
+    try:
+        return sock.recv(most)
+    except TimeoutError:
+        sock.settimeout(0.0)
+        try:
+            return sock.recv(most)
+        except BlockingIOError:
+            raise TimeoutError("a message has begun and does not go on") from None
 
 
 class Stream:
--- a/tests/platform/platform_standins.py
+++ b/tests/platform/platform_standins.py
@@ -369,13 +369,13 @@
         (folder / "config.json").write_text(json.dumps(self.config | (changes or {})))
         self.service = Service(str(folder / "config.json"))
         self.read: list[ev.Event] = []  # by the service, whether handled or not
-        enqueue, self._late = self.service.enqueue, self.service.pulse.late
+        enqueue, self._late = self.service.driver.enqueue, self.service.driver.pulse.late
 
         def enqueues(*events: ev.Event) -> None:
             self.read.extend(events)
             enqueue(*events)
 
-        self.service.enqueue = enqueues  # type: ignore[method-assign]
+        self.service.driver.enqueue = enqueues  # type: ignore[method-assign]
         self.service.node_watch._enqueue = enqueues
         self.runs = gevent.spawn(self.service.run)
         self.until(lambda: self.service.where and self.service.core.requests.ready)
@@ -400,12 +400,12 @@
         return id
 
     def hold(self) -> None:
-        self.service.pulse.late = lambda: True  # type: ignore[method-assign]
+        self.service.driver.pulse.late = lambda: True  # type: ignore[method-assign]
 
     def go(self) -> None:
-        self.service.pulse.at = now_us()
-        self.service.pulse.late = self._late  # type: ignore[method-assign]
-        self.service._turn.set()
+        self.service.driver.pulse.at = now_us()
+        self.service.driver.pulse.late = self._late  # type: ignore[method-assign]
+        self.service.driver._turn.set()
 
     def has_read(self, kind: type, id: str = "") -> bool:
         return any(isinstance(e, kind) and (not id or e.message.id == id) for e in self.read)
@@ -414,5 +414,5 @@
         self.runs.kill()
         for thing in [self.board, *self.fleet]:
             thing.close()
-        for stream in [*self.service.machine_streams.values(), *self.service.accepted]:
+        for stream in [*self.service.machines.streams.values(), *self.service.clients.accepted]:
             stream.close(hard=True)
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -16,7 +16,7 @@
 from gevent import socket as gsocket
 from platform_standins import Live, Machine, Owner, cut, held, reset, running
 
-from stairplank.platform import binary, client_requests, event_queue, jsonlines, links
+from stairplank.platform import binary, client_connections, client_requests, event_queue, jsonlines, links
 from stairplank.platform import events as ev
 from stairplank.platform import service as module
 from stairplank.platform.messages import Cause, Kind, Message
@@ -108,7 +108,7 @@
     one.until(lambda: one.has_read(ev.MachineMessage, id))
     gives_up(one, owner, id, "word")
     one.go()
-    one.until(lambda: id not in one.service.core.requests.tasks and not one.service._event_queue)
+    one.until(lambda: id not in one.service.core.requests.tasks and not one.service.driver.queue)
     gevent.sleep(0.05)
     assert [m.id for machine in one.fleet for m in machine.launched()].count(id) == 1
 
@@ -139,7 +139,7 @@
         one.off(owner.say, Message(Kind.SET_UP, id, fields, body=body))
         ids.append(id)
         gevent.sleep(0.02)
-        stream = next(iter(one.service.machine_streams.values()))
+        stream = next(iter(one.service.machines.streams.values()))
         before = -1
         while (written := stream._queued - len(stream._buffer)) != before:
             before = written
@@ -164,9 +164,9 @@
         one.until(lambda: one.service.node_list.revision == 2)
     else:
         gives_up(one, owner, last, "word")
-    one.until(lambda: not one.service._event_queue)
+    one.until(lambda: not one.service.driver.queue)
     machine.reads.set()
-    one.until(lambda: not any(s._buffer for s in one.service.machine_streams.values()))
+    one.until(lambda: not any(s._buffer for s in one.service.machines.streams.values()))
     if why == "drain":
         one.until(lambda: one.service.core.counts.get("taken_out_unsent"))
     else:
@@ -184,7 +184,7 @@
     one.off(owner.say, Message(Kind.TEST, f"{1:016x}", cause=0))
     assert one.off(owner.replies, f"{1:016x}")
     choked = [True]
-    monkeypatch.setattr(one.service._event_queue, "is_overloaded", lambda: choked[0])
+    monkeypatch.setattr(one.service.driver.queue, "is_overloaded", lambda: choked[0])
     one.off(owner.say, Message(Kind.TEST, f"{2:016x}", cause=0))  # read, and from then on no more
     assert one.off(owner.replies, f"{2:016x}")
     id = one.off(owner.ask, 3)
@@ -197,19 +197,19 @@
     live: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     one = live()
-    one.service.client_streams_most = 2
+    one.service.clients.most = 2
     first, second = one.owner(), one.owner("127.0.0.9")
     for number, owner in ((1, first), (2, second)):  # the first has been quiet for longer
         one.off(owner.say, Message(Kind.TEST, f"{number:016x}", cause=0))
         assert one.off(owner.replies, f"{number:016x}")
-    one.service._event_queue.is_overloaded = lambda: True  # type: ignore[method-assign]
+    one.service.driver.queue.is_overloaded = lambda: True  # type: ignore[method-assign]
     one.off(first.say, Message(Kind.TEST, f"{3:016x}", cause=0))
     assert one.off(first.replies, f"{3:016x}")
     id = one.off(first.ask, 4)
-    one.until(lambda: next(s for s in one.service.client_streams.values()).is_readable())
+    one.until(lambda: next(s for s in one.service.clients.streams.values()).is_readable())
     third = one.owner("127.0.0.8")
     one.until(lambda: one.off(second.closed_within, 0.1))
-    del one.service._event_queue.is_overloaded
+    del one.service.driver.queue.is_overloaded
     assert [m.kind for m in one.off(first.replies, id)] == [Kind.ANSWER]
     third.sock.close()
 
@@ -228,7 +228,7 @@
     assert one.off(owner.replies, f"{1:016x}")
     one.board.frozen = True  # the turn begins with nothing else
     gevent.sleep(0.1)
-    one.until(lambda: not one.service._event_queue)
+    one.until(lambda: not one.service.driver.queue)
     one.hold()
     id = f"{7:016x}"
     if word == "held":
@@ -264,14 +264,14 @@
 ) -> None:
     monkeypatch.setattr(client_requests, "LEAVING_US", 50_000)
     monkeypatch.setattr(module, "BEGUN_US", 60_000_000)
-    monkeypatch.setattr(module, "PARTIAL_S", 60.0)
+    monkeypatch.setattr(client_connections, "PARTIAL_S", 60.0)
     one = live()
     owner = one.owner()
     id = f"{1:016x}"
     fields = {"class": "worker", "left": "6000", "key": id, "extras": f"cores:1;memory:1;service:{id}"}
     data = binary.encode(Message(Kind.SET_UP, id, fields, body="b"))
     one.off(owner.sock.sendall, data[:40])
-    one.until(lambda: any(s.half for s in one.service.client_streams.values()))
+    one.until(lambda: any(s.half for s in one.service.clients.streams.values()))
     one.service.stop()
     one.until(lambda: one.service.core.requests.is_done())
     gevent.sleep(0.2)
@@ -361,7 +361,7 @@
     machine = one.fleet[0]
     id = f"{7:016x}"
     machine.say(machine.socks[-1], Message(Kind.RELEASE, id, cause=int(Cause.ENDED)))
-    one.until(lambda: one.has_read(ev.MachineMessage, id) and not one.service._event_queue)
+    one.until(lambda: one.has_read(ev.MachineMessage, id) and not one.service.driver.queue)
     one.off(hands_over, owner, 7, machine.name)
     assert [(m.kind, m.cause) for m in one.off(owner.replies, id)] == [(Kind.RELEASE, Cause.ENDED)]
     assert list(one.service.core.requests.tasks) == [f"{1:016x}"]
@@ -385,7 +385,7 @@
         machine.say(machine.socks[-1], note)
         one.until(lambda: one.service.core.requests.tasks[id].attempt.noted)  # type: ignore[union-attr]
     one.board.tell(machine.row() | {"born_ms": born})
-    one.until(lambda: one.service.node_list.revision == 2 and not one.service._event_queue)
+    one.until(lambda: one.service.node_list.revision == 2 and not one.service.driver.queue)
     words = [(m.kind, m.cause) for m in one.off(owner.replies, id, 1, 0.5 if noted else 20.0)]
     assert words == ([] if noted else [(Kind.RELEASE, Cause.RESET)])
 
@@ -413,7 +413,7 @@
     gives_up(one, owner, id, "word")
     given_up = one.until(lambda: [m for _, m in machine.heard if m.kind is Kind.RELEASE])
     gate.set()
-    one.until(lambda: one.has_read(ev.MachineMessage, id) and not one.service._event_queue)
+    one.until(lambda: one.has_read(ev.MachineMessage, id) and not one.service.driver.queue)
     machine.fault = None
     one.placed(owner, 2)
     assert [m.id for m in owner.received if m.id == id] == [] and [m.id for m in given_up] == [id]
@@ -430,7 +430,7 @@
     assert [m.kind for m in one.off(owner.replies, id)] == [Kind.ANSWER]
     one.read.clear()
     machine.say(machine.last(id), running(machine.launched()[0]))
-    one.until(lambda: one.has_read(ev.MachineMessage, id) and not one.service._event_queue)
+    one.until(lambda: one.has_read(ev.MachineMessage, id) and not one.service.driver.queue)
     one.placed(owner, 2)
     assert [m.kind for m in owner.received if m.id == id] == [Kind.ANSWER]
 
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -14,7 +14,7 @@
 from gevent import socket as gsocket
 from platform_config import CONFIG
 
-from stairplank.platform import binary, jsonlines
+from stairplank.platform import binary, client_connections, driver, jsonlines, machine_connections, streams
 from stairplank.platform import events as ev
 from stairplank.platform import node_watch as watching
 from stairplank.platform import service as module
@@ -30,12 +30,12 @@
     path.write_text(json.dumps(CONFIG))
     made = Service(str(path))
     yield made
-    for stream in [*made.machine_streams.values(), *made.client_streams.values()]:
+    for stream in [*made.machines.streams.values(), *made.clients.streams.values()]:
         stream.close(hard=True)
 
 
 def hears(service: Service, monkeypatch: pytest.MonkeyPatch, note: Any) -> None:
-    monkeypatch.setattr(service, "enqueue", lambda *events: [note(event) for event in events])
+    monkeypatch.setattr(service.driver, "enqueue", lambda *events: [note(event) for event in events])
 
 
 def test_a_spoilt_connection_is_closed_before_the_core_hears_of_it(
@@ -45,9 +45,9 @@
     monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
     closed: list[bool] = []
     hears(service, monkeypatch, lambda e: closed.append(ours.closed) if isinstance(e, ev.LinkLost) else None)
-    service.dialling[7] = gevent.spawn(service._serve_machine, 7, "127.0.0.1:1")
+    service.machines.dialling[7] = gevent.spawn(service.machines._serve, 7, "127.0.0.1:1")
     theirs.sendall(b"noise\n")
-    service.dialling[7].join(5)
+    service.machines.dialling[7].join(5)
     assert closed == [True]
     theirs.close()
 
@@ -56,7 +56,7 @@
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ours, theirs = gsocket.socketpair()
-    stream = service.machine_streams[7] = module.Stream(ours, 7, service._machine_gone)
+    stream = service.machines.streams[7] = streams.Stream(ours, 7, service.machines._gone)
     closed: list[bool] = []
     hears(service, monkeypatch, lambda e: closed.append(stream.closed))
     stream.put(b"x" * 4_000_000)
@@ -84,7 +84,7 @@
         service.stop()
 
     monkeypatch.setattr(service.node_watch, "run", watch)
-    monkeypatch.setattr(service, "_accept", accept)
+    monkeypatch.setattr(service.clients, "accept", accept)
     assert service.run() == 0
     assert order == ["watched", "told", "told", "told", "accepts"]
 
@@ -94,7 +94,7 @@
 ) -> None:
     monkeypatch.setattr(module, "CATCH_UP_S", 0.05)
     monkeypatch.setattr(service.node_watch, "run", lambda: gevent.sleep(30))
-    monkeypatch.setattr(service, "_accept", lambda listener: service.stop())
+    monkeypatch.setattr(service.clients, "accept", lambda listener: service.stop())
     with gevent.Timeout(5):
         assert service.run() == 0
     assert service.core.counts["began_without_board"] == 1
@@ -111,12 +111,14 @@
 
     message = Message(Kind.SET_UP, "00000000000000aa", {"class": "worker"}, body="x")
     service.core.links.links[7] = Link(7, 1)
-    service._execute_all([ev.SendToMachine(n, message) for n in (7, 8)])
-    assert list(service._unwritten) == [7]  # of the other the core knows already: it would be kept for good
-    service.core = Core()  # type: ignore[assignment]
-    service._handle([ev.LinkLost(7, frozenset({"00000000000000bb"}))])
+    service.executor.execute_all([ev.SendToMachine(n, message) for n in (7, 8)])
+    assert list(service.machines.unwritten) == [
+        7
+    ]  # of the other the core knows already: it would be kept for good
+    service.driver.core = Core()  # type: ignore[assignment]
+    service.driver._handle([ev.LinkLost(7, frozenset({"00000000000000bb"}))])
     assert seen == [ev.LinkLost(7, frozenset({message.id, "00000000000000bb"}))]
-    assert not service._unwritten
+    assert not service.machines.unwritten
 
 
 def test_a_set_up_that_waits_while_the_board_speaks_is_placed_by_its_word(
@@ -124,19 +126,19 @@
 ) -> None:
     """A burst of set-ups is read first; the drain that comes meanwhile is handled before most of them."""
     handled: list[str] = []
-    monkeypatch.setattr(module, "SLICE_S", 0.005)
-    monkeypatch.setattr(service.pulse, "late", lambda: False)
+    monkeypatch.setattr(driver, "SLICE_S", 0.005)
+    monkeypatch.setattr(service.driver.pulse, "late", lambda: False)
 
     def handle(now: int, batch: list[ev.Event]) -> list[ev.Action]:
         handled.extend(type(event).__name__ for event in batch)
-        time.sleep(module.SLICE_S)
+        time.sleep(driver.SLICE_S)
         return []
 
     monkeypatch.setattr(service.core, "handle", handle)
     asks = [ev.ClientMessage(1, Message(Kind.SET_UP, f"{n:016x}", {}, body="x")) for n in range(100)]
-    service.enqueue(*asks)
-    turns = gevent.spawn(service._turns)
-    gevent.spawn(service.enqueue, ev.NodeListUpdated(module.NodeList((), (), module.clocks)))  # type: ignore[arg-type]
+    service.driver.enqueue(*asks)
+    turns = gevent.spawn(service.driver.run_turns)
+    gevent.spawn(service.driver.enqueue, ev.NodeListUpdated(module.NodeList((), (), module.clocks)))  # type: ignore[arg-type]
     with gevent.Timeout(10):
         while len(handled) < 101:
             gevent.sleep(0.01)
@@ -148,27 +150,29 @@
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(service.core.requests, "is_done", lambda: True)
-    service.enqueue(ev.ClientMessage(1, Message(Kind.SET_UP, "00000000000000aa", {}, body="x")))
+    service.driver.enqueue(ev.ClientMessage(1, Message(Kind.SET_UP, "00000000000000aa", {}, body="x")))
     assert not service._is_done()
-    service._event_queue.take_all()
-    gevent.spawn(service.enqueue, ev.ClientDisconnected(1))  # comes as it looks at the sockets once more
+    service.driver.queue.take_all()
+    gevent.spawn(
+        service.driver.enqueue, ev.ClientDisconnected(1)
+    )  # comes as it looks at the sockets once more
     assert not service._is_done()
-    service._event_queue.take_all()
+    service.driver.queue.take_all()
     assert service._is_done()
 
 
 def test_the_turns_wait_between_slices(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
     """One that never waits while there is work counts as hung."""
     waits: list[float] = []
-    monkeypatch.setattr(module, "SLICE_S", 0.0)
-    monkeypatch.setattr(service.pulse, "late", lambda: False)
+    monkeypatch.setattr(driver, "SLICE_S", 0.0)
+    monkeypatch.setattr(service.driver.pulse, "late", lambda: False)
     real = gevent.sleep
     monkeypatch.setattr(module.gevent, "sleep", lambda s=0.0: (waits.append(s), real(s)))
     for number in range(1, 100):
-        service.enqueue(ev.ClientMessage(1, Message(Kind.SET_UP, f"{number:016x}", {}, body="x")))
-    turns = gevent.spawn(service._turns)
+        service.driver.enqueue(ev.ClientMessage(1, Message(Kind.SET_UP, f"{number:016x}", {}, body="x")))
+    turns = gevent.spawn(service.driver.run_turns)
     with gevent.Timeout(10):
-        while len(service._event_queue):
+        while len(service.driver.queue):
             real(0.01)
     turns.kill()
     assert sum(1 for s in waits if s >= 0.001) >= 10
@@ -182,12 +186,12 @@
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The time for one message to come whole runs anew with each: not over the connection's life."""
-    monkeypatch.setattr(module, "PARTIAL_S", 0.2)
+    monkeypatch.setattr(client_connections, "PARTIAL_S", 0.2)
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
     ours, theirs = gsocket.socketpair()
-    stream = service.client_streams[1] = module.Stream(ours, 1, service._client_gone)
-    reads = gevent.spawn(service._serve_client, stream)
+    stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._gone)
+    reads = gevent.spawn(service.clients._serve, stream)
     data = b"".join(binary.encode(asks(n)) for n in range(1, 61))
     step = len(data) // 60 + 1  # never at the end of one but for the last
     for at in range(0, len(data), step):
@@ -203,12 +207,12 @@
 def test_a_machine_whose_lines_always_come_in_pieces_keeps_its_connection(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "LINE_S", 0.2)
+    monkeypatch.setattr(machine_connections, "LINE_S", 0.2)
     ours, theirs = gsocket.socketpair()
     monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
-    service.dialling[7] = reads = gevent.spawn(service._serve_machine, 7, "127.0.0.1:1")
+    service.machines.dialling[7] = reads = gevent.spawn(service.machines._serve, 7, "127.0.0.1:1")
     data = b"".join(jsonlines.encode(Message(Kind.ANSWER, f"{n:016x}", body="x" * 200)) for n in range(1, 61))
     step = len(data) // 60 + 1
     for at in range(0, len(data), step):
@@ -236,13 +240,13 @@
                 raise TimeoutError("timed out")
             return b"rest"
 
-    assert module.receive(Late(), 10, time.monotonic() - 1.0) == b"rest"
+    assert streams.receive(Late(), 10, time.monotonic() - 1.0) == b"rest"
 
 
 def test_much_said_in_one_turn_costs_no_reader_its_connection() -> None:
     ours, theirs = gsocket.socketpair()
     ours.setblocking(True)
-    stream = module.Stream(ours, 1, lambda s: None)
+    stream = streams.Stream(ours, 1, lambda s: None)
     for _ in range(100):
         stream.put(b"x" * 1000)
     assert not stream.closed
@@ -275,10 +279,10 @@
 
 def test_what_cannot_be_said_takes_nothing_else_along(service: Service) -> None:
     ours, theirs = gsocket.socketpair()
-    service.client_streams[1] = module.Stream(ours, 1, service._client_gone)
+    service.clients.streams[1] = streams.Stream(ours, 1, service.clients._gone)
     unspeakable = Message(Kind.RELEASE, "00000000000000aa", {"no such field": "x"}, 41)
-    service._execute_all([ev.SendToClient(1, unspeakable), ev.SendToClient(1, asks(2))])
-    service._flush()
+    service.executor.execute_all([ev.SendToClient(1, unspeakable), ev.SendToClient(1, asks(2))])
+    service.executor.flush()
     assert theirs.recv(1000) == binary.encode(asks(2))
     theirs.close()
 
@@ -288,20 +292,20 @@
 ) -> None:
     left: list[tuple[int, int]] = []
 
-    class Line(module.Stream):
+    class Line(streams.Stream):
         def _sent(self, size: int) -> None:
             left.append((self.number, size))
             super()._sent(size)
 
     pairs = [gsocket.socketpair() for _ in range(2)]
     for number, (ours, _) in enumerate(pairs, 1):
-        service.machine_streams[number] = Line(ours, number, service._machine_gone)
+        service.machines.streams[number] = Line(ours, number, service.machines._gone)
     heard = Message(Kind.HEARD, "00000000000000bb")
     given_up = Message(Kind.RELEASE, "00000000000000aa", cause=16)
-    service._execute_all(
+    service.executor.execute_all(
         [ev.SendToMachine(2, heard), ev.SendToMachine(1, given_up), ev.SendToMachine(2, asks(0xAA))]
     )
-    service._flush()
+    service.executor.flush()
     first = [number for number, _ in left]
     assert first[0] == 1 and first[-1] == 2
     for _, theirs in pairs:
@@ -310,7 +314,7 @@
 
 def test_a_connection_is_closed_as_it_is_said_and_not_when_its_greenlet_has_its_turn() -> None:
     ours, theirs = gsocket.socketpair()
-    stream = module.Stream(ours, 1, lambda s: None)
+    stream = streams.Stream(ours, 1, lambda s: None)
     stream.put(b"last words")
     stream.end()
     theirs.setblocking(False)
@@ -331,35 +335,35 @@
 
     monkeypatch.setattr(service.core, "handle_after_stall", handle_after_stall)
     over = ev.MachineMessage(9, Message(Kind.RELEASE, "00000000000000ff", cause=16))
-    service.enqueue(*(ev.ClientMessage(1, asks(n)) for n in range(1, 100)), ev.LinkUp(9), over)
-    service._resume_after_stall(300_000)
+    service.driver.enqueue(*(ev.ClientMessage(1, asks(n)) for n in range(1, 100)), ev.LinkUp(9), over)
+    service.driver._resume_after_stall(300_000)
     assert batches == [[ev.LinkUp(9), over]]
-    assert sum(isinstance(e, ev.ClientMessage) for e in service._event_queue.take_all()) == 99
+    assert sum(isinstance(e, ev.ClientMessage) for e in service.driver.queue.take_all()) == 99
 
 
 def test_a_dial_that_is_called_off_ends_at_once(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
     """Else its descriptor counts for nobody until the dial's time is over."""
     monkeypatch.setattr(module.address, "dial", lambda where, wait: gevent.sleep(3600))
-    service._execute_all([ev.Dial(7, "127.0.0.1:1")])
-    dial = service.dialling[7]
+    service.executor.execute_all([ev.Dial(7, "127.0.0.1:1")])
+    dial = service.machines.dialling[7]
     gevent.sleep(0)
-    service._execute_all([ev.CloseLink(7)])
+    service.executor.execute_all([ev.CloseLink(7)])
     dial.join(5)
-    assert dial.dead and not service.dialling
+    assert dial.dead and not service.machines.dialling
 
 
 def test_owners_are_not_read_while_too_much_waits_and_lose_nothing_by_it(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Half of a message lies unread meanwhile: its time to come whole begins with the next read."""
-    monkeypatch.setattr(module, "PARTIAL_S", 0.2)
+    monkeypatch.setattr(client_connections, "PARTIAL_S", 0.2)
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
     full = [True]
-    monkeypatch.setattr(service._event_queue, "is_overloaded", lambda: full[0])
+    monkeypatch.setattr(service.driver.queue, "is_overloaded", lambda: full[0])
     ours, theirs = gsocket.socketpair()
-    stream = service.client_streams[1] = module.Stream(ours, 1, service._client_gone)
-    reads = gevent.spawn(service._serve_client, stream)
+    stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._gone)
+    reads = gevent.spawn(service.clients._serve, stream)
     data = binary.encode(asks(1))
     theirs.sendall(data[:50])
     gevent.sleep(0.3)
@@ -384,17 +388,17 @@
     """A read that finds bytes does not wait: all of it would be read before anybody else is."""
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
-    monkeypatch.setattr(module, "CLIENT_READ", 256)
-    monkeypatch.setattr(module, "MACHINE_READ", 256)
+    monkeypatch.setattr(client_connections, "CLIENT_READ", 256)
+    monkeypatch.setattr(machine_connections, "MACHINE_READ", 256)
     ours, theirs = gsocket.socketpair()
     answer = Message(Kind.ANSWER, "00000000000000aa", body="x" * 200)
     theirs.sendall((binary.encode(asks(1)) if owner else jsonlines.encode(answer)) * 100)
     if owner:
-        stream = service.client_streams[1] = module.Stream(ours, 1, service._client_gone)
-        reads = gevent.spawn(service._serve_client, stream)
+        stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._gone)
+        reads = gevent.spawn(service.clients._serve, stream)
     else:
         monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
-        service.dialling[1] = reads = gevent.spawn(service._serve_machine, 1, "127.0.0.1:1")
+        service.machines.dialling[1] = reads = gevent.spawn(service.machines._serve, 1, "127.0.0.1:1")
     gevent.sleep(0)
     assert 0 < len(heard) < 50
     theirs.close()
