--- a/stairplank/platform/adoption.py
+++ b/stairplank/platform/adoption.py
@@ -40,7 +40,6 @@
 
 class ClientRequests(Protocol):
     def ended(self, task: Task, cause: int | None) -> None: ...
-    def module_task(self, task: Task) -> api.Task: ...
 
 
 class Links(Protocol):
@@ -108,7 +107,7 @@
             self.loop.count("handed_over_ended")
             self.requests.ended(task, cause)
             return
-        self.loop.notify_module(api.TaskAdopted(self.requests.module_task(task), machine))
+        self.loop.notify_module(api.TaskAdopted(task.for_module(), machine))
         self.attempts.adopt(task, machine)
 
     def _not_listed(self, task: Task) -> None:
--- a/stairplank/platform/attempts.py
+++ b/stairplank/platform/attempts.py
@@ -29,6 +29,7 @@
 from . import validation
 from .messages import ENDS, Cause, Kind, Message
 from .tables import ATTEMPT, Attempt, Stage, Task, Test
+from .task_table import TaskTable
 
 LEFTOVER_US = 30_000_000
 LEFTOVERS_MOST = 8192
@@ -69,17 +70,18 @@
 
 
 class ClientRequests(Protocol):
-    numbers: dict[int, Task]
-
     def placed(self, task: Task, body: str) -> None: ...
     def ended(self, task: Task, cause: int | None) -> None: ...
     def moved(self, task: Task) -> None: ...
 
 
 class Attempts:
-    def __init__(self, loop: EventLoop, settings: api.Settings, fields: tuple[str, ...]) -> None:
+    def __init__(
+        self, loop: EventLoop, settings: api.Settings, fields: tuple[str, ...], tasks: TaskTable
+    ) -> None:
         self.loop = loop
         self.settings = settings
+        self.tasks = tasks
         self.fields = fields
         self.links: Links
         self.requests: ClientRequests
@@ -100,7 +102,7 @@
     # Actions of the decision module
 
     def bind(self, action: api.Bind) -> None:
-        task = self.requests.numbers.get(action.task)
+        task = self.tasks.by_number.get(action.task)
         if task is None:
             return
         now = self.loop.now
@@ -127,13 +129,13 @@
         self.links.send(attempt)
 
     def stop_attempt(self, action: api.StopAttempt) -> None:
-        task = self.requests.numbers.get(action.task)
+        task = self.tasks.by_number.get(action.task)
         attempt = task.attempt if task is not None else None
         if attempt is not None and attempt.shot == action.attempt and attempt.stage in _UNDER_WAY:
             self._give_up(attempt, api.Result.CANCELLED)
 
     def evict(self, action: api.Evict) -> None:
-        task = self.requests.numbers.get(action.task)
+        task = self.tasks.by_number.get(action.task)
         attempt = task.attempt if task is not None else None
         if task is not None and attempt is not None and attempt.stage is Stage.STANDING:
             self._order_release(attempt, Cause.CANCELLED)
--- a/stairplank/platform/client_connections.py
+++ b/stairplank/platform/client_connections.py
@@ -13,7 +13,7 @@
 from ..rpc import address
 from . import binary
 from . import events as ev
-from .client_requests import ClientRequests
+from .client_sessions import ClientSessions
 from .driver import CoreDriver
 from .messages import Message, Unreadable
 from .streams import NO_MEANS, READS_IN_A_ROW, Stream, receive
@@ -31,9 +31,9 @@
 class ClientConnections:
     """At most ``most`` connections, those that are being closed included."""
 
-    def __init__(self, driver: CoreDriver, requests: ClientRequests, most: int) -> None:
+    def __init__(self, driver: CoreDriver, sessions: ClientSessions, most: int) -> None:
         self._driver = driver
-        self._requests = requests
+        self._sessions = sessions
         self.most = most
         self.streams: dict[int, Stream] = {}
         self.accepted: set[Stream] = set()  # those that are closing included
@@ -74,7 +74,7 @@
 
     def _make_room(self) -> bool:
         """Danger: silent connections would keep good clients, machines and the node list service out."""
-        number = self._requests.idlest_connection()
+        number = self._sessions.idlest_connection()
         stream = self.streams.get(number) if number is not None else None
         if stream is None:
             return False
--- a/stairplank/platform/core.py
+++ b/stairplank/platform/core.py
@@ -6,7 +6,10 @@
 
 | component | responsible for |
 | --- | --- |
-| ``requests`` | connections of clients, tasks, the one answer and the one release of each |
+| ``requests`` | what clients ask for: the one answer and the one release of each task |
+| ``sessions`` | connections of clients, releases on their way |
+| ``tasks`` | the table of tasks, its bounds |
+| ``shutdown`` | what is answered, and when, after SIGTERM |
 | ``attempts`` | attempts at machines, tests, leftovers |
 | ``links`` | connections to machines, whether a machine is still there |
 | ``machines`` | which machines there are, by the list |
@@ -26,10 +29,13 @@
 from .adoption import Adoption
 from .attempts import Attempts
 from .client_requests import ClientRequests
+from .client_sessions import ClientSessions
 from .event_queue import is_new_placement
 from .links import Links
 from .machines import Machines
 from .node_list import NodeListUpdate
+from .shutdown import Shutdown
+from .task_table import TaskTable
 
 
 class Core:
@@ -50,11 +56,15 @@
     ) -> None:
         self.loop = EventLoop()
         self.module = Planner(settings, seed)
-        self.requests = ClientRequests(self.loop, settings, tenants)
-        self.attempts = Attempts(self.loop, settings, fields)
+        self.tasks = TaskTable(self.loop)
+        self.sessions = ClientSessions(self.loop)
+        self.shutdown = Shutdown(self.loop, settings, self.tasks)
+        self.requests = ClientRequests(self.loop, settings, tenants, self.tasks, self.sessions, self.shutdown)
+        self.attempts = Attempts(self.loop, settings, fields, self.tasks)
         self.links = Links(self.loop, sockets, dial_timeout_us, priced, idle_us)
         self.adoption = Adoption(self.loop, self.attempts, self.requests, self.links)
         self.machines = Machines(self.loop, self.links, self.attempts, self.adoption)
+        self.shutdown.requests = self.requests
         self.requests.attempts, self.requests.adoption = self.attempts, self.adoption
         self.attempts.requests, self.attempts.links, self.attempts.adoption = (
             self.requests,
@@ -77,7 +87,7 @@
             ev.NodeListUpdated: lambda event: self.machines.update(event.update),
             ev.NodeListConfirmed: lambda event: self.adoption.list_confirmed(),
             ev.NodeListLost: lambda event: self.loop.notify_module(api.NodeList(api.ListKind.FAILED)),
-            ev.StopRequested: self.requests.leave,
+            ev.StopRequested: self.shutdown.begin,
             ev.MachinesClosing: lambda event: self.links.close_all(),
             ev.Due: lambda event: None,
         }
--- a/stairplank/platform/service.py
+++ b/stairplank/platform/service.py
@@ -60,8 +60,8 @@
         self.driver = CoreDriver(self.core)
         self.node_watch = NodeWatch(self.node_list, c.board, self.driver.enqueue, self.core.loop.count)
         # Clients hold a third of the descriptors; half is for machines, the rest is ours.
-        self.clients = ClientConnections(self.driver, self.core.requests, sockets * 2 // 5)
-        self.core.requests.has_unread = self.clients.has_unread
+        self.clients = ClientConnections(self.driver, self.core.sessions, sockets * 2 // 5)
+        self.core.sessions.has_unread = self.clients.has_unread
         self.machines = MachineConnections(self.driver, self.core, dial_us)
         self.executor = ActionExecutor(self.core, self.clients, self.machines, self.node_watch)
         self.driver.executor = self.executor
@@ -79,8 +79,8 @@
         accepting = gevent.spawn(self.clients.accept, listener)
         log("serves", name=self.config.name, listen=self.where, machines=len(self.core.links.machines))
         self._stop.wait()
-        requests = self.core.requests
-        log("leaves", open=requests.open_tasks, standing=len(requests.tasks))
+        tasks = self.core.tasks
+        log("leaves", open=tasks.open_count, standing=len(tasks.by_id))
         self._finish_requests()
         accepting.kill()
         listener.close()
@@ -170,17 +170,17 @@
     def _is_done(self) -> bool:
         """Danger: what has been read and waits its turn is owed an answer as well, and so is what still lies
         in a socket: the turns look at those until nothing comes."""
-        queue, requests = self.driver.queue, self.core.requests
-        if queue or not requests.is_done():
+        queue, shutdown = self.driver.queue, self.core.shutdown
+        if queue or not shutdown.is_done():
             return False
         # Danger: of a set-up that has begun to come the rest is on its way. When it does harm: one that never
         # comes keeps us, so not for long.
-        if self.clients.has_partial() and now_us() < requests.leaving_at + BEGUN_US:
+        if self.clients.has_partial() and now_us() < shutdown.leaving_at + BEGUN_US:
             return False
         for _ in range(2):
             gevent.sleep(POLL_S)
             gevent.sleep(0)
-        return not queue and requests.is_done()
+        return not queue and shutdown.is_done()
 
     def _close_machines(self) -> None:
         """Danger: once clients' connections have gone, what a machine reports of a task that stands is
--- a/stairplank/platform/tables.py
+++ b/stairplank/platform/tables.py
@@ -82,6 +82,22 @@
     proven: bool = True  # every attempt that ended is proven not to have run
     risk_at: int = 0  # when the first one that may have run began
 
+    def for_module(self) -> api.Task:
+        """The task as the decision module knows it."""
+        spec = self.request.spec
+        return api.Task(
+            self.number,
+            self.request.class_index,
+            self.request.tenant,
+            spec.key,
+            self.expires,
+            spec.service,
+            spec.cores,
+            spec.memory,
+            None,
+            spec.again,
+        )
+
 
 @dataclass(slots=True, eq=False)
 class Attempt:
--- a/tests/platform/test_platform_adoption.py
+++ b/tests/platform/test_platform_adoption.py
@@ -30,13 +30,13 @@
     conn = desk.owner()
     desk.ask(conn, 1, at="s-00000009")
     desk.ask(desk.owner(), 1, at="s-00000009")  # the same from another connection
-    assert desk.replies(1) == [] and name(1) in desk.core.requests.tasks
+    assert desk.replies(1) == [] and name(1) in desk.core.tasks.by_id
     desk.list_update(row(9))
     desk.passes(adoption.LISTING_WAIT_US + SECOND)
     assert desk.replies(1) == [] and not desk.core.adoption.waiting
     desk.ends(link_to(desk, 9), 1, Cause.RESET)
     assert [w[1:] for w in desk.replies(1)] == [(RELEASE, Cause.RESET)]
-    assert not desk.core.requests.tasks
+    assert not desk.core.tasks.by_id
 
 
 def test_one_that_its_owner_ends_meanwhile_is_ended_at_its_machine() -> None:
@@ -44,7 +44,7 @@
     conn = desk.owner()
     desk.ask(conn, 1, at="s-00000009")
     desk.feed(ev.ClientMessage(conn, Message(RELEASE, name(1), cause=int(Cause.CANCELLED))))
-    assert not desk.core.requests.tasks and desk.replies(1) == []
+    assert not desk.core.tasks.by_id and desk.replies(1) == []
     desk.list_update(row(9))
     desk.ask(conn, 2, at="s-00000009")
     desk.passes(300_000)
@@ -62,7 +62,7 @@
     desk.passes(adoption.LISTING_WAIT_US + SECOND)
     assert (
         not desk.core.adoption.waiting
-        and not desk.core.requests.tasks
+        and not desk.core.tasks.by_id
         and not desk.core.attempts.by_machine_and_id
     )
     assert len([w for n in range(2, 50) for w in desk.replies(n)]) == 48 and desk.replies(1) == []
@@ -232,7 +232,7 @@
         desk.feed(after=20_000)
     while desk.now < killed - 100_000:
         desk.feed(after=20_000)
-    assert all(desk.replies(number) for number in range(1, asked + 1)) and desk.core.requests.is_done()
+    assert all(desk.replies(number) for number in range(1, asked + 1)) and desk.core.shutdown.is_done()
 
 
 def test_nothing_is_dialled_once_a_planner_parts_from_its_machines() -> None:
--- a/tests/platform/test_platform_bounds.py
+++ b/tests/platform/test_platform_bounds.py
@@ -8,7 +8,7 @@
 from desk import Desk, name
 from gevent import socket as gsocket
 
-from stairplank.platform import attempts, client_requests, logs, streams
+from stairplank.platform import attempts, logs, streams, task_table
 from stairplank.platform import events as ev
 from stairplank.platform.messages import Kind, Message
 
@@ -69,13 +69,13 @@
 def test_withdrawn_ids_that_may_have_run_are_kept_up_to_a_bound_and_an_age(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_requests, "UNPROVEN_MOST", 2)
+    monkeypatch.setattr(task_table, "UNPROVEN_MOST", 2)
     desk = Desk(machines=4)
     for number in (1, 2, 3):
         conn = desk.owner()
         desk.ask(conn, number, "once", extras=f"cores:0.5;memory:1;service:{number:016x}")
         desk.connect()
         desk.feed(ev.ClientDisconnected(conn))
-    assert list(desk.core.requests.unproven) == [name(2), name(3)]
-    desk.passes(client_requests.UNPROVEN_US + 1_000_000)
-    assert not desk.core.requests.unproven
+    assert list(desk.core.tasks.unproven) == [name(2), name(3)]
+    desk.passes(task_table.UNPROVEN_US + 1_000_000)
+    assert not desk.core.tasks.unproven
--- a/tests/platform/test_platform_core.py
+++ b/tests/platform/test_platform_core.py
@@ -6,7 +6,16 @@
 from desk import BODY, SECOND, SETTINGS, Desk, name, notice, row, set_up
 
 from stairplank import interface as api
-from stairplank.platform import adoption, attempts, client_requests, jsonlines, validation
+from stairplank.platform import (
+    adoption,
+    attempts,
+    client_requests,
+    client_sessions,
+    jsonlines,
+    shutdown,
+    task_table,
+    validation,
+)
 from stairplank.platform import events as ev
 from stairplank.platform.messages import MESSAGE_MOST, Cause, Kind, Message
 from stairplank.platform.tables import ATTEMPT, TASK
@@ -30,7 +39,7 @@
     assert desk.to_clients[-1] == (conn, answer(1, "from the machine"))
     desk.ends(link, 1)
     assert desk.replies(1) == [(conn, ANSWER, None), (conn, RELEASE, Cause.ENDED)]
-    assert not desk.core.requests.tasks and not desk.core.attempts.by_machine_and_id
+    assert not desk.core.tasks.by_id and not desk.core.attempts.by_machine_and_id
 
 
 def test_what_the_module_gives_up_is_answered_at_once() -> None:
@@ -75,7 +84,7 @@
     again, _ = desk.sent(1)[1]
     desk.machine(again, answer(1))
     assert [w[1] for w in desk.replies(1)] == [ANSWER]
-    assert desk.core.requests.tasks[name(1)].shots == 1
+    assert desk.core.tasks.by_id[name(1)].shots == 1
 
 
 def test_a_refused_connection_proves_that_nothing_ran() -> None:
@@ -199,7 +208,7 @@
     third = desk.owner("a")
     assert desk.replies(2)[-1] == (third, RELEASE, Cause.ENDED)
     assert all(c != other for c, _ in desk.to_clients)
-    assert not desk.core.requests.pending_releases
+    assert not desk.core.sessions.pending_releases
 
 
 def test_a_release_written_as_its_connection_broke_is_said_again() -> None:
@@ -221,16 +230,16 @@
 
 
 def test_kept_releases_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_requests, "PENDING_RELEASES_MOST", 3)
+    monkeypatch.setattr(client_sessions, "PENDING_RELEASES_MOST", 3)
     desk = Desk(machines=6)
     conn = desk.owner("a")
     links = [desk.place(conn, n) for n in range(1, 6)]
     desk.feed(ev.ClientDisconnected(conn))
     for number, link in enumerate(links, 1):
         desk.ends(link, number)
-    assert len(desk.core.requests.pending_releases) == 3 and desk.core.counts["releases_dropped"] == 2
-    desk.passes(client_requests.PENDING_RELEASES_US + SECOND)
-    assert not desk.core.requests.pending_releases
+    assert len(desk.core.sessions.pending_releases) == 3 and desk.core.counts["releases_dropped"] == 2
+    desk.passes(client_sessions.PENDING_RELEASES_US + SECOND)
+    assert not desk.core.sessions.pending_releases
 
 
 def test_an_owner_ends_its_task_from_any_connection() -> None:
@@ -241,14 +250,14 @@
     assert desk.to_machines[-1] == (link, Message(RELEASE, name(1), cause=Cause.CANCELLED))
     desk.ends(link, 1, Cause.CANCELLED)
     assert [w[1] for w in desk.replies(1)] == [ANSWER]  # it is owed no release
-    assert not desk.core.attempts.by_machine_and_id and not desk.core.requests.tasks
+    assert not desk.core.attempts.by_machine_and_id and not desk.core.tasks.by_id
 
 
 def test_a_move_ends_the_task_here_and_there() -> None:
     desk = Desk()
     conn = desk.owner()
     link = desk.place(conn, 1)
-    task = desk.core.requests.tasks[name(1)]
+    task = desk.core.tasks.by_id[name(1)]
     desk.core.loop.begin(desk.now)
     desk.core.attempts.evict(api.Evict(task.number))
     desk.core._run()
@@ -291,7 +300,7 @@
         if number % 23 == 0:
             machine = number // 23 % 4 + 1
             desk.list_update(row(machine, born_ms=(1_000 * SECOND + desk.now - 600_000) // 1000))
-        if number % 4 == 0 and name(number - 3) in desk.core.requests.tasks:
+        if number % 4 == 0 and name(number - 3) in desk.core.tasks.by_id:
             desk.feed(ev.ClientMessage(conn, Message(RELEASE, name(number - 3), cause=16)))
         desk.passes(50_000)
         for node in desk.core.module.nodes.values():
@@ -311,7 +320,7 @@
     conn = desk.owner()
     desk.ask(conn, 1, at="s-00000002")
     desk.ask(conn, 1, at="s-00000002")  # it may name what is held already
-    assert desk.replies(1) == [] and len(desk.core.requests.tasks) == 1
+    assert desk.replies(1) == [] and len(desk.core.tasks.by_id) == 1
     desk.passes(300_000)
     link = next(k for k in desk.up if desk.machine_of(k) == 2)  # it has a connection, to be heard on
     desk.ends(link, 1, Cause.RESET, note="ev")
@@ -326,7 +335,7 @@
     assert desk.replies(1) == []
     desk.passes(2 * SECOND)
     assert not desk.core.adoption.waiting
-    assert desk.replies(1) == [(conn, RELEASE, Cause.RESET)] and not desk.core.requests.tasks
+    assert desk.replies(1) == [(conn, RELEASE, Cause.RESET)] and not desk.core.tasks.by_id
 
 
 def test_adopted_tasks_that_no_machine_knows_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -334,7 +343,7 @@
     desk = Desk()
     desk.ask(desk.owner(), 1, at="s-00000002")
     desk.passes(client_requests.ADOPTED_SWEEP_US + SECOND)
-    assert not desk.core.requests.tasks
+    assert not desk.core.tasks.by_id
 
 
 # Bad clients
@@ -387,12 +396,12 @@
     """Words are handled before set-ups that were read earlier."""
     desk = Desk(machines=1)
     conn = desk.owner()
-    desk.core.requests.has_unread = lambda number: number == conn
+    desk.core.sessions.has_unread = lambda number: number == conn
     for kind in (Kind.NOTE, Kind.HEARD):
         desk.feed(ev.ClientMessage(conn, Message(kind, name(77))))
     desk.feed(ev.ClientMessage(conn, Message(RELEASE, name(77), cause=16)))
     assert desk.closed == []
-    desk.core.requests.has_unread = lambda number: False
+    desk.core.sessions.has_unread = lambda number: False
     desk.ask(conn, 1)
     desk.connect()
     assert desk.sent(1)
@@ -415,15 +424,15 @@
     desk = Desk(machines=1)
     conn = desk.owner()
     desk.feed(ev.StopRequested())
-    desk.feed(after=client_requests.LEAVING_US + 50_000)
-    for number in range(1, 3 * client_requests.REJECTIONS_MOST):
+    desk.feed(after=shutdown.LEAVING_US + 50_000)
+    for number in range(1, 3 * client_sessions.REJECTIONS_MOST):
         desk.ask(conn, number)
     assert desk.closed == []
     assert all(
         desk.replies(n) == [(conn, RELEASE, Cause.BUSY)]
-        for n in range(1, 3 * client_requests.REJECTIONS_MOST)
+        for n in range(1, 3 * client_sessions.REJECTIONS_MOST)
     )
-    desk.passes(client_requests.SILENT_US + SECOND)  # nor does it count as one that says nothing
+    desk.passes(client_sessions.SILENT_US + SECOND)  # nor does it count as one that says nothing
     assert desk.closed == []
 
 
@@ -435,15 +444,15 @@
     desk.ask(busy, 1)
     desk.feed(ev.ClientMessage(idle, Message(Kind.TEST, name(5), cause=0)))
     desk.connect()
-    desk.passes(client_requests.SILENT_US + client_requests.SWEEP_US)
+    desk.passes(client_sessions.SILENT_US + client_requests.SWEEP_US)
     assert desk.closed == [useless, silent]
-    desk.passes(client_requests.IDLE_US)
+    desk.passes(client_sessions.IDLE_US)
     assert idle in desk.closed and busy not in desk.closed
     # one whose task stands is kept: the release goes out there
     desk.ask(busy, 2, left="9000")
     desk.connect()
     desk.machine(desk.sent(2)[0][0], answer(2))
-    desk.passes(client_requests.IDLE_US + SECOND)
+    desk.passes(client_sessions.IDLE_US + SECOND)
     assert busy not in desk.closed
 
 
@@ -453,7 +462,7 @@
     desk.place(standing, 1)
     desk.ask(busy, 2)
     desk.feed(ev.ClientMessage(idle, Message(Kind.TEST, name(5), cause=0)))
-    spare = desk.core.requests.idlest_connection
+    spare = desk.core.sessions.idlest_connection
     assert [spare(), spare(), spare(), spare()] == [quiet, idle, standing, None]
 
 
@@ -463,21 +472,21 @@
     flood, good = desk.owner("a"), desk.owner("b")
     for number in range(1, 20):
         desk.ask(flood, number)
-    assert desk.core.requests.open_tasks == 4
+    assert desk.core.tasks.open_count == 4
     refused = [m for c, m in desk.to_clients if c == flood]
     assert len(refused) == 15 and {m.cause for m in refused} == {Cause.BUSY}
     desk.ask(good, 100)
-    assert desk.core.requests.open_tasks == 5  # one client does not take it all
+    assert desk.core.tasks.open_count == 5  # one client does not take it all
 
 
 def test_unheard_releases_of_a_connection_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_requests, "UNACKNOWLEDGED_MOST", 2)
+    monkeypatch.setattr(client_sessions, "UNACKNOWLEDGED_MOST", 2)
     desk = Desk(machines=6)
     conn = desk.owner()
     for number in range(1, 6):
         desk.ask(conn, number, at="s-0000ffff")
     desk.passes(adoption.LISTING_WAIT_US + client_requests.SWEEP_US, answering=False)
-    assert len(desk.core.requests.conns[conn].unacknowledged) == 2
+    assert len(desk.core.sessions.connections[conn].unacknowledged) == 2
 
 
 def test_a_description_that_no_line_can_hold_is_turned_away_at_the_door() -> None:
@@ -504,7 +513,7 @@
 
 
 def test_descriptions_are_bounded_and_standing_tasks_keep_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_requests, "OPEN_BYTES_MOST", 25_000)
+    monkeypatch.setattr(task_table, "OPEN_BYTES_MOST", 25_000)
     desk = Desk(machines=6)
     conn = desk.owner()
     for number in range(1, 5):
@@ -513,10 +522,10 @@
     assert [w[2] for w in desk.replies(3) + desk.replies(4)] == [Cause.BUSY] * 2
     desk.machine(desk.sent(1)[0][0], answer(1))
     desk.ask(conn, 5, body="x" * 10_000, at="s-00000001")
-    assert desk.core.requests.open_bytes == 10_000
-    assert [len(desk.core.requests.tasks[name(n)].body) for n in (1, 2, 5)] == [0, 10_000, 0]
+    assert desk.core.tasks.open_bytes == 10_000
+    assert [len(desk.core.tasks.by_id[name(n)].body) for n in (1, 2, 5)] == [0, 10_000, 0]
     desk.ask(conn, 5, body="y", at="s-00000001")  # another under that id is still told apart
-    assert desk.core.requests.conns[conn].standing == 2
+    assert desk.core.sessions.connections[conn].standing == 2
 
 
 # Drains, leaving, time
@@ -548,18 +557,18 @@
     desk.ask(conn, 2, "keyed")
     desk.connect()
     desk.feed(ev.StopRequested())
-    assert not desk.core.requests.is_done()
+    assert not desk.core.shutdown.is_done()
     desk.ask(conn, 3)  # still taken
     desk.connect()
     assert desk.replies(3) == []
-    desk.passes(client_requests.LEAVING_US + 50_000)
+    desk.passes(shutdown.LEAVING_US + 50_000)
     desk.ask(conn, 4)
     assert desk.replies(4) == [(conn, RELEASE, Cause.BUSY)]
-    desk.passes(client_requests.LONGEST_US + client_requests.LEAVING_US - client_requests.ANSWER_ALL_US)
+    desk.passes(shutdown.LONGEST_US + shutdown.LEAVING_US - shutdown.ANSWER_ALL_US)
     assert desk.replies(2) == [(conn, RELEASE, Cause.RESET)]  # may have run: failed
     assert desk.replies(3) == [(conn, RELEASE, Cause.BUSY)]  # may be repeated: refused
-    assert desk.core.requests.is_done()
-    assert [w[1] for w in desk.replies(1)] == [ANSWER] and name(1) in desk.core.requests.tasks
+    assert desk.core.shutdown.is_done()
+    assert [w[1] for w in desk.replies(1)] == [ANSWER] and name(1) in desk.core.tasks.by_id
 
 
 def test_leaving_turns_away_what_still_waits_for_room() -> None:
@@ -573,11 +582,11 @@
         desk.ask(conn, number, "once", extras=f"cores:9;memory:2;service:{number:016x}")
     desk.feed(ev.StopRequested())
     desk.ends(link, 1)
-    desk.passes(client_requests.LEAVING_US + 50_000)
+    desk.passes(shutdown.LEAVING_US + 50_000)
     desk.machine(desk.sent(2)[0][0], answer(2))  # room was left in time for one
-    assert desk.sent(3) == [] and not desk.core.requests.is_done()
-    desk.passes(client_requests.LONGEST_US + client_requests.LEAVING_US - client_requests.ANSWER_ALL_US)
-    assert desk.replies(3) == [(conn, RELEASE, Cause.BUSY)] and desk.core.requests.is_done()
+    assert desk.sent(3) == [] and not desk.core.shutdown.is_done()
+    desk.passes(shutdown.LONGEST_US + shutdown.LEAVING_US - shutdown.ANSWER_ALL_US)
+    assert desk.replies(3) == [(conn, RELEASE, Cause.BUSY)] and desk.core.shutdown.is_done()
 
 
 def test_an_owner_is_told_after_its_machine_that_a_task_is_given_up() -> None:
@@ -587,7 +596,7 @@
     desk.ask(conn, 1)
     desk.connect()
     desk.feed(ev.StopRequested())
-    desk.now = desk.core.requests.killed_at
+    desk.now = desk.core.shutdown.killed_at
     actions = desk.core.handle(desk.now, [ev.Due()])
     said = [
         type(a)
@@ -617,7 +626,7 @@
     conn = desk.owner()
     link = desk.send(conn, 1)
     desk.ends(link, 1, Cause.FULL, note="nq")
-    (task,) = desk.core.requests.tasks.values()
+    (task,) = desk.core.tasks.by_id.values()
     (machine,) = desk.core.links.machines
     bind = api.Bind(task.number, machine, 0)
     desk.core.loop.call_at(desk.now + SECOND, desk.core.attempts.bind, bind)
@@ -650,11 +659,11 @@
     desk.passes(45 * SECOND)
     core = desk.core
     tables = {
-        "tasks": core.requests.tasks,
-        "numbers": core.requests.numbers,
-        "conns": core.requests.conns,
-        "clients": core.requests.clients,
-        "open_of": core.requests.open_of,
+        "tasks": core.tasks.by_id,
+        "numbers": core.tasks.by_number,
+        "conns": core.sessions.connections,
+        "clients": core.sessions.by_client,
+        "open_of": core.tasks.open_by_client,
         "at": core.attempts.by_machine_and_id,
         "tests": core.attempts.tests,
         "module's open": core.module.open,
@@ -680,18 +689,18 @@
     conn = desk.owner()
     desk.ask(conn, 1, "once", left="8000")
     desk.connect()
-    for _ in range(client_requests.REJECTIONS_MOST + 5):
+    for _ in range(client_sessions.REJECTIONS_MOST + 5):
         desk.feed(ev.ClientMessage(conn, Message(Kind.NOTE, name(77))))
-    desk.passes(client_requests.IDLE_US + SECOND)
+    desk.passes(client_sessions.IDLE_US + SECOND)
     assert desk.closed == [] and desk.replies(1) == []
 
 
 def test_who_sends_nothing_that_can_be_taken_is_closed() -> None:
     desk = Desk()
     conn = desk.owner()
-    for number in range(1, client_requests.REJECTIONS_MOST + 2):
+    for number in range(1, client_sessions.REJECTIONS_MOST + 2):
         desk.ask(conn, number, left="nan")
-    assert desk.closed == [conn] and len(desk.to_clients) == client_requests.REJECTIONS_MOST + 1
+    assert desk.closed == [conn] and len(desk.to_clients) == client_sessions.REJECTIONS_MOST + 1
 
 
 def test_the_answer_leaves_before_its_owners_time_is_over() -> None:
@@ -711,7 +720,7 @@
         desk.place(conn, number)
     desk.list_update(row(1, "DRAINING"))
     desk.ask(conn, 5, "once", left="8000")
-    task = desk.core.requests.tasks[name(5)]
+    task = desk.core.tasks.by_id[name(5)]
     out = [m for m in desk.core.links.machines.values() if m.status is api.NodeStatus.DRAINING]
     before = len(desk.to_machines)
     desk.core.loop.begin(desk.now)
@@ -791,10 +800,10 @@
 def test_a_connection_whose_set_up_waits_its_turn_is_not_closed() -> None:
     desk = Desk()
     conn, other = desk.owner(), desk.owner("127.8.240.3")
-    desk.core.requests.has_unread = lambda number: number == conn
+    desk.core.sessions.has_unread = lambda number: number == conn
     desk.passes(3 * SECOND)
-    assert desk.closed == [other] and desk.core.requests.idlest_connection() is None
-    desk.core.requests.has_unread = lambda number: False
+    assert desk.closed == [other] and desk.core.sessions.idlest_connection() is None
+    desk.core.sessions.has_unread = lambda number: False
     desk.passes(SECOND)
     assert desk.closed == [other, conn]
 
@@ -805,7 +814,7 @@
     real = desk.core.module.handle
 
     def handle(now: int, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.TaskAsked) and desk.core.requests.numbers[event.task.id].id == name(1):
+        if isinstance(event, api.TaskAsked) and desk.core.tasks.by_number[event.task.id].id == name(1):
             raise KeyError("a fault")
         return real(now, event)
 
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -16,7 +16,16 @@
 from gevent import socket as gsocket
 from platform_standins import Live, Machine, Owner, cut, held, reset, running
 
-from stairplank.platform import binary, client_connections, client_requests, event_queue, jsonlines, links
+from stairplank.platform import (
+    binary,
+    client_connections,
+    client_requests,
+    client_sessions,
+    event_queue,
+    jsonlines,
+    links,
+    shutdown,
+)
 from stairplank.platform import events as ev
 from stairplank.platform import service as module
 from stairplank.platform.messages import Cause, Kind, Message
@@ -108,7 +117,7 @@
     one.until(lambda: one.has_read(ev.MachineMessage, id))
     gives_up(one, owner, id, "word")
     one.go()
-    one.until(lambda: id not in one.service.core.requests.tasks and not one.service.driver.queue)
+    one.until(lambda: id not in one.service.core.tasks.by_id and not one.service.driver.queue)
     gevent.sleep(0.05)
     assert [m.id for machine in one.fleet for m in machine.launched()].count(id) == 1
 
@@ -178,7 +187,7 @@
 def test_an_idle_connection_is_not_closed_over_a_set_up_that_lies_in_its_socket(
     live: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_requests, "IDLE_US", 300_000)
+    monkeypatch.setattr(client_sessions, "IDLE_US", 300_000)
     one = live()
     owner = one.owner()
     one.off(owner.say, Message(Kind.TEST, f"{1:016x}", cause=0))
@@ -188,7 +197,7 @@
     one.off(owner.say, Message(Kind.TEST, f"{2:016x}", cause=0))  # read, and from then on no more
     assert one.off(owner.replies, f"{2:016x}")
     id = one.off(owner.ask, 3)
-    gevent.sleep((client_requests.IDLE_US + 3 * client_requests.SWEEP_US) / 1e6)
+    gevent.sleep((client_sessions.IDLE_US + 3 * client_requests.SWEEP_US) / 1e6)
     choked[0] = False
     assert [m.kind for m in one.off(owner.replies, id)] == [Kind.ANSWER]
 
@@ -219,7 +228,7 @@
     live: Make, monkeypatch: pytest.MonkeyPatch, word: str
 ) -> None:
     """The timer of idle connections falls due in the very turn that handles the word."""
-    monkeypatch.setattr(client_requests, "IDLE_US", 100_000)
+    monkeypatch.setattr(client_sessions, "IDLE_US", 100_000)
     monkeypatch.setattr(client_requests, "SWEEP_US", 300_000)
     one = live()
     owner = one.owner()
@@ -239,7 +248,7 @@
     gevent.sleep(0.5)  # time for the sweep, which no turn has felt
     one.go()
     if word == "held":
-        one.until(lambda: id in one.service.core.requests.tasks)
+        one.until(lambda: id in one.service.core.tasks.by_id)
     else:
         assert [m.kind for m in one.off(owner.replies, id)] == [Kind.ANSWER]
 
@@ -262,7 +271,7 @@
 def test_a_set_up_that_has_begun_to_come_is_answered_before_a_planner_leaves(
     live: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_requests, "LEAVING_US", 50_000)
+    monkeypatch.setattr(shutdown, "LEAVING_US", 50_000)
     monkeypatch.setattr(module, "BEGUN_US", 60_000_000)
     monkeypatch.setattr(client_connections, "PARTIAL_S", 60.0)
     one = live()
@@ -273,7 +282,7 @@
     one.off(owner.sock.sendall, data[:40])
     one.until(lambda: any(s.half for s in one.service.clients.streams.values()))
     one.service.stop()
-    one.until(lambda: one.service.core.requests.is_done())
+    one.until(lambda: one.service.core.shutdown.is_done())
     gevent.sleep(0.2)
     assert not one.runs.dead
     one.off(owner.sock.sendall, data[40:])
@@ -288,8 +297,8 @@
     came = one.service._stopped_at
     gevent.sleep(0.3)
     one.go()
-    one.until(lambda: one.service.core.requests.leaving_at)
-    assert one.service.core.requests.leaving_at == came
+    one.until(lambda: one.service.core.shutdown.leaving_at)
+    assert one.service.core.shutdown.leaving_at == came
 
 
 def test_a_file_that_is_being_written_as_the_signal_comes_is_read_again(live: Make) -> None:
@@ -336,7 +345,7 @@
     one.board.frozen = True
     id = one.off(hands_over, owner, 7, holder.name)
     one.off(owner.say, Message(Kind.RELEASE, id, cause=int(Cause.CANCELLED)))
-    one.until(lambda: one.has_read(ev.ClientMessage, id) and not one.service.core.requests.tasks)
+    one.until(lambda: one.has_read(ev.ClientMessage, id) and not one.service.core.tasks.by_id)
     one.board.tell(holder.row())
     one.board.frozen = False
     one.placed(owner, 8)
@@ -364,7 +373,7 @@
     one.until(lambda: one.has_read(ev.MachineMessage, id) and not one.service.driver.queue)
     one.off(hands_over, owner, 7, machine.name)
     assert [(m.kind, m.cause) for m in one.off(owner.replies, id)] == [(Kind.RELEASE, Cause.ENDED)]
-    assert list(one.service.core.requests.tasks) == [f"{1:016x}"]
+    assert list(one.service.core.tasks.by_id) == [f"{1:016x}"]
 
 
 @pytest.mark.parametrize("noted", [False, True])
@@ -379,11 +388,11 @@
     machine = one.fleet[0]
     gevent.sleep(0.05)
     id = one.off(hands_over, owner, 7, machine.name)
-    one.until(lambda: id in one.service.core.requests.tasks)
+    one.until(lambda: id in one.service.core.tasks.by_id)
     if noted:
         note = Message(Kind.NOTE, id, {"note": "live", "value": "1"})
         machine.say(machine.socks[-1], note)
-        one.until(lambda: one.service.core.requests.tasks[id].attempt.noted)  # type: ignore[union-attr]
+        one.until(lambda: one.service.core.tasks.by_id[id].attempt.noted)  # type: ignore[union-attr]
     one.board.tell(machine.row() | {"born_ms": born})
     one.until(lambda: one.service.node_list.revision == 2 and not one.service.driver.queue)
     words = [(m.kind, m.cause) for m in one.off(owner.replies, id, 1, 0.5 if noted else 20.0)]
@@ -417,7 +426,7 @@
     machine.fault = None
     one.placed(owner, 2)
     assert [m.id for m in owner.received if m.id == id] == [] and [m.id for m in given_up] == [id]
-    assert list(one.service.core.requests.tasks) == [f"{2:016x}"]
+    assert list(one.service.core.tasks.by_id) == [f"{2:016x}"]
 
 
 def test_a_second_answer_some_milliseconds_late_is_not_passed_on(live: Make) -> None:
--- a/tests/platform/test_platform_drawn.py
+++ b/tests/platform/test_platform_drawn.py
@@ -8,7 +8,7 @@
 from drawn_days import DrawnDay
 
 from stairplank import interface as api
-from stairplank.platform import attempts, client_requests, links, tables
+from stairplank.platform import attempts, client_requests, links, tables, task_table
 
 SEEDS = range(12)
 
@@ -51,7 +51,7 @@
 
 
 def withdrawn_tasks_are_forgotten(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(client_requests, "UNPROVEN_MOST", 0)
+    patch.setattr(task_table, "UNPROVEN_MOST", 0)
 
 
 def the_same_id_goes_to_a_machine_again(patch: pytest.MonkeyPatch) -> None:
@@ -66,7 +66,7 @@
         self.by_machine_and_id = Forgets()
 
     patch.setattr(attempts.Attempts, "__init__", made)
-    patch.setattr(client_requests, "UNPROVEN_MOST", 0)
+    patch.setattr(task_table, "UNPROVEN_MOST", 0)
 
 
 def refusals_are_not_told(patch: pytest.MonkeyPatch) -> None:
--- a/tests/platform/test_platform_links.py
+++ b/tests/platform/test_platform_links.py
@@ -183,7 +183,7 @@
     desk.ask(conn, 2)
     desk.connect()
     desk.machine(desk.sent(2)[0][0], Message(ANSWER, name(2), body="b"))
-    assert desk.core.requests.tasks[name(2)].attempt is not None
+    assert desk.core.tasks.by_id[name(2)].attempt is not None
     assert link in desk.hung
 
 
--- a/tests/platform/test_platform_process.py
+++ b/tests/platform/test_platform_process.py
@@ -16,7 +16,7 @@
 from platform_config import CONFIG
 from platform_standins import BoardStand, Machine, Owner, Process, reset, running, until
 
-from stairplank.platform import binary, client_requests, jsonlines
+from stairplank.platform import binary, jsonlines, shutdown
 from stairplank.platform.messages import Cause, Kind, Message
 
 Start = Callable[..., tuple[Process, BoardStand, list[Machine]]]
@@ -234,7 +234,7 @@
     assert kinds(owner.replies(repeat)) == [(Kind.RELEASE, Cause.BUSY)]
     assert kinds(owner.replies(keyed)) == [(Kind.RELEASE, Cause.RESET)]
     assert process.child.wait(20) == 0
-    assert time.monotonic() - began >= client_requests.LEAVING_US / 1e6  # it went on accepting
+    assert time.monotonic() - began >= shutdown.LEAVING_US / 1e6  # it went on accepting
 
 
 def test_signals_before_it_is_ready_do_not_end_it(tmp_path: Path) -> None:
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -149,7 +149,7 @@
 def test_it_does_not_leave_while_something_that_was_read_waits(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(service.core.requests, "is_done", lambda: True)
+    monkeypatch.setattr(service.core.shutdown, "is_done", lambda: True)
     service.driver.enqueue(ev.ClientMessage(1, Message(Kind.SET_UP, "00000000000000aa", {}, body="x")))
     assert not service._is_done()
     service.driver.queue.take_all()
