--- a/stairplank/cli/main.py
+++ b/stairplank/cli/main.py
@@ -13,6 +13,7 @@
 from ..settings import SettingsError
 from . import logs
 from .configuration import configuration
+from .scale import scale, scale_compare
 
 
 class Group(click.Group):
@@ -403,3 +404,5 @@
 
 
 main.add_command(configuration)
+main.add_command(scale)
+main.add_command(scale_compare)
--- /dev/null
+++ b/stairplank/scale/bounds.py
@@ -0,0 +1,97 @@
+"""What a scale run may take of the machine, estimated before anything is started."""
+
+from __future__ import annotations
+
+import resource
+from dataclasses import dataclass
+
+import psutil
+
+from ..settings.lines import Problem, SettingsError
+from .plan import Plan, SampleSpec
+
+MEGABYTE = 2**20
+MEMORY_SHARE = 0.5  # of the machine's
+# Estimates of resident memory, above what trials showed.
+PROCESS_MB = 40.0  # a hollow process without peers
+REAL_PLANNER_MB = 90.0
+HOLLOW_PLANNER_MB = 12.0
+WORKER_MB = 0.05
+CONNECTION_MB = 0.05  # both ends
+TASK_MB = 0.02  # at worker, planner and client together
+CONNECTIONS_PER_MACHINE = 3  # of one planner to one worker, while they are renewed
+WORKERS_PER_PROCESS = 250
+PLANNERS_PER_PROCESS = 8
+SERVICE_PROCESSES = 2  # node list and clients
+DESCRIPTORS_SPARE = 200
+
+
+@dataclass(frozen=True, slots=True)
+class Estimate:
+    """What one site takes."""
+
+    processes: int
+    memory_mb: float
+    descriptors: int  # of the process that needs most
+
+
+def parts(count: int, most: int) -> int:
+    """Into how many processes so many peers are divided."""
+    return -(-count // most)
+
+
+def estimate(spec: SampleSpec, real_planners: int) -> Estimate:
+    """Of the site at which this sample is taken."""
+    size = spec.size
+    hollow = max(0, size.planners - real_planners)
+    hollow_processes = parts(size.workers, WORKERS_PER_PROCESS) + parts(hollow, PLANNERS_PER_PROCESS)
+    processes = hollow_processes + SERVICE_PROCESSES + real_planners
+    tasks_per_planner = -(-size.running // size.planners)
+    machines = min(size.workers, tasks_per_planner) + 1
+    connections = size.planners * machines * CONNECTIONS_PER_MACHINE
+    memory_mb = (
+        (hollow_processes + SERVICE_PROCESSES) * PROCESS_MB
+        + real_planners * REAL_PLANNER_MB
+        + hollow * HOLLOW_PLANNER_MB
+        + size.workers * WORKER_MB
+        + connections * CONNECTION_MB
+        + size.running * TASK_MB
+    )
+    at_workers = min(size.workers, WORKERS_PER_PROCESS) + connections // parts(
+        size.workers, WORKERS_PER_PROCESS
+    )
+    at_planners = connections // size.planners * min(size.planners, PLANNERS_PER_PROCESS)
+    return Estimate(processes, memory_mb, max(at_workers, at_planners) + DESCRIPTORS_SPARE)
+
+
+def check(plan: Plan) -> None:
+    """Raises SettingsError for each sample that asks for more than the machine or the file allows."""
+    problems: dict[str, Problem] = {}
+    for spec in plan.samples:
+        needed = estimate(spec, real_planners_of(plan, spec))
+        for text in _faults(plan, spec, needed):
+            problems.setdefault(f"{spec.at}: {text}", Problem(spec.at, "", text))
+    if problems:
+        raise SettingsError(list(problems.values()))
+
+
+def real_planners_of(plan: Plan, spec: SampleSpec) -> int:
+    """Events restart planners, so all are real there."""
+    return spec.size.planners if spec.is_event else min(plan.layout.real_planners, spec.size.planners)
+
+
+def _faults(plan: Plan, spec: SampleSpec, needed: Estimate) -> list[str]:
+    machine_mb = psutil.virtual_memory().total / MEGABYTE
+    memory_mb = machine_mb * MEMORY_SHARE
+    if plan.memory_most is not None:
+        memory_mb = min(memory_mb, plan.memory_most / MEGABYTE)
+    descriptors, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    size = f"{spec.size.workers} workers and {spec.size.planners} planners"
+    out = []
+    if needed.memory_mb > memory_mb:
+        out.append(f"{size} need about {needed.memory_mb:.0f} MB; at most {memory_mb:.0f} MB may be taken")
+    if needed.processes > plan.processes_most:
+        out.append(f"{size} need {needed.processes} processes; at most {plan.processes_most} may be started")
+    if needed.descriptors > descriptors:
+        out.append(f"{size} need {needed.descriptors} descriptors in one process; the limit is {descriptors}")
+    return out
--- /dev/null
+++ b/stairplank/scale/counts.py
@@ -0,0 +1,72 @@
+"""What is counted at a socket, and the sums of it. No I/O."""
+
+from __future__ import annotations
+
+from dataclasses import asdict, dataclass
+from typing import Any
+
+from ..platform.messages import Kind
+
+CONTROL_KINDS = frozenset({Kind.TEST, Kind.TESTED})
+
+
+def is_control(kind: Kind) -> bool:
+    """Whether a message belongs to no task: checks and their answers."""
+    return kind in CONTROL_KINDS
+
+
+@dataclass(slots=True)
+class Counts:
+    """Totals since the start of a process; bytes are payload, both directions together."""
+
+    dials: int = 0
+    task_messages: int = 0
+    task_bytes: int = 0
+    control_messages: int = 0
+    control_bytes: int = 0
+    connection_seconds: float = 0.0
+
+    def count(self, control: bool, size: int) -> None:
+        """One message of so many bytes."""
+        if control:
+            self.control_messages += 1
+            self.control_bytes += size
+        else:
+            self.task_messages += 1
+            self.task_bytes += size
+
+    def plus(self, other: Counts) -> Counts:
+        return Counts(*(a + b for a, b in zip(self.values(), other.values(), strict=True)))
+
+    def minus(self, other: Counts) -> Counts:
+        return Counts(*(a - b for a, b in zip(self.values(), other.values(), strict=True)))
+
+    def values(self) -> tuple[Any, ...]:
+        return tuple(asdict(self).values())
+
+    @property
+    def messages(self) -> int:
+        return self.task_messages + self.control_messages
+
+    @property
+    def bytes(self) -> int:
+        return self.task_bytes + self.control_bytes
+
+
+class OpenConnections:
+    """How many are open, and the integral of that over time."""
+
+    def __init__(self, now: float) -> None:
+        self.open = 0
+        self._seconds = 0.0
+        self._since = now
+
+    def change(self, by: int, now: float) -> None:
+        self.seconds(now)
+        self.open += by
+
+    def seconds(self, now: float) -> float:
+        """Connection-seconds so far."""
+        self._seconds += self.open * (now - self._since)
+        self._since = now
+        return self._seconds
--- /dev/null
+++ b/stairplank/scale/events.py
@@ -0,0 +1,164 @@
+"""Events at a site of the platform form, and what is timed after each. Every planner is a real one there."""
+
+from __future__ import annotations
+
+import math
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from . import plan
+from .results import EventTimes
+from .site import PlatformSite
+
+TIMEOUT_S = 40.0
+POLL_S = 0.05
+LEVEL_POLLS = 20  # of the waiting work, before the event
+RESTART_S = 2.0  # a worker that restarts is away for so long
+ZONE_AWAY_S = 5.0
+CUT_S = 15.0
+ONE_HOUR_S = 3600
+REGIONS = 3
+READY_SHARE = 0.9  # of the restarted processes
+
+
+@dataclass(frozen=True, slots=True)
+class Observed:
+    """What an event took, and what its sample has to say of it."""
+
+    times: EventTimes
+    note: str = ""
+
+
+def run(event: str, site: PlatformSite) -> Observed:
+    """Have it happen and wait until it is over, ``TIMEOUT_S`` at most for each time."""
+    return _EVENTS[event](site)
+
+
+class _Watch:
+    """Times after an event. Made before it: the level of waiting work is taken then, and the tasks that run
+    at the workers concerned are remembered."""
+
+    def __init__(self, site: PlatformSite, workers: list[str]) -> None:
+        self._site = site
+        self.level = self._level()
+        self.marked: int = site.clients.ask("mark", workers=workers)
+        self.began = time.monotonic()
+
+    def known(self) -> float | None:
+        """Until the last of the remembered tasks is released to its client."""
+        return self._until(lambda progress: progress["marked"] == 0)
+
+    def caught_up(self) -> float | None:
+        """Until no more work waits than before."""
+        return self._until(lambda progress: progress["waiting"] <= self.level)
+
+    def _level(self) -> int:
+        """The most work that waits at any of some moments."""
+        level = 0
+        for _ in range(LEVEL_POLLS):
+            level = max(level, self._progress()["waiting"])
+            time.sleep(POLL_S)
+        return level
+
+    def _until(self, is_reached: Callable[[dict[str, int]], bool]) -> float | None:
+        deadline = time.monotonic() + TIMEOUT_S
+        while not is_reached(self._progress()):
+            if time.monotonic() > deadline:
+                return None
+            time.sleep(POLL_S)
+        return time.monotonic() - self.began
+
+    def _progress(self) -> dict[str, int]:
+        progress: dict[str, int] = self._site.clients.ask("progress")
+        return progress
+
+
+def _planners_restart(site: PlatformSite, positions: list[int]) -> Observed:
+    watch = _Watch(site, [])
+    ready = sorted(site.restart_planners(positions))
+    index = math.ceil(READY_SHARE * len(positions)) - 1
+    ready_s = ready[index] if index < len(ready) else None
+    note = f"{len(positions)} of {site.planners} planners killed and started again"
+    return Observed(EventTimes(ready_s=ready_s, caught_up_s=watch.caught_up()), note)
+
+
+def _planner_restarts(site: PlatformSite) -> Observed:
+    return _planners_restart(site, [0])
+
+
+def _all_planners_restart(site: PlatformSite) -> Observed:
+    return _planners_restart(site, list(range(site.planners)))
+
+
+def _vanish(site: PlatformSite, workers: list[str]) -> Observed:
+    watch = _Watch(site, workers)
+    site.fall_silent(workers)
+    times = EventTimes(known_s=watch.known(), caught_up_s=watch.caught_up())
+    return Observed(times, f"{len(workers)} workers fell silent; {watch.marked} tasks ran there")
+
+
+def _machine_fails(site: PlatformSite) -> Observed:
+    return _vanish(site, list(site.rows)[:1])
+
+
+def _rack_fails(site: PlatformSite) -> Observed:
+    return _vanish(site, _rack(site))
+
+
+def _restarts(site: PlatformSite) -> Observed:
+    workers = list(site.rows)[: site.layout.restarted]
+    watch = _Watch(site, workers)
+    site.crash(workers)
+    time.sleep(RESTART_S)
+    site.start_again(workers)
+    times = EventTimes(known_s=watch.known(), caught_up_s=watch.caught_up())
+    note = f"{len(workers)} workers away for {RESTART_S:g} s at once; {watch.marked} tasks ran there"
+    return Observed(times, note)
+
+
+def _zone_returns(site: PlatformSite) -> Observed:
+    zone = next(iter(site.rows.values()))["site"]
+    workers = [name for name, row in site.rows.items() if row["site"] == zone]
+    watch = _Watch(site, workers)
+    site.crash(workers)
+    site.delist(workers)
+    time.sleep(ZONE_AWAY_S)
+    site.start_again(workers)
+    times = EventTimes(known_s=watch.known(), caught_up_s=watch.caught_up())
+    note = f"{len(workers)} workers away for {ZONE_AWAY_S:g} s, times from the zone's loss; "
+    return Observed(times, note + f"{watch.marked} tasks ran there")
+
+
+def _region_cut(site: PlatformSite) -> Observed:
+    workers = list(site.rows)[: len(site.rows) // REGIONS]
+    watch = _Watch(site, workers)
+    site.fall_silent(workers)
+    known_s = watch.known()
+    time.sleep(max(0.0, watch.began + CUT_S - time.monotonic()))
+    away_s = time.monotonic() - watch.began
+    site.speak_again(workers)
+    times = EventTimes(known_s=known_s, caught_up_s=watch.caught_up())
+    note = f"{len(workers)} workers cut off for {away_s:.0f} s, not for an hour ({ONE_HOUR_S} s); "
+    return Observed(times, note + f"{watch.marked} tasks ran there")
+
+
+def _list_moves(site: PlatformSite) -> Observed:
+    return Observed(EventTimes(in_force_s=site.move_list()), "SIGHUP with the address of another list")
+
+
+def _rack(site: PlatformSite) -> list[str]:
+    first = next(iter(site.rows.values()))["block"]
+    return [name for name, row in site.rows.items() if row["block"] == first]
+
+
+_EVENTS: dict[str, Callable[[PlatformSite], Observed]] = {
+    plan.PLANNER_RESTARTS: _planner_restarts,
+    plan.ALL_PLANNERS_RESTART: _all_planners_restart,
+    plan.MACHINE_FAILS: _machine_fails,
+    plan.RACK_FAILS: _rack_fails,
+    plan.RESTARTS: _restarts,
+    plan.ZONE_RETURNS: _zone_returns,
+    plan.REGION_CUT: _region_cut,
+    plan.LIST_MOVES: _list_moves,
+}
--- /dev/null
+++ b/stairplank/scale/hollow_planners.py
@@ -0,0 +1,31 @@
+"""Hollow planners of the platform form: the same core and connections as a real one, many in a process."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import gevent
+
+from ..platform.service import Service
+
+POLL_S = 0.02
+
+
+class PlannerHost:
+    """The commands of a process of hollow planners."""
+
+    def __init__(self) -> None:
+        self._services: list[Service] = []
+
+    def start(self, files: list[str]) -> list[str]:
+        """Start one by each configuration file; their addresses once all serve."""
+        services = [Service(path) for path in files]
+        for service in services:
+            gevent.spawn(service.run)
+        while not all(service.where for service in services):
+            gevent.sleep(POLL_S)
+        self._services += services
+        return [service.where for service in services]
+
+    def snapshot(self) -> dict[str, Any]:
+        return {"planners": len(self._services)}
--- /dev/null
+++ b/stairplank/scale/plan.py
@@ -0,0 +1,248 @@
+"""The file of a scale run, and the samples that it asks for. No I/O beyond reading the file.
+
+A file names the size of a whole site (``target``) and any number of series. A series is a grid: every
+``workers`` with every ``planners``, at each ``load`` (scaled with the workers: `idle`, `steady`, `peak`) or
+at each combination of ``starts``, ``running`` and ``list-changes``, which are those of the whole site.
+"""
+
+from __future__ import annotations
+
+import itertools
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from ..settings import values as v
+from ..settings.lines import Position, Problem, SettingsError
+from ..settings.schema import Block, Key, Section, load
+from .results import Size
+
+PLATFORM, GRPC = "platform", "grpc"
+FORMS = (PLATFORM, GRPC)
+IDLE, STEADY, PEAK, LIST_CHANGES = "idle", "steady", "peak", "list-changes"
+LOADS = (IDLE, STEADY, PEAK)
+PLANNER_RESTARTS, ALL_PLANNERS_RESTART = "planner-restarts", "all-planners-restart"
+MACHINE_FAILS, RACK_FAILS, RESTARTS = "machine-fails", "rack-fails", "restarts"
+ZONE_RETURNS, REGION_CUT, LIST_MOVES = "zone-returns", "region-cut", "list-moves"
+EVENTS = (
+    PLANNER_RESTARTS,
+    ALL_PLANNERS_RESTART,
+    MACHINE_FAILS,
+    RACK_FAILS,
+    RESTARTS,
+    ZONE_RETURNS,
+    REGION_CUT,
+    LIST_MOVES,
+)
+WORKERS_MOST, PLANNERS_MOST, RUNNING_MOST, STARTS_MOST = 4000, 200, 100_000, 2000.0
+REAL_PLANNERS_MOST = 16
+STEADY_SHARE = 1 / 7  # of the target's starts, where the file does not say
+PROCESSES_MOST = 300  # whatever a file asks for
+SECOND_US = 1_000_000
+
+_WORKERS = v.whole(1, WORKERS_MOST)
+_PLANNERS = v.whole(1, PLANNERS_MOST)
+_RUNNING = v.whole(0, RUNNING_MOST)
+_STARTS = v.number(0, STARTS_MOST)
+
+
+def _many(name: str, value: v.Value, required: bool = False) -> Key:
+    return Key(name, required=required, rest=value, least_rest=1)
+
+
+SERIES = Block(
+    "series",
+    (v.name,),
+    (
+        _many("form", v.choice(*FORMS)),
+        _many("workers", _WORKERS),
+        _many("planners", _PLANNERS),
+        _many("load", v.choice(*LOADS)),
+        _many("starts", _STARTS),
+        _many("running", _RUNNING),
+        _many("list-changes", v.number(0, 1000)),
+    ),
+)
+SCALE: tuple[Key | Block, ...] = (
+    Key(
+        "target",
+        (_WORKERS, _PLANNERS, v.number(0, STARTS_MOST, above=True), v.whole(1, RUNNING_MOST)),
+        required=True,
+        words=("workers", "planners", "starts", "running"),
+    ),
+    Key("steady", (v.number(0, STARTS_MOST, above=True),)),  # starts a second of the target, off the peak
+    Key("span", (v.positive_duration,)),
+    Key("settle", (v.positive_duration,)),
+    Key("repeat", (v.whole(1, 100),)),
+    Key("real-planners", (v.whole(1, REAL_PLANNERS_MOST),)),
+    Key("zones", (v.whole(1, 100),)),
+    Key("rack", (v.whole(1, 1000),)),  # workers in one
+    Key("restarted", (v.whole(1, WORKERS_MOST),)),  # workers of the event `restarts`
+    Key("descriptors", (v.whole(64, 1_000_000),)),  # of a planner
+    Key("processes-most", (v.whole(5, PROCESSES_MOST),)),
+    Key("memory-most", (v.size,)),
+    Key("time-most", (v.positive_duration,)),
+    SERIES,
+    Key("event", (v.choice(*EVENTS),), False, True),
+)
+
+
+@dataclass(frozen=True, slots=True)
+class Layout:
+    """How a site is built, whatever its size."""
+
+    real_planners: int = 1
+    zones: int = 6
+    rack_size: int = 40
+    descriptors: int = 4096  # of a planner
+    restarted: int = 200  # workers of the event `restarts`
+
+
+@dataclass(frozen=True, slots=True)
+class SampleSpec:
+    """One sample that is asked for, and the place in the file that asks."""
+
+    form: str
+    load: str
+    size: Size
+    list_changes_per_s: float
+    at: Position
+    repeat: int = 0
+
+    @property
+    def is_event(self) -> bool:
+        return self.load in EVENTS
+
+    @property
+    def life_s(self) -> float:
+        """Of a task, so that the running ones stay as many; 0 for no end."""
+        return self.size.running / self.size.starts_per_s if self.size.starts_per_s else 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class Plan:
+    """A whole run."""
+
+    name: str
+    target: Size
+    samples: tuple[SampleSpec, ...]
+    layout: Layout
+    span_s: float
+    settle_s: float
+    processes_most: int
+    memory_most: int | None  # bytes; None: half of the machine's
+    time_most_s: float
+
+
+def load_plan(path: str | Path) -> Plan:
+    """Raises SettingsError."""
+    section = load(path, SCALE)
+    one = section.one
+    target = _target(section)
+    repeats = one("repeat", 1)
+    asked = [*_series(section, target), *_events(section, target)]
+    if not asked:
+        raise SettingsError([Problem(section.at, "series", "a series or an event is needed")])
+    return Plan(
+        name=Path(path).stem,
+        target=target,
+        samples=_repeated(asked, repeats),
+        layout=_layout(section),
+        span_s=one("span", 6 * SECOND_US) / SECOND_US,
+        settle_s=one("settle", 3 * SECOND_US) / SECOND_US,
+        processes_most=one("processes-most", PROCESSES_MOST),
+        memory_most=one("memory-most"),
+        time_most_s=one("time-most", 900 * SECOND_US) / SECOND_US,
+    )
+
+
+def _layout(section: Section) -> Layout:
+    default = Layout()
+    return Layout(
+        section.one("real-planners", default.real_planners),
+        section.one("zones", default.zones),
+        section.one("rack", default.rack_size),
+        section.one("descriptors", default.descriptors),
+        section.one("restarted", default.restarted),
+    )
+
+
+def _target(section: Section) -> Size:
+    workers, planners, starts, running = section.one("target")
+    return Size(workers, planners, starts, running)
+
+
+def _values(block: Section, key: str, default: tuple[Any, ...]) -> tuple[Any, ...]:
+    found = block.all(key)
+    return found[0] if found else default
+
+
+def _series(section: Section, target: Size) -> list[SampleSpec]:
+    steady = section.one("steady", target.starts_per_s * STEADY_SHARE)
+    out: list[SampleSpec] = []
+    for block in section.blocks.get("series", ()):
+        forms = _values(block, "form", (PLATFORM,))
+        workers = _values(block, "workers", (target.workers,))
+        planners = _values(block, "planners", (target.planners,))
+        place = block.place("workers" if "workers" in block.keys else "planners")
+        for form, worker_count, planner_count in itertools.product(forms, workers, planners):
+            for load_name, starts, running, changes in _loads(block, target, steady, worker_count):
+                size = Size(worker_count, planner_count, starts, running)
+                out.append(SampleSpec(form, load_name, size, changes, place))
+    return out
+
+
+def _loads(block: Section, target: Size, steady: float, workers: int) -> list[tuple[str, float, int, float]]:
+    """Each load of a series at so many workers: its name, starts, running tasks, changes of the list."""
+    grid = ("starts", "running", "list-changes")
+    if "load" in block.keys:
+        both = next((key for key in grid if key in block.keys), None)
+        if both is not None:
+            problem = Problem(block.place(both), both, "cannot stand beside `load`, which says it already")
+            raise SettingsError([problem])
+        return [_named_load(name, target, steady, workers) for name in block.all("load")[0]]
+    starts = _values(block, "starts", (0.0,))
+    running = _values(block, "running", (0,))
+    changes = _values(block, "list-changes", (0.0,))
+    combined = list(itertools.product(starts, running, changes))
+    for rate, count, _ in combined:
+        if rate and not count:
+            text = "tasks that start also run: `running` above 0 is needed"
+            raise SettingsError([Problem(block.place("starts"), "starts", text)])
+    return [(_name_of(rate, per_s, target), rate, count, per_s) for rate, count, per_s in combined]
+
+
+def _named_load(name: str, target: Size, steady: float, workers: int) -> tuple[str, float, int, float]:
+    scale = workers / target.workers
+    if name == IDLE:
+        return name, 0.0, 0, 0.0
+    starts = round((steady if name == STEADY else target.starts_per_s) * scale, 3)
+    return name, starts, max(1, round(target.running * scale)), 0.0
+
+
+def _name_of(starts: float, list_changes: float, target: Size) -> str:
+    if list_changes:
+        return f"{LIST_CHANGES}-{list_changes:g}"
+    if not starts:
+        return IDLE
+    return PEAK if starts >= target.starts_per_s else STEADY
+
+
+def _events(section: Section, target: Size) -> list[SampleSpec]:
+    steady = section.one("steady", target.starts_per_s * STEADY_SHARE)
+    _, starts, running, _ = _named_load(STEADY, target, steady, target.workers)
+    size = Size(target.workers, target.planners, starts, running)
+    given = section.keys.get("event", ())
+    return [SampleSpec(PLATFORM, name, size, 0.0, place) for place, (name,) in given]
+
+
+def _repeated(asked: list[SampleSpec], repeats: int) -> tuple[SampleSpec, ...]:
+    """Each sample once a repeat, although two series may ask for it."""
+    unique: dict[Any, SampleSpec] = {}
+    for spec in asked:
+        unique.setdefault((spec.form, spec.load, spec.size, spec.list_changes_per_s), spec)
+    return tuple(
+        SampleSpec(spec.form, spec.load, spec.size, spec.list_changes_per_s, spec.at, number)
+        for number in range(repeats)
+        for spec in unique.values()
+    )
--- /dev/null
+++ b/stairplank/scale/run.py
@@ -0,0 +1,186 @@
+"""A scale run: sites one after the other, samples at each, results kept after every sample."""
+
+from __future__ import annotations
+
+import platform
+import signal
+import tempfile
+import time
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
+from pathlib import Path
+from types import FrameType
+
+import psutil
+
+from . import bounds, events, results
+from .children import ChildError
+from .measure import peer_cost, planner_cost
+from .plan import Plan, SampleSpec
+from .results import Results, Sample
+from .site import PlatformSite
+
+CHANGES_SPARE_S = 2.0  # for which the list goes on to change beyond a span
+SIGNALS = (signal.SIGINT, signal.SIGTERM)
+Progress = Callable[[str], None]
+
+
+class Interrupted(Exception):
+    """A signal asks for the end of the run."""
+
+
+@dataclass(frozen=True, slots=True)
+class _SiteKey:
+    """Samples that agree in these are taken at one site, the one with fewest running tasks first."""
+
+    form: str
+    workers: int
+    planners: int
+    starts_per_s: float
+    event: str
+    repeat: int
+
+
+class Run:
+    """``target`` is the results file; ``progress`` is told what happens."""
+
+    def __init__(self, plan: Plan, target: Path, label: str, progress: Progress) -> None:
+        self._plan = plan
+        self._target = target
+        self._progress = progress
+        self._began = time.monotonic()
+        self._samples: list[Sample] = []
+        self._label = label
+        self._is_whole = True
+
+    def run(self) -> Results:
+        """Take all samples, or those that the bound of time allows; what was measured when a signal came."""
+        with signals_raise(), tempfile.TemporaryDirectory(prefix="stairplank-scale-") as work:
+            try:
+                for number, (key, specs) in enumerate(_by_site(self._plan.samples).items()):
+                    if self._seconds() > self._plan.time_most_s:
+                        self._progress(f"ended by time-most, {self._plan.time_most_s:g} s")
+                        self._is_whole = False
+                        break
+                    self._at_site(key, specs, Path(work) / f"site-{number}")
+            except Interrupted as reason:
+                self._progress(f"interrupted by {reason}")
+                self._is_whole = False
+        self._keep(partial=not self._is_whole)
+        return results.read(self._target)
+
+    # One site
+
+    def _at_site(self, key: _SiteKey, specs: list[SampleSpec], folder: Path) -> None:
+        try:
+            site = self._start(key, specs, folder)
+            try:
+                for spec in specs:
+                    self._take(site, spec)
+            finally:
+                site.end()
+        except ChildError as error:
+            self._progress(f"not measured: {error}")
+            self._is_whole = False
+
+    def _start(self, key: _SiteKey, specs: list[SampleSpec], folder: Path) -> PlatformSite:
+        self._progress(f"{key.form}: {key.workers} workers, {key.planners} planners")
+        real = bounds.real_planners_of(self._plan, specs[0])
+        return PlatformSite(key.workers, key.planners, real, self._plan.layout, folder)
+
+    def _take(self, site: PlatformSite, spec: SampleSpec) -> None:
+        size = spec.size
+        site.generate(0.0, 0.0)
+        site.place(size.running, spec.life_s)
+        site.generate(size.starts_per_s, spec.life_s)
+        time.sleep(self._plan.settle_s)
+        sample = self._event(site, spec) if spec.is_event else self._span(site, spec)
+        self._samples.append(sample)
+        self._keep(partial=True)
+        self._progress(f"  {len(self._samples)} of {len(self._plan.samples)}: {describe(spec)}")
+
+    def _span(self, site: PlatformSite, spec: SampleSpec) -> Sample:
+        if spec.list_changes_per_s:
+            site.change_list(spec.list_changes_per_s, self._plan.span_s + CHANGES_SPARE_S)
+        before = site.snapshot()
+        time.sleep(self._plan.span_s)
+        after = site.snapshot()
+        planner = planner_cost(before, after, site.real_planners)
+        peers = peer_cost(before, after, spec.size.workers)
+        notes = _real_note(site) + _load_note(spec, before.running, after.running, after.waiting)
+        span_s = round(after.at - before.at, 3)
+        return Sample(spec.form, spec.load, spec.size, span_s, spec.repeat, planner, peers, note=notes)
+
+    def _event(self, site: PlatformSite, spec: SampleSpec) -> Sample:
+        began = time.monotonic()
+        observed = events.run(spec.load, site)
+        span_s = round(time.monotonic() - began, 3)
+        note = observed.note
+        return Sample(spec.form, spec.load, spec.size, span_s, spec.repeat, event=observed.times, note=note)
+
+    # Results
+
+    def _seconds(self) -> float:
+        return time.monotonic() - self._began
+
+    def _keep(self, partial: bool) -> None:
+        samples = tuple(self._samples)
+        kept = Results(self._label, machine(), samples, partial, round(self._seconds(), 1))
+        results.write(kept, self._target)
+
+
+def _by_site(samples: tuple[SampleSpec, ...]) -> dict[_SiteKey, list[SampleSpec]]:
+    groups: dict[_SiteKey, list[SampleSpec]] = {}
+    for spec in samples:
+        size, event = spec.size, spec.load if spec.is_event else ""
+        key = _SiteKey(spec.form, size.workers, size.planners, size.starts_per_s, event, spec.repeat)
+        groups.setdefault(key, []).append(spec)
+    for specs in groups.values():
+        specs.sort(key=lambda spec: (spec.size.running, spec.list_changes_per_s))
+    return groups
+
+
+def _real_note(site: PlatformSite) -> str:
+    if site.real_planners == site.planners:
+        return ""
+    return f"{site.real_planners} of {site.planners} planners real, the others hollow"
+
+
+def _load_note(spec: SampleSpec, before: int, after: int, waiting: int) -> str:
+    """Says where the load was not what was asked for."""
+    drift = max(abs(before - spec.size.running), abs(after - spec.size.running))
+    if drift <= max(5, 0.05 * spec.size.running) and waiting <= max(5, spec.size.starts_per_s):
+        return ""
+    return f"; {before} tasks ran at its begin, {after} at its end, {waiting} waited"
+
+
+def describe(spec: SampleSpec) -> str:
+    size = spec.size
+    return (
+        f"{spec.form} {spec.load}, {size.workers} workers, {size.planners} planners, "
+        f"{size.starts_per_s:g} starts/s, {size.running} running"
+    )
+
+
+def machine() -> str:
+    """Cores and memory of this machine."""
+    memory = psutil.virtual_memory().total / 2**30
+    return f"{psutil.cpu_count()} cores, {memory:.1f} GB, {platform.system()} {platform.release()}"
+
+
+@contextmanager
+def signals_raise() -> Iterator[None]:
+    """The first signal raises Interrupted where the run is; further ones must not disturb its end."""
+
+    def handle(number: int, frame: FrameType | None) -> None:
+        for each in SIGNALS:
+            signal.signal(each, signal.SIG_IGN)
+        raise Interrupted(signal.Signals(number).name)
+
+    before = {number: signal.signal(number, handle) for number in SIGNALS}
+    try:
+        yield
+    finally:
+        for number, handler in before.items():
+            signal.signal(number, handler)
--- /dev/null
+++ b/stairplank/scale/site.py
@@ -0,0 +1,235 @@
+"""A site of the platform form: real planners beside hollow workers, planners, list and clients, on loopback.
+
+Real planners have the first positions of the fleet. Every planner reaches its peers at loopback addresses of
+its own (``loopback``), so that traffic is counted for each.
+"""
+
+from __future__ import annotations
+
+import json
+import signal
+import time
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+from .bounds import PLANNERS_PER_PROCESS, WORKERS_PER_PROCESS, parts
+from .children import Child, Children, Commanded, ask_all
+from .counts import Counts
+from .plan import Layout
+from .platform_files import planner_config, write_planner_file
+
+START_TIMEOUT_S = 30.0
+POLL_S = 0.02
+REAL_PLANNER = ["-m", "stairplank.platform"]
+
+
+@dataclass(slots=True)
+class Snapshot:
+    """All totals of a site at one moment."""
+
+    at: float
+    workers: dict[int, Counts] = field(default_factory=dict)  # by planner
+    task_machines: dict[int, int] = field(default_factory=dict)
+    node_list: dict[int, Counts] = field(default_factory=dict)
+    clients: dict[int, Counts] = field(default_factory=dict)
+    planner_cpu: list[float] = field(default_factory=list)  # of the real ones
+    planner_memory: list[float] = field(default_factory=list)
+    list_cpu: float = 0.0
+    running: int = 0
+    waiting: int = 0
+    placed: int = 0
+    refused: int = 0
+
+
+class PlatformSite:
+    """Starts on construction; ``end`` ends every process."""
+
+    def __init__(self, workers: int, planners: int, real_planners: int, layout: Layout, folder: Path) -> None:
+        folder.mkdir(parents=True, exist_ok=True)
+        self.workers, self.planners, self.real_planners = workers, planners, real_planners
+        self.layout = layout
+        self.folder = folder
+        self.children = Children(folder)
+        self.rows: dict[str, dict[str, Any]] = {}
+        self.real: list[Child] = []
+        try:
+            self._start()
+        except BaseException:
+            self.end()
+            raise
+
+    def end(self) -> None:
+        self.children.end_all()
+
+    # Start
+
+    def _start(self) -> None:
+        self.list = self.children.hollow("list")
+        self.worker_hosts = self._processes("workers", parts(self.workers, WORKERS_PER_PROCESS))
+        self.planner_hosts = self._processes(
+            "planners", parts(self.planners - self.real_planners, PLANNERS_PER_PROCESS)
+        )
+        self.clients = self.children.hollow("clients")
+        self.list_port: int = self.list.ask("start")
+        self._start_workers()
+        self.list.ask("publish", rows=list(self.rows.values()))
+        self.files = [self._planner_file(position) for position in range(self.planners)]
+        addresses = self._start_planners()
+        self.clients.ask("start", planners=addresses)
+
+    def _processes(self, role: str, count: int) -> list[Commanded]:
+        return [self.children.hollow(role, number) for number in range(count)]
+
+    def _start_workers(self) -> None:
+        first = 0
+        for number, host in enumerate(self.worker_hosts):
+            count = (self.workers - first) // (len(self.worker_hosts) - number)
+            zones, rack_size = self.layout.zones, self.layout.rack_size
+            host.send("start", first=first, count=count, zones=zones, rack_size=rack_size)
+            first += count
+        for host in self.worker_hosts:
+            self.rows |= {row["host"]: row for row in host.receive()}
+
+    def _planner_file(self, position: int) -> Path:
+        zones, descriptors = self.layout.zones, self.layout.descriptors
+        config = planner_config(position, self.planners, self.list_port, zones, descriptors)
+        return write_planner_file(self.folder, config)
+
+    def _start_planners(self) -> list[str]:
+        """Their addresses in the order of their positions."""
+        self.real = [self._start_real(position) for position in range(self.real_planners)]
+        hollow = [str(path) for path in self.files[self.real_planners :]]
+        count = len(self.planner_hosts)
+        for number, host in enumerate(self.planner_hosts):
+            host.send("start", files=hollow[number::count])
+        addresses = [self.address_of(child) for child in self.real] + [""] * len(hollow)
+        for number, host in enumerate(self.planner_hosts):
+            addresses[self.real_planners + number :: count] = host.receive()
+        return addresses
+
+    def _start_real(self, position: int) -> Child:
+        environment = {"GW_CONFIG": str(self.files[position])}
+        return self.children.plain(f"planner-{position}", REAL_PLANNER, environment)
+
+    def address_of(self, child: Child) -> str:
+        """Where a real planner serves, once it does."""
+        address: str = wait_for(lambda: _served_at(child), START_TIMEOUT_S, child)
+        return address
+
+    def restart_planners(self, positions: list[int]) -> list[float]:
+        """Kill and start these real planners; for each the seconds until it served."""
+        for position in positions:
+            self.children.end(self.real[position])
+        began = time.monotonic()
+        for position in positions:
+            self.real[position] = self._start_real(position)
+        pending, ready = dict.fromkeys(positions, ""), {}
+        while pending and time.monotonic() < began + START_TIMEOUT_S:
+            for position in list(pending):
+                address = _served_at(self.real[position])
+                if address:
+                    ready[position] = time.monotonic() - began
+                    del pending[position]
+                    self.clients.ask("move", planner=position, where=address)
+            time.sleep(POLL_S)
+        return [ready[position] for position in positions if position in ready]
+
+    # Load
+
+    def place(self, running: int, life_s: float) -> None:
+        self.clients.ask("place", running=running, life_s=life_s)
+
+    def generate(self, per_s: float, life_s: float) -> None:
+        self.clients.ask("generate", per_s=per_s, life_s=life_s)
+
+    def change_list(self, per_s: float, seconds: float) -> None:
+        self.list.ask("change", per_s=per_s, seconds=seconds)
+
+    # Faults
+
+    def crash(self, workers: list[str]) -> None:
+        ask_all(self.worker_hosts, "crash", names=workers)
+
+    def start_again(self, workers: list[str]) -> None:
+        """They come back without their tasks, and the list says so."""
+        rows = [row for answer in ask_all(self.worker_hosts, "start_again", names=workers) for row in answer]
+        self.list.ask("publish", rows=rows)
+
+    def fall_silent(self, workers: list[str]) -> None:
+        ask_all(self.worker_hosts, "fall_silent", names=workers)
+
+    def speak_again(self, workers: list[str]) -> None:
+        ask_all(self.worker_hosts, "speak_again", names=workers)
+
+    def delist(self, workers: list[str]) -> None:
+        """The list says that they are gone."""
+        self.list.ask("publish", rows=[self.rows[name] | {"health": "DELETED"} for name in workers])
+
+    def move_list(self) -> float:
+        """Have every real planner watch another list; seconds until the last one does."""
+        moved = self.children.hollow("list", 1)
+        port = moved.ask("start")
+        moved.ask("publish", rows=list(self.rows.values()))
+        began = time.monotonic()
+        self.list_port = port
+        for position, child in enumerate(self.real):
+            self._planner_file(position)
+            child.process.send_signal(signal.SIGHUP)
+        deadline = began + START_TIMEOUT_S
+        while len(moved.ask("snapshot")["traffic"]) < len(self.real):
+            if time.monotonic() > deadline:
+                raise moved.failure("is not watched by every planner")
+            time.sleep(POLL_S)
+        return time.monotonic() - began
+
+    # Figures
+
+    def snapshot(self) -> Snapshot:
+        commanded = [*self.worker_hosts, self.list, self.clients]
+        for child in commanded:
+            child.send("snapshot")
+        *workers, node_list, clients = [child.receive() for child in commanded]
+        taken = Snapshot(time.monotonic())
+        taken.planner_cpu = [child.cpu_seconds() for child in self.real]
+        taken.planner_memory = [child.memory_mb() for child in self.real]
+        taken.list_cpu = self.list.cpu_seconds()
+        for answer in workers:
+            _add_counts(taken.workers, answer["traffic"])
+            for planner, machines in answer["task_machines"].items():
+                taken.task_machines[int(planner)] = taken.task_machines.get(int(planner), 0) + machines
+        _add_counts(taken.node_list, node_list["traffic"])
+        _add_counts(taken.clients, clients["traffic"])
+        for name in ("running", "waiting", "placed", "refused"):
+            setattr(taken, name, clients[name])
+        return taken
+
+
+def _add_counts(into: dict[int, Counts], traffic: dict[str, dict[str, Any]]) -> None:
+    for planner, values in traffic.items():
+        into[int(planner)] = into.get(int(planner), Counts()).plus(Counts(**values))
+
+
+def _served_at(child: Child) -> str:
+    """The address in the line with which a planner says that it serves, or nothing yet."""
+    for line in child.log.read_bytes().splitlines():
+        try:
+            entry = json.loads(line)
+        except ValueError:
+            continue  # not written whole yet
+        if entry.get("event") == "serves":
+            return str(entry["listen"])
+    return ""
+
+
+def wait_for(what: Callable[[], Any], timeout_s: float, child: Child) -> Any:
+    """The first true value. Raises ChildError where the child ends or time is over."""
+    deadline = time.monotonic() + timeout_s
+    while not (value := what()):
+        if child.process.poll() is not None:
+            raise child.failure("has ended")
+        if time.monotonic() > deadline:
+            raise child.failure("is not ready")
+        time.sleep(POLL_S)
+    return value
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize(
     "command",
-    ["planner", "node", "directory", "owners", "place", "rehearse", "judge", "check", "experiment"],
+    ["planner", "node", "directory", "owners", "place", "rehearse", "judge", "check", "experiment", "scale"],
 )
 def test_every_command_has_help(command: str) -> None:
     done = run(command, "--help")
