--- a/stairplank/cli/main.py
+++ b/stairplank/cli/main.py
@@ -144,7 +144,7 @@
     _serve(crowd.start, crowd.write_report)
 
 
-CHECKS = ("planner", "node", "directory", "owners", "scenario")
+CHECKS = ("planner", "node", "directory", "owners", "scenario", "scale")
 
 
 @main.command()
@@ -153,9 +153,12 @@
 def check(file: str, kind: str | None) -> None:
     """Check a settings FILE and say what is wrong with it, all of it.
 
-    What it is, a planner's, node's, directory's or owners' file or a scenario, is told by its content.
+    What it is, a planner's, node's, directory's or owners' file, a scenario or a scale run's, is told by its
+    content.
     """
     from ..rehearsal.scenario import SCENARIO, load_scenario
+    from ..scale.bounds import load_checked
+    from ..scale.plan import SCALE
     from ..settings import load_planner
     from ..settings.kinds import Schema, another, likely
     from ..settings.planner import PLANNER
@@ -168,6 +171,7 @@
         "directory": (config.LISTING, config.load_listing),
         "owners": (config.CROWD, config.load_crowd),
         "scenario": (SCENARIO, load_scenario),
+        "scale": (SCALE, load_checked),
     }
     schemas = {name: schema for name, (schema, _) in known.items()}
     lines = lines_of(file)
--- a/stairplank/cli/scale.py
+++ b/stairplank/cli/scale.py
@@ -34,12 +34,11 @@
     Exit code 0 where all samples were taken, 1 where not (an interrupted run keeps those it has, marked
     partial), 2 for bad input.
     """
-    from ..scale import bounds, report
-    from ..scale.plan import load_plan
+    from ..scale import report
+    from ..scale.bounds import load_checked
     from ..scale.run import Run
 
-    plan = load_plan(shipped_path(file))
-    bounds.check(plan)
+    plan = load_checked(shipped_path(file))
     folder = Path(out)
     folder.mkdir(parents=True, exist_ok=True)
     label = label or f"stairplank {version('stairplank')}, {plan.name}"
--- a/stairplank/scale/bounds.py
+++ b/stairplank/scale/bounds.py
@@ -4,11 +4,12 @@
 
 import resource
 from dataclasses import dataclass
+from pathlib import Path
 
 import psutil
 
 from ..settings.lines import Problem, SettingsError
-from .plan import Plan, SampleSpec
+from .plan import Plan, SampleSpec, load_plan
 
 MEGABYTE = 2**20
 MEMORY_SHARE = 0.5  # of the machine's
@@ -64,6 +65,13 @@
     return Estimate(processes, memory_mb, max(at_workers, at_planners) + DESCRIPTORS_SPARE)
 
 
+def load_checked(path: str | Path) -> Plan:
+    """The plan of a file that this machine can carry out. Raises SettingsError."""
+    plan = load_plan(path)
+    check(plan)
+    return plan
+
+
 def check(plan: Plan) -> None:
     """Raises SettingsError for each sample that asks for more than the machine or the file allows."""
     problems: dict[str, Problem] = {}
--- a/stairplank/scale/clients.py
+++ b/stairplank/scale/clients.py
@@ -5,6 +5,7 @@
 import itertools
 import random
 import time
+from collections import Counter
 from typing import Any
 
 import gevent
@@ -193,6 +194,11 @@
             "lost": sum(c.lost for c in self._clients),
         }
 
+    def busiest(self) -> str:
+        """The worker at which most tasks run."""
+        found = Counter(worker for client in self._clients for worker in client.running.values())
+        return found.most_common(1)[0][0] if found else ""
+
     def mark(self, workers: list[str]) -> int:
         """Remember the tasks that run at these workers; how many they are."""
         names = set(workers)
--- a/stairplank/scale/events.py
+++ b/stairplank/scale/events.py
@@ -17,7 +17,7 @@
 RESTART_S = 2.0  # a worker that restarts is away for so long
 ZONE_AWAY_S = 5.0
 CUT_S = 15.0
-ONE_HOUR_S = 3600
+DISTURBED_S = 10.0  # for which waiting work is watched after a return
 REGIONS = 3
 READY_SHARE = 0.9  # of the restarted processes
 
@@ -61,6 +61,20 @@
             time.sleep(POLL_S)
         return level
 
+    def sleep_until(self, seconds: float) -> float:
+        """Sleep until so long after the event, and say how long after it is then."""
+        time.sleep(max(0.0, self.began + seconds - time.monotonic()))
+        return time.monotonic() - self.began
+
+    def disturbed_s(self) -> float:
+        """Watch for ``DISTURBED_S`` from now on; the last time at which more work waited than before."""
+        began = last = time.monotonic()
+        while (now := time.monotonic()) < began + DISTURBED_S:
+            if self._progress()["waiting"] > self.level:
+                last = now
+            time.sleep(POLL_S)
+        return last - began
+
     def _until(self, is_reached: Callable[[dict[str, int]], bool]) -> float | None:
         deadline = time.monotonic() + TIMEOUT_S
         while not is_reached(self._progress()):
@@ -99,59 +113,60 @@
 
 
 def _machine_fails(site: PlatformSite) -> Observed:
-    return _vanish(site, list(site.rows)[:1])
+    return _vanish(site, [site.clients.ask("busiest")])
 
 
 def _rack_fails(site: PlatformSite) -> Observed:
-    return _vanish(site, _rack(site))
+    first = next(iter(site.rows.values()))["block"]
+    return _vanish(site, [name for name, row in site.rows.items() if row["block"] == first])
 
 
 def _restarts(site: PlatformSite) -> Observed:
     workers = list(site.rows)[: site.layout.restarted]
     watch = _Watch(site, workers)
     site.crash(workers)
-    time.sleep(RESTART_S)
+    known_s = watch.known()
+    away_s = watch.sleep_until(RESTART_S)
     site.start_again(workers)
-    times = EventTimes(known_s=watch.known(), caught_up_s=watch.caught_up())
-    note = f"{len(workers)} workers away for {RESTART_S:g} s at once; {watch.marked} tasks ran there"
+    times = EventTimes(known_s=known_s, caught_up_s=watch.caught_up())
+    note = f"{len(workers)} workers away for {away_s:.1f} s at once; {watch.marked} tasks ran there"
     return Observed(times, note)
 
 
 def _zone_returns(site: PlatformSite) -> Observed:
+    """``caught_up_s`` is from the return on."""
     zone = next(iter(site.rows.values()))["site"]
     workers = [name for name, row in site.rows.items() if row["site"] == zone]
     watch = _Watch(site, workers)
     site.crash(workers)
     site.delist(workers)
-    time.sleep(ZONE_AWAY_S)
+    known_s = watch.known()
+    away_s = watch.sleep_until(ZONE_AWAY_S)
     site.start_again(workers)
-    times = EventTimes(known_s=watch.known(), caught_up_s=watch.caught_up())
-    note = f"{len(workers)} workers away for {ZONE_AWAY_S:g} s, times from the zone's loss; "
-    return Observed(times, note + f"{watch.marked} tasks ran there")
+    times = EventTimes(known_s=known_s, caught_up_s=watch.disturbed_s())
+    note = f"{len(workers)} workers delisted, back cold after {away_s:.1f} s; {watch.marked} tasks ran there"
+    return Observed(times, note)
 
 
 def _region_cut(site: PlatformSite) -> Observed:
+    """``caught_up_s`` is from the return on."""
     workers = list(site.rows)[: len(site.rows) // REGIONS]
     watch = _Watch(site, workers)
     site.fall_silent(workers)
     known_s = watch.known()
-    time.sleep(max(0.0, watch.began + CUT_S - time.monotonic()))
-    away_s = time.monotonic() - watch.began
+    away_s = watch.sleep_until(CUT_S)
     site.speak_again(workers)
-    times = EventTimes(known_s=known_s, caught_up_s=watch.caught_up())
-    note = f"{len(workers)} workers cut off for {away_s:.0f} s, not for an hour ({ONE_HOUR_S} s); "
-    return Observed(times, note + f"{watch.marked} tasks ran there")
+    times = EventTimes(known_s=known_s, caught_up_s=watch.disturbed_s())
+    after = site.snapshot()
+    note = f"{len(workers)} workers cut off for {away_s:.0f} s, not an hour; {watch.marked} tasks ran there; "
+    note += f"{DISTURBED_S:g} s after the return workers held {after.held} tasks, clients {after.running}"
+    return Observed(times, note)
 
 
 def _list_moves(site: PlatformSite) -> Observed:
     return Observed(EventTimes(in_force_s=site.move_list()), "SIGHUP with the address of another list")
 
 
-def _rack(site: PlatformSite) -> list[str]:
-    first = next(iter(site.rows.values()))["block"]
-    return [name for name, row in site.rows.items() if row["block"] == first]
-
-
 _EVENTS: dict[str, Callable[[PlatformSite], Observed]] = {
     plan.PLANNER_RESTARTS: _planner_restarts,
     plan.ALL_PLANNERS_RESTART: _all_planners_restart,
--- a/stairplank/scale/loopback.py
+++ b/stairplank/scale/loopback.py
@@ -34,18 +34,12 @@
 class Listener:
     """A listening socket that can fall silent: dials to it time out, as to a host that has vanished."""
 
-    def __init__(self, port: int = 0) -> None:
-        self._sock = self._opened(port)
-        self.port: int = self._sock.getsockname()[1]
+    def __init__(self) -> None:
+        # Never listens. Danger: while the listener is closed, a connection from here could take its port.
+        self._reserved = _bound(0)
+        self.port: int = self._reserved.getsockname()[1]
         self._fillers: list[Any] = []
-
-    def _opened(self, port: int) -> Any:
-        sock = socket.socket()
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, DEVICE)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind(("0.0.0.0", port))
-        sock.listen(BACKLOG)
-        return sock
+        self.reopen()
 
     def accept(self) -> tuple[Any, int]:
         """The next connection and its planner. Raises OSError once closed."""
@@ -59,8 +53,9 @@
         self._close_fillers()
 
     def reopen(self) -> None:
-        """Listen again at the same port."""
-        self._sock = self._opened(self.port)
+        """Listen, again at the same port."""
+        self._sock = _bound(self.port)
+        self._sock.listen(BACKLOG)
 
     def fall_silent(self) -> None:
         """Leave dials unanswered: the queue of connections is made minimal and filled from here."""
@@ -85,3 +80,11 @@
             with contextlib.suppress(OSError):
                 filler.close()
         self._fillers.clear()
+
+
+def _bound(port: int) -> Any:
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, DEVICE)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    sock.bind(("0.0.0.0", port))
+    return sock
--- a/stairplank/scale/site.py
+++ b/stairplank/scale/site.py
@@ -37,7 +37,8 @@
     planner_cpu: list[float] = field(default_factory=list)  # of the real ones
     planner_memory: list[float] = field(default_factory=list)
     list_cpu: float = 0.0
-    running: int = 0
+    held: int = 0  # tasks at workers, the copies that no client knows of included
+    running: int = 0  # tasks of clients
     waiting: int = 0
     placed: int = 0
     refused: int = 0
@@ -197,6 +198,7 @@
         taken.list_cpu = self.list.cpu_seconds()
         for answer in workers:
             _add_counts(taken.workers, answer["traffic"])
+            taken.held += answer["tasks"]
             for planner, machines in answer["task_machines"].items():
                 taken.task_machines[int(planner)] = taken.task_machines.get(int(planner), 0) + machines
         _add_counts(taken.node_list, node_list["traffic"])
--- /dev/null
+++ b/tests/scale/test_scale_plan.py
@@ -0,0 +1,134 @@
+"""The file of a scale run: what it asks for, and what is refused with its place and bound."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from stairplank.scale import bounds
+from stairplank.scale.plan import EVENTS, Plan, load_plan
+from stairplank.scale.results import Size
+from stairplank.settings import SettingsError
+
+SHIPPED = Path(bounds.__file__).resolve().parents[1] / "scales"
+TARGET = "target workers 80 planners 7 starts 8 running 560\n"
+
+
+def plan_of(folder: Path, text: str) -> Plan:
+    path = folder / "run.conf"
+    path.write_text(text)
+    return bounds.load_checked(path)
+
+
+@pytest.mark.parametrize("name", ["site", "small"])
+def test_shipped_files_are_good(name: str) -> None:
+    assert load_plan(SHIPPED / f"{name}.conf").samples
+
+
+def test_a_load_is_scaled_with_the_workers(tmp_path: Path) -> None:
+    text = TARGET + "steady 1\nseries s\nworkers 40 80\nload idle steady peak\nend\n"
+    sizes = [spec.size for spec in plan_of(tmp_path, text).samples]
+    assert sizes == [
+        Size(40, 7, 0.0, 0),
+        Size(40, 7, 0.5, 280),
+        Size(40, 7, 4.0, 280),
+        Size(80, 7, 0.0, 0),
+        Size(80, 7, 1.0, 560),
+        Size(80, 7, 8.0, 560),
+    ]
+
+
+def test_a_grid_has_every_combination_and_names_its_loads(tmp_path: Path) -> None:
+    text = TARGET + "series s\nplanners 7 14\nrunning 560\nstarts 0 1 8\nend\n"
+    specs = plan_of(tmp_path, text).samples
+    assert [(spec.size.planners, spec.load) for spec in specs] == [
+        (7, "idle"),
+        (7, "steady"),
+        (7, "peak"),
+        (14, "idle"),
+        (14, "steady"),
+        (14, "peak"),
+    ]
+
+
+def test_what_two_series_ask_for_is_taken_once_a_repeat(tmp_path: Path) -> None:
+    series = "series {}\nload idle peak\nend\n"
+    text = TARGET + "repeat 2\n" + series.format("a") + series.format("b")
+    specs = plan_of(tmp_path, text).samples
+    assert [(spec.load, spec.repeat) for spec in specs] == [
+        ("idle", 0),
+        ("peak", 0),
+        ("idle", 1),
+        ("peak", 1),
+    ]
+
+
+def test_every_event_is_known(tmp_path: Path) -> None:
+    text = TARGET + "".join(f"event {name}\n" for name in EVENTS)
+    assert [spec.load for spec in plan_of(tmp_path, text).samples] == list(EVENTS)
+
+
+def test_a_task_lives_so_long_that_as_many_run(tmp_path: Path) -> None:
+    (spec,) = plan_of(tmp_path, TARGET + "series s\nload peak\nend\n").samples
+    assert spec.life_s == 560 / 8
+
+
+@pytest.mark.parametrize(
+    ("text", "place", "said"),
+    [
+        (TARGET + "colour red\n", "2:1", "unknown keyword"),
+        ("series s\nload idle\nend\n", "1:1", "target: is required"),
+        (TARGET, "1:1", "a series or an event is needed"),
+        ("target workers 0 planners 7 starts 8 running 560\n", "1:16", "0 is not within 1 to 4000"),
+        ("target workers 8 planners 7 starts 0 running 560\n", "1:36", "0 is not above 0"),
+        (TARGET + "series s\nworkers 50 0\nload idle\nend\n", "3:12", "0 is not within 1 to 4000"),
+        (TARGET + "series s\nplanners 0\nend\n", "3:10", "0 is not within 1 to 200"),
+        (TARGET + "series s\nload busy\nend\n", "3:6", "is none of idle, steady, peak"),
+        (TARGET + "series s\nload idle\nstarts 3\nend\n", "4:1", "cannot stand beside `load`"),
+        (TARGET + "series s\nstarts 3\nend\n", "3:1", "`running` above 0 is needed"),
+        (TARGET + "series s\nload idle\n", "2:1", "not closed by `end`"),
+        (TARGET + "span 0s\nevent rack-fails\n", "2:6", "a time above 0 is needed"),
+        (TARGET + "event earthquake\n", "2:7", "is none of"),
+        (TARGET + "processes-most 301\nevent rack-fails\n", "2:16", "301 is not within 5 to 300"),
+    ],
+)
+def test_bad_input_is_refused_with_its_place(tmp_path: Path, text: str, place: str, said: str) -> None:
+    with pytest.raises(SettingsError) as caught:
+        plan_of(tmp_path, text)
+    (problem, *_) = caught.value.problems
+    assert f"run.conf:{place}: " in str(problem)
+    assert said in str(problem)
+
+
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("memory-most 100m\nseries s\nworkers 80\nload peak\nend\n", "at most 100 MB may be taken"),
+        (
+            "processes-most 5\nseries s\nworkers 2000\nload idle\nend\n",
+            "need 12 processes; at most 5 may be started",
+        ),
+        ("series s\nworkers 4000\nplanners 200\nrunning 100000\nend\n", "may be taken"),
+    ],
+)
+def test_more_than_allowed_is_refused_where_it_is_asked_for(tmp_path: Path, text: str, said: str) -> None:
+    with pytest.raises(SettingsError) as caught:
+        plan_of(tmp_path, TARGET + text)
+    place = "run.conf:4:1: " if "most" in text else "run.conf:3:1: "
+    assert any(place in str(problem) and said in str(problem) for problem in caught.value.problems)
+
+
+def test_at_most_half_of_the_machines_memory(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    class Memory:
+        total = 400 * bounds.MEGABYTE
+
+    monkeypatch.setattr(bounds.psutil, "virtual_memory", Memory)
+    with pytest.raises(SettingsError, match="at most 200 MB may be taken"):
+        plan_of(tmp_path, TARGET + "series s\nload peak\nend\n")
+
+
+def test_descriptors_of_the_machine_are_a_bound(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(bounds.resource, "getrlimit", lambda _: (256, 256))
+    with pytest.raises(SettingsError, match="the limit is 256"):
+        plan_of(tmp_path, TARGET + "series s\nload peak\nend\n")
