--- a/stairplank/scale/compare.py
+++ b/stairplank/scale/compare.py
@@ -1,62 +1,46 @@
-"""Two scale runs side by side, figure by figure: noise is known so before a gain is claimed.
-
-Samples of the same form, load and size are compared, each the mean of its repeats.
-"""
+"""Two scale runs side by side, figure by figure: noise is known so before a gain is claimed."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Sequence
-from statistics import fmean
+from collections.abc import Sequence
 
-from .report import COLUMNS, SIZE_HEADS, Read, aligned, figure, size_cells
-from .results import Results, Sample
+from . import figures as fig
+from .noise import Pair, noise, pairs
+from .report import SIZE_HEADS, aligned, size_cells
+from .results import Results
 
-Key = tuple[str, ...]
+FIGURES = (*fig.PLANNER_FIGURES, *fig.PEER_FIGURES, *fig.EVENT_FIGURES)
 
 
 def compare(first: Results, second: Results) -> str:
-    """One line for each figure that both have, then which samples only one run has."""
-    ours, theirs = _by_key(first.samples), _by_key(second.samples)
-    rows: list[Sequence[str]] = [(*SIZE_HEADS, "figure", first.label, second.label, "difference")]
-    for key in ours:
-        rows += _figures(key, ours[key], theirs.get(key, []))
-    text = aligned(rows) if len(rows) > 1 else "no sample is in both runs\n"
-    only = [*_only("first", ours, theirs), *_only("second", theirs, ours)]
-    return text + "".join(only) + _partial(first, second)
-
-
-def _by_key(samples: Iterable[Sample]) -> dict[Key, list[Sample]]:
-    groups: dict[Key, list[Sample]] = {}
-    for sample in samples:
-        groups.setdefault(size_cells(sample), []).append(sample)
-    return groups
-
-
-def _figures(key: Key, ours: list[Sample], theirs: list[Sample]) -> list[Sequence[str]]:
-    rows: list[Sequence[str]] = []
-    for head, form, read in COLUMNS:
-        a, b = _mean(ours, read), _mean(theirs, read)
-        if a is not None and b is not None:
-            rows.append((*key, head, figure(a, form), figure(b, form), difference(a, b)))
-    return rows
+    """One line for each figure that both have, how far figures differ, and what only one run has."""
+    found = pairs(first, second, FIGURES)
+    if not found:
+        return "no sample is in both runs\n" + _limits(first, second)
+    heads = (*SIZE_HEADS, "figure", "first", "second", "difference")
+    return aligned([heads, *map(_cells, found)]) + "\n" + _summary(found) + _limits(first, second)
 
 
-def _mean(samples: list[Sample], read: Read) -> float | None:
-    values = [value for sample in samples if (value := read(sample)) is not None]
-    return fmean(values) if values else None
+def _cells(pair: Pair) -> Sequence[str]:
+    numbers = (f"{pair.first:.4g}", f"{pair.second:.4g}", f"{pair.difference:+.1%}")
+    return (*size_cells(pair.form, pair.load, pair.size), pair.figure.title, *numbers)
 
 
-def difference(first: float, second: float) -> str:
-    """Of the second from the first, over the first."""
-    if first == second:
-        return "0.0%"
-    return f"{(second - first) / first:+.1%}" if first else "new"
+def _summary(found: list[Pair]) -> str:
+    rows = [
+        (one.figure.title, str(one.pairs), f"{one.median:.1%}", f"{one.worst:.1%}") for one in noise(found)
+    ]
+    return aligned([("figure", "pairs", "median difference", "largest"), *rows])
 
 
-def _only(which: str, ours: dict[Key, list[Sample]], theirs: dict[Key, list[Sample]]) -> list[str]:
-    return [f"only in the {which} run: {' '.join(key)}\n" for key in ours if key not in theirs]
+def _limits(first: Results, second: Results) -> str:
+    """Samples of one run alone, and runs that are partial."""
+    ours, theirs = _samples(first), _samples(second)
+    lines = [f"only in the first run: {key}" for key in ours if key not in theirs]
+    lines += [f"only in the second run: {key}" for key in theirs if key not in ours]
+    lines += [f"partial: {run.label}" for run in (first, second) if run.partial]
+    return "".join(f"{line}\n" for line in lines)
 
 
-def _partial(first: Results, second: Results) -> str:
-    partial = [run.label for run in (first, second) if run.partial]
-    return "".join(f"partial: {label}\n" for label in partial)
+def _samples(run: Results) -> dict[str, None]:
+    return {" ".join(size_cells(sample.form, sample.load, sample.size)): None for sample in run.samples}
--- a/stairplank/scale/events.py
+++ b/stairplank/scale/events.py
@@ -7,13 +7,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from . import plan
+from . import event_names as names
 from .results import EventTimes
 from .site import PlatformSite
 
 TIMEOUT_S = 40.0
 POLL_S = 0.05
 LEVEL_POLLS = 20  # of the waiting work, before the event
+CHANCE = 3  # tasks that may wait at any moment as they have just come
 RESTART_S = 2.0  # a worker that restarts is away for so long
 ZONE_AWAY_S = 5.0
 CUT_S = 15.0
@@ -54,8 +55,8 @@
         return self._until(lambda progress: progress["waiting"] <= self.level)
 
     def _level(self) -> int:
-        """The most work that waits at any of some moments."""
-        level = 0
+        """The most work that waits at any of some moments, and what may wait by chance."""
+        level = CHANCE
         for _ in range(LEVEL_POLLS):
             level = max(level, self._progress()["waiting"])
             time.sleep(POLL_S)
@@ -168,12 +169,12 @@
 
 
 _EVENTS: dict[str, Callable[[PlatformSite], Observed]] = {
-    plan.PLANNER_RESTARTS: _planner_restarts,
-    plan.ALL_PLANNERS_RESTART: _all_planners_restart,
-    plan.MACHINE_FAILS: _machine_fails,
-    plan.RACK_FAILS: _rack_fails,
-    plan.RESTARTS: _restarts,
-    plan.ZONE_RETURNS: _zone_returns,
-    plan.REGION_CUT: _region_cut,
-    plan.LIST_MOVES: _list_moves,
+    names.PLANNER_RESTARTS: _planner_restarts,
+    names.ALL_PLANNERS_RESTART: _all_planners_restart,
+    names.MACHINE_FAILS: _machine_fails,
+    names.RACK_FAILS: _rack_fails,
+    names.RESTARTS: _restarts,
+    names.ZONE_RETURNS: _zone_returns,
+    names.REGION_CUT: _region_cut,
+    names.LIST_MOVES: _list_moves,
 }
--- a/stairplank/scale/figures.py
+++ b/stairplank/scale/figures.py
@@ -80,6 +80,11 @@
     LIST_BYTES,
     LIST_CONNECTIONS,
 )
+KNOWN = Figure("until an event is known", Unit.SECONDS, lambda s: s.event.known_s)
+READY = Figure("until restarted planners are ready", Unit.SECONDS, lambda s: s.event.ready_s)
+CAUGHT_UP = Figure("until waiting work is caught up", Unit.SECONDS, lambda s: s.event.caught_up_s)
+IN_FORCE = Figure("until a configuration is in force", Unit.SECONDS, lambda s: s.event.in_force_s)
+EVENT_FIGURES = (KNOWN, READY, CAUGHT_UP, IN_FORCE)
 
 
 @dataclass(frozen=True, slots=True)
--- a/stairplank/scale/plan.py
+++ b/stairplank/scale/plan.py
@@ -15,24 +15,21 @@
 from ..settings import values as v
 from ..settings.lines import Position, Problem, SettingsError
 from ..settings.schema import Block, Key, Section, load
+from . import event_names as names
+from .figures import IDLE, PEAK, PLAIN_LOADS, STEADY
 from .results import Size
 
 PLATFORM, GRPC = "platform", "grpc"
 FORMS = (PLATFORM, GRPC)
-IDLE, STEADY, PEAK, LIST_CHANGES = "idle", "steady", "peak", "list-changes"
-LOADS = (IDLE, STEADY, PEAK)
-PLANNER_RESTARTS, ALL_PLANNERS_RESTART = "planner-restarts", "all-planners-restart"
-MACHINE_FAILS, RACK_FAILS, RESTARTS = "machine-fails", "rack-fails", "restarts"
-ZONE_RETURNS, REGION_CUT, LIST_MOVES = "zone-returns", "region-cut", "list-moves"
 EVENTS = (
-    PLANNER_RESTARTS,
-    ALL_PLANNERS_RESTART,
-    MACHINE_FAILS,
-    RACK_FAILS,
-    RESTARTS,
-    ZONE_RETURNS,
-    REGION_CUT,
-    LIST_MOVES,
+    names.PLANNER_RESTARTS,
+    names.ALL_PLANNERS_RESTART,
+    names.MACHINE_FAILS,
+    names.RACK_FAILS,
+    names.RESTARTS,
+    names.ZONE_RETURNS,
+    names.REGION_CUT,
+    names.LIST_MOVES,
 )
 WORKERS_MOST, PLANNERS_MOST, RUNNING_MOST, STARTS_MOST = 4000, 200, 100_000, 2000.0
 REAL_PLANNERS_MOST = 16
@@ -57,7 +54,7 @@
         _many("form", v.choice(*FORMS)),
         _many("workers", _WORKERS),
         _many("planners", _PLANNERS),
-        _many("load", v.choice(*LOADS)),
+        _many("load", v.choice(*PLAIN_LOADS)),
         _many("starts", _STARTS),
         _many("running", _RUNNING),
         _many("list-changes", v.number(0, 1000)),
@@ -222,7 +219,7 @@
 
 def _name_of(starts: float, list_changes: float, target: Size) -> str:
     if list_changes:
-        return f"{LIST_CHANGES}-{list_changes:g}"
+        return f"{names.LIST_CHANGES}{list_changes:g}"
     if not starts:
         return IDLE
     return PEAK if starts >= target.starts_per_s else STEADY
--- a/stairplank/scale/report.py
+++ b/stairplank/scale/report.py
@@ -3,39 +3,45 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
 
-from .results import Results, Sample
-
-Read = Callable[[Sample], float | None]
-COLUMNS: tuple[tuple[str, str, Read], ...] = (
-    ("cpu %", "{:.2f}", lambda s: None if s.planner.cpu_share is None else 100 * s.planner.cpu_share),
-    ("MB", "{:.1f}", lambda s: s.planner.memory_mb),
-    ("control B/s", "{:.0f}", lambda s: s.planner.control_bytes_per_s),
-    ("with headers", "{:.0f}", lambda s: s.planner.control_bytes_with_headers_per_s),
-    ("all B/s", "{:.0f}", lambda s: s.planner.bytes_per_s),
-    ("messages/s", "{:.1f}", lambda s: s.planner.messages_per_s),
-    ("dials/s", "{:.1f}", lambda s: s.planner.dials_per_s),
-    ("connections", "{:.1f}", lambda s: s.planner.connections),
-    ("task machines", "{:.1f}", lambda s: s.planner.task_machines),
-    (
-        "list cpu %",
-        "{:.2f}",
-        lambda s: None if s.peers.list_cpu_share is None else 100 * s.peers.list_cpu_share,
-    ),
-    ("known s", "{:.2f}", lambda s: s.event.known_s),
-    ("ready s", "{:.2f}", lambda s: s.event.ready_s),
-    ("caught up s", "{:.2f}", lambda s: s.event.caught_up_s),
-    ("in force s", "{:.3f}", lambda s: s.event.in_force_s),
+from . import figures as fig
+from .figures import Figure
+from .results import Results, Sample, Size
+
+
+@dataclass(frozen=True, slots=True)
+class Column:
+    """A figure under a short head."""
+
+    head: str
+    figure: Figure
+    form: str
+
+    def cell(self, value: float | None) -> str:
+        return NOT_MEASURED if value is None else self.form.format(value)
+
+
+COLUMNS = (
+    Column("cpu", fig.CPU, "{:.2%}"),
+    Column("MB", fig.MEMORY, "{:.1f}"),
+    Column("control B/s", fig.CONTROL_BYTES, "{:.0f}"),
+    Column("with headers", fig.CONTROL_BYTES_WITH_HEADERS, "{:.0f}"),
+    Column("all B/s", fig.ALL_BYTES, "{:.0f}"),
+    Column("messages/s", fig.ALL_MESSAGES, "{:.1f}"),
+    Column("dials/s", fig.DIALS, "{:.1f}"),
+    Column("connections", fig.CONNECTIONS, "{:.1f}"),
+    Column("task machines", fig.TASK_MACHINES, "{:.1f}"),
+    Column("list cpu", fig.LIST_CPU, "{:.2%}"),
+    Column("known s", fig.KNOWN, "{:.2f}"),
+    Column("ready s", fig.READY, "{:.2f}"),
+    Column("caught up s", fig.CAUGHT_UP, "{:.2f}"),
+    Column("in force s", fig.IN_FORCE, "{:.3f}"),
 )
 SIZE_HEADS = ("form", "load", "workers", "planners", "starts/s", "running")
 NOT_MEASURED = "-"
-CHARTED: tuple[tuple[str, Read], ...] = (
-    ("processor time of a planner, % of a core", COLUMNS[0][2]),
-    ("resident memory of a planner, MB", COLUMNS[1][2]),
-    ("control bytes of a planner, B/s", COLUMNS[2][2]),
-    ("dials of a planner, 1/s", COLUMNS[6][2]),
-)
+CHARTED = (fig.CPU, fig.MEMORY, fig.CONTROL_BYTES, fig.DIALS)
 AXES: tuple[tuple[str, Callable[[Sample], float]], ...] = (
     ("workers", lambda s: s.size.workers),
     ("planners", lambda s: s.size.planners),
@@ -44,14 +50,9 @@
 )
 
 
-def size_cells(sample: Sample) -> tuple[str, ...]:
-    size = sample.size
+def size_cells(form: str, load: str, size: Size) -> tuple[str, ...]:
     counts = (str(size.workers), str(size.planners), f"{size.starts_per_s:g}", str(size.running))
-    return (sample.form, sample.load, *counts)
-
-
-def figure(value: float | None, form: str) -> str:
-    return NOT_MEASURED if value is None else form.format(value)
+    return (form, load, *counts)
 
 
 def aligned(rows: Sequence[Sequence[str]]) -> str:
@@ -63,10 +64,10 @@
 
 def table(results: Results) -> str:
     """One line for each sample, then the limits of samples."""
-    rows: list[Sequence[str]] = [(*SIZE_HEADS, *(head for head, _, _ in COLUMNS))]
+    rows: list[Sequence[str]] = [(*SIZE_HEADS, *(column.head for column in COLUMNS))]
     for sample in results.samples:
-        cells = (figure(read(sample), form) for _, form, read in COLUMNS)
-        rows.append((*size_cells(sample), *cells))
+        cells = (column.cell(column.figure.read(sample)) for column in COLUMNS)
+        rows.append((*size_cells(sample.form, sample.load, sample.size), *cells))
     state = "partial" if results.partial else "whole"
     head = f"{results.label}: {len(results.samples)} samples in {results.seconds:.0f} s, {state}\n"
     notes = dict.fromkeys(f"{sample.load}: {sample.note}" for sample in results.samples if sample.note)
@@ -88,12 +89,12 @@
         squeeze=False,
     )
     drawing, panels = grid
-    for row, (title, read) in enumerate(CHARTED):
+    for row, figure in enumerate(CHARTED):
         for column, (axis_name, size_of) in enumerate(AXES):
             panel = panels[row][column]
-            for label, points in _lines(results.samples, axis_name, size_of, read):
+            for label, points in _lines(results.samples, axis_name, size_of, figure):
                 panel.plot(*zip(*points, strict=True), marker="o", label=label)
-            panel.set(xlabel=axis_name, ylabel=title if column == 0 else "")
+            panel.set(xlabel=axis_name, ylabel=f"{figure.title}, {figure.unit.value}" if column == 0 else "")
             panel.set_ylim(bottom=0)
             if panel.lines:
                 panel.legend(fontsize="xx-small")
@@ -102,12 +103,12 @@
 
 
 def _lines(
-    samples: Sequence[Sample], axis_name: str, size_of: Callable[[Sample], float], read: Read
+    samples: Sequence[Sample], axis_name: str, size_of: Callable[[Sample], float], figure: Figure
 ) -> list[tuple[str, list[tuple[float, float]]]]:
     """Series of two points or more along an axis, each with what it holds."""
     groups: dict[str, list[tuple[float, float]]] = {}
     for sample in samples:
-        value = read(sample)
+        value = figure.read(sample)
         if value is None:
             continue
         others = (f"{size(sample):g} {name}" for name, size in AXES if name != axis_name)
