--- a/stairplank/scale/bounds.py
+++ b/stairplank/scale/bounds.py
@@ -9,7 +9,7 @@
 import psutil
 
 from ..settings.lines import Problem, SettingsError
-from .plan import Plan, SampleSpec, load_plan
+from .plan import GRPC, Plan, SampleSpec, load_plan
 
 MEGABYTE = 2**20
 MEMORY_SHARE = 0.5  # of the machine's
@@ -19,8 +19,9 @@
 HOLLOW_PLANNER_MB = 12.0
 WORKER_MB = 0.05
 CONNECTION_MB = 0.05  # both ends
+GRPC_LINK_MB = 0.2  # the same
 TASK_MB = 0.02  # at worker, planner and client together
-CONNECTIONS_PER_MACHINE = 3  # of one planner to one worker, while they are renewed
+CONNECTIONS_PER_MACHINE = 3  # of one planner to one worker, while they are renewed; gRPC keeps one to each
 WORKERS_PER_PROCESS = 250
 PLANNERS_PER_PROCESS = 8
 SERVICE_PROCESSES = 2  # node list and clients
@@ -47,15 +48,14 @@
     hollow = max(0, size.planners - real_planners)
     hollow_processes = parts(size.workers, WORKERS_PER_PROCESS) + parts(hollow, PLANNERS_PER_PROCESS)
     processes = hollow_processes + SERVICE_PROCESSES + real_planners
-    tasks_per_planner = -(-size.running // size.planners)
-    machines = min(size.workers, tasks_per_planner) + 1
-    connections = size.planners * machines * CONNECTIONS_PER_MACHINE
+    connections = _connections(spec)
+    connection_mb = GRPC_LINK_MB if spec.form == GRPC else CONNECTION_MB
     memory_mb = (
         (hollow_processes + SERVICE_PROCESSES) * PROCESS_MB
         + real_planners * REAL_PLANNER_MB
         + hollow * HOLLOW_PLANNER_MB
         + size.workers * WORKER_MB
-        + connections * CONNECTION_MB
+        + connections * connection_mb
         + size.running * TASK_MB
     )
     at_workers = min(size.workers, WORKERS_PER_PROCESS) + connections // parts(
@@ -65,6 +65,16 @@
     return Estimate(processes, memory_mb, max(at_workers, at_planners) + DESCRIPTORS_SPARE)
 
 
+def _connections(spec: SampleSpec) -> int:
+    """Between planners and workers, at most."""
+    size = spec.size
+    if spec.form == GRPC:
+        return size.planners * size.workers
+    tasks_per_planner = -(-size.running // size.planners)
+    machines = min(size.workers, tasks_per_planner) + 1
+    return size.planners * machines * CONNECTIONS_PER_MACHINE
+
+
 def load_checked(path: str | Path) -> Plan:
     """The plan of a file that this machine can carry out. Raises SettingsError."""
     plan = load_plan(path)
--- a/stairplank/scale/child.py
+++ b/stairplank/scale/child.py
@@ -13,29 +13,31 @@
 from gevent.os import make_nonblocking, nb_read, nb_write
 
 Handler = Callable[..., Any]
-STANDARD_INPUT, STANDARD_OUTPUT = 0, 1
+STANDARD_INPUT, STANDARD_OUTPUT, STANDARD_ERROR = 0, 1, 2
 READ_BYTES = 65_536
 STARTER_GONE = 3  # exit code
 
 
 def serve(handlers: Mapping[str, Handler]) -> None:
     """Answer commands until standard input ends, as it does when the starter ends; never returns."""
+    answers = os.dup(STANDARD_OUTPUT)
+    os.dup2(STANDARD_ERROR, STANDARD_OUTPUT)  # what anything prints here is no answer
     make_nonblocking(STANDARD_INPUT)
-    make_nonblocking(STANDARD_OUTPUT)
+    make_nonblocking(answers)
     pending = b""
     while data := nb_read(STANDARD_INPUT, READ_BYTES):
         *lines, pending = (pending + data).split(b"\n")
         for line in lines:
-            gevent.spawn(_answer, handlers, json.loads(line)).join()
+            gevent.spawn(_answer, handlers, json.loads(line), answers).join()
     sys.stderr.flush()
     os._exit(STARTER_GONE)
 
 
-def _answer(handlers: Mapping[str, Handler], command: dict[str, Any]) -> None:
+def _answer(handlers: Mapping[str, Handler], command: dict[str, Any], answers: int) -> None:
     try:
         result = {"result": handlers[command["call"]](**command["arguments"])}
     except Exception:
         result = {"error": traceback.format_exc(limit=-4)}
     data = json.dumps(result).encode() + b"\n"
     while data:
-        data = data[nb_write(STANDARD_OUTPUT, data) :]
+        data = data[nb_write(answers, data) :]
--- a/stairplank/scale/children.py
+++ b/stairplank/scale/children.py
@@ -117,9 +117,9 @@
         self.folder = folder
         self._children: list[Child] = []
 
-    def hollow(self, role: str, number: int = 0) -> Commanded:
+    def hollow(self, form: str, role: str, number: int = 0) -> Commanded:
         name = f"{role}-{number}"
-        arguments = [sys.executable, "-m", "stairplank.scale.hollow", role]
+        arguments = [sys.executable, "-m", "stairplank.scale.hollow", form, role]
         log = self.folder / f"{name}.log"
         with log.open("ab") as errors:
             process = subprocess.Popen(
--- a/stairplank/scale/events.py
+++ b/stairplank/scale/events.py
@@ -9,7 +9,7 @@
 
 from . import event_names as names
 from .results import EventTimes
-from .site import PlatformSite
+from .site import Site
 
 TIMEOUT_S = 40.0
 POLL_S = 0.05
@@ -31,7 +31,7 @@
     note: str = ""
 
 
-def run(event: str, site: PlatformSite) -> Observed:
+def run(event: str, site: Site) -> Observed:
     """Have it happen and wait until it is over, ``TIMEOUT_S`` at most for each time."""
     return _EVENTS[event](site)
 
@@ -40,7 +40,7 @@
     """Times after an event. Made before it: the level of waiting work is taken then, and the tasks that run
     at the workers concerned are remembered."""
 
-    def __init__(self, site: PlatformSite, workers: list[str]) -> None:
+    def __init__(self, site: Site, workers: list[str]) -> None:
         self._site = site
         self.level = self._level()
         self.marked: int = site.clients.ask("mark", workers=workers)
@@ -89,7 +89,7 @@
         return progress
 
 
-def _planners_restart(site: PlatformSite, positions: list[int]) -> Observed:
+def _planners_restart(site: Site, positions: list[int]) -> Observed:
     watch = _Watch(site, [])
     ready = sorted(site.restart_planners(positions))
     index = math.ceil(READY_SHARE * len(positions)) - 1
@@ -98,31 +98,31 @@
     return Observed(EventTimes(ready_s=ready_s, caught_up_s=watch.caught_up()), note)
 
 
-def _planner_restarts(site: PlatformSite) -> Observed:
+def _planner_restarts(site: Site) -> Observed:
     return _planners_restart(site, [0])
 
 
-def _all_planners_restart(site: PlatformSite) -> Observed:
+def _all_planners_restart(site: Site) -> Observed:
     return _planners_restart(site, list(range(site.planners)))
 
 
-def _vanish(site: PlatformSite, workers: list[str]) -> Observed:
+def _vanish(site: Site, workers: list[str]) -> Observed:
     watch = _Watch(site, workers)
     site.fall_silent(workers)
     times = EventTimes(known_s=watch.known(), caught_up_s=watch.caught_up())
     return Observed(times, f"{len(workers)} workers fell silent; {watch.marked} tasks ran there")
 
 
-def _machine_fails(site: PlatformSite) -> Observed:
+def _machine_fails(site: Site) -> Observed:
     return _vanish(site, [site.clients.ask("busiest")])
 
 
-def _rack_fails(site: PlatformSite) -> Observed:
+def _rack_fails(site: Site) -> Observed:
     first = next(iter(site.rows.values()))["block"]
     return _vanish(site, [name for name, row in site.rows.items() if row["block"] == first])
 
 
-def _restarts(site: PlatformSite) -> Observed:
+def _restarts(site: Site) -> Observed:
     workers = list(site.rows)[: site.layout.restarted]
     watch = _Watch(site, workers)
     site.crash(workers)
@@ -134,7 +134,7 @@
     return Observed(times, note)
 
 
-def _zone_returns(site: PlatformSite) -> Observed:
+def _zone_returns(site: Site) -> Observed:
     """``caught_up_s`` is from the return on."""
     zone = next(iter(site.rows.values()))["site"]
     workers = [name for name, row in site.rows.items() if row["site"] == zone]
@@ -149,7 +149,7 @@
     return Observed(times, note)
 
 
-def _region_cut(site: PlatformSite) -> Observed:
+def _region_cut(site: Site) -> Observed:
     """``caught_up_s`` is from the return on."""
     workers = list(site.rows)[: len(site.rows) // REGIONS]
     watch = _Watch(site, workers)
@@ -164,11 +164,11 @@
     return Observed(times, note)
 
 
-def _list_moves(site: PlatformSite) -> Observed:
+def _list_moves(site: Site) -> Observed:
     return Observed(EventTimes(in_force_s=site.move_list()), "SIGHUP with the address of another list")
 
 
-_EVENTS: dict[str, Callable[[PlatformSite], Observed]] = {
+_EVENTS: dict[str, Callable[[Site], Observed]] = {
     names.PLANNER_RESTARTS: _planner_restarts,
     names.ALL_PLANNERS_RESTART: _all_planners_restart,
     names.MACHINE_FAILS: _machine_fails,
--- a/stairplank/scale/hollow.py
+++ b/stairplank/scale/hollow.py
@@ -1,4 +1,4 @@
-"""``python -m stairplank.scale.hollow ROLE``: one process of hollow peers, which its starter commands."""
+"""``python -m stairplank.scale.hollow FORM ROLE``: a process of hollow peers, commanded by its starter."""
 
 from __future__ import annotations
 
@@ -6,29 +6,48 @@
 from collections.abc import Mapping
 from typing import Any
 
+from ..cli.logs import set_up
 from .child import Handler, serve
 
 
-def host_of(role: str) -> Any:
+def host_of(form: str, role: str) -> Any:
     """The object whose public methods are the commands."""
-    match role:
-        case "workers":
+    match form, role:
+        case "platform", "workers":
             from .hollow_workers import WorkerHost
 
             return WorkerHost()
-        case "list":
+        case "platform", "list":
             from .hollow_list import HollowList
 
             return HollowList()
-        case "planners":
+        case "platform", "planners":
             from .hollow_planners import PlannerHost
 
             return PlannerHost()
-        case "clients":
-            from .clients import ClientHost
+        case "platform", "clients":
+            from .clients import PlatformClient
+            from .load import ClientHost
 
-            return ClientHost()
-    raise ValueError(f"no role {role!r}")
+            return ClientHost(PlatformClient)
+        case "grpc", "workers":
+            from .grpc_peers import GrpcWorkerHost
+
+            return GrpcWorkerHost()
+        case "grpc", "list":
+            from .grpc_peers import GrpcList
+
+            return GrpcList()
+        case "grpc", "planners":
+            from .grpc_peers import GrpcPlannerHost
+
+            return GrpcPlannerHost()
+        case "grpc", "clients":
+            from .grpc_clients import GrpcClient
+            from .load import ClientHost
+
+            return ClientHost(GrpcClient)
+    raise ValueError(f"no role {role!r} in the form {form!r}")
 
 
 def commands(host: Any) -> Mapping[str, Handler]:
@@ -36,4 +55,5 @@
 
 
 if __name__ == "__main__":
-    serve(commands(host_of(sys.argv[1])))
+    set_up("json", "warning")
+    serve(commands(host_of(*sys.argv[1:3])))
--- a/stairplank/scale/plan.py
+++ b/stairplank/scale/plan.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import itertools
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import Any
 
@@ -36,6 +36,7 @@
 STEADY_SHARE = 1 / 7  # of the target's starts, where the file does not say
 PROCESSES_MOST = 300  # whatever a file asks for
 SECOND_US = 1_000_000
+SPAN_US, SETTLE_US, TIME_MOST_US = 6 * SECOND_US, 3 * SECOND_US, 900 * SECOND_US
 
 _WORKERS = v.whole(1, WORKERS_MOST)
 _PLANNERS = v.whole(1, PLANNERS_MOST)
@@ -58,6 +59,7 @@
         _many("starts", _STARTS),
         _many("running", _RUNNING),
         _many("list-changes", v.number(0, 1000)),
+        Key("span", (v.positive_duration,)),  # in place of the file's
     ),
 )
 SCALE: tuple[Key | Block, ...] = (
@@ -103,6 +105,7 @@
     load: str
     size: Size
     list_changes_per_s: float
+    span_s: float
     at: Position
     repeat: int = 0
 
@@ -124,7 +127,6 @@
     target: Size
     samples: tuple[SampleSpec, ...]
     layout: Layout
-    span_s: float
     settle_s: float
     processes_most: int
     memory_most: int | None  # bytes; None: half of the machine's
@@ -145,11 +147,10 @@
         target=target,
         samples=_repeated(asked, repeats),
         layout=_layout(section),
-        span_s=one("span", 6 * SECOND_US) / SECOND_US,
-        settle_s=one("settle", 3 * SECOND_US) / SECOND_US,
+        settle_s=one("settle", SETTLE_US) / SECOND_US,
         processes_most=one("processes-most", PROCESSES_MOST),
         memory_most=one("memory-most"),
-        time_most_s=one("time-most", 900 * SECOND_US) / SECOND_US,
+        time_most_s=one("time-most", TIME_MOST_US) / SECOND_US,
     )
 
 
@@ -181,11 +182,12 @@
         forms = _values(block, "form", (PLATFORM,))
         workers = _values(block, "workers", (target.workers,))
         planners = _values(block, "planners", (target.planners,))
+        span_s = block.one("span", section.one("span", SPAN_US)) / SECOND_US
         place = block.place("workers" if "workers" in block.keys else "planners")
         for form, worker_count, planner_count in itertools.product(forms, workers, planners):
             for load_name, starts, running, changes in _loads(block, target, steady, worker_count):
                 size = Size(worker_count, planner_count, starts, running)
-                out.append(SampleSpec(form, load_name, size, changes, place))
+                out.append(SampleSpec(form, load_name, size, changes, span_s, place))
     return out
 
 
@@ -202,6 +204,9 @@
     running = _values(block, "running", (0,))
     changes = _values(block, "list-changes", (0.0,))
     combined = list(itertools.product(starts, running, changes))
+    if any(changes) and GRPC in _values(block, "form", ()):
+        text = "is for the platform form alone"
+        raise SettingsError([Problem(block.place("list-changes"), "list-changes", text)])
     for rate, count, _ in combined:
         if rate and not count:
             text = "tasks that start also run: `running` above 0 is needed"
@@ -230,7 +235,7 @@
     _, starts, running, _ = _named_load(STEADY, target, steady, target.workers)
     size = Size(target.workers, target.planners, starts, running)
     given = section.keys.get("event", ())
-    return [SampleSpec(PLATFORM, name, size, 0.0, place) for place, (name,) in given]
+    return [SampleSpec(PLATFORM, name, size, 0.0, 0.0, place) for place, (name,) in given]
 
 
 def _repeated(asked: list[SampleSpec], repeats: int) -> tuple[SampleSpec, ...]:
@@ -238,8 +243,4 @@
     unique: dict[Any, SampleSpec] = {}
     for spec in asked:
         unique.setdefault((spec.form, spec.load, spec.size, spec.list_changes_per_s), spec)
-    return tuple(
-        SampleSpec(spec.form, spec.load, spec.size, spec.list_changes_per_s, spec.at, number)
-        for number in range(repeats)
-        for spec in unique.values()
-    )
+    return tuple(replace(spec, repeat=number) for number in range(repeats) for spec in unique.values())
--- a/stairplank/scale/run.py
+++ b/stairplank/scale/run.py
@@ -16,10 +16,11 @@
 
 from . import bounds, events, results
 from .children import ChildError
+from .forms import FORMS
 from .measure import peer_cost, planner_cost
 from .plan import Plan, SampleSpec
 from .results import Results, Sample
-from .site import PlatformSite
+from .site import Site
 
 CHANGES_SPARE_S = 2.0  # for which the list goes on to change beyond a span
 SIGNALS = (signal.SIGINT, signal.SIGTERM)
@@ -84,12 +85,12 @@
             self._progress(f"not measured: {error}")
             self._is_whole = False
 
-    def _start(self, key: _SiteKey, specs: list[SampleSpec], folder: Path) -> PlatformSite:
+    def _start(self, key: _SiteKey, specs: list[SampleSpec], folder: Path) -> Site:
         self._progress(f"{key.form}: {key.workers} workers, {key.planners} planners")
         real = bounds.real_planners_of(self._plan, specs[0])
-        return PlatformSite(key.workers, key.planners, real, self._plan.layout, folder)
+        return Site(FORMS[key.form], key.workers, key.planners, real, self._plan.layout, folder)
 
-    def _take(self, site: PlatformSite, spec: SampleSpec) -> None:
+    def _take(self, site: Site, spec: SampleSpec) -> None:
         size = spec.size
         site.generate(0.0, 0.0)
         site.place(size.running, spec.life_s)
@@ -100,11 +101,11 @@
         self._keep(partial=True)
         self._progress(f"  {len(self._samples)} of {len(self._plan.samples)}: {describe(spec)}")
 
-    def _span(self, site: PlatformSite, spec: SampleSpec) -> Sample:
+    def _span(self, site: Site, spec: SampleSpec) -> Sample:
         if spec.list_changes_per_s:
-            site.change_list(spec.list_changes_per_s, self._plan.span_s + CHANGES_SPARE_S)
+            site.change_list(spec.list_changes_per_s, spec.span_s + CHANGES_SPARE_S)
         before = site.snapshot()
-        time.sleep(self._plan.span_s)
+        time.sleep(spec.span_s)
         after = site.snapshot()
         planner = planner_cost(before, after, site.real_planners)
         peers = peer_cost(before, after, spec.size.workers)
@@ -112,7 +113,7 @@
         span_s = round(after.at - before.at, 3)
         return Sample(spec.form, spec.load, spec.size, span_s, spec.repeat, planner, peers, note=notes)
 
-    def _event(self, site: PlatformSite, spec: SampleSpec) -> Sample:
+    def _event(self, site: Site, spec: SampleSpec) -> Sample:
         began = time.monotonic()
         observed = events.run(spec.load, site)
         span_s = round(time.monotonic() - began, 3)
@@ -141,7 +142,7 @@
     return groups
 
 
-def _real_note(site: PlatformSite) -> str:
+def _real_note(site: Site) -> str:
     if site.real_planners == site.planners:
         return ""
     return f"{site.real_planners} of {site.planners} planners real, the others hollow"
--- a/stairplank/scale/site.py
+++ b/stairplank/scale/site.py
@@ -1,12 +1,12 @@
-"""A site of the platform form: real planners beside hollow workers, planners, list and clients, on loopback.
+"""A site on loopback: real planners beside hollow workers, planners, list and clients.
 
-Real planners have the first positions of the fleet. Every planner reaches its peers at loopback addresses of
-its own (``loopback``), so that traffic is counted for each.
+Real planners have the first positions of the fleet. In the platform form every planner reaches its peers at
+loopback addresses of its own (``loopback``), so that traffic is counted for each; in the gRPC form planners
+say who they are.
 """
 
 from __future__ import annotations
 
-import json
 import signal
 import time
 from collections.abc import Callable
@@ -17,12 +17,12 @@
 from .bounds import PLANNERS_PER_PROCESS, WORKERS_PER_PROCESS, parts
 from .children import Child, Children, Commanded, ask_all
 from .counts import Counts
+from .forms import Form, served_at
 from .plan import Layout
-from .platform_files import planner_config, write_planner_file
 
 START_TIMEOUT_S = 30.0
 POLL_S = 0.02
-REAL_PLANNER = ["-m", "stairplank.platform"]
+LINKS_TIMEOUT_S, LINKS_POLL_S = 120.0, 0.5
 
 
 @dataclass(slots=True)
@@ -44,11 +44,14 @@
     refused: int = 0
 
 
-class PlatformSite:
+class Site:
     """Starts on construction; ``end`` ends every process."""
 
-    def __init__(self, workers: int, planners: int, real_planners: int, layout: Layout, folder: Path) -> None:
+    def __init__(
+        self, form: Form, workers: int, planners: int, real_planners: int, layout: Layout, folder: Path
+    ) -> None:
         folder.mkdir(parents=True, exist_ok=True)
+        self.form = form
         self.workers, self.planners, self.real_planners = workers, planners, real_planners
         self.layout = layout
         self.folder = folder
@@ -67,21 +70,26 @@
     # Start
 
     def _start(self) -> None:
-        self.list = self.children.hollow("list")
+        self.list = self._hollow("list")
         self.worker_hosts = self._processes("workers", parts(self.workers, WORKERS_PER_PROCESS))
         self.planner_hosts = self._processes(
             "planners", parts(self.planners - self.real_planners, PLANNERS_PER_PROCESS)
         )
-        self.clients = self.children.hollow("clients")
+        self.clients = self._hollow("clients")
         self.list_port: int = self.list.ask("start")
         self._start_workers()
         self.list.ask("publish", rows=list(self.rows.values()))
         self.files = [self._planner_file(position) for position in range(self.planners)]
         addresses = self._start_planners()
         self.clients.ask("start", planners=addresses)
+        if self.form.keeps_links:
+            self._wait_for_links()
+
+    def _hollow(self, role: str, number: int = 0) -> Commanded:
+        return self.children.hollow(self.form.name, role, number)
 
     def _processes(self, role: str, count: int) -> list[Commanded]:
-        return [self.children.hollow(role, number) for number in range(count)]
+        return [self._hollow(role, number) for number in range(count)]
 
     def _start_workers(self) -> None:
         first = 0
@@ -94,9 +102,7 @@
             self.rows |= {row["host"]: row for row in host.receive()}
 
     def _planner_file(self, position: int) -> Path:
-        zones, descriptors = self.layout.zones, self.layout.descriptors
-        config = planner_config(position, self.planners, self.list_port, zones, descriptors)
-        return write_planner_file(self.folder, config)
+        return self.form.write_planner_file(self.folder, position, self.planners, self.list_port, self.layout)
 
     def _start_planners(self) -> list[str]:
         """Their addresses in the order of their positions."""
@@ -111,14 +117,26 @@
         return addresses
 
     def _start_real(self, position: int) -> Child:
-        environment = {"GW_CONFIG": str(self.files[position])}
-        return self.children.plain(f"planner-{position}", REAL_PLANNER, environment)
+        arguments, environment = self.form.command(self.files[position])
+        return self.children.plain(f"planner-{position}", arguments, environment)
+
+    def _served_at(self, child: Child) -> str:
+        return served_at(self.form, child.log)
 
     def address_of(self, child: Child) -> str:
         """Where a real planner serves, once it does."""
-        address: str = wait_for(lambda: _served_at(child), START_TIMEOUT_S, child)
+        address: str = wait_for(lambda: self._served_at(child), START_TIMEOUT_S, child)
         return address
 
+    def _wait_for_links(self) -> None:
+        """Where planners keep connections to all workers, until these are up."""
+        wanted = self.workers * self.planners
+        deadline = time.monotonic() + LINKS_TIMEOUT_S
+        while sum(answer["open"] for answer in ask_all(self.worker_hosts, "snapshot")) < wanted:
+            if time.monotonic() > deadline:
+                raise self.worker_hosts[0].failure("not every planner has linked to every worker")
+            time.sleep(LINKS_POLL_S)
+
     def restart_planners(self, positions: list[int]) -> list[float]:
         """Kill and start these real planners; for each the seconds until it served."""
         for position in positions:
@@ -129,7 +147,7 @@
         pending, ready = dict.fromkeys(positions, ""), {}
         while pending and time.monotonic() < began + START_TIMEOUT_S:
             for position in list(pending):
-                address = _served_at(self.real[position])
+                address = self._served_at(self.real[position])
                 if address:
                     ready[position] = time.monotonic() - began
                     del pending[position]
@@ -170,7 +188,7 @@
 
     def move_list(self) -> float:
         """Have every real planner watch another list; seconds until the last one does."""
-        moved = self.children.hollow("list", 1)
+        moved = self._hollow("list", 1)
         port = moved.ask("start")
         moved.ask("publish", rows=list(self.rows.values()))
         began = time.monotonic()
@@ -213,18 +231,6 @@
         into[int(planner)] = into.get(int(planner), Counts()).plus(Counts(**values))
 
 
-def _served_at(child: Child) -> str:
-    """The address in the line with which a planner says that it serves, or nothing yet."""
-    for line in child.log.read_bytes().splitlines():
-        try:
-            entry = json.loads(line)
-        except ValueError:
-            continue  # not written whole yet
-        if entry.get("event") == "serves":
-            return str(entry["listen"])
-    return ""
-
-
 def wait_for(what: Callable[[], Any], timeout_s: float, child: Child) -> Any:
     """The first true value. Raises ChildError where the child ends or time is over."""
     deadline = time.monotonic() + timeout_s
--- a/tests/scale/test_scale_plan.py
+++ b/tests/scale/test_scale_plan.py
@@ -64,6 +64,12 @@
     ]
 
 
+def test_a_series_may_have_a_span_of_its_own(tmp_path: Path) -> None:
+    series = "series {}\nload {}\n{}end\n"
+    text = TARGET + "span 4s\n" + series.format("a", "idle", "") + series.format("b", "peak", "span 500ms\n")
+    assert [spec.span_s for spec in plan_of(tmp_path, text).samples] == [4.0, 0.5]
+
+
 def test_every_event_is_known(tmp_path: Path) -> None:
     text = TARGET + "".join(f"event {name}\n" for name in EVENTS)
     assert [spec.load for spec in plan_of(tmp_path, text).samples] == list(EVENTS)
@@ -86,6 +92,7 @@
         (TARGET + "series s\nplanners 0\nend\n", "3:10", "0 is not within 1 to 200"),
         (TARGET + "series s\nload busy\nend\n", "3:6", "is none of idle, steady, peak"),
         (TARGET + "series s\nload idle\nstarts 3\nend\n", "4:1", "cannot stand beside `load`"),
+        (TARGET + "series s\nform grpc\nlist-changes 4\nend\n", "4:1", "is for the platform form alone"),
         (TARGET + "series s\nstarts 3\nend\n", "3:1", "`running` above 0 is needed"),
         (TARGET + "series s\nload idle\n", "2:1", "not closed by `end`"),
         (TARGET + "span 0s\nevent rack-fails\n", "2:6", "a time above 0 is needed"),
@@ -119,6 +126,13 @@
     assert any(place in str(problem) and said in str(problem) for problem in caught.value.problems)
 
 
+def test_every_planner_of_the_grpc_form_is_linked_to_every_worker(tmp_path: Path) -> None:
+    series = "series {0}\nform {0}\nload idle\nend\n"
+    platform, grpc = plan_of(tmp_path, TARGET + series.format("platform") + series.format("grpc")).samples
+    more_mb = bounds.estimate(grpc, 1).memory_mb - bounds.estimate(platform, 1).memory_mb
+    assert more_mb > 0.9 * 80 * 7 * bounds.GRPC_LINK_MB
+
+
 def test_at_most_half_of_the_machines_memory(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     class Memory:
         total = 400 * bounds.MEGABYTE
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -59,7 +59,10 @@
         assert planner.control_bytes_with_headers_per_s is not None
         assert planner.control_bytes_with_headers_per_s > planner.control_bytes_per_s
         assert bool(planner.task_machines) == bool(sample.size.running)
-        assert bool(planner.connections) == bool(sample.size.running)
+        if sample.form == "grpc":
+            assert planner.connections == pytest.approx(sample.size.workers, rel=0.01)
+        else:
+            assert bool(planner.connections) == bool(sample.size.running)
         assert sample.peers.list_connections == pytest.approx(sample.size.planners, rel=0.3)
 
 
