--- a/stairplank/configuration/server.py
+++ b/stairplank/configuration/server.py
@@ -135,14 +135,22 @@
         self.store.joined(now_us(), planner, life)
         announcer = gevent.spawn(self._announce_to, call)
         self.announcers.add(announcer)
+        self.stream_opened(planner, call)
         try:
             while (message := call.recv()) is not None:
                 self._take(call, planner, life, message)
         finally:
             self.announcers.discard(announcer)
             announcer.kill(block=False)
+            self.stream_closed(planner, call)
             self.store.left(now_us(), planner, life)
 
+    def stream_opened(self, planner: int, call: ServerCall) -> None:
+        """A planner's stream has begun; for those that count."""
+
+    def stream_closed(self, planner: int, call: ServerCall) -> None:
+        """A planner's stream has ended."""
+
     def _announce_to(self, call: ServerCall) -> None:
         """Announce each committed revision, and repeat the last as a heartbeat."""
         while call.stream.error is None:
--- a/stairplank/scale/bounds.py
+++ b/stairplank/scale/bounds.py
@@ -42,6 +42,11 @@
     return -(-count // most)
 
 
+def _per_part(total: int, count: int, most: int) -> int:
+    """Of a total over so many peers, what falls to one of their processes."""
+    return total // max(1, parts(count, most))
+
+
 def estimate(spec: SampleSpec, real_planners: int) -> Estimate:
     """Of the site at which this sample is taken."""
     size = spec.size
@@ -58,9 +63,8 @@
         + connections * connection_mb
         + size.running * TASK_MB
     )
-    at_workers = min(size.workers, WORKERS_PER_PROCESS) + connections // parts(
-        size.workers, WORKERS_PER_PROCESS
-    )
+    at_workers = min(size.workers, WORKERS_PER_PROCESS)
+    at_workers += _per_part(connections, size.workers, WORKERS_PER_PROCESS)
     at_planners = connections // size.planners * min(size.planners, PLANNERS_PER_PROCESS)
     return Estimate(processes, memory_mb, max(at_workers, at_planners) + DESCRIPTORS_SPARE)
 
--- a/stairplank/scale/event_names.py
+++ b/stairplank/scale/event_names.py
@@ -11,9 +11,13 @@
 RESTARTS = "restarts"  # of workers, at once
 ZONE_RETURNS = "zone-returns"  # cold
 REGION_CUT = "region-cut"
-SETTINGS_CHANGE = "settings-change"
+SETTINGS_CHANGE = "settings-change"  # published, and taken by planners that run
+SETTINGS_FOLLOWED = "settings-followed"  # the same planners, with nothing published
+SETTINGS_RESTART = "settings-restart"  # taken by a restart of every planner
 LIST_MOVES = "list-moves"  # the planners' configuration names another list
 
+SETTINGS_EVENTS = (SETTINGS_FOLLOWED, SETTINGS_CHANGE, SETTINGS_RESTART)
+
 
 def list_changes_per_s(load: str) -> float | None:
     """The rate that a load names; None for any other load."""
--- /dev/null
+++ b/stairplank/scale/grpc_replicas.py
@@ -0,0 +1,67 @@
+"""The process of a configuration service's replicas in a scale run, with each planner's traffic counted."""
+
+from __future__ import annotations
+
+from dataclasses import asdict
+from pathlib import Path
+from typing import Any
+
+from ..cli.configuration import text_faults
+from ..configuration import client
+from ..configuration.publication import Outcome
+from ..configuration.server import Replica
+from ..rpc import ServerCall
+from .counts import Counts
+from .socket_bytes import TrafficByPlanner
+
+
+class _CountedReplica(Replica):
+    def __init__(self, state_file: Path) -> None:
+        super().__init__(("127.0.0.1:0",), state_file, text_faults)
+        self.traffic = TrafficByPlanner()
+
+    def stream_opened(self, planner: int, call: ServerCall) -> None:
+        self.traffic.opened(planner, call.stream.connection)
+
+    def stream_closed(self, planner: int, call: ServerCall) -> None:
+        self.traffic.closed(planner, call.stream.connection)
+
+
+class ReplicaHost:
+    """The commands of that process."""
+
+    def __init__(self) -> None:
+        self._replicas: list[_CountedReplica] = []
+        self._addresses: tuple[str, ...] = ()
+
+    def start(self, folder: str, count: int) -> list[str]:
+        """Start so many replicas; their addresses."""
+        self._replicas = [_CountedReplica(Path(folder) / f"replica-{number}.json") for number in range(count)]
+        for replica in self._replicas:
+            replica.start()
+        self._addresses = tuple(replica.server.addresses[0] for replica in self._replicas)
+        return list(self._addresses)
+
+    def publish(self, text: str) -> int:
+        """Publish it; the number of the revision. Raises RuntimeError where it was not published."""
+        result = client.publish(self._addresses, text)
+        if result.outcome is not Outcome.PUBLISHED:
+            raise RuntimeError(f"{result.outcome.value}: {result.problems}")
+        return result.revision.number
+
+    def slowest(self, planners: int) -> float | None:
+        """Seconds from the commit until the last planner has reported that the committed revision is in
+        force; None while one of so many has not."""
+        status = client.site_status(self._addresses)
+        if not status.in_force_everywhere(planners):
+            return None
+        delays = [line.delay_us for line in status.planners if line.connected and line.delay_us is not None]
+        return max(delays, default=0) / 1e6
+
+    def snapshot(self) -> dict[str, Any]:
+        """Totals by planner."""
+        totals: dict[int, Counts] = {}
+        for replica in self._replicas:
+            for planner, traffic in replica.traffic.items():
+                totals[planner] = totals.get(planner, Counts()).plus(traffic.counts())
+        return {"traffic": {planner: asdict(counts) for planner, counts in totals.items()}}
--- a/stairplank/scale/hollow.py
+++ b/stairplank/scale/hollow.py
@@ -47,6 +47,10 @@
             from .load import ClientHost
 
             return ClientHost(GrpcClient)
+        case "grpc", "replicas":
+            from .grpc_replicas import ReplicaHost
+
+            return ReplicaHost()
     raise ValueError(f"no role {role!r} in the form {form!r}")
 
 
--- a/stairplank/scale/plan.py
+++ b/stairplank/scale/plan.py
@@ -30,6 +30,7 @@
     names.ZONE_RETURNS,
     names.REGION_CUT,
     names.LIST_MOVES,
+    names.SETTINGS_CHANGE,
 )
 WORKERS_MOST, PLANNERS_MOST, RUNNING_MOST, STARTS_MOST = 4000, 200, 100_000, 2000.0
 REAL_PLANNERS_MOST = 16
@@ -82,7 +83,7 @@
     Key("memory-most", (v.size,)),
     Key("time-most", (v.positive_duration,)),
     SERIES,
-    Key("event", (v.choice(*EVENTS),), False, True),
+    Key("event", (v.choice(*EVENTS),), False, True, rest=_PLANNERS),  # with so many planners, each
 )
 
 
@@ -111,7 +112,7 @@
 
     @property
     def is_event(self) -> bool:
-        return self.load in EVENTS
+        return self.load in EVENTS or self.load in names.SETTINGS_EVENTS
 
     @property
     def life_s(self) -> float:
@@ -182,7 +183,7 @@
         forms = _values(block, "form", (PLATFORM,))
         workers = _values(block, "workers", (target.workers,))
         planners = _values(block, "planners", (target.planners,))
-        span_s = block.one("span", section.one("span", SPAN_US)) / SECOND_US
+        span_s = block.one("span", _span_s(section) * SECOND_US) / SECOND_US
         place = block.place("workers" if "workers" in block.keys else "planners")
         for form, worker_count, planner_count in itertools.product(forms, workers, planners):
             for load_name, starts, running, changes in _loads(block, target, steady, worker_count):
@@ -234,8 +235,24 @@
     steady = section.one("steady", target.starts_per_s * STEADY_SHARE)
     _, starts, running, _ = _named_load(STEADY, target, steady, target.workers)
     size = Size(target.workers, target.planners, starts, running)
-    given = section.keys.get("event", ())
-    return [SampleSpec(PLATFORM, name, size, 0.0, 0.0, place) for place, (name,) in given]
+    out: list[SampleSpec] = []
+    for place, (name, *planners) in section.keys.get("event", ()):
+        for count in planners or [target.planners]:
+            if name == names.SETTINGS_CHANGE:
+                out += _settings_events(count, _span_s(section), place)
+            else:
+                out.append(SampleSpec(PLATFORM, name, replace(size, planners=count), 0.0, 0.0, place))
+    return out
+
+
+def _settings_events(planners: int, span_s: float, place: Position) -> list[SampleSpec]:
+    """A change of the settings needs no workers and no tasks: planners of the gRPC form alone."""
+    size = Size(0, planners, 0.0, 0)
+    return [SampleSpec(GRPC, load_name, size, 0.0, span_s, place) for load_name in names.SETTINGS_EVENTS]
+
+
+def _span_s(section: Section) -> float:
+    return float(section.one("span", SPAN_US)) / SECOND_US
 
 
 def _repeated(asked: list[SampleSpec], repeats: int) -> tuple[SampleSpec, ...]:
--- a/stairplank/scale/results.py
+++ b/stairplank/scale/results.py
@@ -82,6 +82,7 @@
     planner: PlannerCost = field(default_factory=PlannerCost)
     peers: PeerCost = field(default_factory=PeerCost)
     event: EventTimes = field(default_factory=EventTimes)
+    changes: int = 0  # of the configuration, made in the span
     note: str = ""  # what the machine could not do, or another limit of this sample
 
 
--- a/stairplank/scale/run.py
+++ b/stairplank/scale/run.py
@@ -16,10 +16,12 @@
 
 from . import bounds, events, results
 from .children import ChildError
+from .event_names import SETTINGS_EVENTS
 from .forms import FORMS
 from .measure import peer_cost, planner_cost
 from .plan import Plan, SampleSpec
 from .results import Results, Sample
+from .settings_change import SettingsSite
 from .site import Site
 
 CHANGES_SPARE_S = 2.0  # for which the list goes on to change beyond a span
@@ -75,6 +77,9 @@
 
     def _at_site(self, key: _SiteKey, specs: list[SampleSpec], folder: Path) -> None:
         try:
+            if key.event in SETTINGS_EVENTS:
+                self._at_settings_site(key, specs, folder)
+                return
             site = self._start(key, specs, folder)
             try:
                 for spec in specs:
@@ -85,6 +90,15 @@
             self._progress(f"not measured: {error}")
             self._is_whole = False
 
+    def _at_settings_site(self, key: _SiteKey, specs: list[SampleSpec], folder: Path) -> None:
+        self._progress(f"{key.form}: {key.planners} planners that follow a configuration")
+        site = SettingsSite(key.planners, folder)
+        try:
+            for spec in specs:
+                self._add(spec, site.sample(spec))
+        finally:
+            site.end()
+
     def _start(self, key: _SiteKey, specs: list[SampleSpec], folder: Path) -> Site:
         self._progress(f"{key.form}: {key.workers} workers, {key.planners} planners")
         real = bounds.real_planners_of(self._plan, specs[0])
@@ -96,7 +110,9 @@
         site.place(size.running, spec.life_s)
         site.generate(size.starts_per_s, spec.life_s)
         time.sleep(self._plan.settle_s)
-        sample = self._event(site, spec) if spec.is_event else self._span(site, spec)
+        self._add(spec, self._event(site, spec) if spec.is_event else self._span(site, spec))
+
+    def _add(self, spec: SampleSpec, sample: Sample) -> None:
         self._samples.append(sample)
         self._keep(partial=True)
         self._progress(f"  {len(self._samples)} of {len(self._plan.samples)}: {describe(spec)}")
@@ -135,13 +151,21 @@
     groups: dict[_SiteKey, list[SampleSpec]] = {}
     for spec in samples:
         size, event = spec.size, spec.load if spec.is_event else ""
+        if event in SETTINGS_EVENTS:
+            event = SETTINGS_EVENTS[0]  # all at one site
         key = _SiteKey(spec.form, size.workers, size.planners, size.starts_per_s, event, spec.repeat)
         groups.setdefault(key, []).append(spec)
     for specs in groups.values():
-        specs.sort(key=lambda spec: (spec.size.running, spec.list_changes_per_s))
+        specs.sort(key=_order)
     return groups
 
 
+def _order(spec: SampleSpec) -> tuple[int, float, int]:
+    """Of the samples at one site: the one with fewest running tasks first; a restart of planners last."""
+    event = SETTINGS_EVENTS.index(spec.load) if spec.load in SETTINGS_EVENTS else 0
+    return spec.size.running, spec.list_changes_per_s, event
+
+
 def _real_note(site: Site) -> str:
     if site.real_planners == site.planners:
         return ""
--- a/stairplank/scale/tables.py
+++ b/stairplank/scale/tables.py
@@ -16,6 +16,7 @@
     verdict_cell,
     yes_or_no,
 )
+from .change_tables import before_after_table, configuration_table
 from .days import day_events
 from .figures import PLANNER_FIGURES, Figure
 from .markdown import NOT_MEASURED, factor, number, share, table
@@ -31,11 +32,13 @@
 
 
 class CapacityTables:
-    """``runs``: the results of one state of the program, the first run first."""
+    """``runs``: the results of one state of the program, the first run first; ``before``: those of an earlier
+    state."""
 
-    def __init__(self, target: Target, runs: Sequence[Results]) -> None:
+    def __init__(self, target: Target, runs: Sequence[Results], before: Sequence[Results] = ()) -> None:
         self.target = target
         self.runs = runs
+        self.before = before
         self.sites = [Site(target, runs, form) for form in Form]
         self.slopes = {site.form: Slopes(site.samples) for site in self.sites}
 
@@ -51,6 +54,8 @@
             "noise": self._noise(),
             "two-runs": self._two_runs(),
             "limits": self._limits(),
+            "configuration": configuration_table(self.target, self.runs),
+            "before-after": before_after_table(self.before, self.runs),
         }
         for site in self.sites:
             slopes, form = self.slopes[site.form], site.form.value
--- a/stairplank/scale/target_site.py
+++ b/stairplank/scale/target_site.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from statistics import fmean
 
+from .event_names import SETTINGS_EVENTS
 from .figures import Figure, is_plain
 from .results import EventTimes, Results, Sample, Size
 from .target import Target
@@ -66,6 +67,8 @@
         return [rate for rate, numbers in planners.items() if len(numbers) > 1]
 
     def _events(self, load: str) -> list[EventTimes]:
+        if load in SETTINGS_EVENTS:  # these need no workers and no tasks, whatever the target has
+            return [s.event for s in self.samples if s.load == load]
         samples = (s for s in self.samples if s.load == load)
         return [s.event for s in samples if _same(self.size(s.size.planners, s.size.starts_per_s), s.size)]
 
--- a/tests/scale/test_scale_plan.py
+++ b/tests/scale/test_scale_plan.py
@@ -7,6 +7,7 @@
 import pytest
 
 from stairplank.scale import bounds
+from stairplank.scale.event_names import RACK_FAILS, SETTINGS_CHANGE, SETTINGS_EVENTS
 from stairplank.scale.plan import EVENTS, Plan, load_plan
 from stairplank.scale.results import Size
 from stairplank.settings import SettingsError
@@ -72,7 +73,16 @@
 
 def test_every_event_is_known(tmp_path: Path) -> None:
     text = TARGET + "".join(f"event {name}\n" for name in EVENTS)
-    assert [spec.load for spec in plan_of(tmp_path, text).samples] == list(EVENTS)
+    wanted = [load for name in EVENTS for load in (SETTINGS_EVENTS if name == SETTINGS_CHANGE else (name,))]
+    assert [spec.load for spec in plan_of(tmp_path, text).samples] == wanted
+
+
+def test_an_event_takes_numbers_of_planners(tmp_path: Path) -> None:
+    samples = plan_of(tmp_path, f"{TARGET}event {RACK_FAILS} 7 14\nevent {SETTINGS_CHANGE} 28\n").samples
+    assert [spec.size.planners for spec in samples] == [7, 14, 28, 28, 28]
+    assert {spec.form for spec in samples[2:]} == {"grpc"}
+    with pytest.raises(SettingsError, match="2:18"):
+        plan_of(tmp_path, f"{TARGET}event {RACK_FAILS} 0\n")
 
 
 def test_a_task_lives_so_long_that_as_many_run(tmp_path: Path) -> None:
