--- a/stairplank/scale/children.py
+++ b/stairplank/scale/children.py
@@ -20,6 +20,8 @@
 
 import psutil
 
+from .interrupts import deferred
+
 COMMAND_TIMEOUT_S = 90.0
 END_TIMEOUT_S = 5.0
 READ_BYTES = 1_048_576
@@ -121,18 +123,18 @@
         name = f"{role}-{number}"
         arguments = [sys.executable, "-m", "stairplank.scale.hollow", form, role]
         log = self.folder / f"{name}.log"
-        with log.open("ab") as errors:
+        with deferred(), log.open("ab") as errors:
             process = subprocess.Popen(
                 arguments, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=errors, bufsize=0
             )
-        child = Commanded(name, process, log)
-        self._children.append(child)
+            child = Commanded(name, process, log)
+            self._children.append(child)
         return child
 
     def plain(self, name: str, arguments: Sequence[str], environment: Mapping[str, str]) -> Child:
         """A process that is not commanded; its standard error goes to its log."""
         log = self.folder / f"{name}.log"
-        with log.open("wb") as errors:
+        with deferred(), log.open("wb") as errors:
             process = subprocess.Popen(
                 [sys.executable, *arguments],
                 stdin=subprocess.DEVNULL,
@@ -141,8 +143,8 @@
                 env=os.environ | environment,
                 preexec_fn=_die_with_parent,
             )
-        child = Child(name, process, log)
-        self._children.append(child)
+            child = Child(name, process, log)
+            self._children.append(child)
         return child
 
     def end(self, child: Child) -> None:
--- a/stairplank/scale/run.py
+++ b/stairplank/scale/run.py
@@ -3,14 +3,11 @@
 from __future__ import annotations
 
 import platform
-import signal
 import tempfile
 import time
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager
+from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
-from types import FrameType
 
 import psutil
 
@@ -18,6 +15,7 @@
 from .children import ChildError
 from .event_names import SETTINGS_EVENTS
 from .forms import FORMS
+from .interrupts import Interrupted, deferred, signals_raise
 from .measure import peer_cost, planner_cost
 from .plan import Plan, SampleSpec
 from .results import Results, Sample
@@ -25,14 +23,9 @@
 from .site import Site
 
 CHANGES_SPARE_S = 2.0  # for which the list goes on to change beyond a span
-SIGNALS = (signal.SIGINT, signal.SIGTERM)
 Progress = Callable[[str], None]
 
 
-class Interrupted(Exception):
-    """A signal asks for the end of the run."""
-
-
 @dataclass(frozen=True, slots=True)
 class _SiteKey:
     """Samples that agree in these are taken at one site, the one with fewest running tasks first."""
@@ -85,7 +78,8 @@
                 for spec in specs:
                     self._take(site, spec)
             finally:
-                site.end()
+                with deferred():
+                    site.end()
         except ChildError as error:
             self._progress(f"not measured: {error}")
             self._is_whole = False
@@ -192,20 +186,3 @@
     """Cores and memory of this machine."""
     memory = psutil.virtual_memory().total / 2**30
     return f"{psutil.cpu_count()} cores, {memory:.1f} GB, {platform.system()} {platform.release()}"
-
-
-@contextmanager
-def signals_raise() -> Iterator[None]:
-    """The first signal raises Interrupted where the run is; further ones must not disturb its end."""
-
-    def handle(number: int, frame: FrameType | None) -> None:
-        for each in SIGNALS:
-            signal.signal(each, signal.SIG_IGN)
-        raise Interrupted(signal.Signals(number).name)
-
-    before = {number: signal.signal(number, handle) for number in SIGNALS}
-    try:
-        yield
-    finally:
-        for number, handler in before.items():
-            signal.signal(number, handler)
--- a/stairplank/scale/site.py
+++ b/stairplank/scale/site.py
@@ -18,6 +18,7 @@
 from .children import Child, Children, Commanded, ask_all
 from .counts import Counts
 from .forms import Form, served_at
+from .interrupts import deferred
 from .plan import Layout
 
 START_TIMEOUT_S = 30.0
@@ -61,7 +62,8 @@
         try:
             self._start()
         except BaseException:
-            self.end()
+            with deferred():
+                self.end()
             raise
 
     def end(self) -> None:
