--- a/stairplank/scale/forms.py
+++ b/stairplank/scale/forms.py
@@ -56,7 +56,8 @@
     def write_planner_file(
         self, folder: Path, position: int, planners: int, list_port: int, layout: Layout
     ) -> Path:
-        return grpc_files.write_planner_file(folder, position, planners, list_port, layout.zones)
+        site = grpc_files.site_text(layout.zones)
+        return grpc_files.write_planner_file(folder, position, planners, list_port, site)
 
     def command(self, file: Path) -> tuple[Sequence[str], Mapping[str, str]]:
         return ["-m", "stairplank", "--log-format", "json", "planner", str(file)], {}
--- a/stairplank/scale/settings_change.py
+++ b/stairplank/scale/settings_change.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 from statistics import fmean
 
+from . import grpc_files
 from .children import Child, Children
 from .counts import Counts
 from .event_names import SETTINGS_CHANGE, SETTINGS_FOLLOWED
 from .forms import FORMS, served_at
 from .measure import with_headers
 from .plan import GRPC, SampleSpec
-from .platform_files import TASK_CLASS
 from .results import EventTimes, PlannerCost, Sample
 from .site import wait_for
 
@@ -25,25 +25,12 @@
 CHANGE_EVERY_S = 1.0
 START_TIMEOUT_S = 60.0
 POLL_S = 0.02
-NOBODY = "127.0.0.1:1"  # the node list: there is none
-OWN = "planner {position} of {planners}\nlisten 127.0.0.1:0\ndirectory {nobody}\n"
-SITE = """class {task_class}
-    effect repeatable
-    aim 1s
-    deadline {deadline_ms}ms
-end
-kind std cores 64 memory 256
-zone zone-0
-{tenants}
-mean-cores 1
-mean-memory 2
-"""
+NO_LIST_PORT = 1  # nobody serves a node list there
 
 
 def site_text(change: int) -> str:
-    """The configuration after so many changes: another deadline each time, as any other key would be."""
-    tenants = "\n".join(f"tenant team-{number} share {1 + number % 7}" for number in range(TENANTS))
-    return SITE.format(task_class=TASK_CLASS, deadline_ms=60_000 + change, tenants=tenants)
+    """The configuration after so many changes: another aim each time, as any other key would be."""
+    return grpc_files.site_text(zones=1, tenants=TENANTS, aim_ms=1000 + change)
 
 
 class SettingsSite:
@@ -143,13 +130,10 @@
     # Planners
 
     def _start(self, position: int, follows: bool) -> Child:
-        lines = [OWN.format(position=position, planners=self.planners, nobody=NOBODY)]
-        if follows:
-            lines += [f"configuration {address}\n" for address in self.addresses]
-            lines.append(f"configuration-copy {self.folder}/planner-{position}.copy\n")
-        lines.append(site_text(self.changes))
-        file = self.folder / f"planner-{position}.conf"
-        file.write_text("".join(lines))
+        replicas = self.addresses if follows else ()
+        file = grpc_files.write_planner_file(
+            self.folder, position, self.planners, NO_LIST_PORT, site_text(self.changes), replicas
+        )
         arguments, environment = FORMS[GRPC].command(file)
         return self.children.plain(f"planner-{position}", arguments, environment)
 
