--- a/stairplank/platform/actions.py
+++ b/stairplank/platform/actions.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import traceback
+from collections.abc import Callable
 
 from . import binary, jsonlines
 from . import events as ev
@@ -21,12 +22,18 @@
     """Carries out actions in order; ``flush`` writes what a turn has sent."""
 
     def __init__(
-        self, core: Core, clients: ClientConnections, machines: MachineConnections, node_watch: NodeWatch
+        self,
+        core: Core,
+        clients: ClientConnections,
+        machines: MachineConnections,
+        node_watch: NodeWatch,
+        settings_in_force: Callable[[ev.SettingsChanged], None],
     ) -> None:
         self._core = core
         self._clients = clients
         self._machines = machines
         self._node_watch = node_watch
+        self._settings_in_force = settings_in_force
         self._unflushed: dict[Stream, None] = {}  # in the order of their first message
 
     def with_unwritten(self, events: list[ev.Event]) -> list[ev.Event]:
@@ -65,6 +72,9 @@
                 self._machines.dial(action.link, action.address)
             case ev.CloseLink():
                 self._machines.close(action.link)
+            case ev.SettingsInForce():
+                self._machines.set_dial_timeout(action.change.dial_timeout_us)
+                self._settings_in_force(action.change)
             case ev.WatchNodeList():
                 self._node_watch.ensure_connected()
             case ev.Report():
--- a/stairplank/platform/client_requests.py
+++ b/stairplank/platform/client_requests.py
@@ -62,8 +62,7 @@
         shutdown: Shutdown,
     ) -> None:
         self.loop = loop
-        self.settings = settings
-        self.tenants = tenants
+        self.set_settings(settings, tenants)
         self.tasks = tasks
         self.sessions = sessions
         self.shutdown = shutdown
@@ -71,6 +70,11 @@
         self.adoption: Adoption
         self.ready = False
 
+    def set_settings(self, settings: api.Settings, tenants: tuple[str, ...]) -> None:
+        """Settings and tenants' names from now on; what was taken keeps its wait, class and tenant."""
+        self.settings = settings
+        self.tenants = tenants
+
     def start(self) -> None:
         """Answer tests with "ready" from now on."""
         self.ready = True
--- a/stairplank/platform/config.py
+++ b/stairplank/platform/config.py
@@ -5,12 +5,14 @@
 import json
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
+from hashlib import sha256
 from typing import Any
 
 from .. import interface as api
 from .. import wire
 
 CONFIG_MOST = 16_000_000  # bytes
+DIGEST_SHOWN = 12  # hexadecimal digits of a file's SHA-256 that stand for a revision without a number
 
 
 class ConfigError(Exception):
@@ -32,18 +34,36 @@
     idle_us: int
     handshake_price: float  # of a connection, as a share
     known: tuple[dict[str, Any], ...]
+    revision: str = ""  # of the file
 
 
-def read(path: str) -> dict[str, Any]:
-    """The file's object. Raises ConfigError."""
+@dataclass(frozen=True, slots=True)
+class ConfigFile:
+    """A file that was read; its content is not checked yet."""
+
+    path: str
+    value: Mapping[str, Any]
+    revision: str
+
+
+def read(path: str) -> ConfigFile:
+    """The file's object and revision. Raises ConfigError."""
     try:
         with open(path, "rb") as file:
-            value = json.loads(file.read(CONFIG_MOST))
+            raw = file.read(CONFIG_MOST)
+        value = json.loads(raw)
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: {error}") from None
     if not isinstance(value, dict):
         raise ConfigError(f"{path}: no JSON object")
-    return value
+    return ConfigFile(path, value, _revision(raw, value.get("revision")))
+
+
+def _revision(raw: bytes, number: object) -> str:
+    """The number that the file has, else the beginning of its digest."""
+    if isinstance(number, int) and not isinstance(number, bool):
+        return str(number)
+    return sha256(raw).hexdigest()[:DIGEST_SHOWN]
 
 
 def board_of(value: Mapping[str, Any]) -> str:
@@ -76,7 +96,12 @@
 
 def load(path: str) -> Config:
     """Raises ConfigError."""
-    value = read(path)
+    return parse(read(path))
+
+
+def parse(file: ConfigFile) -> Config:
+    """The typed configuration of a file. Raises ConfigError."""
+    value = file.value
     try:
         options = wire.Options(wire.flattened(value["settings"]))
         settings = _named(wire.settings_from(options), value["settings"])
@@ -95,6 +120,7 @@
             handshake_price=options.number("penalties.handshake", 0.0),
             idle_us=options.whole("limits.conn_idle_us", 30_000_000),
             known=tuple(known.get("notices", ())),
+            revision=file.revision,
         )
-    except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise ConfigError(f"{path}: {type(error).__name__}: {error}") from None
+    except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
+        raise ConfigError(f"{file.path}: {type(error).__name__}: {error}") from None
--- a/stairplank/platform/core.py
+++ b/stairplank/platform/core.py
@@ -89,6 +89,7 @@
             ev.NodeListLost: lambda event: self.loop.notify_module(api.NodeList(api.ListKind.FAILED)),
             ev.StopRequested: self.shutdown.begin,
             ev.MachinesClosing: lambda event: self.links.close_all(),
+            ev.SettingsChanged: self._settings_changed,
             ev.Due: lambda event: None,
         }
         self._action_handlers: dict[type, Callable[[Any], None]] = {
@@ -133,7 +134,7 @@
         first, node list updates before the rest, then time, then new set-ups.
         """
         self.loop.begin(now)
-        events = sorted(events, key=lambda e: not isinstance(e, (ev.NodeListUpdated, ev.NodeListConfirmed)))
+        events = sorted(events, key=lambda e: not isinstance(e, _FIRST))
         for event in events:
             if not is_new_placement(event):
                 self._take(self._handlers[type(event)], event)
@@ -183,9 +184,26 @@
         while (due := self.loop.pop_due()) is not None:
             self._take(due.call, due.what)
 
+    def _settings_changed(self, event: ev.SettingsChanged) -> None:
+        """Every place that holds settings takes the new ones in this turn.
+
+        Danger: a component that kept the former ones would number a new class or tenant differently from the
+        others. Tasks in flight keep the wait and the class that they were taken with.
+        """
+        self.module.s = event.settings
+        self.requests.set_settings(event.settings, event.tenants)
+        self.attempts.settings = event.settings
+        self.shutdown.settings = event.settings
+        self.links.set_dialling(event.dial_timeout_us, event.priced)
+        self.loop.count("settings_changed")
+        self.loop.emit(ev.SettingsInForce(event))
+
     def _timer(self, token: int) -> None:
         self.loop.notify_module(api.TimerFired(token))
 
 
+_FIRST = (ev.NodeListUpdated, ev.NodeListConfirmed, ev.SettingsChanged)
+
+
 def _nothing(_: Any) -> None:
     pass
--- a/stairplank/platform/event_queue.py
+++ b/stairplank/platform/event_queue.py
@@ -2,9 +2,10 @@
 
 Invariants (tests/platform/test_platform_event_queue.py):
 
-1. Node list updates come before everything; then what clients send, but for new set-ups, and what they are
-   owed at once, answers and the ends of tasks that stood; then what else machines and links report; then new
-   set-ups: a set-up is placed by all that is known, not by what happened to be read first.
+1. Node list updates and changed settings come before everything; then what clients send, but for new
+   set-ups, and what they are owed at once, answers and the ends of tasks that stood; then what else machines
+   and links report; then new set-ups: a set-up is placed by all that is known, not by what happened to be
+   read first.
 2. Between events of the same task or connection the order is kept.
 3. A set-up that its client cancels, or whose connection goes, leaves at once, unhandled, however many wait
    before it.
@@ -73,7 +74,7 @@
 
     def add(self, event: ev.Event) -> None:
         match event:
-            case ev.NodeListUpdated() | ev.NodeListConfirmed():
+            case ev.NodeListUpdated() | ev.NodeListConfirmed() | ev.SettingsChanged():
                 self._node_list.append(event)
             case ev.MachineMessage():
                 if is_due_to_client(event) and self._overtakes(event):
--- a/stairplank/platform/events.py
+++ b/stairplank/platform/events.py
@@ -8,6 +8,7 @@
 
 from dataclasses import dataclass
 
+from .. import interface as api
 from .messages import Message
 from .node_list import NodeListUpdate
 
@@ -100,6 +101,19 @@
     """Nothing is owed any more: connections to machines are closed, and none is made."""
 
 
+@dataclass(frozen=True, slots=True)
+class SettingsChanged:
+    """Settings that may change while the planner runs (``reload``) are others from now on."""
+
+    revision: str
+    changed: tuple[str, ...]  # fields that differ
+    settings: api.Settings
+    tenants: tuple[str, ...]
+    zones: tuple[str, ...]
+    dial_timeout_us: int
+    priced: bool
+
+
 @dataclass(frozen=True, slots=True)
 class Due:
     """Time has passed."""
@@ -119,6 +133,7 @@
     | NodeListLost
     | StopRequested
     | MachinesClosing
+    | SettingsChanged
     | Due
 )
 
@@ -163,6 +178,13 @@
     """Make sure that the node list service is connected, now."""
 
 
+@dataclass(frozen=True, slots=True)
+class SettingsInForce:
+    """The core has taken a change: the node list's names follow."""
+
+    change: SettingsChanged
+
+
 @dataclass(frozen=True, slots=True)
 class Report:
     """For the log."""
@@ -171,4 +193,6 @@
     fields: dict[str, object]
 
 
-Action = SendToClient | CloseClient | Dial | SendToMachine | CloseLink | WatchNodeList | Report
+Action = (
+    SendToClient | CloseClient | Dial | SendToMachine | CloseLink | WatchNodeList | SettingsInForce | Report
+)
--- a/stairplank/platform/links.py
+++ b/stairplank/platform/links.py
@@ -79,20 +79,24 @@
         self.links_most = sockets // 2
         self.wanted: dict[int, None] = {}  # machines that wait for room for a connection
         self._served = 0
-        self.shared = SHARED if priced else 1
         self._looks = 0
-        self.dial_timeout_us = dial_timeout_us
+        self.set_dialling(dial_timeout_us, priced)
         self.forget: Callable[[Machine], None]
-        # Danger: where dials take long, the end of what stood at a machine that has vanished would be
-        # reported too late.
-        self.refresh_us = max(REFRESH_LEAST_US, min(REFRESH_US, REPORT_DUE_US - DEAD_US - dial_timeout_us))
-        self.renew_us = max(REFRESH_LEAST_US, min(RENEW_US, REPORT_DUE_US - dial_timeout_us))
         # Danger: machines close what is idle for so long, and what is written meanwhile may have run.
         idle_us = idle_us if idle_us > 0 else 2 * SPARE_US
         self.spare_us = min(SPARE_US, idle_us // 2)
         self.stale_us = idle_us * 3 // 4
         self.closing_all = False
 
+    def set_dialling(self, dial_timeout_us: int, priced: bool) -> None:
+        """How long a dial may take, and whether connections have a price, from now on."""
+        self.shared = SHARED if priced else 1
+        self.dial_timeout_us = dial_timeout_us
+        # Danger: where dials take long, the end of what stood at a machine that has vanished would be
+        # reported too late.
+        self.refresh_us = max(REFRESH_LEAST_US, min(REFRESH_US, REPORT_DUE_US - DEAD_US - dial_timeout_us))
+        self.renew_us = max(REFRESH_LEAST_US, min(RENEW_US, REPORT_DUE_US - dial_timeout_us))
+
     def start(self) -> None:
         self.loop.call_at(self.loop.now + LOOK_US, self._look)
 
--- a/stairplank/platform/machine_connections.py
+++ b/stairplank/platform/machine_connections.py
@@ -26,11 +26,15 @@
     def __init__(self, driver: CoreDriver, core: Core, dial_timeout_us: int) -> None:
         self._driver = driver
         self._core = core
-        self._dial_timeout_s = dial_timeout_us / 1e6
+        self.set_dial_timeout(dial_timeout_us)
         self.streams: dict[int, Stream] = {}
         self.dialling: dict[int, gevent.Greenlet] = {}
         self.unwritten: dict[int, set[str]] = {}  # for links whose loss waits in the event queue
 
+    def set_dial_timeout(self, dial_timeout_us: int) -> None:
+        """How long a dial may take, from the next one on."""
+        self._dial_timeout_s = dial_timeout_us / 1e6
+
     def dial(self, link: int, where: str) -> None:
         """Open a connection to a machine and serve it."""
         self.dialling[link] = gevent.spawn(self._serve, link, where)
--- a/stairplank/platform/node_list.py
+++ b/stairplank/platform/node_list.py
@@ -16,8 +16,8 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
-from dataclasses import dataclass
+from collections.abc import Callable, Container, Mapping
+from dataclasses import dataclass, replace
 from hashlib import blake2b
 from typing import Any
 
@@ -53,6 +53,46 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
+class UnknownKinds:
+    """Machines of kinds that the settings do not name, as last reported: used once their kind is known.
+
+    One entry per machine and per address.
+    """
+
+    def __init__(self) -> None:
+        self._machines: dict[int, tuple[str, ListedNode]] = {}  # with the kind's name
+        self._at: dict[str, int] = {}  # by address
+
+    def __len__(self) -> int:
+        return len(self._machines)
+
+    def remember(self, machine: ListedNode, kind: str) -> None:
+        self._machines[machine.entry.id] = (kind, machine)
+        self._at[machine.address] = machine.entry.id
+
+    def forget(self, node: int) -> None:
+        known = self._machines.pop(node, None)
+        if known is not None:
+            del self._at[known[1].address]
+
+    def forget_at(self, address: str) -> None:
+        node = self._at.get(address)
+        if node is not None:
+            self.forget(node)
+
+    def keep(self, nodes: Container[int]) -> None:
+        """Forget all but these."""
+        for node in [node for node in self._machines if node not in nodes]:
+            self.forget(node)
+
+    def take_known(self, kinds: Mapping[str, int]) -> tuple[ListedNode, ...]:
+        """Remove and return the machines whose kind has a number by now, with that number."""
+        found = [(machine, kinds[kind]) for kind, machine in self._machines.values() if kind in kinds]
+        for machine, _ in found:
+            self.forget(machine.entry.id)
+        return tuple(replace(m, entry=replace(m.entry, kind=kind)) for m, kind in found)
+
+
 class NodeList:
     """``clock`` gives Unix time and our own in microseconds, read together."""
 
@@ -66,6 +106,18 @@
         self.unusable_entries = 0  # entries, over this life
         self._unreadable = 0  # the revision that was asked for anew as it could not be read
         self._started: dict[int, tuple[int, int]] = {}  # machine: its start as reported, and on our clock
+        self._unknown = UnknownKinds()
+
+    def set_names(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> NodeListUpdate | None:
+        """The settings' names from now on; an update with machines of kinds that have become known by it.
+
+        Danger: zones that updates have named already are counted by the numbers that they got then.
+        """
+        for zone in zones:
+            self._zones.setdefault(zone, len(self._zones))
+        self._kinds = {name: i for i, name in enumerate(kinds)}
+        machines = self._unknown.take_known(self._kinds)
+        return NodeListUpdate(False, machines) if machines else None
 
     def apply(self, value: dict[str, Any]) -> tuple[NodeListUpdate | None, bool]:
         """A line's update, if it has one, and whether something was missed. Raises Unreadable."""
@@ -95,9 +147,11 @@
         if whole:
             listed = {m.entry.id for m in machines}
             self._started = {n: s for n, s in self._started.items() if n in listed}
+            self._unknown.keep(listed)
         for machine in machines:
             if machine.entry.status is api.NodeStatus.GONE:
                 self._started.pop(machine.entry.id, None)
+                self._unknown.forget(machine.entry.id)
         return NodeListUpdate(whole, machines), False
 
     def _zone_index(self, name: Any) -> int:
@@ -127,10 +181,17 @@
         except (KeyError, TypeError, ValueError, IndexError, OverflowError):
             if status is api.NodeStatus.READY:
                 return None
+            # Danger: kept as it was before, it would be listed as serving again once its kind is known.
+            self._unknown.forget(node)
             return ListedNode(api.NodeEntry(node, 0, -1, 0, status, 0.0, 0.0), name, "")
-        return ListedNode(
-            api.NodeEntry(node, zone, kind, group, status, cores, memory, launched), name, address
-        )
+        entry = api.NodeEntry(node, zone, kind, group, status, cores, memory, launched)
+        machine = ListedNode(entry, name, address)
+        self._unknown.forget(node)
+        # Danger: a machine whose address another has now would, listed once more, take it back.
+        self._unknown.forget_at(address)
+        if kind < 0:
+            self._unknown.remember(machine, row["class"])
+        return machine
 
     def _start(self, node: int, born_ms: int) -> int:
         """On our own clock; 0 where the machine did not start late."""
--- a/stairplank/platform/service.py
+++ b/stairplank/platform/service.py
@@ -26,6 +26,7 @@
 from .messages import Unreadable
 from .node_list import NodeList, NodeListUpdate
 from .node_watch import NodeWatch
+from .reload import ConfigInForce
 
 BACKLOG = 1024
 CATCH_UP_S = 1.5  # the node list service sends its revision each second
@@ -48,8 +49,7 @@
 
     def __init__(self, path: str) -> None:
         self.path = path
-        self.config = config.load(path)
-        c = self.config
+        c = config.load(path)
         kinds = tuple(k.name for k in c.settings.kinds)
         self.node_list = NodeList(c.zones, kinds, clocks)
         priced = c.handshake_price > 0
@@ -58,18 +58,26 @@
         self.core = Core(c.settings, c.fields, c.seed, sockets, dial_us, priced, c.idle_us, c.tenants)
         self.core.survives_faults = True
         self.driver = CoreDriver(self.core)
+        self.in_force = ConfigInForce(c, self.node_list, self.driver.enqueue, self.core.loop.count)
         self.node_watch = NodeWatch(self.node_list, c.board, self.driver.enqueue, self.core.loop.count)
         # Clients hold a third of the descriptors; half is for machines, the rest is ours.
         self.clients = ClientConnections(self.driver, self.core.sessions, sockets * 2 // 5)
         self.core.sessions.has_unread = self.clients.has_unread
         self.machines = MachineConnections(self.driver, self.core, dial_us)
-        self.executor = ActionExecutor(self.core, self.clients, self.machines, self.node_watch)
+        self.executor = ActionExecutor(
+            self.core, self.clients, self.machines, self.node_watch, self.in_force.confirm
+        )
         self.driver.executor = self.executor
         self.where = ""  # it listens there
         self._stop = Flag()
         self._stopped_at = 0
         self._reloads = 0
 
+    @property
+    def config(self) -> config.Config:
+        """The configuration in force."""
+        return self.in_force.config
+
     def run(self) -> int:
         """Serve until ``stop``; the exit code."""
         known = self._known_updates()
@@ -77,6 +85,7 @@
         self._start(known)
         self._wait_for_node_list()
         accepting = gevent.spawn(self.clients.accept, listener)
+        self.in_force.log_start()
         log("serves", name=self.config.name, listen=self.where, machines=len(self.core.links.machines))
         self._stop.wait()
         tasks = self.core.tasks
@@ -94,7 +103,8 @@
         self._stop.set()
 
     def reload(self) -> None:
-        """Take another node list service, if the file names one; a file that cannot be used changes nothing.
+        """Take the file's settings and the node list service's address; a file that cannot be read changes
+        nothing.
 
         Danger: read as it is being written, it would never be taken; so it is looked at again for a second.
         """
@@ -102,17 +112,18 @@
         mine = self._reloads
         for left in reversed(range(RELOADS)):
             try:
-                found = config.board_of(config.read(self.path))
+                file = config.read(self.path)
+                found = config.board_of(file.value)
             except config.ConfigError as error:
                 if not left:
-                    log("configuration not taken", error=str(error))
+                    self.in_force.refuse(error)
                     return
                 gevent.sleep(RELOAD_S)
                 if mine != self._reloads:
                     return  # a later signal looks
             else:
-                log("configuration read", board=found)
                 self.node_watch.set_address(found)
+                self.in_force.take(file)
                 return
 
     # Start
--- a/tests/platform/test_platform_bounds.py
+++ b/tests/platform/test_platform_bounds.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import os
+import time
 
 import pytest
 from desk import Desk, name
@@ -55,10 +56,11 @@
     try:
         os.dup2(writes, 2)
         logs.never_block()
-        monkeypatch.setattr(logs, "_left", 500)
+        budget = logs.LineBudget(500, 3600.0)
+        monkeypatch.setattr(logs, "_budget", budget)
         for number in range(1000):
             logs.log("event", number=number, text="x" * 1000)
-        assert logs._left == 0
+        assert not budget.take(time.monotonic())
     finally:
         os.dup2(kept, 2)
         os.set_blocking(2, True)
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -407,6 +407,6 @@
 
 
 def test_a_list_that_is_no_object_cannot_be_used(service: Service) -> None:
-    service.config = replace(service.config, known=(5,))  # type: ignore[arg-type]
+    service.in_force.config = replace(service.config, known=(5,))  # type: ignore[arg-type]
     with pytest.raises(ConfigError):
         service.run()
