--- a/scripts/same_core.py
+++ b/scripts/same_core.py
@@ -89,7 +89,8 @@
                 case 6:
                     world.drain_node(some[0])
                 case 7:
-                    world.nodes[some[0]] and setattr(world.nodes[some[0]], "failing", 0.7)
+                    if (node := world.nodes[some[0]]) is not None:
+                        node.faults.failing = 0.7
         world.run(60 * SECOND)
         for core in list(world.cores.values()):  # and they leave
             from stairplank.planner import events as ev
--- a/stairplank/emulator/experiment.py
+++ b/stairplank/emulator/experiment.py
@@ -23,7 +23,7 @@
 from ..settings.room import ROOM, room_from
 from ..settings.schema import Block, Key, Section, load
 from ..standin.config import LIST, MODEL, directory_model, model_from
-from ..standin.node import NodeModel
+from ..standin.node_model import NodeModel
 from ..standin.owner import Demand, OwnerModel
 from .world import World, WorldConfig
 
--- a/stairplank/emulator/watch.py
+++ b/stairplank/emulator/watch.py
@@ -11,7 +11,7 @@
 from .. import interface as api
 from ..planner import events as ev
 from ..planner.events import AttemptId
-from ..standin.node import Said
+from ..standin.node_events import Said
 from .world import World
 
 FRESH_US = 50_000  # an offer that came with less of its wait left than this is no loss
--- a/stairplank/emulator/world.py
+++ b/stairplank/emulator/world.py
@@ -14,9 +14,12 @@
 from ..planner.admission import Bounds
 from ..planner.core import Core, CoreConfig
 from ..settings.room import Room
+from ..standin.copies import CopyBook
 from ..standin.directory import Directory, DirectoryModel
 from ..standin.door import Door
-from ..standin.node import CopyBook, Fell, Node, NodeModel, Probed, Said, SaidDraining, Word
+from ..standin.node import Node
+from ..standin.node_events import Fell, Probed, Said, SaidDraining, Word
+from ..standin.node_model import NodeModel
 from ..standin.owner import Ask, AskGroup, Do, Owner, OwnerModel
 from .meter import Meter
 from .wires import DIAL_US, KEEPALIVE_US, Wire, Wires
--- a/stairplank/rehearsal/scenario.py
+++ b/stairplank/rehearsal/scenario.py
@@ -12,7 +12,7 @@
 from ..settings.room import ROOM, Room, room_from
 from ..settings.schema import Block, Key, Section, load
 from ..standin.config import COMMON, LIST, MODEL, OWNERS, demands_from, faults_from, model_from
-from ..standin.node import NodeModel
+from ..standin.node_model import NodeModel
 from ..standin.script import Fault
 
 FLEET = Block(
--- a/stairplank/standin/config.py
+++ b/stairplank/standin/config.py
@@ -15,7 +15,7 @@
 from ..settings.room import ROOM, Room, room_from
 from ..settings.schema import Block, Key, Section, load
 from .directory import DirectoryModel
-from .node import NodeModel
+from .node_model import NodeModel
 from .owner import Demand, OwnerModel
 from .script import Fault, parse
 
--- a/stairplank/standin/farm.py
+++ b/stairplank/standin/farm.py
@@ -16,8 +16,10 @@
 from ..proto import caller, common_pb2, directory_pb2, methods, node_pb2
 from ..rpc import Channel, Code, RpcError, Server, ServerCall
 from .config import FarmConfig, NodeConfig, begun
+from .copies import CopyBook
 from .door import Door
-from .node import CopyBook, Fell, Node, Probed, Said, SaidDraining, Word
+from .node import Node
+from .node_events import Fell, Probed, Said, SaidDraining, Word
 from .script import Fault
 
 ANNOUNCE_S = 0.1
@@ -415,11 +417,11 @@
             case "drain" if node is not None:
                 served.say(node.drain(now_us()))
             case "fail-starts" if node is not None:
-                node.failing = fault.values[0] if on else 0.0
+                node.faults.failing = fault.values[0] if on else 0.0
             case "refuse" if node is not None:
-                node.refusing = fault.values[0] if on else 0.0
+                node.faults.refusing = fault.values[0] if on else 0.0
             case "turn-away" if node is not None:
-                node.turning = {fault.values[0]: fault.values[1]} if on else {}
+                node.faults.turning = {fault.values[0]: fault.values[1]} if on else {}
             case "pauses":
                 served.pausing = on
                 if on:
@@ -428,4 +430,4 @@
                 served.say(node.drain(now_us()))
                 gevent.spawn_later(fault.values[0] / 1e6, served.kill)
             case "slow" if node is not None:
-                node.slow = fault.values[0] if on else 1.0
+                node.faults.slow = fault.values[0] if on else 1.0
--- a/stairplank/standin/node.py
+++ b/stairplank/standin/node.py
@@ -9,162 +9,22 @@
 from __future__ import annotations
 
 import random
-from collections import Counter, deque
-from dataclasses import dataclass, field
-from enum import Enum
+from collections import deque
 
 from .. import interface as api
 from ..planner.events import AttemptId, GroupTag, TaskSpec
+from .copies import Copies, CopyBook
+from .node_events import Probed, Said, SaidDraining, Word
+from .node_faults import NodeFaults
+from .node_model import NodeModel, Offer, Stage, due_of
+from .node_pace import NodePace
+from .reservations import Reservations
 
 FINISHED_US = 30_000_000  # members that ran to their end are told of for so long
 FINISHED_MOST = 1_000  # and not more of them; the oldest go first
 FAILS_US = 20_000  # how long a start that fails takes
 
 
-@dataclass(frozen=True)
-class NodeModel:
-    """One node's figures; times in microseconds."""
-
-    id: int
-    name: str
-    kind: str
-    zone: str
-    rack: str
-    cores: float
-    memory: float
-    cores_limit: float = 1.0
-    memory_limit: float = 1.0
-    look_us: tuple[int, int] = (2_000, 5_000)
-    waiting_most: int = 16
-    starts_at_once: int = 4
-    start_us: int = 60_000
-    from_nothing: float = 6.0  # times the work where the program is not there
-    programs_kept: int = 8
-    cold_share: float = 0.2
-    cold_us: int = 10_000_000
-    fall_multiple: float = 2.0
-    fall_us: int = 1_500_000
-    fresh_offers: float = 20.0
-    preempts: bool = False
-    cores_use: float = 0.5
-    memory_use: float = 0.65
-
-
-class Stage(Enum):
-    WAITING = "waiting"  # not looked at
-    ACCEPTED = "accepted"  # room is taken; not begun
-    STARTING = "starting"
-    READY = "ready"  # a member of a group, made ready and held until it is let run
-    RUNNING = "running"
-
-
-@dataclass(slots=True)
-class Offer:
-    """An offer, from its arrival to its end."""
-
-    planner: int
-    id: AttemptId
-    task: TaskSpec
-    until: int  # an answer is of use until then
-    priority: int
-    window_us: int  # keyed: how long repeats are dropped; else 0
-    came: int
-    stage: Stage = Stage.WAITING
-    ends: int = 0  # of the start, or of the task; 0: not by itself
-    fails: bool = False  # its start will
-    group: GroupTag | None = None
-    kept_until: int = 0  # a member of a group is released by the node after that; 0: not accepted yet
-    let_run: bool = False
-
-    @property
-    def begun(self) -> bool:
-        """It may have had an effect. A member that is held never has."""
-        if self.group is not None:
-            return self.let_run
-        return self.stage in (Stage.STARTING, Stage.RUNNING)
-
-
-def _due(offer: Offer) -> int:
-    """When something happens to it by itself."""
-    return min((at for at in (offer.ends, offer.kept_until) if at), default=2**62)
-
-
-@dataclass(slots=True)
-class Copies:
-    """What the nodes of one group remember of keyed tasks: one copy stands, repeats are dropped."""
-
-    standing: dict[tuple[str, int], AttemptId] = field(default_factory=dict)
-    done: dict[tuple[str, int], int] = field(default_factory=dict)  # finished: remembered until
-    most: int = 100_000
-
-    def drops(self, name: tuple[str, int], id: AttemptId, now: int) -> bool:
-        stands = self.standing.get(name)
-        if stands is not None and stands != id:
-            return True
-        return self.done.get(name, 0) > now
-
-    def finished(self, name: tuple[str, int], until: int, now: int) -> None:
-        self.done[name] = until
-        if len(self.done) > self.most:
-            self.done = {k: u for k, u in self.done.items() if u > now}
-
-
-class CopyBook:
-    """Which nodes share their memory of a class's tasks: those of the group that the class names."""
-
-    def __init__(self, classes: tuple[api.TaskClass, ...]) -> None:
-        self._scopes = {c.name: c.dedup_scope for c in classes}
-        self._copies: dict[tuple[str, str], Copies] = {}
-
-    def of(self, model: NodeModel, task_class: str) -> Copies:
-        scope = self._scopes.get(task_class, api.Scope.GROUP)
-        place = {api.Scope.NODE: str(model.id), api.Scope.GROUP: model.rack, api.Scope.ZONE: model.zone}
-        return self._copies.setdefault((task_class, place.get(scope, "")), Copies())
-
-
-@dataclass(frozen=True, slots=True)
-class Said:
-    """A word to a planner about an attempt.
-
-    ``what`` is one of accepted, ready, running, refused, error, ended, usage.
-    """
-
-    planner: int
-    what: str
-    id: AttemptId
-    result: api.Result | None = None
-    reason: api.Reason = api.Reason.UNTOLD
-    cores: float = 0.0
-    memory: float = 0.0
-    late: bool = False  # refused since the offer was too old when it came
-
-
-@dataclass(frozen=True, slots=True)
-class SaidDraining:
-    pass
-
-
-@dataclass(frozen=True, slots=True)
-class Probed:
-    """The answer to a probe."""
-
-    token: int
-    free_cores: float
-    free_memory: float
-    util: float
-
-
-@dataclass(frozen=True, slots=True)
-class Fell:
-    """It was pushed over and is down from now on."""
-
-    offers: int
-    borne: float
-
-
-Word = Said | SaidDraining | Probed | Fell
-
-
 class Node:
     """One life of a node. A restart is a new one with a later ``started``."""
 
@@ -173,21 +33,14 @@
         self.copies = copies
         self.rng = random.Random(seed)
         self.started = started
-        self.cold = cold  # it has just come up; else it is taken to have run for long
+        self.pace = NodePace(model, started, cold)
         self.draining = False
         self.down = False
-        self.slow = 1.0  # fault: times the usual work
-        self.failing = 0.0  # fault: share of the starts that fail, quickly
-        self.refusing = 0.0  # fault: share of the offers turned away without a reason
-        self.turning: dict[str, float] = {}  # fault: the same for one class
+        self.faults = NodeFaults()
         self.held: dict[AttemptId, Offer] = {}
         self.line: deque[Offer | int] = deque()  # offers and probes wait in one line
         self.look_ends = 0
-        self.programs: Counter[int] = Counter()
-        self.kept: deque[int] = deque(maxlen=model.programs_kept)
-        self.asked_cores = 0.0
-        self.asked_memory = 0.0
-        self.pushed: deque[int] = deque()
+        self.reserved = Reservations(model)
         self.finished: deque[tuple[int, Offer]] = deque(maxlen=FINISHED_MOST)  # members of groups
         self.changed = True  # something that the list shows
         self.clock = started  # the latest time that was told
@@ -322,20 +175,13 @@
 
     def free(self) -> tuple[float, float]:
         """Cores and memory that no accepted task asks for."""
-        return self.model.cores - self.asked_cores, self.model.memory - self.asked_memory
+        return self.reserved.free()
 
     def util(self) -> float:
         running = sum(o.task.cores for o in self.held.values() if o.stage is Stage.RUNNING)
         starting = sum(1 for o in self.held.values() if o.stage is Stage.STARTING)
         return min(1.0, (running * self.model.cores_use + starting) / self.model.cores)
 
-    def pace(self, now: int) -> float:
-        """Share of the usual pace of starts: a cold node gains it evenly."""
-        if not self.cold:
-            return 1.0
-        done = min(1.0, (now - self.started) / max(1, self.model.cold_us))
-        return self.model.cold_share + (1 - self.model.cold_share) * done
-
     # Inside
 
     def _advance(self, now: int) -> None:
@@ -348,7 +194,7 @@
             if self.line and self.look_ends == due:
                 self._looked(due)
                 continue
-            offer = min(self.held.values(), key=lambda o: (_due(o), o.id))
+            offer = min(self.held.values(), key=lambda o: (due_of(o), o.id))
             if offer.kept_until and offer.kept_until <= due:
                 # Nobody keeps it any more: its group never became whole, or its planner is gone.
                 self._end_early(offer)
@@ -357,22 +203,14 @@
                 self._end(offer, due)
 
     def _push(self, now: int) -> None:
-        """Rule 4's model: offers push a cold node, refused ones too."""
-        model = self.model
-        if not self.cold or now - self.started >= model.cold_us:
-            return
-        self.pushed.append(now)
-        while self.pushed and self.pushed[0] < now - model.fall_us:
-            self.pushed.popleft()
-        rate = model.starts_at_once * self.pace(now) / (model.start_us / 1e6)
-        borne = max(model.fresh_offers, model.fall_multiple * rate * model.fall_us / 1e6)
-        if len(self.pushed) > borne:
+        fall = self.pace.push(now)
+        if fall is not None:
             self.down = self.changed = True
-            self.out.append(Fell(len(self.pushed), borne))
+            self.out.append(fall)
 
     def _look(self, now: int) -> None:
         if self.line and not self.look_ends:
-            self.look_ends = now + int(self.rng.randint(*self.model.look_us) * self.slow)
+            self.look_ends = now + int(self.rng.randint(*self.model.look_us) * self.faults.slow)
 
     def _looked(self, now: int) -> None:
         first = self.line.popleft()
@@ -390,12 +228,12 @@
         if self.clock >= offer.until:
             # Danger: a node that stood still looks at offers that came before, as if it were still then.
             reason = api.Reason.NOT_HERE
-        elif self._turns_away(task.task_class):
+        elif self.faults.turns_away(task.task_class, self.rng):
             reason = api.Reason.UNTOLD
         elif offer.window_us and self._copies(task).drops((task.owner, task.key), offer.id, now):
             reason = api.Reason.NOT_HERE
         else:
-            reason = self._room_for(offer)
+            reason = self._make_room_for(offer)
         if reason is not None:
             del self.held[offer.id]
             self._say(offer, "refused", reason=reason)
@@ -403,39 +241,19 @@
         offer.stage = Stage.ACCEPTED
         if offer.group is not None:
             offer.kept_until = now + offer.group.lease_us
-        self.asked_cores += task.cores
-        self.asked_memory += task.memory
+        self.reserved.add(task)
         self.changed = True
         if offer.window_us:
             self._copies(task).standing[task.owner, task.key] = offer.id
         self._say(offer, "accepted")
         self._begin(now)
 
-    def _turns_away(self, task_class: str) -> bool:
-        share = max(self.refusing, self.turning.get(task_class, 0.0))
-        return share > 0 and self.rng.random() < share
-
-    def _room_for(self, offer: Offer) -> api.Reason | None:
+    def _make_room_for(self, offer: Offer) -> api.Reason | None:
         """None where it fits, if need be after tasks of lower priority were pushed out."""
-        task, model = offer.task, self.model
-        cores = self.asked_cores + task.cores - model.cores * model.cores_limit
-        memory = self.asked_memory + task.memory - model.memory * model.memory_limit
-        if cores <= 1e-6 and memory <= 1e-6:
-            return None
-        out: list[Offer] = []
-        if model.preempts:
-            lower = [
-                o for o in self.held.values() if o.stage is not Stage.WAITING and o.priority < offer.priority
-            ]
-            for other in sorted(lower, key=lambda o: (o.priority, -o.came)):
-                out.append(other)
-                cores -= other.task.cores
-                memory -= other.task.memory
-                if cores <= 1e-6 and memory <= 1e-6:
-                    for victim in out:
-                        self._send_away(victim, api.Reason.PUSHED_OUT)
-                    return None
-        return api.Reason.NO_CORES if cores > 1e-6 else api.Reason.NO_MEMORY
+        reason, victims = self.reserved.room_for(offer, self.held.values())
+        for victim in victims:
+            self._send_away(victim, api.Reason.PUSHED_OUT)
+        return reason
 
     def _begin(self, now: int) -> None:
         """Start accepted tasks in the order of their coming, while slots are free."""
@@ -446,13 +264,11 @@
             if offer.stage is Stage.ACCEPTED:
                 busy += 1
                 offer.stage = Stage.STARTING
-                known = self.programs[offer.task.service] > 0 or offer.task.service in self.kept
-                self.programs[offer.task.service] += 1
-                work = self.model.start_us * (1.0 if known else self.model.from_nothing) / self.pace(now)
-                offer.fails = self.failing > 0 and self.rng.random() < self.failing
+                work = self.pace.begin_start(offer.task.service, now)
+                offer.fails = self.faults.fails_start(self.rng)
                 if offer.fails:
                     work = FAILS_US  # and fast: a node like that looks roomy
-                offer.ends = now + max(1, int(work * self.slow * self.rng.uniform(0.8, 1.2)))
+                offer.ends = now + max(1, int(work * self.faults.slow * self.rng.uniform(0.8, 1.2)))
 
     def _end(self, offer: Offer, now: int) -> None:
         if offer.stage is Stage.STARTING and offer.fails:
@@ -508,16 +324,11 @@
         if offer.stage is Stage.WAITING:
             return
         task = offer.task
-        self.asked_cores -= task.cores
-        self.asked_memory -= task.memory
+        self.reserved.remove(task)
         self.changed = True
         self._stands_no_more(offer)
         if offer.stage in (Stage.STARTING, Stage.READY, Stage.RUNNING):
-            self.programs[task.service] -= 1
-            if self.programs[task.service] <= 0:
-                del self.programs[task.service]
-                if task.service not in self.kept:
-                    self.kept.append(task.service)
+            self.pace.end(task.service)
 
     def _say(
         self,
--- /dev/null
+++ b/stairplank/standin/node_model.py
@@ -0,0 +1,76 @@
+"""A node's figures, and an offer from its arrival at a node to its end. No I/O and no clock."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from ..planner.events import AttemptId, GroupTag, TaskSpec
+
+
+@dataclass(frozen=True)
+class NodeModel:
+    """One node's figures; times in microseconds."""
+
+    id: int
+    name: str
+    kind: str
+    zone: str
+    rack: str
+    cores: float
+    memory: float
+    cores_limit: float = 1.0
+    memory_limit: float = 1.0
+    look_us: tuple[int, int] = (2_000, 5_000)
+    waiting_most: int = 16
+    starts_at_once: int = 4
+    start_us: int = 60_000
+    from_nothing: float = 6.0  # times the work where the program is not there
+    programs_kept: int = 8
+    cold_share: float = 0.2
+    cold_us: int = 10_000_000
+    fall_multiple: float = 2.0
+    fall_us: int = 1_500_000
+    fresh_offers: float = 20.0
+    preempts: bool = False
+    cores_use: float = 0.5
+    memory_use: float = 0.65
+
+
+class Stage(Enum):
+    WAITING = "waiting"  # not looked at
+    ACCEPTED = "accepted"  # room is taken; not begun
+    STARTING = "starting"
+    READY = "ready"  # a member of a group, made ready and held until it is let run
+    RUNNING = "running"
+
+
+@dataclass(slots=True)
+class Offer:
+    """An offer, from its arrival to its end."""
+
+    planner: int
+    id: AttemptId
+    task: TaskSpec
+    until: int  # an answer is of use until then
+    priority: int
+    window_us: int  # keyed: how long repeats are dropped; else 0
+    came: int
+    stage: Stage = Stage.WAITING
+    ends: int = 0  # of the start, or of the task; 0: not by itself
+    fails: bool = False  # its start will
+    group: GroupTag | None = None
+    kept_until: int = 0  # a member of a group is released by the node after that; 0: not accepted yet
+    let_run: bool = False
+
+    @property
+    def begun(self) -> bool:
+        """It may have had an effect. A member that is held never has."""
+        if self.group is not None:
+            return self.let_run
+        return self.stage in (Stage.STARTING, Stage.RUNNING)
+
+
+def due_of(offer: Offer) -> int:
+    """When something happens to it by itself."""
+    return min((at for at in (offer.ends, offer.kept_until) if at), default=2**62)
--- /dev/null
+++ b/stairplank/standin/node_pace.py
@@ -0,0 +1,56 @@
+"""How fast a node starts tasks: its pace while it is cold, the programs it has, and how it falls over when
+pushed. No I/O and no clock.
+"""
+
+from __future__ import annotations
+
+from collections import Counter, deque
+
+from .node_events import Fell
+from .node_model import NodeModel
+
+
+class NodePace:
+    """One life's. ``cold``: it has just come up; else it is taken to have run for long."""
+
+    def __init__(self, model: NodeModel, started: int, cold: bool) -> None:
+        self.model = model
+        self.started = started
+        self.cold = cold
+        self.pushed: deque[int] = deque()  # when offers came to a cold node, lately
+        self._running: Counter[int] = Counter()  # starts and tasks by the program of their service
+        self._kept: deque[int] = deque(maxlen=model.programs_kept)
+
+    def share(self, now: int) -> float:
+        """Share of the usual pace of starts: a cold node gains it evenly."""
+        if not self.cold:
+            return 1.0
+        done = min(1.0, (now - self.started) / max(1, self.model.cold_us))
+        return self.model.cold_share + (1 - self.model.cold_share) * done
+
+    def push(self, now: int) -> Fell | None:
+        """Rule 4's model: offers push a cold node, refused ones too. Its fall, if this one was too many."""
+        model = self.model
+        if not self.cold or now - self.started >= model.cold_us:
+            return None
+        self.pushed.append(now)
+        while self.pushed and self.pushed[0] < now - model.fall_us:
+            self.pushed.popleft()
+        rate = model.starts_at_once * self.share(now) / (model.start_us / 1e6)
+        borne = max(model.fresh_offers, model.fall_multiple * rate * model.fall_us / 1e6)
+        return Fell(len(self.pushed), borne) if len(self.pushed) > borne else None
+
+    def begin_start(self, service: int, now: int) -> float:
+        """The work of a start, in microseconds: several times as much where the program is not there."""
+        is_known = self._running[service] > 0 or service in self._kept
+        self._running[service] += 1
+        return self.model.start_us * (1.0 if is_known else self.model.from_nothing) / self.share(now)
+
+    def end(self, service: int) -> None:
+        """A start or task is over; the program of the last one is kept for a while."""
+        self._running[service] -= 1
+        if self._running[service] > 0:
+            return
+        del self._running[service]
+        if service not in self._kept:
+            self._kept.append(service)
--- a/tests/scale/test_scaling_counts_grpc.py
+++ b/tests/scale/test_scaling_counts_grpc.py
@@ -13,7 +13,7 @@
 from stairplank.planner.links import State
 from stairplank.settings.room import ROOM, room_from
 from stairplank.settings.schema import load_text
-from stairplank.standin.node import NodeModel
+from stairplank.standin.node_model import NodeModel
 
 SECOND = 1_000_000
 SIZES = (50, 100, 200)
--- a/tests/standin/test_node_fenced.py
+++ b/tests/standin/test_node_fenced.py
@@ -10,7 +10,7 @@
 from stairplank.fence import Stamp
 from stairplank.planner.events import AttemptId, GroupTag, TaskSpec
 from stairplank.standin.door import Door
-from stairplank.standin.node import Said
+from stairplank.standin.node_events import Said
 
 
 def say(
@@ -68,7 +68,7 @@
     h = Host(cold=True)
     for n in range(200):
         say(h, n + 1, h.now - 12 * SECOND)
-    assert not h.node.down and not h.node.pushed and not h.node.held
+    assert not h.node.down and not h.node.pace.pushed and not h.node.held
 
 
 def test_a_commit_that_was_kept_lets_nothing_run() -> None:
--- a/tests/standin/test_standins.py
+++ b/tests/standin/test_standins.py
@@ -9,8 +9,11 @@
 from stairplank import interface as api
 from stairplank.planner import events as ev
 from stairplank.planner.events import AttemptId, ListedNode, TaskSpec
+from stairplank.standin.copies import CopyBook
 from stairplank.standin.directory import Directory, DirectoryModel
-from stairplank.standin.node import CopyBook, Fell, Node, NodeModel, Probed, Said, SaidDraining
+from stairplank.standin.node import Node
+from stairplank.standin.node_events import Fell, Probed, Said, SaidDraining
+from stairplank.standin.node_model import NodeModel
 from stairplank.standin.owner import Ask, Demand, Owner, OwnerModel, Stand, Withdraw
 from stairplank.standin.script import parse
 
@@ -178,11 +181,11 @@
 
 def test_faults_at_a_node() -> None:
     h = Host()
-    h.node.failing = 1.0
+    h.node.faults.failing = 1.0
     id = h.offer(1)
     h.wait(SECOND)
     assert h.words(id) == ["accepted", "error"] and h.node.free() == (4.0, 8.0)
-    h.node.refusing = 1.0
+    h.node.faults.refusing = 1.0
     other = h.offer(2)
     h.wait(SECOND)
     assert h.words(other) == ["refused"] and h.reason(other) is api.Reason.UNTOLD
