--- a/stairplank/planner/nodelink.py
+++ b/stairplank/planner/nodelink.py
@@ -3,33 +3,52 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 import gevent
 
 from ..fence import Stamp, Stamps
 from ..proto import caller, node_pb2
 from ..rpc import Channel, Code, Limits, RpcError
+from ..settings import PlannerConfig
 from . import convert
 from . import events as ev
 from .clock import now_us
 from .events import AttemptId
 from .links import Heard
 
-if TYPE_CHECKING:
-    from .daemon import Daemon
-
 NODE = node_pb2.DESCRIPTOR.services_by_name["Node"]
 ACK_EVERY = 32  # last words of a node, or
 ACK_S = 0.25  # so long after the first of them
 WORK_BATCH = 64  # messages of one stream taken before others get a turn
 
 
+class LinkHost(Protocol):
+    """The planner as its links see it: whom they report to."""
+
+    @property
+    def config(self) -> PlannerConfig: ...
+    @property
+    def position(self) -> int: ...
+    @property
+    def life(self) -> int: ...
+    @property
+    def log(self) -> Any: ...
+    @property
+    def heard(self) -> dict[int, tuple[int, Heard]]:
+        """By node: its life, and its numbered messages so far. Outlives a link."""
+
+    def feed(self, event: ev.Event) -> None: ...
+    def link_over(self, link: NodeLink, event: ev.Event) -> None: ...
+    def next_epoch(self) -> int: ...
+    def clock_stepped(self) -> bool: ...
+
+
 class NodeLink:
     """The one link to a node: dials its addresses in order, speaks Offers on the first that answers."""
 
-    def __init__(self, daemon: Daemon, node: int, addresses: tuple[str, ...]) -> None:
-        self.daemon = daemon
+    def __init__(self, host: LinkHost, node: int, addresses: tuple[str, ...]) -> None:
+        self.host = host
         self.node = node
         self.addresses = addresses
         self.channel: Channel | None = None
@@ -50,28 +69,28 @@
                 welcome = self._dial(target)
                 break
             except RpcError as error:
-                self.daemon.log.debug("dial failed", node=self.node, address=target, error=str(error))
+                self.host.log.debug("dial failed", node=self.node, address=target, error=str(error))
                 self._close()
         if welcome is None or self.closing:
             self._close()
-            self.daemon.link_over(self, ev.DialFailed(self.node))
+            self.host.link_over(self, ev.DialFailed(self.node))
             return
-        known = self.daemon.heard.get(self.node)
+        known = self.host.heard.get(self.node)
         if known is None or known[0] != welcome.started_unix_us:
-            known = self.daemon.heard[self.node] = (welcome.started_unix_us, Heard())
+            known = self.host.heard[self.node] = (welcome.started_unix_us, Heard())
         self.heard = known[1]
         self.heard.opened()
-        self.daemon.feed(ev.LinkUp(self.node, welcome.started_unix_us, welcome.draining))
+        self.host.feed(ev.LinkUp(self.node, welcome.started_unix_us, welcome.draining))
         try:
             self._read()
         except RpcError as error:
-            self.daemon.log.info("link broken", node=self.node, error=str(error))
+            self.host.log.info("link broken", node=self.node, error=str(error))
         unsent = self.unsent()
         self._close()
-        self.daemon.link_over(self, ev.LinkDown(self.node, unsent))
+        self.host.link_over(self, ev.LinkDown(self.node, unsent))
 
     def _dial(self, target: str) -> Any:
-        config = self.daemon.config
+        config = self.host.config
         limits = Limits(
             keepalive_s=config.keepalive_us[0] / 1e6,
             keepalive_timeout_s=config.keepalive_us[1] / 1e6,
@@ -81,12 +100,12 @@
         timeout = config.dial_timeout_us / 1e6
         self.channel = Channel(target, limits, timeout)
         self.call = caller(self.channel, NODE, "Offers")
-        heard = self.daemon.heard.get(self.node, (0, Heard()))[1].number
+        heard = self.host.heard.get(self.node, (0, Heard()))[1].number
         hello = node_pb2.OfferRequest.Hello(
-            planner=self.daemon.position,
-            life=self.daemon.life,
+            planner=self.host.position,
+            life=self.host.life,
             heard=heard,
-            epoch=self.daemon.next_epoch(),
+            epoch=self.host.next_epoch(),
         )
         self.call.send(node_pb2.OfferRequest(hello=hello))
         self.sent.append((0, None))
@@ -110,7 +129,7 @@
             if event is None and message.WhichOneof("kind") == "sampled":
                 event = self._sampled(message.sampled)
             if event is not None:
-                self.daemon.feed(event)
+                self.host.feed(event)
             taken += 1
             if taken % WORK_BATCH == 0:
                 gevent.sleep(0)
@@ -119,7 +138,7 @@
         """A last word: taken once, in order, and acknowledged; a gap is asked for again."""
         take, again = self.heard.take(number)
         if again:
-            self.daemon.log.info("words missed", node=self.node, heard=self.heard.number, came=number)
+            self.host.log.info("words missed", node=self.node, heard=self.heard.number, came=number)
             self._ack(True)
         elif self.heard.number - self.heard.acknowledged >= ACK_EVERY:
             self._ack(False)
@@ -156,7 +175,7 @@
         if not self.send(node_pb2.OfferRequest(probe=node_pb2.OfferRequest.Probe(probe=number)), None):
             return False
         self._probes[number] = now_us()
-        gevent.spawn_later(self.daemon.config.probe_timeout_us / 1e6, self._probe_over, number)
+        gevent.spawn_later(self.host.config.probe_timeout_us / 1e6, self._probe_over, number)
         return True
 
     def _sampled(self, sampled: Any) -> ev.Event | None:
@@ -169,7 +188,7 @@
     def _probe_over(self, number: int) -> None:
         began = self._probes.pop(number, None)
         if began is not None:
-            self.daemon.feed(ev.ProbeTold(self.node, False, now_us() - began))
+            self.host.feed(ev.ProbeTold(self.node, False, now_us() - began))
 
     def unsent(self) -> frozenset[AttemptId]:
         """Attempts of which not one byte was handed to the connection."""
@@ -180,8 +199,8 @@
 
     def stamp(self) -> Stamp | None:
         """For a message that counts from when it is said."""
-        if self.daemon.clock_stepped():
-            self.daemon.log.warning("the clock has jumped: grants are forgotten")
+        if self.host.clock_stepped():
+            self.host.log.warning("the clock has jumped: grants are forgotten")
         return self.stamps.stamp(now_us())
 
     def hang_up(self) -> None:
