--- a/stairplank/platform/node_watch.py
+++ b/stairplank/platform/node_watch.py
@@ -50,7 +50,7 @@
     ) -> None:
         self.node_list = node_list
         self.address = where
-        self.last_heard = 0.0  # when it last sent something, or was asked (monotonic, in seconds)
+        self.last_received = 0.0  # when it last sent something, or was asked (monotonic, in seconds)
         self._enqueue, self._count = enqueue, count
         self._connections: list[Any] = []  # the newest last
         self._last_progress = 0.0  # when the newest was made, or a update came
@@ -129,7 +129,7 @@
     def _read(self, conn: Any) -> None:
         conn.settimeout(SILENT_S)
         conn.sendall(b"watch %d\n" % self.node_list.revision)
-        self.last_heard = last = time.monotonic()
+        self.last_received = last = time.monotonic()
         lines = jsonlines.Lines(LINE_MOST)
         silent = False
         while True:
@@ -145,7 +145,7 @@
             if not data:
                 return
             for line in lines.feed(data):
-                last = self.last_heard = time.monotonic()
+                last = self.last_received = time.monotonic()
                 silent = False
                 update, missed = self.node_list.apply(jsonlines.parsed(line))
                 self._retire(conn)
--- a/stairplank/platform/service.py
+++ b/stairplank/platform/service.py
@@ -159,7 +159,7 @@
         """
         until = time.monotonic() + CATCH_UP_S
         while not self._stop.is_set() and (now := time.monotonic()) < until:
-            quiet = now - self.node_watch.last_heard if self.node_watch.last_heard else 0.0
+            quiet = now - self.node_watch.last_received if self.node_watch.last_received else 0.0
             if quiet >= LIST_QUIET_S:
                 return
             gevent.sleep(min(LIST_QUIET_S - quiet, until - now))
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -71,12 +71,12 @@
     order: list[str] = []
 
     def watch() -> None:
-        service.node_watch.last_heard = time.monotonic()
+        service.node_watch.last_received = time.monotonic()
         order.append("watched")
         for _ in range(3):
             gevent.sleep(0.02)
             order.append("told")
-            service.node_watch.last_heard = time.monotonic()
+            service.node_watch.last_received = time.monotonic()
         gevent.sleep(30)
 
     def accept(listener: object) -> None:
