--- a/benchmarks/path/run.py
+++ b/benchmarks/path/run.py
@@ -1,6 +1,7 @@
 """The whole path on loopback: one planner, light nodes, one owner. Table and chart in benchmarks/results.
 
     python benchmarks/path/run.py [--nodes 12,76,300] [--seconds 8] [--profile]
+    python benchmarks/path/run.py --rates 0,7.4,26,52,280,full [--nodes 820] ...   (see rates.py)
 
 For each size, with the planner as one of so many as the room would have (a quarter of the nodes: its part of
 the fleet is then a handful of nodes) and as the only one (its part is the whole fleet): tasks a second with
@@ -20,6 +21,7 @@
 import sys
 import tempfile
 import time
+from collections.abc import Sequence
 from pathlib import Path
 from typing import Any
 
@@ -52,16 +54,27 @@
 mean-cores 1
 mean-memory 1
 tick 10ms
-price probe 0.003
+price probe {price_probe}
 """
+PRICE_PROBE = 0.003  # points: low enough for a probe with every task
 
 
 class Room:
     """Planner, list and nodes as processes of their own."""
 
-    def __init__(self, nodes: int, life_ms: float, planners: int = 1, profile: Path | None = None) -> None:
+    def __init__(
+        self,
+        nodes: int,
+        life_ms: float,
+        planners: int = 1,
+        profile: Path | None = None,
+        program: Sequence[str] = ("timed_planner.py",),
+        price_probe: float = PRICE_PROBE,
+    ) -> None:
         self.work = Path(tempfile.mkdtemp(prefix="bp"))
-        (self.work / "p.conf").write_text(ROOM.format(work=self.work, planners=planners))
+        (self.work / "p.conf").write_text(
+            ROOM.format(work=self.work, planners=planners, price_probe=price_probe)
+        )
         (self.work / "d.conf").write_text(
             f"listen unix:{self.work}/d.sock\nlist-notice 10ms\nlist-period 50ms\n"
         )
@@ -84,7 +97,8 @@
             args = [str(HERE / "nodes.py"), str(1 + i * 1000), str(len(share)), str(life_ms)]
             self.start([*args, f"unix:{self.work}/d.sock"])
         gevent.sleep(1.0)
-        planner = [str(HERE / "timed_planner.py"), f"{self.work}/p.conf"]
+        script, *options = program
+        planner = [str(HERE / script), f"{self.work}/p.conf", *options]
         if profile is not None:
             planner = ["-m", "cProfile", "-o", str(profile), *planner]
         self.planner = self.start(planner, stdout=subprocess.PIPE)
@@ -214,6 +228,11 @@
 
 
 def main() -> None:
+    if any(argument.split("=")[0] in ("--rates", "--table") for argument in sys.argv[1:]):
+        import rates
+
+        rates.main()
+        return
     parser = argparse.ArgumentParser()
     parser.add_argument("--nodes", default="12,76,300")
     parser.add_argument("--seconds", type=float, default=8.0)
