--- a/stairplank/platform/links.py
+++ b/stairplank/platform/links.py
@@ -106,9 +106,10 @@
         known = self.machines.get(machine)
         return known is not None and known.status is api.NodeStatus.READY
 
-    def place_of(self, machine: int) -> tuple[int, int] | None:
+    def place_of(self, machine: int) -> tuple[int, int, int] | None:
+        """The machine's zone, its group and when it started."""
         known = self.machines.get(machine)
-        return known.place if known is not None else None
+        return (*known.place, known.launched) if known is not None else None
 
     @property
     def pool_most(self) -> int:
@@ -207,7 +208,8 @@
 
     def _write(self, link: Link, thing: Attempt | Test) -> None:
         """Danger: what was decided a dial or a break ago may not leave now: the machine drains by this time,
-        has started in another group, or the window in which a repeat is dropped is over."""
+        has restarted, so that it is cold or in another group, or the window in which a repeat is dropped is
+        over."""
         if not self.attempts.may_leave(thing):
             self.loop.count("may_not_leave")
             self.attempts.unreachable(thing, api.Result.NOT_SENT)
@@ -296,6 +298,10 @@
         )
         dialling = any(not k.up for k in machine.links.values())
         result = api.Result.NOT_SENT if event.ours else api.Result.UNREACHABLE
+        # Danger: what piles up in an outage would leave at once with the first connection that comes up, and
+        # the machine may be cold by then. It goes elsewhere after as long as a dial may take.
+        while best is None and machine.waiting and machine.waiting[0].began + self.dial_timeout_us <= now:
+            self.attempts.unreachable(machine.waiting.popleft(), result)
         # Where nobody listens, none that waits will come through; else each dial answers for one.
         count = len(machine.waiting) if event.refused and not dialling else min(1, len(machine.waiting))
         for _ in range(count):
--- a/stairplank/platform/tables.py
+++ b/stairplank/platform/tables.py
@@ -109,7 +109,7 @@
     stage: Stage = Stage.WAITING
     link: int = 0
     until: int = 0  # a leftover is forgotten then
-    place: tuple[int, int] | None = None  # its machine's zone and group as it was bound
+    place: tuple[int, int, int] | None = None  # zone, group and start of its machine as it was bound
     noted: int = 0  # when its machine last spoke of it as standing
 
     @property
--- a/tests/platform/test_platform_links.py
+++ b/tests/platform/test_platform_links.py
@@ -434,6 +434,32 @@
     assert not machine.waiting and all(desk.sent(n) for n in range(101, 104))
 
 
+def test_what_waited_as_long_as_a_dial_may_take_does_not_leave_when_another_comes_up() -> None:
+    """In an outage set-ups piled up, and left at once for the machine as it came back cold."""
+    desk = Desk(machines=1)
+    conn = desk.owner()
+    machine = next(iter(desk.core.links.machines.values()))
+    for number in range(1, 4):
+        desk.ask(conn, number, extras=f"cores:0.1;memory:1;service:{number:016x}")
+    first, *others = desk.dials
+    assert len(machine.waiting) == 3 and others
+    desk.feed(after=desk.core.links.dial_timeout_us)
+    desk.dials.pop(first)
+    desk.feed(ev.LinkFailed(first, False))
+    assert not machine.waiting
+    desk.connect()
+    assert not any(desk.sent(number) for number in range(1, 4))
+
+
+def test_what_waits_for_a_connection_does_not_leave_for_a_machine_that_restarted() -> None:
+    """It was placed by what was known of the machine before: as one that is warm."""
+    desk = Desk(machines=1)
+    desk.ask(desk.owner(), 1)
+    desk.list_update(row(1, born_ms=1_000_000 + desk.now // 1000))
+    desk.connect()
+    assert not desk.sent(1) and desk.core.counts["may_not_leave"] == 1
+
+
 def crowded(machines: int = 4) -> Desk:
     """Two connections in all, one task at each machine, the first two connected."""
     desk = Desk(machines=machines, sockets=4)
