--- a/stairplank/decide.py
+++ b/stairplank/decide.py
@@ -55,9 +55,11 @@
 LATE_RESERVE = 0.3  # share of a node's room kept from tasks whose start can no longer be in time
 COLD_SHARE_USED = 0.8  # of the surely borne offers of a cold node: jitter may push some into the next window
 COLD_RAMP = 4.0  # and by the end of its warming so many times as many more: it gains pace on the way
+COLD_DOUBT = 2.0  # times the list's lag: a node heard again after a silence may have restarted so long unseen
 COLD_OUT_MOST = 2  # unanswered binds on a cold node: its pace is a fraction of the usual
 WATCH_RETRY_US, WATCH_RETRY_MOST_US = 600_000, 3_000_000  # before the list is asked for again after a failure
 HASH_1, HASH_2, MASK = 0xBF58476D1CE4E5B9, 0x94D049BB133111EB, 0xFFFFFFFFFFFFFFFF  # of splitmix64
+ANSWERS = frozenset({api.Result.FINISHED, api.Result.ERROR, api.Result.REFUSED})  # outcomes that a node gave
 NEAR = 1e-4  # two amounts of cores or memory closer than this are the same
 
 
@@ -142,6 +144,7 @@
         self.rest_until = 0
         self.blamed: dict[int, int] = {}  # tasks that ended in an error here: it rests until then
         self.silent = False  # gave no answer, and has not been heard since
+        self.silent_at = self.back_at = 0  # its last silence, and its first answer after that
         self.shut: dict[tuple[int, int], tuple[int, int]] = {}  # class and tenant turned away: until, span
         self.no_room: tuple[float, float, int] | None = None  # cores and memory refused, until when
         self.leaving = False  # a task was sent away from it: it drains, whatever the list says
@@ -205,6 +208,7 @@
         self.sums = self.use = None
         self.cold_slot, self.cold_used = -1, 0
         self.streak, self.rest_until, self.silent, self.leaving = 0.0, 0, False, False
+        self.silent_at = self.back_at = 0
 
     def failed(self, now: int, first: int, most: int) -> None:
         """Rest it, longer each time. Danger: a node that fails fast looks roomy and draws tasks."""
@@ -235,6 +239,9 @@
         span = span if now < until else min(2 * span, SHUT_MOST_US)
         self.shut[key] = (now + span, span)
 
+    def answered(self, now: int) -> None:
+        self.back_at = self.back_at or now
+
     def served(self) -> None:
         self.streak, self.silent = max(0.0, self.streak - HEALED), False
 
@@ -289,6 +296,7 @@
         self.now = 0
         self.born = -1
         self.nodes: dict[int, Node] = {}
+        self.unlisted: dict[int, Node] = {}  # cold nodes that have left the list, until they would be warm
         self.ready: list[Node] = []  # those listed as ready, in the order of the list
         self.parts: list[list[Node]] | None = None  # the same, cut into parts; None: to be cut anew
         self.open: dict[int, Open] = {}
@@ -354,20 +362,25 @@
             self.watch_fails = 0
         if event.kind is not api.ListKind.CHANGES:
             listed = {entry.id for entry in event.nodes}
-            self.nodes = {n: node for n, node in self.nodes.items() if n in listed}
+            for missing in [n for n in self.nodes if n not in listed]:
+                self._unlist(missing)
             self.parts = None
         for entry in event.nodes:
             self._entry(entry)
+        self.unlisted = {n: node for n, node in self.unlisted.items() if self._cold_since(node)}
 
     def _entry(self, entry: api.NodeEntry) -> None:
         if entry.status is api.NodeStatus.GONE or not 0 <= entry.kind < len(self.s.kinds):
-            self.parts = self.parts if self.nodes.pop(entry.id, None) is None else None
+            self._unlist(entry.id)
             return
         node = self.nodes.get(entry.id)
         if node is None or node.entry.status is not entry.status:
             self.parts = None
         if node is None:
-            self.nodes[entry.id] = Node(entry, self.s)
+            node = self.nodes[entry.id] = Node(entry, self.s)
+            before = self.unlisted.pop(entry.id, None)
+            if before is not None:
+                node.cold_slot, node.cold_used = before.cold_slot, before.cold_used
             return
         old, node.entry = node.entry, entry
         if entry.launched_us > old.launched_us:
@@ -377,6 +390,24 @@
         elif self.s.shows_free:
             self._shown(node, old, entry)
 
+    def _unlist(self, node_id: int) -> None:
+        """Danger: a cold node that leaves the list and comes back would get a slot's turn anew each time."""
+        node = self.nodes.pop(node_id, None)
+        if node is not None:
+            self.parts = None
+            self.unlisted[node_id] = node
+
+    def _cold_since(self, node: Node) -> int:
+        """When a node that is cold, or may be, came up; 0 for a warm one."""
+        launched = node.entry.launched_us
+        if launched and self.now < launched + self.s.cold_us:
+            return launched
+        # Danger: a node that was silent may have restarted, and until the list shows it all planners would
+        # send it what a warm one bears. Does harm where it was only cut off: it is served slowly meanwhile.
+        doubt = COLD_DOUBT * self.lag if node.back_at else LAG_MOST_US
+        until = (node.back_at or node.silent_at) + min(doubt, self.s.cold_us)
+        return node.silent_at if self.now < until else 0
+
     def _shown(self, node: Node, old: api.NodeEntry, new: api.NodeEntry) -> None:
         """Take the list's figures; own binds found in it date it. Danger: one counted twice or never."""
         cores, memory = old.free_cores - new.free_cores, old.free_memory - new.free_memory
@@ -412,6 +443,8 @@
         if node is None:
             return
         self._report(event.node, event.report)
+        if event.ok:
+            node.answered(self.now)
         if event.ok and node.silent:
             node.silent, node.rest_until = False, self.now
         elif node.silent:
@@ -426,6 +459,7 @@
 
     def _was_silent(self, node: Node) -> None:
         node.failed(self.now, SILENT_REST_US, SUSPEND_MOST_US)
+        node.silent_at, node.back_at = self.now, 0
         if self.s.may_probe and not node.silent:
             node.silent = True
             self._look(node.entry.id)
@@ -558,14 +592,16 @@
 
     def _cold_allows(self, node: Node) -> bool:
         """Rule 4. Danger: all planners find a fresh node roomiest; they take turns, slot by slot."""
-        since, width = max(0, self.now - node.entry.launched_us), max(1, self.s.fall_us)
-        if node.entry.launched_us == 0 or since >= self.s.cold_us:
+        start = self._cold_since(node)
+        if not start:
             return True
+        since, width = max(0, self.now - start), max(1, self.s.fall_us)
         slot = since // width
-        if node.entry.launched_us + slot * width <= self.born:
+        begins = start + slot * width
+        if begins <= self.born:
             return False  # what an earlier life of this planner sent in the slot is not known
-        if node.cold_slot != slot:
-            node.cold_slot, node.cold_used = slot, 0
+        if begins > node.cold_slot + width // 2:  # the same start is read a little differently each time
+            node.cold_slot, node.cold_used = begins, 0
         budget = int(COLD_SHARE_USED * self.s.fresh_offers / 2)  # a window may lie across two slots
         turn = cold_turn(slot, (self.s.position + node.mix) % self.s.planners, self.s.planners, budget)
         out = sum(1 for a in node.attempts.values() if not a.placed)
@@ -657,8 +693,10 @@
         attempt.placed = True
         self.start_us += START_MEAN * (event.latency_us - self.start_us)
         node = self._node_of(attempt)
-        if node is not None and self.s.confirms_running:
-            node.served()
+        if node is not None:
+            node.answered(self.now)
+            if self.s.confirms_running:
+                node.served()
         self._close(event.task)
 
     def _note(self, event: api.Note) -> None:
@@ -689,6 +727,8 @@
             node.remove(attempt, attempt.placed)
             self._release(node, attempt, proved)
             self._judge(node, attempt, event)
+            if event.result in ANSWERS:
+                node.answered(self.now)
         job = self.open.get(event.task)
         if job is None or event.closed:
             self._close(event.task)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import CLASSES, SECOND, SETTINGS, World, bind_of, binds, entry
 
-from stairplank.decide import COLD_OUT_MOST, cold_turn, mixed, part_of
+from stairplank.decide import COLD_DOUBT, COLD_OUT_MOST, LAG_MOST_US, LIST_LAG_US, cold_turn, mixed, part_of
 from stairplank.interface import (
     Bind,
     Fail,
@@ -164,6 +164,54 @@
     assert sum(len(binds(world.ask(n, cores=0.1, memory=0.1))) for n in range(20, 40)) > early
 
 
+def refused_sends(world: World, first: int, count: int) -> int:
+    """Offers of so many tasks, each refused at once and then withdrawn."""
+    sent = 0
+    for number in range(first, first + count):
+        for bind in binds(world.ask(number, cores=0.01, memory=0.01)):
+            world.ends(bind, Result.REFUSED, after=0, closed=True, reason=Reason.NOT_HERE)
+            sent += 1
+        world.feed(TaskWithdrawn(number))
+    return sent
+
+
+@pytest.mark.parametrize("kind", [ListKind.CHANGES, ListKind.FULL])
+def test_a_cold_node_that_leaves_the_list_and_comes_back_gets_no_second_turn(kind: ListKind) -> None:
+    world = World(nodes=0)
+    start = world.now + 1
+    world.list(entry(0, launched_us=start), kind=ListKind.FULL, after=1)
+    assert refused_sends(world, 0, 40) > 0
+    world.list(
+        *([entry(0, status=NodeStatus.GONE)] if kind is ListKind.CHANGES else []), kind=kind, after=1000
+    )
+    world.list(
+        entry(0, launched_us=start + 200), after=1000
+    )  # a clock is read a little differently each time
+    assert refused_sends(world, 100, 40) == 0
+    world.list(entry(0, launched_us=start), after=SETTINGS.fall_us)
+    assert refused_sends(world, 200, 40) > 0
+
+
+def test_a_node_that_was_silent_counts_as_cold_until_the_list_had_time_to_show_a_restart() -> None:
+    world = World(nodes=1)
+    world.ends(bind_of(world.ask(1)), Result.UNREACHABLE, closed=True)
+    world.now += 3 * SECOND  # its rest is over
+    share = SETTINGS.fresh_offers / SETTINGS.planners
+    assert 0 < refused_sends(world, 100, 40) <= share
+    world.now += int(COLD_DOUBT * LIST_LAG_US)
+    assert refused_sends(world, 200, 40) == 40
+
+
+def test_a_node_that_nobody_hears_again_is_not_held_to_be_cold_for_good() -> None:
+    world = World(nodes=1, fresh_offers=0.0)  # no turn, so no answer can come
+    world.ends(bind_of(world.ask(1)), Result.UNREACHABLE, closed=True)
+    assert refused_sends(world, 100, 5) == 0
+    world.now += min(LAG_MOST_US, SETTINGS.cold_us)
+    assert refused_sends(world, 200, 5) > 0
+    world.now += int(COLD_DOUBT * LIST_LAG_US)  # after its answer
+    assert refused_sends(world, 300, 5) == 5
+
+
 @pytest.mark.parametrize("planners", [1, 3, 60, 350])
 @pytest.mark.parametrize("budget", [0, 1, 25, 400])
 def test_turns_at_a_cold_node_add_up_to_the_budget(planners: int, budget: int) -> None:
