--- a/stairplank/scale/run.py
+++ b/stairplank/scale/run.py
@@ -6,7 +6,6 @@
 import tempfile
 import time
 from collections.abc import Callable
-from dataclasses import dataclass
 from pathlib import Path
 
 import psutil
@@ -21,23 +20,12 @@
 from .results import Results, Sample
 from .settings_change import SettingsSite
 from .site import Site
+from .site_groups import SiteKey, by_site
 
 CHANGES_SPARE_S = 2.0  # for which the list goes on to change beyond a span
 Progress = Callable[[str], None]
 
 
-@dataclass(frozen=True, slots=True)
-class _SiteKey:
-    """Samples that agree in these are taken at one site, the one with fewest running tasks first."""
-
-    form: str
-    workers: int
-    planners: int
-    starts_per_s: float
-    event: str
-    repeat: int
-
-
 class Run:
     """``target`` is the results file; ``progress`` is told what happens."""
 
@@ -54,7 +42,7 @@
         """Take all samples, or those that the bound of time allows; what was measured when a signal came."""
         with signals_raise(), tempfile.TemporaryDirectory(prefix="stairplank-scale-") as work:
             try:
-                for number, (key, specs) in enumerate(_by_site(self._plan.samples).items()):
+                for number, (key, specs) in enumerate(by_site(self._plan.samples).items()):
                     if self._seconds() > self._plan.time_most_s:
                         self._progress(f"ended by time-most, {self._plan.time_most_s:g} s")
                         self._is_whole = False
@@ -68,7 +56,7 @@
 
     # One site
 
-    def _at_site(self, key: _SiteKey, specs: list[SampleSpec], folder: Path) -> None:
+    def _at_site(self, key: SiteKey, specs: list[SampleSpec], folder: Path) -> None:
         try:
             if key.event in SETTINGS_EVENTS:
                 self._at_settings_site(key, specs, folder)
@@ -84,7 +72,7 @@
             self._progress(f"not measured: {error}")
             self._is_whole = False
 
-    def _at_settings_site(self, key: _SiteKey, specs: list[SampleSpec], folder: Path) -> None:
+    def _at_settings_site(self, key: SiteKey, specs: list[SampleSpec], folder: Path) -> None:
         self._progress(f"{key.form}: {key.planners} planners that follow a configuration")
         site = SettingsSite(key.planners, folder)
         try:
@@ -93,7 +81,7 @@
         finally:
             site.end()
 
-    def _start(self, key: _SiteKey, specs: list[SampleSpec], folder: Path) -> Site:
+    def _start(self, key: SiteKey, specs: list[SampleSpec], folder: Path) -> Site:
         self._progress(f"{key.form}: {key.workers} workers, {key.planners} planners")
         real = bounds.real_planners_of(self._plan, specs[0])
         return Site(FORMS[key.form], key.workers, key.planners, real, self._plan.layout, folder)
@@ -141,25 +129,6 @@
         results.write(kept, self._target)
 
 
-def _by_site(samples: tuple[SampleSpec, ...]) -> dict[_SiteKey, list[SampleSpec]]:
-    groups: dict[_SiteKey, list[SampleSpec]] = {}
-    for spec in samples:
-        size, event = spec.size, spec.load if spec.is_event else ""
-        if event in SETTINGS_EVENTS:
-            event = SETTINGS_EVENTS[0]  # all at one site
-        key = _SiteKey(spec.form, size.workers, size.planners, size.starts_per_s, event, spec.repeat)
-        groups.setdefault(key, []).append(spec)
-    for specs in groups.values():
-        specs.sort(key=_order)
-    return groups
-
-
-def _order(spec: SampleSpec) -> tuple[int, float, int]:
-    """Of the samples at one site: the one with fewest running tasks first; a restart of planners last."""
-    event = SETTINGS_EVENTS.index(spec.load) if spec.load in SETTINGS_EVENTS else 0
-    return spec.size.running, spec.list_changes_per_s, event
-
-
 def _real_note(site: Site) -> str:
     if site.real_planners == site.planners:
         return ""
