--- a/stairplank/scale/events.py
+++ b/stairplank/scale/events.py
@@ -126,12 +126,11 @@
     workers = list(site.rows)[: site.layout.restarted]
     watch = _Watch(site, workers)
     site.crash(workers)
-    known_s = watch.known()
+    times = EventTimes(known_s=watch.known(), caught_up_s=watch.caught_up())
     away_s = watch.sleep_until(RESTART_S)
     site.start_again(workers)
-    times = EventTimes(known_s=known_s, caught_up_s=watch.caught_up())
-    note = f"{len(workers)} workers away for {away_s:.1f} s at once; {watch.marked} tasks ran there"
-    return Observed(times, note)
+    note = f"{len(workers)} workers away for {away_s:.1f} s at once; {watch.marked} tasks ran there; "
+    return Observed(times, note + f"after the return work waited for {watch.disturbed_s():.1f} s")
 
 
 def _zone_returns(site: Site) -> Observed:
