--- a/stairplank/platform/client_connections.py
+++ b/stairplank/platform/client_connections.py
@@ -20,6 +20,7 @@
 
 # Read at once of one connection: a burst of one delays the others by no more than reading it.
 CLIENT_READ = 16_384
+DECODE_LEAST = 512  # bytes decoded at once, when a round of reading has lasted as long as a slice of turns
 DRAIN_READ = 65_536  # the same of one that is being closed
 PARTIAL_S = 2.0  # a message that has begun comes whole by then, or its connection is of no use
 FULL_PAUSE_S = 0.02  # between reads while set-ups wait up to their bound
@@ -142,8 +143,11 @@
                     return
             elif not data:
                 return
-            elif self._take(stream, reader, data):
-                began = time.monotonic()  # what is left has begun with these bytes
+            else:
+                if len(data) == most:
+                    self._look_for_hang_up(stream)
+                if self._decode(stream, reader, data):
+                    began = time.monotonic()  # what is left has begun with these bytes
             stream.half = bool(reader.waiting)
             # Danger: one that sends at full speed would be read for ever, and nobody else.
             reads += 1
@@ -152,6 +156,31 @@
             if self._wait_while_full(stream):
                 began = time.monotonic()  # the rest of a message may lie unread meanwhile
 
+    def _decode(self, stream: Stream, reader: binary.Reader, data: bytes) -> bool:
+        """Cut what was read into messages and queue them; whether there were any.
+
+        Danger: with hundreds that flood, a round in which all that was read of each is decoded at once lasts
+        longer than a client's departure may go unnoticed.
+        """
+        found = False
+        while data and not stream.closed and not stream.ending:
+            size = DECODE_LEAST if self._driver.is_round_over() else CLIENT_READ
+            piece, data = data[:size], data[size:]
+            stream.half = True  # Danger: closed as idle, or for room, it would take the rest along
+            found |= self._take(stream, reader, piece)
+            if data:
+                self._look_for_hang_up(stream)
+                gevent.sleep(0)
+        return found
+
+    def _look_for_hang_up(self, stream: Stream) -> None:
+        """Danger: the end of a connection lies behind all that was sent on it. Read in order, a client that
+        sends hundreds of set-ups and closes would have them placed one after the other."""
+        if not stream.hung_up and not stream.ending and stream.is_closed_by_peer():
+            stream.hung_up = True
+            self._driver.core.loop.count("hung_up_unread")
+            self._driver.enqueue(ev.ClientHungUp(stream.number))
+
     def _take(self, stream: Stream, reader: binary.Reader, data: bytes) -> bool:
         """Queue the messages that are whole now; whether there are any."""
         try:
@@ -176,7 +205,8 @@
         """
         queue = self._driver.queue
         is_slowed, has_waited = queue.is_full(), False
-        while (is_slowed or queue.is_overloaded()) and not stream.ending:
+        while (is_slowed or queue.must_wait(stream.number)) and not stream.ending:
+            self._look_for_hang_up(stream)
             gevent.sleep(FULL_PAUSE_S)
             is_slowed, has_waited = False, True
         return has_waited
--- a/stairplank/platform/client_requests.py
+++ b/stairplank/platform/client_requests.py
@@ -87,13 +87,22 @@
         """A client has connected."""
         self.sessions.add(event.conn, event.client)
 
+    def hung_up(self, event: ev.ClientHungUp) -> None:
+        """A client has closed: it waits for no answer any more; what it sent before may still be received."""
+        connection = self.sessions.get(event.conn)
+        if connection is not None:
+            self._withdraw_open(connection)
+
+    def _withdraw_open(self, connection: ClientConnection) -> None:
+        for id in list(connection.open):
+            self._withdraw(self.tasks.by_id[id])
+
     def disconnected(self, event: ev.ClientDisconnected) -> None:
         """A client has disconnected: nobody waits for its open tasks any more."""
         connection = self.sessions.remove(event.conn)
         if connection is None:
             return
-        for id in list(connection.open):
-            self._withdraw(self.tasks.by_id[id])
+        self._withdraw_open(connection)
         self.sessions.resend_unacknowledged(connection)
 
     def _sweep(self, _: None) -> None:
--- a/stairplank/platform/core.py
+++ b/stairplank/platform/core.py
@@ -20,6 +20,7 @@
 
 import traceback
 from collections.abc import Callable, Iterable
+from itertools import takewhile
 from typing import Any
 
 from .. import interface as api
@@ -30,7 +31,7 @@
 from .attempts import Attempts
 from .client_requests import ClientRequests
 from .client_sessions import ClientSessions
-from .event_queue import is_new_placement
+from .event_queue import comes_before_time, is_new_placement
 from .links import Links
 from .machines import Machines
 from .node_list import NodeListUpdate
@@ -78,6 +79,7 @@
         self._handlers: dict[type, Callable[[Any], None]] = {
             ev.ClientConnected: self.requests.connected,
             ev.ClientMessage: self.requests.received,
+            ev.ClientHungUp: self.requests.hung_up,
             ev.ClientDisconnected: self.requests.disconnected,
             ev.LinkUp: self.links.came_up,
             ev.LinkFailed: self.links.failed,
@@ -121,7 +123,18 @@
     def handle(self, now: int, events: Iterable[ev.Event]) -> list[ev.Action]:
         """Take events, and whatever has come due; return what is to be done, in order."""
         self.loop.begin(now)
+        events = list(events)
+        first = list(takewhile(comes_before_time, events))
+        for event in first:
+            self._take(self._handlers[type(event)], event)
         self._pass_time()
+        for event in events[len(first) :]:
+            self._take(self._handlers[type(event)], event)
+        return self.loop.actions
+
+    def handle_messages(self, now: int, events: Iterable[ev.Event]) -> list[ev.Action]:
+        """Take a part of what came while the process stood still; the time that has passed is felt later."""
+        self.loop.begin(now)
         for event in events:
             self._take(self._handlers[type(event)], event)
         return self.loop.actions
--- a/stairplank/platform/driver.py
+++ b/stairplank/platform/driver.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import time
+from collections.abc import Callable
 from typing import Protocol
 
 import gevent
@@ -21,8 +22,12 @@
 SLICE_S = 0.02  # of turns, before all that has come meanwhile is read: far under the grace that drains have
 # A wait between slices. Danger: sleep(0) may come back without a look at the sockets.
 POLL_S = 0.001
+RESUME_EVENTS = 256  # of one turn after a stall: about as many as a slice of turns takes
+RESUME_MOST_S = 0.5  # so long the time that has passed is not felt after a stall, while others flood
 LOGGED_US = 1_000_000  # a stall of so long is worth a line
 
+Turn = Callable[[int, list[ev.Event]], list[ev.Action]]
+
 
 class Executor(Protocol):
     """Carries out what the core wants done."""
@@ -41,6 +46,10 @@
         self.queue = EventQueue()
         self.pulse = Pulse(self.queue, self._resume_after_stall)
         self.clients_in_turn: frozenset[int] = frozenset()  # of whose messages the current turn has some
+        # When the current round of reading is over (monotonic, in seconds); 0: none has begun since the last
+        # turns.
+        self._round_until = 0.0
+        self._is_resuming = False  # after a stall: no other turns are taken
         self._turn = Flag()
         self._rearm = Flag()
         self._armed: int | None = None
@@ -66,13 +75,22 @@
         while True:
             self._turn.wait()
             self._turn.clear()
-            while len(self.queue) and not self.pulse.late():
+            self._round_until = 0.0
+            while len(self.queue) and not self._is_resuming and not self.pulse.late():
                 self._run_slice()
+                self._round_until = 0.0
                 if len(self.queue):
                     gevent.sleep(POLL_S)
                     gevent.sleep(0)
             self._arm()
 
+    def is_round_over(self) -> bool:
+        """Whether what clients sent has been decoded for as long as a slice of turns, and turns are due."""
+        now = time.monotonic()
+        if not self._round_until:
+            self._round_until = now + SLICE_S
+        return now >= self._round_until
+
     def _run_slice(self) -> None:
         until = time.monotonic() + SLICE_S
         while batch := self.queue.take():
@@ -80,27 +98,44 @@
             if time.monotonic() >= until:
                 return
 
-    def _handle(self, batch: list[ev.Event], after_stall: bool = False) -> None:
-        """One turn of the core, with its actions."""
+    def _handle(self, batch: list[ev.Event], turn: Turn | None = None) -> None:
+        """One turn of the core, with its actions. ``turn``: how the core handles it."""
         batch = self.executor.with_unwritten(batch)
         self.clients_in_turn = frozenset(event.conn for event in batch if isinstance(event, ev.ClientMessage))
-        handle = self.core.handle_after_stall if after_stall else self.core.handle
-        self.executor.execute_all(handle(now_us(), batch))
+        self.executor.execute_all((turn or self.core.handle)(now_us(), batch))
         self.clients_in_turn = frozenset()
         self.executor.flush()
 
     def _resume_after_stall(self, stood: int) -> None:
         """The process stood still; what came meanwhile is read by now. New set-ups wait for their slices.
 
-        Danger: hundreds of them placed in one turn are a stall of their own, during which no drain is read.
+        Danger: hundreds of them placed in one turn are a stall of their own, during which no drain is read;
+        so are thousands of messages, during which clients leave unnoticed.
         """
-        events = self.queue.take_all(placements=False)
+        if self._is_resuming:
+            return  # it stood still again meanwhile: the rest is handled by the first call
         self.core.loop.count("stood_still")
         if stood > LOGGED_US:
-            log("stood still", ms=stood // 1000, came=len(events))
-        self._handle(events, after_stall=True)
+            log("stood still", ms=stood // 1000, came=len(self.queue))
+        self._is_resuming = True
+        try:
+            self._handle_messages()
+        finally:
+            self._is_resuming = False
         self.enqueue(ev.Due())
 
+    def _handle_messages(self) -> None:
+        """Handle all but new set-ups, then let the core feel the time that has passed."""
+        until = time.monotonic() + RESUME_MOST_S
+        events = self.queue.take_all(placements=False, most=RESUME_EVENTS)
+        while self.queue.has_messages() and time.monotonic() < until:
+            self._handle(events, self.core.handle_messages)
+            self._round_until = 0.0
+            gevent.sleep(POLL_S)
+            gevent.sleep(0)
+            events = self.queue.take_all(placements=False, most=RESUME_EVENTS)
+        self._handle(events, self.core.handle_after_stall)
+
     def _arm(self) -> None:
         """Have the timer look again where the core wants to be woken sooner."""
         due = self.core.next_due()
--- a/stairplank/platform/event_queue.py
+++ b/stairplank/platform/event_queue.py
@@ -2,19 +2,21 @@
 
 Invariants (tests/platform/test_platform_event_queue.py):
 
-1. Node list updates and changed settings come before everything; then what clients send, but for new
-   set-ups, and what they are owed at once, answers and the ends of tasks that stood; then what else machines
-   and links report; then new set-ups: a set-up is placed by all that is known, not by what happened to be
-   read first.
-2. Between events of the same task or connection the order is kept.
+1. Node list updates and changed settings come before everything; then departures: connections that come
+   and go, and cancellations; then what else clients send, but for new set-ups, and what they are owed at
+   once, answers and the ends of tasks that stood; then what else machines and links report; then new
+   set-ups: a set-up is placed by all that is known, not by what happened to be read first.
+2. Between events of the same task or connection the order is kept, but that a client's departure (as
+   ``ClientHungUp``, where more of it waits) overtakes them: it only ends its open tasks.
 3. A set-up that its client cancels, or whose connection goes, leaves at once, unhandled, however many wait
-   before it.
+   before it; one that is read after its client has hung up is dropped.
 4. Bounds: ``PLACEMENTS_MOST`` set-ups wait, further ones are marked to be rejected (``over_limit``); with
-   twice as many events in all (``is_overloaded``) clients are not read. Machines and the node list always
-   are; what they send is bounded by the attempts at them.
+   twice as many events in all (``is_overloaded``) no client is read of which ``CONNECTION_SHARE`` wait.
+   Machines and the node list always are; what they send is bounded by the attempts at them.
 
 Tables: the queues, and of what waits in them ``_by_task``, ``_by_connection``, ``_client_messages``,
-``_machine_messages``, ``_links_coming_up``.
+``_machine_messages``, ``_urgent_tasks``, ``_urgent_clients``, ``_links_coming_up``; of connections
+``_clients`` and ``_hung_up``.
 """
 
 from __future__ import annotations
@@ -29,6 +31,9 @@
 EVENTS_PER_TURN, PLACEMENTS_PER_TURN = 32, 8  # of one turn of the core: between turns messages are written
 PLACEMENTS_MOST = 2048
 EVENTS_MOST = 2 * PLACEMENTS_MOST
+# Of one connection, while the queue is overloaded. Danger: with none a client that cancels, or closes its
+# connection, is not noticed while others flood; with many the queue has no bound.
+CONNECTION_SHARE = 16
 
 
 def is_new_placement(event: ev.Event) -> bool:
@@ -39,6 +44,20 @@
     return not (extras.startswith("at:") or ";at:" in extras)
 
 
+def comes_before_time(event: ev.Event) -> bool:
+    """Whether a turn handles it before the timers that are due: a node list update, changed settings or a
+    departure. Danger: a timer would send a set-up to a machine that drains, or for a client that has gone."""
+    changes = (ev.NodeListUpdated, ev.NodeListConfirmed, ev.SettingsChanged)
+    return isinstance(event, changes) or is_departure(event)
+
+
+def is_departure(event: ev.Event) -> bool:
+    """Whether it can only end what a client waits for, or opens its connection."""
+    if isinstance(event, ev.ClientMessage):
+        return event.message.kind in (Kind.RELEASE, Kind.MOVE)
+    return isinstance(event, (ev.ClientConnected, ev.ClientHungUp, ev.ClientDisconnected))
+
+
 def is_due_to_client(event: ev.MachineMessage) -> bool:
     """Whether a client is to be notified of it: an answer, or the end of what stood."""
     message = event.message
@@ -48,6 +67,7 @@
 class EventQueue:
     def __init__(self) -> None:
         self._node_list: deque[ev.Event] = deque()
+        self._departures: deque[ev.Event] = deque()
         self._urgent: deque[ev.Event] = deque()
         self._other: deque[ev.Event] = deque()
         self._placements: OrderedDict[int, ev.Event] = OrderedDict()
@@ -56,11 +76,15 @@
         self._by_connection: dict[int, dict[int, None]] = {}  # connection: the same
         self._client_messages: Counter[int] = Counter()  # by connection, in any queue
         self._machine_messages: Counter[str] = Counter()  # by task, in ``_other``
+        self._urgent_tasks: Counter[str] = Counter()  # set-ups and machines' messages by task, in ``_urgent``
+        self._urgent_clients: Counter[int] = Counter()  # the same of clients, by connection
         self._links_coming_up: Counter[int] = Counter()  # by link, in ``_other``
         self._clients: dict[int, str] = {}  # by connection
+        self._hung_up: set[int] = set()  # connections that are not disconnected yet
 
     def __len__(self) -> int:
-        return len(self._node_list) + len(self._urgent) + len(self._other) + len(self._placements)
+        queues = (self._node_list, self._departures, self._urgent, self._other, self._placements)
+        return sum(map(len, queues))
 
     def is_full(self) -> bool:
         return len(self._placements) >= PLACEMENTS_MOST
@@ -68,6 +92,10 @@
     def is_overloaded(self) -> bool:
         return len(self) >= EVENTS_MOST
 
+    def must_wait(self, conn: int) -> bool:
+        """Whether no more of that client is to be read for now."""
+        return self.is_overloaded() and self._client_messages[conn] >= CONNECTION_SHARE
+
     def has_pending(self, conn: int) -> bool:
         """Whether a message of that connection waits: read, and not yet handled."""
         return conn in self._client_messages
@@ -78,23 +106,24 @@
                 self._node_list.append(event)
             case ev.MachineMessage():
                 if is_due_to_client(event) and self._overtakes(event):
-                    self._urgent.append(event)
+                    self._add_urgent(event)
                 else:
                     self._other.append(event)
                     self._machine_messages[event.message.id] += 1
+            case ev.ClientMessage() if event.conn in self._hung_up and is_new_placement(event):
+                pass
             case ev.ClientMessage():
                 self._client_messages[event.conn] += 1
                 self._client_message(event)
-            case ev.ClientDisconnected():
-                self._clients.pop(event.conn, None)
+            case ev.ClientHungUp():
+                self._hung_up.add(event.conn)
                 self._take_out(list(self._by_connection.get(event.conn, ())))
-                if event.conn in self._by_connection:
-                    self._wait(event, "", event.conn)  # a set-up of what a machine holds waits, by its id
-                else:
-                    self._urgent.append(event)
+                self._departures.append(event)
+            case ev.ClientDisconnected():
+                self._disconnected(event)
             case ev.ClientConnected():
                 self._clients[event.conn] = event.client
-                self._urgent.append(event)
+                self._departures.append(event)
             case ev.StopRequested() | ev.MachinesClosing():
                 self._urgent.append(event)
             case ev.LinkUp():
@@ -103,14 +132,38 @@
             case _:
                 self._other.append(event)
 
+    def _disconnected(self, event: ev.ClientDisconnected) -> None:
+        self._clients.pop(event.conn, None)
+        self._take_out(list(self._by_connection.get(event.conn, ())))
+        has_hung_up = event.conn in self._hung_up
+        self._hung_up.discard(event.conn)
+        if event.conn not in self._by_connection and event.conn not in self._urgent_clients:
+            self._departures.append(event)
+            return
+        # Danger: behind what the client sent before, and all that waits before that, it is seen after further
+        # attempts for a client that has gone.
+        if not has_hung_up:
+            self._departures.append(ev.ClientHungUp(event.conn))
+        if event.conn in self._by_connection:
+            self._wait(event, "", event.conn)  # a set-up of what a machine holds waits, by its id
+        else:
+            self._urgent.append(event)
+
+    def _add_urgent(self, event: ev.ClientMessage | ev.MachineMessage) -> None:
+        self._urgent.append(event)
+        if _concerns_task(event):
+            self._urgent_tasks[event.message.id] += 1
+        if isinstance(event, ev.ClientMessage):
+            self._urgent_clients[event.conn] += 1
+
     def _client_message(self, event: ev.ClientMessage) -> None:
         id = event.message.id
         if is_new_placement(event) and self.is_full():
-            self._urgent.append(replace(event, over_limit=True))
+            self._add_urgent(replace(event, over_limit=True))
         elif is_new_placement(event):
             self._wait(event, id, event.conn)
         elif id not in self._by_task:
-            self._urgent.append(event)
+            self._add_message(event)
         else:
             if event.message.kind in (Kind.RELEASE, Kind.MOVE):
                 # Danger: behind the set-up that it ends, and all that waits before that, it is seen once the
@@ -122,7 +175,14 @@
             if id in self._by_task:
                 self._wait(event, id, event.conn)
             else:
-                self._urgent.append(event)
+                self._add_message(event)
+
+    def _add_message(self, event: ev.ClientMessage) -> None:
+        """Danger: behind thousands of other messages a cancellation is seen after further attempts."""
+        if is_departure(event) and event.message.id not in self._urgent_tasks:
+            self._departures.append(event)
+        else:
+            self._add_urgent(event)
 
     def _overtakes(self, event: ev.MachineMessage) -> bool:
         """Danger: in a jam hundreds of refusals wait, each a task to be placed anew, and the ends of tasks
@@ -159,16 +219,25 @@
         return out
 
     def _taken(self) -> list[ev.Event]:
-        if self._node_list:
+        if self._node_list or self._departures:
             out = list(self._node_list)
             self._node_list.clear()
-            return out
+            departing = min(EVENTS_PER_TURN, len(self._departures))
+            return out + [self._departures.popleft() for _ in range(departing)]
         if self._urgent:
-            return [self._urgent.popleft() for _ in range(min(EVENTS_PER_TURN, len(self._urgent)))]
+            return [self._take_urgent() for _ in range(min(EVENTS_PER_TURN, len(self._urgent)))]
         if self._other:
             return [self._take_other() for _ in range(min(EVENTS_PER_TURN, len(self._other)))]
         return [self._take_placement() for _ in range(min(PLACEMENTS_PER_TURN, len(self._placements)))]
 
+    def _take_urgent(self) -> ev.Event:
+        event = self._urgent.popleft()
+        if _concerns_task(event):
+            _less(self._urgent_tasks, event.message.id)  # type: ignore[union-attr]
+        if isinstance(event, ev.ClientMessage):
+            _less(self._urgent_clients, event.conn)
+        return event
+
     def _take_other(self) -> ev.Event:
         event = self._other.popleft()
         if isinstance(event, ev.MachineMessage):
@@ -182,13 +251,26 @@
         self._forget(number, event)
         return event
 
-    def take_all(self, placements: bool = True) -> list[ev.Event]:
-        """Everything; without ``placements`` the new set-ups stay."""
+    def take_all(self, placements: bool = True, most: int | None = None) -> list[ev.Event]:
+        """Everything, or what comes first of it: some more than ``most``, once there are so many. Without
+        ``placements`` the new set-ups stay."""
         out: list[ev.Event] = []
-        while len(self) > (0 if placements else len(self._placements)):
+        while len(self) > (0 if placements else len(self._placements)) and (most is None or len(out) < most):
             out += self.take()
         return out
 
+    def has_messages(self) -> bool:
+        """Whether anything but new set-ups waits."""
+        return len(self) > len(self._placements)
+
+
+def _concerns_task(event: ev.Event) -> bool:
+    """Whether a cancellation of its task has to come after it. Danger: counted by their id alone, the tests
+    of another client would hold a cancellation back."""
+    if isinstance(event, ev.ClientMessage):
+        return event.message.kind is Kind.SET_UP
+    return isinstance(event, ev.MachineMessage)
+
 
 def _less(table: Counter[Any], key: Any) -> None:
     table[key] -= 1
--- a/stairplank/platform/events.py
+++ b/stairplank/platform/events.py
@@ -33,6 +33,13 @@
     over_limit: bool = False
 
 
+@dataclass(frozen=True, slots=True)
+class ClientHungUp:
+    """The client has closed its connection and waits for no answer; what it sent before may lie unread."""
+
+    conn: int
+
+
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
     conn: int
@@ -122,6 +129,7 @@
 Event = (
     ClientConnected
     | ClientMessage
+    | ClientHungUp
     | ClientDisconnected
     | LinkUp
     | LinkFailed
--- a/stairplank/platform/streams.py
+++ b/stairplank/platform/streams.py
@@ -62,6 +62,7 @@
         self.number = number
         self.closed = False
         self.half = False  # a message has begun to come, and is not whole
+        self.hung_up = False  # the other side has closed, and that was reported
         self._gone, self._may, self._dropped = gone, may, dropped
         self._buffer = bytearray()
         self._queued = 0  # bytes put and not taken out again, over the connection's life
@@ -93,6 +94,17 @@
         look.register(self.sock.fileno(), select.POLLIN)
         return bool(look.poll(0))
 
+    def is_closed_by_peer(self) -> bool:
+        """Whether the other side has closed, though what it sent before may lie unread."""
+        if self.closed:
+            return False
+        look = select.poll()
+        look.register(self.sock.fileno(), select.POLLRDHUP)
+        try:
+            return bool(look.poll(0))
+        except OSError:
+            return False  # a system that does not report it: its end is read in turn
+
     def unsent(self) -> frozenset[str]:
         """Marks of the messages of which not every byte has been given to the system."""
         written = self._queued - len(self._buffer)
--- /dev/null
+++ b/tests/platform/flooding_client.py
@@ -0,0 +1,65 @@
+"""A client that sends set-ups at full speed on many connections: ``flooding_client.py HOST:PORT NUMBER``. It
+prints a line once all are open, and goes on until it is killed."""
+
+from __future__ import annotations
+
+import selectors
+import socket
+import sys
+
+from stairplank.platform import binary
+from stairplank.platform.messages import Kind, Message
+
+FIRST = 1 << 40  # its tasks' ids: far above those of other clients
+BATCH = 64
+SOURCES = 100  # addresses that it comes from: one alone may not have many tasks open
+READ = 262_144
+
+
+def set_up(number: int) -> bytes:
+    id = f"{number:016x}"
+    fields = {"class": "worker", "left": "6000", "key": id, "extras": f"cores:0.01;memory:0.01;service:{id}"}
+    return binary.encode(Message(Kind.SET_UP, id, fields, body="x" * 100))
+
+
+class Flood:
+    def __init__(self, where: str, connections: int) -> None:
+        host, port = where.rsplit(":", 1)
+        self.selector = selectors.DefaultSelector()
+        self.number = FIRST
+        self.template = set_up(FIRST)
+        for number in range(connections):
+            source = (f"127.0.1.{1 + number % SOURCES}", 0)
+            sock = socket.create_connection((host, int(port)), 10.0, source_address=source)
+            sock.setblocking(False)
+            self.selector.register(sock, selectors.EVENT_READ | selectors.EVENT_WRITE, bytearray())
+
+    def run(self) -> None:
+        while True:
+            for key, events in self.selector.select(1.0):
+                try:
+                    self._serve(key, events)
+                except BlockingIOError:
+                    pass
+                except OSError:
+                    self.selector.unregister(key.fileobj)
+
+    def _serve(self, key: selectors.SelectorKey, events: int) -> None:
+        sock, unsent = key.fileobj, key.data
+        assert isinstance(sock, socket.socket)
+        if events & selectors.EVENT_READ and not sock.recv(READ):
+            raise ConnectionResetError
+        if events & selectors.EVENT_WRITE:
+            if not unsent:
+                unsent += b"".join(self._next() for _ in range(BATCH))
+            del unsent[: sock.send(unsent)]
+
+    def _next(self) -> bytes:
+        self.number += 1
+        return self.template.replace(FIRST.to_bytes(8, "big"), self.number.to_bytes(8, "big"), 1)
+
+
+if __name__ == "__main__":
+    flood = Flood(sys.argv[1], int(sys.argv[2]))
+    print("open", flush=True)
+    flood.run()
--- a/tests/platform/platform_standins.py
+++ b/tests/platform/platform_standins.py
@@ -293,7 +293,8 @@
 
 class Process:
     """The real process, as ``run`` starts it. ``files_limit``: how many files it may have open; ``changes``:
-    of its configuration. With ``waits`` it serves by the time this returns."""
+    of its configuration; ``command``: the interpreter's arguments. With ``waits`` it serves by the time this
+    returns."""
 
     def __init__(
         self,
@@ -303,6 +304,7 @@
         files_limit: int | None = None,
         changes: dict[str, Any] | None = None,
         waits: bool = True,
+        command: tuple[str, ...] = ("-m", "stairplank.platform"),
     ) -> None:
         self.path = folder / "config.json"
         self.board = board
@@ -310,13 +312,13 @@
         self.changes = changes or {}
         self.write(board.address)
         self.log: list[dict[str, Any]] = []
-        run = [sys.executable, "-m", "stairplank.platform"]
+        run = [sys.executable, *command]
         if files_limit is not None:
             run = ["sh", "-c", f'ulimit -n {files_limit}; exec "$@"', "sh", *run]
         self.child = subprocess.Popen(
             run,
             cwd=ROOT,
-            env=os.environ | {"GW_CONFIG": str(self.path)},
+            env=os.environ | {"GW_CONFIG": str(self.path), "PYTHONPATH": str(ROOT)},
             stderr=subprocess.PIPE,
             stdout=subprocess.DEVNULL,
         )
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -193,7 +193,7 @@
     one.off(owner.say, Message(Kind.TEST, f"{1:016x}", cause=0))
     assert one.off(owner.replies, f"{1:016x}")
     choked = [True]
-    monkeypatch.setattr(one.service.driver.queue, "is_overloaded", lambda: choked[0])
+    monkeypatch.setattr(one.service.driver.queue, "must_wait", lambda conn: choked[0])
     one.off(owner.say, Message(Kind.TEST, f"{2:016x}", cause=0))  # read, and from then on no more
     assert one.off(owner.replies, f"{2:016x}")
     id = one.off(owner.ask, 3)
@@ -211,14 +211,14 @@
     for number, owner in ((1, first), (2, second)):  # the first has been quiet for longer
         one.off(owner.say, Message(Kind.TEST, f"{number:016x}", cause=0))
         assert one.off(owner.replies, f"{number:016x}")
-    one.service.driver.queue.is_overloaded = lambda: True  # type: ignore[method-assign]
+    one.service.driver.queue.must_wait = lambda conn: True  # type: ignore[method-assign]
     one.off(first.say, Message(Kind.TEST, f"{3:016x}", cause=0))
     assert one.off(first.replies, f"{3:016x}")
     id = one.off(first.ask, 4)
     one.until(lambda: next(s for s in one.service.clients.streams.values()).is_readable())
     third = one.owner("127.0.0.8")
     one.until(lambda: one.off(second.closed_within, 0.1))
-    del one.service.driver.queue.is_overloaded
+    del one.service.driver.queue.must_wait
     assert [m.kind for m in one.off(first.replies, id)] == [Kind.ANSWER]
     third.sock.close()
 
--- a/tests/platform/test_platform_event_queue.py
+++ b/tests/platform/test_platform_event_queue.py
@@ -75,7 +75,11 @@
 def test_what_a_machine_holds_already_is_not_taken_out_with_its_connection() -> None:
     """It waits behind a set-up of its id; it stands whatever becomes of the connection."""
     held = ev.ClientMessage(1, set_up(1, at="s-00000001"))
-    assert taken(ASK, held, ev.ClientDisconnected(1)) == [held, ev.ClientDisconnected(1)]
+    assert taken(ASK, held, ev.ClientDisconnected(1)) == [
+        ev.ClientHungUp(1),
+        held,
+        ev.ClientDisconnected(1),
+    ]
 
 
 def test_a_set_up_that_goes_again_does_not_leave_with_the_first_ones_connection() -> None:
@@ -93,10 +97,14 @@
         box.add(ev.ClientConnected(number, "c"))
         box.add(ev.ClientMessage(number, set_up(number)))
         box.add(ends(number, number) if number % 2 else ev.ClientDisconnected(number))
+        if number % 3:
+            box.add(ev.ClientHungUp(number))
+            box.add(ev.ClientMessage(number, set_up(number + 1000)))
         box.add(ev.ClientDisconnected(number))
     box.take_all()
     assert not box._clients and not box._by_task and not box._by_connection
     assert not box._machine_messages and not box._links_coming_up and not len(box)
+    assert not box._hung_up and not box._urgent_tasks and not box._urgent_clients and not box._client_messages
 
 
 def test_set_ups_beyond_a_bound_are_turned_away_and_owners_are_not_read_beyond_another() -> None:
@@ -108,13 +116,20 @@
     more = ev.ClientMessage(1, set_up(number + 2))
     box.add(more)
     box.add(ends(1, 1))  # seen to all the same
-    assert (
-        box.take() == [replace(more, over_limit=True), ends(1, 1, cancelled_unhandled=True)]
-        and not box.is_full()
-    )
+    assert box.take() == [ends(1, 1, cancelled_unhandled=True)]
+    assert box.take() == [replace(more, over_limit=True)] and not box.is_full()
     while not box.is_overloaded():
+        assert not box.must_wait(1)
         box.add(ev.ClientMessage(1, Message(Kind.TEST, name(5), cause=0)))
     assert len(box) == event_queue.EVENTS_MOST
+    assert box.must_wait(1)
+    for _ in range(event_queue.CONNECTION_SHARE):  # others may still give up, and leave
+        assert not box.must_wait(2)
+        box.add(ev.ClientMessage(2, Message(Kind.TEST, name(6), cause=0)))
+    assert box.must_wait(2)
+    while box.is_overloaded():
+        box.take()
+    assert not box.must_wait(1) and not box.must_wait(2)
 
 
 def test_it_knows_whose_words_wait() -> None:
@@ -144,3 +159,29 @@
     assert taken(full, held, over) == [held, over, full]  # its end, before it was known here
     assert taken(ev.LinkUp(9), over) == [ev.LinkUp(9), over]
     assert taken(over, ev.LinkLost(9, frozenset())) == [over, ev.LinkLost(9, frozenset())]
+
+
+def test_departures_overtake_the_messages_of_others_but_none_of_their_own_task() -> None:
+    tests = [ev.ClientMessage(1, Message(Kind.TEST, name(n), cause=0)) for n in range(10, 200)]
+    comes, goes = ev.ClientConnected(4, "127.8.240.4"), ev.ClientDisconnected(5)
+    assert taken(*tests, comes, ends(7, 4), goes) == [comes, ends(7, 4), goes, *tests]
+    answer = ev.MachineMessage(9, Message(Kind.ANSWER, name(7), body="b"))
+    held = ev.ClientMessage(4, set_up(7, at="s-00000001"))
+    for earlier in (answer, held):
+        assert taken(*tests, earlier, ends(7, 4)) == [*tests, earlier, ends(7, 4)]
+    # Its connection goes while other messages of it wait: its open tasks end at once, the rest in order.
+    assert taken(*tests, held, ev.ClientDisconnected(4)) == [
+        ev.ClientHungUp(4),
+        *tests,
+        held,
+        ev.ClientDisconnected(4),
+    ]
+
+
+def test_a_client_that_has_hung_up_has_no_more_set_ups_taken_but_what_a_machine_holds() -> None:
+    held = ev.ClientMessage(1, set_up(2, at="s-00000001"))
+    later = ev.ClientMessage(1, set_up(3))
+    other = ev.ClientMessage(2, set_up(4))
+    assert taken(ASK, ev.ClientHungUp(1), later, held, other) == [ev.ClientHungUp(1), held, other]
+    came = [ASK, ev.ClientHungUp(1), later, held, other, ev.ClientDisconnected(1)]
+    assert taken(*came) == [ev.ClientHungUp(1), held, ev.ClientDisconnected(1), other]
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -360,7 +360,7 @@
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
     full = [True]
-    monkeypatch.setattr(service.driver.queue, "is_overloaded", lambda: full[0])
+    monkeypatch.setattr(service.driver.queue, "must_wait", lambda conn: full[0])
     ours, theirs = gsocket.socketpair()
     stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._gone)
     reads = gevent.spawn(service.clients._serve, stream)
