--- a/scripts/write_capacity_tables.py
+++ b/scripts/write_capacity_tables.py
@@ -14,7 +14,7 @@
 import click
 
 from stairplank.scale.page import PageError
-from stairplank.scale.page_files import BEFORE_NAMES, results_in, write_page
+from stairplank.scale.page_files import results_in, write_page
 from stairplank.scale.results import ResultsError
 from stairplank.scale.target import SHIPPED
 from stairplank.settings import SettingsError
@@ -30,8 +30,7 @@
 @click.option("--target", type=click.Path(exists=True, path_type=Path), default=SHIPPED)
 def main(results: tuple[Path, ...], page: Path, target: Path) -> None:
     try:
-        before = results_in(FOLDER, BEFORE_NAMES)
-        changed = write_page(page, results or results_in(FOLDER), target, before)
+        changed = write_page(page, results or results_in(FOLDER), target, FOLDER)
     except (PageError, ResultsError, SettingsError) as error:
         click.echo(str(error), err=True)
         sys.exit(2)
--- a/stairplank/scale/report.py
+++ b/stairplank/scale/report.py
@@ -7,9 +7,11 @@
 from pathlib import Path
 
 from . import figures as fig
-from .figures import Figure
+from .figures import Figure, Unit
 from .results import Results, Sample, Size
 
+PERCENT = 100
+
 
 @dataclass(frozen=True, slots=True)
 class Column:
@@ -105,12 +107,14 @@
 def _lines(
     samples: Sequence[Sample], axis_name: str, size_of: Callable[[Sample], float], figure: Figure
 ) -> list[tuple[str, list[tuple[float, float]]]]:
-    """Series of two points or more along an axis, each with what it holds."""
+    """Series of two points or more along an axis, each with what it holds; events are no points."""
     groups: dict[str, list[tuple[float, float]]] = {}
-    for sample in samples:
+    for sample in filter(fig.is_plain, samples):
         value = figure.read(sample)
         if value is None:
             continue
+        if figure.unit is Unit.SHARE:
+            value *= PERCENT
         others = (f"{size(sample):g} {name}" for name, size in AXES if name != axis_name)
         label = f"{sample.form}, {', '.join(others)}"
         groups.setdefault(label, []).append((size_of(sample), value))
--- a/stairplank/scale/roles.py
+++ b/stairplank/scale/roles.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 
 from . import figures as fig
+from .event_names import SETTINGS_FOLLOWED
 from .figures import Figure
 from .results import Size
 from .target_site import Site
@@ -37,11 +38,34 @@
     Form.GRPC: "its tasks, and numbered final messages for each life of a planner; a link of each planner",
 }
 CLIENT_STATE = "its tasks by id; connections to the planners that it asks"
-CONFIGURATION_STATE = "a file of each planner, read at its start"
+CONFIGURATION_STATE = {
+    Form.PLATFORM: "a file of each planner, read at its start and on SIGHUP",
+    Form.GRPC: "replicas keep the committed and the prepared text and each planner's last report; a planner "
+    "keeps a copy of what it has in force",
+}
+CONFIGURATION_WANTED = {
+    Form.PLATFORM: "all: a run in which a planner's file changes",
+    Form.GRPC: "processor time, memory of a replica: counted at a process of its own; the figures here are a "
+    "planner's with nothing published, those of a change are in the table of changes",
+}
+
+
+def _configuration(site: Site) -> RoleCost:
+    """What a planner spends on following the configuration, with nothing published."""
+    followed = [sample.planner for sample in site.samples if sample.load == SETTINGS_FOLLOWED]
+    messages = [cost.messages_per_s for cost in followed if cost.messages_per_s is not None]
+    sent = [cost.bytes_per_s for cost in followed if cost.bytes_per_s is not None]
+    return RoleCost(
+        "configuration",
+        CONFIGURATION_STATE[site.form],
+        max(messages, default=None),
+        max(sent, default=None),
+        wanted=CONFIGURATION_WANTED[site.form],
+    )
 
 
 def role_costs(site: Site, size: Size) -> list[RoleCost]:
-    """One planner, the node list, one worker's side; clients and configuration, which no sample has."""
+    """One planner, the node list, one worker's side, configuration; clients, which no sample has."""
 
     def measured(figure: Figure) -> float | None:
         return site.worst(figure, size)
@@ -71,5 +95,5 @@
             wanted="processor time, memory: a worker's process on its own instead of hollow ones",
         ),
         RoleCost("a client's side", CLIENT_STATE, wanted="all: counted at the process of clients"),
-        RoleCost("configuration", CONFIGURATION_STATE, wanted="all: a run in which settings change"),
+        _configuration(site),
     ]
--- a/stairplank/scale/tables.py
+++ b/stairplank/scale/tables.py
@@ -32,13 +32,20 @@
 
 
 class CapacityTables:
-    """``runs``: the results of one state of the program, the first run first; ``before``: those of an earlier
-    state."""
-
-    def __init__(self, target: Target, runs: Sequence[Results], before: Sequence[Results] = ()) -> None:
+    """``runs``: the results of one state of the program, the first run first; ``before`` and
+    ``after``: runs of an earlier state and of this one, side by side."""
+
+    def __init__(
+        self,
+        target: Target,
+        runs: Sequence[Results],
+        before: Sequence[Results] = (),
+        after: Sequence[Results] = (),
+    ) -> None:
         self.target = target
         self.runs = runs
         self.before = before
+        self.after = after
         self.sites = [Site(target, runs, form) for form in Form]
         self.slopes = {site.form: Slopes(site.samples) for site in self.sites}
 
@@ -55,7 +62,7 @@
             "two-runs": self._two_runs(),
             "limits": self._limits(),
             "configuration": configuration_table(self.target, self.runs),
-            "before-after": before_after_table(self.before, self.runs),
+            "before-after": before_after_table(self.before, self.after),
         }
         for site in self.sites:
             slopes, form = self.slopes[site.form], site.form.value
--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -9,7 +9,7 @@
 from invented import results
 
 from stairplank.scale.page import PageError, differing, tables_of, with_tables
-from stairplank.scale.page_files import BEFORE_NAMES, RESULTS_NAMES, results_in, tables_from, write_page
+from stairplank.scale.page_files import RESULTS_NAMES, results_in, tables_from, write_page
 from stairplank.scale.results import write
 from stairplank.scale.target import TargetLine
 
@@ -28,7 +28,7 @@
 
 
 def test_the_page_has_the_tables_of_its_results() -> None:
-    tables = tables_from(results_in(FOLDER), before=results_in(FOLDER, BEFORE_NAMES))
+    tables = tables_from(results_in(FOLDER), pairs_folder=FOLDER)
     changed = differing(PAGE.read_text(encoding="utf-8"), tables)
     assert changed == [], "python scripts/write_capacity_tables.py writes them anew"
 
