--- /dev/null
+++ b/tests/golden/golden_decisions.py
@@ -0,0 +1,80 @@
+"""The decision module on recorded streams of events; its actions are written down by position.
+
+``data/decision-events.json.gz`` holds streams of ``[settings, seed, [[time, event type, event], ...]]`` in
+the plain form of ``golden_records``: emulated days, drawn days of the platform and random histories, recorded by
+``RecordedPlanner`` in the place of the planner.
+"""
+
+from __future__ import annotations
+
+import gzip
+import json
+from pathlib import Path
+from typing import Any
+
+from golden_records import Trace, from_plain, to_plain
+
+from stairplank import interface as api
+from stairplank.decide import Planner
+
+FILE = Path(__file__).resolve().parent / "data" / "decision-events.json.gz"
+EVENT_TYPES: tuple[type, ...] = (
+    api.Started,
+    api.NodeList,
+    api.TaskAsked,
+    api.TaskAdopted,
+    api.Placed,
+    api.Outcome,
+    api.Note,
+    api.TaskWithdrawn,
+    api.TimerFired,
+    api.Probed,
+)
+ACTION_TYPES: tuple[type, ...] = (
+    api.Bind,
+    api.Refuse,
+    api.Fail,
+    api.StopAttempt,
+    api.Evict,
+    api.SetTimer,
+    api.Probe,
+    api.Watch,
+    api.FetchList,
+)  # a Log action is not part of a trace: its text may be worded anew
+
+
+def load_streams() -> list[Any]:
+    """The recorded streams, by number."""
+    streams: list[Any] = json.loads(gzip.decompress(FILE.read_bytes()))
+    return streams
+
+
+def replay(stream: Any, trace: Trace) -> None:
+    """Feed one recorded stream to a new planner and write down its actions."""
+    settings, seed, steps = stream
+    planner = Planner(from_plain(api.Settings, settings), seed)
+    for now, event_type, event in steps:
+        for action in planner.handle(now, from_plain(EVENT_TYPES[event_type], event)):
+            if not isinstance(action, api.Log):
+                trace.add(now, ACTION_TYPES.index(type(action)), to_plain(action))
+
+
+class RecordedPlanner(Planner):
+    """A planner that keeps what it is fed, as a stream."""
+
+    streams: list[Any] = []
+
+    def __init__(self, settings: api.Settings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.steps: list[Any] = []
+        self.streams.append([to_plain(settings), seed, self.steps])
+
+    def handle(self, now: int, event: api.Event) -> list[api.Action]:
+        self.steps.append([now, EVENT_TYPES.index(type(event)), to_plain(event)])
+        return super().handle(now, event)
+
+
+def write_streams(streams: list[Any]) -> None:
+    """Write the recorded streams, always as the same bytes."""
+    text = json.dumps(streams, separators=(",", ":"))
+    FILE.write_bytes(gzip.compress(text.encode(), mtime=0))
