--- /dev/null
+++ b/tests/stored/test_stored_settings.py
@@ -0,0 +1,427 @@
+"""Settings files of every kind are read with the same values as by the landed version.
+
+``data/settings.expected.json`` has, for each file, every keyword with the values that are read from its
+words: times in microseconds, sizes in bytes. The tests below say what they mean once they are typed.
+``pytest -vv`` shows the whole difference.
+"""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from stairplank.emulator.experiment import EXPERIMENT, cells
+from stairplank.interface import Effect, Scope
+from stairplank.platform import config as platform_config
+from stairplank.rehearsal.scenario import SCENARIO, load_scenario
+from stairplank.scale.plan import SCALE, load_plan
+from stairplank.settings import load, load_planner
+from stairplank.settings.planner import PLANNER
+from stairplank.settings.site import SITE, load_site
+from stairplank.standin.config import CROWD, FARM, LISTING, load_crowd, load_farm, load_listing
+
+DATA = Path(__file__).parent / "data"
+SCHEMAS = {
+    "planner.conf": PLANNER,
+    "site.conf": SITE,
+    "node.conf": FARM,
+    "directory.conf": LISTING,
+    "owners.conf": CROWD,
+    "scenario.conf": SCENARIO,
+    "experiment.conf": EXPERIMENT,
+    "scale.conf": SCALE,
+}
+ROOM_FIGURES = {
+    "mean_cores": 1.25,
+    "mean_memory": 2.5,
+    "cores_limit": 1.5,
+    "memory_limit": 1.1,
+    "confirms_running": False,
+    "preempts": True,
+    "max_attempts": 4,
+    "answer_slack_us": 60_000,
+    "drain_grace_us": 300_000,
+    "cold_share": 0.3,
+    "cold_us": 11_000_000,
+    "fall_multiple": 2.5,
+    "fall_us": 1_600_000,
+    "fresh_offers": 21.0,
+    "max_retry_after_us": 4_000_000,
+    "owner_wait_us": 5_000_000,
+    "ask_within_us": 12_000_000,
+    "tick_us": 15_000,
+}
+SITE_FIGURES = {
+    "dial_timeout_us": 240_000,
+    "dial_retry_us": 110_000,
+    "dial_retry_most_us": 2_200_000,
+    "link_grace_us": 900_000,
+    "probe_timeout_us": 510_000,
+    "list_silence_us": 5_100_000,
+    "stop_grace_us": 9_000_000,
+    "open_most": 19_000,
+    "owner_open_most": 18_000,
+    "running_most": 190_000,
+    "owners_most": 900,
+    "nodes_most": 9_000,
+    "dials_most": 15,
+    "wait_most_us": 3_600_000_000,
+    "send_buffer": 2 << 20,
+    "message_most": 512 << 10,
+    "keepalive_us": (4_000_000, 1_500_000),
+}
+DECISION_FIGURES = {
+    "planners": 3,
+    "position": 1,
+    "zone": 1,
+    "must_ask": True,
+    "shows_free": True,
+    "may_probe": True,
+    "may_cancel": True,
+    "report_fields": ("free_cores", "free_memory", "util"),
+    "reports_in_answers": False,
+    "tenant_share": (2.0, 0.5),
+    "tenant_quota_cores": (),
+    "over_share_worth": 1.0,
+    "price_fleet": 0.1,
+    "price_move": 0.2,
+    "price_waste": 0.3,
+    "price_probe": 0.4,
+    "price_list": 0.5,
+    "price_refusal": 0.6,
+}
+PLATFORM_FIGURES = {
+    "planners": 5,
+    "position": 2,
+    "zone": 1,
+    "mean_cores": 0.6,
+    "mean_memory": 1.7,
+    "cores_limit": 2.5,
+    "memory_limit": 1.5,
+    "confirms_running": False,
+    "preempts": True,
+    "max_attempts": 4,
+    "answer_slack_us": 5_000,
+    "drain_grace_us": 260_000,
+    "cold_share": 0.2,
+    "cold_us": 9_000_000,
+    "fall_multiple": 2.25,
+    "fall_us": 1_500_000,
+    "fresh_offers": 40.0,
+    "must_ask": True,
+    "ask_within_us": 11_000_000,
+    "tick_us": 1_100,
+    "shows_free": True,
+    "may_probe": True,
+    "may_cancel": True,
+    "max_retry_after_us": 3_000_000,
+    "owner_wait_us": 2_000_000,
+    "report_fields": ("free_cores", "free_memory", "util"),
+    "reports_in_answers": True,
+    "tenant_share": (0.75, 0.25),
+    "tenant_quota_cores": (12.0, 8.0),
+    "over_share_worth": 0.9,
+    "price_fleet": 0.01,
+    "price_move": 0.02,
+    "price_waste": 0.03,
+    "price_probe": 0.04,
+    "price_list": 0.05,
+    "price_refusal": 0.06,
+}
+MODEL_FIGURES = {
+    "id": 3,
+    "name": "n3",
+    "kind": "std",
+    "zone": "west",
+    "rack": "r1",
+    "cores": 16.0,
+    "memory": 32.5,
+    "cores_limit": 1.5,
+    "memory_limit": 1.1,
+    "cold_share": 0.3,
+    "cold_us": 11_000_000,
+    "fall_multiple": 2.5,
+    "fall_us": 1_600_000,
+    "fresh_offers": 21.0,
+    "preempts": True,
+    "look_us": (2_000, 5_000),
+    "waiting_most": 24,
+    "starts_at_once": 3,
+    "start_us": 40_000,
+    "from_nothing": 4.0,
+    "programs_kept": 7,
+    "cores_use": 0.8,
+    "memory_use": 0.9,
+}
+OWNER_FIGURES = {
+    "name": "anna",
+    "rate": 10.0,
+    "planners": 2,
+    "tenant": "red",
+    "again_us": (300_000, 600_000),
+    "soon_us": (10_000, 20_000),
+    "owner_wait_us": 5_000_000,
+    "wanted_us": 4_000_000,
+    "ends_us": 7_000_000,
+    "total": 4,
+}
+
+DRAWN = [
+    "at 10s node 3 5 fail-starts 0.6 for 12s",
+    "at 12s node 3 drain",
+    "at 14s list behind 4s for 10s",
+    "at 20s planner 1 kill for 3s",
+    "at 25s demand 2.0 for 6s",
+    "at 28s links node 1 2 hold there for 3s",
+    "at 30s zone west cut for 5s",
+    "at 35s owners restart-services 0.3 1s",
+]
+DRAWN_UNDER_SEED_6 = [
+    "at 10s node 2 5 fail-starts 0.6 for 12s",
+    "at 12s node 2 drain",
+    "at 14s list behind 4s for 10s",
+    "at 20s planner 1 kill for 3s",
+    "at 25s demand 2.0 for 6s",
+    "at 28s links node 1 3 hold there for 3s",
+    "at 30s zone west cut for 5s",
+    "at 35s owners restart-services 0.3 1s",
+]
+
+
+def figures(of: Any, names: dict[str, Any]) -> dict[str, Any]:
+    """The named fields of a value."""
+    return {name: getattr(of, name) for name in names}
+
+
+def keywords(section: Any) -> dict[str, Any]:
+    """A section's values by keyword, as JSON has them; of blocks one section each."""
+    out: dict[str, Any] = {"values": list(section.values)} if section.values else {}
+    for name, given in section.keys.items():
+        out[name] = [list(values) for _, values in given]
+    for name, blocks in section.blocks.items():
+        out[name] = [keywords(block) for block in blocks]
+    return dict(json.loads(json.dumps(out)))
+
+
+@pytest.mark.parametrize("name", SCHEMAS)
+def test_every_keyword_is_read(name: str) -> None:
+    wanted = json.loads((DATA / "settings.expected.json").read_text(encoding="utf-8"))
+    assert keywords(load(DATA / name, SCHEMAS[name])) == wanted[name]
+
+
+@pytest.mark.parametrize("name", SCHEMAS)
+def test_the_file_has_every_keyword_of_its_kind(name: str) -> None:
+    given = keywords(load(DATA / name, SCHEMAS[name]))
+    assert {item.name for item in SCHEMAS[name]} == set(given)
+
+
+# Planner and site
+
+
+def assert_classes(classes: tuple[Any, ...]) -> None:
+    """The three classes that every file with a room has."""
+    worker, ingest, report = classes
+    assert [c.name for c in classes] == ["worker", "ingest", "report"]
+    assert [c.effect for c in classes] == [Effect.REPEATABLE, Effect.KEYED, Effect.ONCE]
+    assert [c.dedup_scope for c in classes] == [Scope.ALL, Scope.ZONE, Scope.ALL]
+    assert [c.window_us for c in classes] == [0, 8_000_000, 0]
+    assert [c.aim_us for c in classes] == [3_500_000, 600_000, 1_000_000]
+    assert [c.deadline_us for c in classes] == [7_000_000, 120_000_000, 1_000_000]
+    assert (worker.worth, worker.start_worth_s, worker.late_worth) == (2.5, 1.5, 0.25)
+    assert (worker.spread, worker.spread_most, worker.node_kind) == (Scope.GROUP, 2, 1)
+    assert (worker.priority, worker.calm_until, worker.lost_over) == (2, 0.75, 0.5)
+    assert (ingest.worth, ingest.start_worth_s, ingest.late_worth) == (1.0, 0.0, 0.0)
+    assert (report.spread, report.spread_most, report.node_kind) == (Scope.NONE, 0, None)
+    assert (report.priority, report.calm_until, report.lost_over) == (0, 1.0, 1.0)
+
+
+def assert_room(room: Any) -> None:
+    """The room that every file with one has."""
+    assert_classes(room.classes)
+    assert [(k.name, k.cores, k.memory) for k in room.kinds] == [("std", 16.0, 32.5), ("big", 64.0, 256.0)]
+    assert room.zones == ("west", "east")
+    assert room.tenants == (("red", 2.0), ("blue", 0.5))
+    assert room.prices == {"fleet": 0.1, "move": 0.2, "waste": 0.3, "probe": 0.4, "list": 0.5, "refusal": 0.6}
+    assert figures(room, ROOM_FIGURES) == ROOM_FIGURES
+
+
+def test_a_site_file_is_typed() -> None:
+    site = load_site(DATA / "site.conf")
+    assert_room(site.room)
+    assert figures(site, SITE_FIGURES) == SITE_FIGURES
+
+
+def test_a_planner_file_is_typed() -> None:
+    config = load_planner(DATA / "planner.conf")
+    assert_room(config.room)
+    assert figures(config, SITE_FIGURES) == SITE_FIGURES
+    assert config.listen == ("127.0.0.1:7301", "unix:planner.sock")
+    assert (config.directory, config.seed) == ("[::1]:7300", 2**64 - 1)
+    assert config.configuration == ("127.0.0.1:7401", "127.0.0.1:7402")
+    assert config.configuration_copy == "kept copy.json"
+
+
+def test_the_decision_module_is_told_what_a_planner_file_says() -> None:
+    settings = load_planner(DATA / "planner.conf").settings
+    assert_classes(settings.classes)
+    assert [(k.name, k.cores, k.memory) for k in settings.kinds] == [
+        ("std", 16.0, 32.5),
+        ("big", 64.0, 256.0),
+    ]
+    assert figures(settings, ROOM_FIGURES) == ROOM_FIGURES
+    assert figures(settings, DECISION_FIGURES) == DECISION_FIGURES
+
+
+# Stand-ins
+
+
+def test_a_node_file_is_typed() -> None:
+    farm = load_farm(DATA / "node.conf")
+    first, second = farm.nodes
+    assert figures(first.model, MODEL_FIGURES) == MODEL_FIGURES
+    assert first.listen == ("127.0.0.1:7503", "[::1]:7503")
+    assert first.advertise == {"inner": ("127.0.0.1:7603",)}
+    assert (first.absent, first.cold, second.absent, second.cold) == (False, True, True, False)
+    assert (second.model.id, second.model.cores, second.model.memory) == (4, 64.0, 256.0)
+    assert farm.directories == (("127.0.0.1:7300", "inner"), ("127.0.0.1:7310", ""))
+    assert (farm.seed, farm.begin) == (12, "begin.txt")
+    assert_classes(farm.classes)
+    assert [fault.line() for fault in farm.faults] == [
+        "at 500ms node 3 fail-starts 0.6 for 2s",
+        "at 1s node 4 drain",
+    ]
+    assert [fault.line() for fault in farm.on_signal] == ["at 0us node 4 leave 3s"]
+
+
+def test_a_directory_file_is_typed() -> None:
+    listing = load_listing(DATA / "directory.conf")
+    assert listing.listen == ("127.0.0.1:7300", "127.0.0.1:7310")
+    model = listing.model
+    assert (model.notice_us, model.silent_us, model.period_us) == (110_000, 1_100_000, 90_000)
+    assert listing.begin == "begin.txt"
+    assert [fault.line() for fault in listing.faults] == [
+        "at 1500ms list forget",
+        "at 2s list behind 4s for 10s",
+    ]
+
+
+def test_an_owners_file_is_typed() -> None:
+    crowd = load_crowd(DATA / "owners.conf")
+    assert_room(crowd.room)
+    anna, ben = crowd.owners
+    assert figures(anna, OWNER_FIGURES) == OWNER_FIGURES
+    assert (ben.name, ben.tenant) == ("ben", "blue")
+    assert_demands(anna.demands)
+    assert crowd.planners == {0: "127.0.0.1:7301", 2: "127.0.0.1:7303"}
+    assert (crowd.seed, crowd.begin, crowd.report) == (14, "begin.txt", "report.json")
+    assert [fault.line() for fault in crowd.faults] == [
+        "at 25s demand 2.0 for 6s",
+        "at 35s owners restart-services 0.3 1s",
+    ]
+
+
+def assert_demands(demands: tuple[Any, ...]) -> None:
+    """The two demands that every file with owners has."""
+    worker, report = demands
+    assert (worker.task_class, worker.share) == ("worker", 0.6)
+    assert worker.sizes == ((1.0, 2.0), (2.0, 4.5))
+    assert (worker.life_us, worker.batch) == ((700_000, 900_000), (2, 3))
+    assert (worker.services, worker.service_most, worker.group) == (5, 6, True)
+    assert (report.task_class, report.share, report.sizes) == ("report", 0.4, ((0.5, 1.0),))
+    assert (report.life_us, report.batch) == ((1_000_000, 1_000_000), (1, 1))
+    assert (report.services, report.service_most, report.group) == (20, 8, False)
+
+
+# Scenario, experiment, scale run
+
+
+def test_a_scenario_file_is_typed() -> None:
+    scenario = load_scenario(DATA / "scenario.conf")
+    assert_room(scenario.room)
+    assert (scenario.name, scenario.about) == ("data", "a room for the test")  # named by its folder
+    assert (scenario.planners, scenario.owners, scenario.seed) == (2, 3, 5)
+    assert (scenario.lasts_us, scenario.settles_us) == (8_000_000, 6_000_000)
+    assert [(n.model.id, n.model.name, n.model.rack, n.absent) for n in scenario.nodes] == [
+        (1, "left-0", "left-0", False),
+        (2, "left-1", "left-1", False),
+        (3, "left-2", "left-0", False),
+        (4, "left-3", "left-1", True),
+        (5, "right-0", "lone", False),
+        (6, "right-1", "lone", False),
+    ]
+
+
+def test_a_scenario_s_faults_are_drawn_alike() -> None:
+    scenario = load_scenario(DATA / "scenario.conf")
+    assert [fault.line() for fault in scenario.faults] == DRAWN
+    again = load_scenario(DATA / "scenario.conf", seed=6)
+    assert [fault.line() for fault in again.faults] == DRAWN_UNDER_SEED_6
+
+
+def test_an_experiment_file_is_typed() -> None:
+    grid = cells(str(DATA / "experiment.conf"))
+    assert [(c.policy, c.load, c.planners, c.group_size, c.seed) for c in grid] == [
+        (policy, load_, planners, size, seed)
+        for policy in ("groups", "singles", "blocking")
+        for load_ in (0.6, 1.1)
+        for planners in (1, 3)
+        for size in (2, 8)
+        for seed in (1, 2)
+    ]
+
+
+def test_a_scale_file_is_typed() -> None:
+    plan = load_plan(DATA / "scale.conf")
+    target, layout = plan.target, plan.layout
+    assert (target.workers, target.planners, target.starts_per_s, target.running) == (24, 3, 4.0, 60)
+    assert (layout.real_planners, layout.zones, layout.rack_size) == (2, 3, 4)
+    assert (layout.descriptors, layout.restarted) == (2048, 5)
+    assert (plan.name, plan.settle_s, plan.time_most_s) == ("scale", 0.5, 60.0)
+    assert (plan.processes_most, plan.memory_most) == (40, 1 << 30)
+
+
+def test_a_scale_file_s_samples_are_those_it_asks_for() -> None:
+    wanted = json.loads((DATA / "scale.samples.expected.json").read_text(encoding="utf-8"))
+    assert [sample_values(sample) for sample in load_plan(DATA / "scale.conf").samples] == wanted
+
+
+def sample_values(sample: Any) -> list[Any]:
+    """A sample of a scale run by plain values."""
+    size = sample.size
+    site = [size.workers, size.planners, size.starts_per_s, size.running]
+    return [sample.form, sample.load, site, sample.list_changes_per_s, sample.span_s, sample.repeat]
+
+
+# The platform's file
+
+
+def test_a_platform_file_is_typed() -> None:
+    config = platform_config.load(str(DATA / "platform.json"))
+    assert (config.name, config.listen, config.board) == ("n0", "127.0.0.1:7301", "127.0.0.1:7070")
+    assert (config.seed, config.sockets, config.revision) == (0x8C1F, 256, "17")
+    assert (config.zones, config.tenants) == (("hall 1", "hall 2"), ("red, one", "blue"))
+    assert config.fields == ("x0", "x1", "utilization")
+    assert (config.dial_timeout_us, config.idle_us, config.handshake_price) == (240_000, 29_000_000, 0.7)
+    assert config.known == ({"id": 4}, {"id": 5})
+
+
+def test_the_decision_module_is_told_what_a_platform_file_says() -> None:
+    settings = platform_config.load(str(DATA / "platform.json")).settings
+    assert figures(settings, PLATFORM_FIGURES) == PLATFORM_FIGURES
+    assert [(k.name, k.cores, k.memory) for k in settings.kinds] == [
+        ("node 32", 37.0, 107.0),
+        ("node-64", 56.0, 171.0),
+    ]
+    worker, ingest, report = settings.classes
+    assert [c.name for c in settings.classes] == ["the worker", "ingest", "report"]
+    assert [c.effect for c in settings.classes] == [Effect.REPEATABLE, Effect.KEYED, Effect.ONCE]
+    assert [c.dedup_scope for c in settings.classes] == [Scope.ALL, Scope.GROUP, Scope.ALL]
+    assert (worker.aim_us, worker.deadline_us) == (1_000_000, 6_000_000)
+    assert (ingest.window_us, ingest.worth, ingest.late_worth) == (8_000_000, 2.0, 0.1)
+    assert (ingest.start_worth_s, ingest.spread, ingest.spread_most) == (8.5, Scope.ZONE, 3)
+    assert (worker.node_kind, ingest.node_kind, report.node_kind) == (None, 1, 0)
+    assert (ingest.priority, ingest.calm_until, ingest.lost_over) == (2, 0.8, 0.4)
+    assert (report.spread, report.spread_most, report.worth) == (Scope.NODE, 1, 1.0)
