--- a/tests/planner/test_settings_changed.py
+++ b/tests/planner/test_settings_changed.py
@@ -12,10 +12,10 @@
 from stairplank import interface as api
 from stairplank.planner import events as ev
 from stairplank.planner.core import Core, CoreConfig
-from stairplank.planner.linking import HELD_GAP_US
+from stairplank.planner.node_links import HELD_GAP_US
 from stairplank.planner.nodelist import LIST_RETRY_US
 
-HUGE = api.NodeKind("huge", 64.0, 128.0)
+HUGE = api.NodeType("huge", 64.0, 128.0)
 FRESH = api.TaskClass("fresh", api.Effect.ONCE, api.Scope.ALL, 0, SECOND, 6 * SECOND)
 
 
@@ -43,7 +43,7 @@
 
 
 def tell_list(world: World, revision: int, *nodes: ev.ListedNode) -> list[ev.Action]:
-    return world.feed(ev.ListTold(revision, 0, True, nodes, 10**15))
+    return world.feed(ev.NodeListReceived(revision, 0, True, nodes, 10**15))
 
 
 def offers(actions: list[ev.Action]) -> list[ev.SendOffer]:
@@ -54,8 +54,8 @@
     return [word.rejection.code for word in world.words(ev.Rejected)]
 
 
-def watches(actions: list[ev.Action]) -> list[ev.StartWatch]:
-    return [a for a in actions if isinstance(a, ev.StartWatch)]
+def watches(actions: list[ev.Action]) -> list[ev.WatchNodeList]:
+    return [a for a in actions if isinstance(a, ev.WatchNodeList)]
 
 
 # Tasks
@@ -67,7 +67,7 @@
     large = 12.0  # more than a node has left once the reserve for tasks in time is kept
     (first,) = offers(w.ask(1, cores=large))
     change(w, {"classes": with_class(SETTINGS, "worker", deadline_us=60 * SECOND)})
-    (second,) = offers(w.feed(ev.NodeRefused(first.node, first.id, api.Reason.QUEUE_FULL)))
+    (second,) = offers(w.feed(ev.NodeRejected(first.node, first.id, api.Reason.QUEUE_FULL)))
     assert second.node != first.node
     assert offers(w.ask(2, cores=large)) == []
 
@@ -80,7 +80,7 @@
     w.wait(5 * SECOND)
     assert w.words() == []
     w.wait(SECOND)
-    assert w.words() == [ev.FailedTask(1, True)]
+    assert w.words() == [ev.TaskFailed(1, True)]
     assert w.now == asked + 6 * SECOND
     assert offer.wait_us > 5 * SECOND
 
@@ -91,7 +91,7 @@
     w.offer(1, "report")
     change(w, {"tick_us": tick})
     w.wait(6 * SECOND + SETTINGS.answer_slack_us)
-    assert w.words() == [ev.FailedTask(1, True)]
+    assert w.words() == [ev.TaskFailed(1, True)]
 
 
 def test_a_class_is_used_in_the_turn_after_its_coming() -> None:
@@ -102,7 +102,7 @@
     offer = w.offer(2, "fresh")
     assert offer.class_index == len(SETTINGS.classes)
     w.wait(6 * SECOND)
-    assert w.words(ev.FailedTask) == [ev.FailedTask(2, True)]  # its effect is known: it may run
+    assert w.words(ev.TaskFailed) == [ev.TaskFailed(2, True)]  # its effect is known: it may run
 
 
 def test_a_tenant_is_used_in_the_turn_after_its_coming() -> None:
@@ -119,7 +119,7 @@
     w = World()
     change(w, {"classes": (*SETTINGS.classes, FRESH)})
     members = tuple(w.spec(100 + i, "fresh") for i in range(2))
-    w.feed(ev.AskedGroup(1, 1, members, 9 * SECOND))
+    w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND))
     assert len(w.all(ev.SendOffer)) == 2
 
 
@@ -132,7 +132,7 @@
     assert rejections(w) == ["RESOURCE_EXHAUSTED"]
     w.feed(ev.NodeRunning(first.node, first.id))
     w.feed(ev.NodeRunning(second.node, second.id))
-    assert len(w.words(ev.PlacedAt)) == 2
+    assert len(w.words(ev.TaskPlaced)) == 2
     assert offers(w.ask(4))
 
 
@@ -157,8 +157,8 @@
     w = World()
     first = w.offer(1)
     change(w, {"max_attempts": 1})
-    w.feed(ev.NodeRefused(first.node, first.id, api.Reason.QUEUE_FULL))
-    assert len(w.words(ev.RefusedTask)) == 1
+    w.feed(ev.NodeRejected(first.node, first.id, api.Reason.QUEUE_FULL))
+    assert len(w.words(ev.TaskShed)) == 1
 
 
 # Groups
@@ -172,8 +172,8 @@
     w.core.list.places()
     change(w, {"cores_limit": 2.0})
     assert [p.cores for p in w.core.list.places()] == [32.0, 32.0]
-    w.feed(ev.AskedGroup(1, 1, large, 9 * SECOND, **apart))
-    assert w.words(ev.GroupTried) == []
+    w.feed(ev.GroupRequested(1, 1, large, 9 * SECOND, **apart))
+    assert w.words(ev.GroupAttempted) == []
     assert len(w.all(ev.SendOffer)) >= 1
 
 
@@ -185,7 +185,7 @@
     tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
     assert sorted(w.core.module.nodes) == [1]
     (watch,) = watches(change(w, {"kinds": (*SETTINGS.kinds, HUGE)}))
-    assert watch == ev.StartWatch(True, 0)
+    assert watch == ev.WatchNodeList(True, 0)
     tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
     assert w.core.module.nodes[2].cores == HUGE.cores
 
@@ -194,14 +194,14 @@
 @pytest.mark.parametrize("after_a_stall", [True, False])
 def test_a_kind_and_a_list_that_names_it_come_together(list_first: bool, after_a_stall: bool) -> None:
     w = World(nodes=1)
-    whole = ev.ListTold(2, 0, True, (of_kind(w, 1, "std"), of_kind(w, 2, "huge")), 10**15)
+    whole = ev.NodeListReceived(2, 0, True, (of_kind(w, 1, "std"), of_kind(w, 2, "huge")), 10**15)
     both: list[ev.Event] = [whole, changed(w.core, {"kinds": (*SETTINGS.kinds, HUGE)})]
     events = both if list_first else both[::-1]
     actions = w.core.woke(w.now, events) if after_a_stall else [a for e in events for a in w.feed(e)]
     if watches(actions):
         w.feed(whole)
     assert sorted(w.core.module.nodes) == [1, 2]
-    w.feed(ev.ListTold(3, 2, False, (of_kind(w, 3, "huge"),), 10**15))
+    w.feed(ev.NodeListReceived(3, 2, False, (of_kind(w, 3, "huge"),), 10**15))
     assert sorted(w.core.module.nodes) == [1, 2, 3]
 
 
@@ -209,7 +209,7 @@
     w = World(nodes=1)
     tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
     change(w, {"kinds": (*SETTINGS.kinds, HUGE)})
-    late = w.feed(ev.ListTold(3, 2, False, (of_kind(w, 3, "std"),), 10**15))
+    late = w.feed(ev.NodeListReceived(3, 2, False, (of_kind(w, 3, "std"),), 10**15))
     assert watches(late) == []  # it is being fetched
     tell_list(w, 3, of_kind(w, 1, "std"), of_kind(w, 2, "huge"), of_kind(w, 3, "std"))
     assert sorted(w.core.module.nodes) == [1, 2, 3]
@@ -219,15 +219,15 @@
     w = World(nodes=1)
     tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
     change(w, {"kinds": (*SETTINGS.kinds, HUGE)})
-    w.feed(ev.ListFailed())
-    assert watches(w.wait(5 * SECOND)) == [ev.StartWatch(True, 0)]
+    w.feed(ev.NodeListFailed())
+    assert watches(w.wait(5 * SECOND)) == [ev.WatchNodeList(True, 0)]
 
 
 def test_nodes_above_a_table_that_grows_are_taken() -> None:
     w = World(nodes=1, nodes_most=1)
     tell_list(w, 2, w.listed(1), w.listed(2))
     assert w.core.links.nodes() == [1]
-    assert watches(change(w, nodes_most=2)) == [ev.StartWatch(True, 0)]
+    assert watches(change(w, nodes_most=2)) == [ev.WatchNodeList(True, 0)]
     tell_list(w, 2, w.listed(1), w.listed(2))
     assert w.core.links.nodes() == [1, 2]
 
@@ -251,7 +251,7 @@
 def test_a_smaller_table_keeps_the_nodes_it_has() -> None:
     w = World(nodes=3)
     assert watches(change(w, nodes_most=1)) == []
-    w.feed(ev.ListTold(2, 1, False, (w.listed(4),), 10**15))
+    w.feed(ev.NodeListReceived(2, 1, False, (w.listed(4),), 10**15))
     assert sorted(w.core.links.nodes()) == [1, 2, 3]
 
 
@@ -292,24 +292,24 @@
     w = World(nodes=1)
     task = held(w, 9)
     task = replace(task, task=replace(task.task, task_class="fresh"))
-    w.feed(ev.HeldTold(1, 0, (task,)))
-    assert w.words(ev.Found) == []
+    w.feed(ev.NodeTasksReported(1, 0, (task,)))
+    assert w.words(ev.TaskRecovered) == []
     change(w, {"classes": (*SETTINGS.classes, FRESH)})
-    assert w.all(ev.AskHeld) == []  # it was asked a moment ago
+    assert w.all(ev.RequestNodeTasks) == []  # it was asked a moment ago
     w.wait(HELD_GAP_US)
-    assert w.all(ev.AskHeld) == [ev.AskHeld(1)]
-    w.feed(ev.HeldTold(1, 0, (task,)))
-    assert w.words(ev.Found) == [ev.Found(0, 9, 1)]
+    assert w.all(ev.RequestNodeTasks) == [ev.RequestNodeTasks(1)]
+    w.feed(ev.NodeTasksReported(1, 0, (task,)))
+    assert w.words(ev.TaskRecovered) == [ev.TaskRecovered(0, 9, 1)]
     w.said.clear()
     change(w, {"max_attempts": 5})
     w.wait(2 * HELD_GAP_US)
-    assert w.all(ev.AskHeld) == []
+    assert w.all(ev.RequestNodeTasks) == []
 
 
 def test_a_node_whose_link_is_broken_is_not_asked() -> None:
     w = World(nodes=1)
     task = held(w, 9)
-    w.feed(ev.HeldTold(1, 0, (replace(task, task=replace(task.task, task_class="fresh")),)))
+    w.feed(ev.NodeTasksReported(1, 0, (replace(task, task=replace(task.task, task_class="fresh")),)))
     w.wait(2 * HELD_GAP_US)
     w.feed(ev.LinkDown(1))
     assert change(w, {"classes": (*SETTINGS.classes, FRESH)}) == []
@@ -318,7 +318,7 @@
 def test_a_node_that_has_left_is_not_remembered_for_its_tasks() -> None:
     w = World(nodes=1)
     task = held(w, 9)
-    w.feed(ev.HeldTold(1, 0, (replace(task, task=replace(task.task, task_class="fresh")),)))
+    w.feed(ev.NodeTasksReported(1, 0, (replace(task, task=replace(task.task, task_class="fresh")),)))
     assert w.core.links._unknown_class == {1}
     w.list(2, revision=2)
     assert w.core.links._unknown_class == set()
@@ -332,7 +332,7 @@
     w = World(nodes=2, nodes_most=3)
     task = held(w, 9)
     unknown = replace(task, task=replace(task.task, task_class="never"))
-    w.feed(ev.HeldTold(1, 0, (unknown,)))
+    w.feed(ev.NodeTasksReported(1, 0, (unknown,)))
     tell_list(w, 2, w.listed(1), w.listed(2), of_kind(w, 3, "never"), w.listed(4))
     w.offer(1, wait=60 * SECOND)
     before = len(w.core.context._timers)
@@ -343,7 +343,7 @@
         settings = {"classes": classes, "max_attempts": 2 + n % 5, "cores_limit": 1.0 + n % 3}
         actions += change(w, settings, nodes_most=3 - n % 2, dials_most=1 + n % 4)
     assert watches(actions) == []
-    assert len([a for a in actions if isinstance(a, ev.AskHeld)]) <= 1
+    assert len([a for a in actions if isinstance(a, ev.RequestNodeTasks)]) <= 1
     assert len(w.core.context._timers) <= before + 2
     assert len(w.core.context.classes) == len(SETTINGS.classes) + 4
     assert len(w.core.list.zones) == 2
@@ -389,7 +389,7 @@
         out.extend(actions)
         open_offers.extend(offers(actions))
 
-    feed(ev.OwnerCame(1, "o"))
+    feed(ev.ClientConnected(1, "o"))
     entries = [
         ev.ListedNode(
             n, f"n{n}", (f"127.0.0.1:{n}",), f"z{n % 3}", f"r{n % 4}", "huge" if n % 3 else "std",
@@ -397,16 +397,16 @@
         )
         for n in range(1, 13)
     ]  # fmt: skip
-    feed(ev.ListTold(1, 0, True, tuple(entries), 10**15))
+    feed(ev.NodeListReceived(1, 0, True, tuple(entries), 10**15))
     for entry in entries:
         feed(ev.LinkUp(entry.id, 0, False))
     for _ in range(100):
         now += rng.randrange(200 * MS)
         while (due := core.next_due()) is not None and due <= now:
-            feed(ev.Due())
+            feed(ev.TimerDue())
         if open_offers and rng.random() < 0.5:
             offer = open_offers.pop(rng.randrange(len(open_offers)))
-            refused = ev.NodeRefused(offer.node, offer.id, rng.choice(list(api.Reason)))
+            refused = ev.NodeRejected(offer.node, offer.id, rng.choice(list(api.Reason)))
             feed(refused if rng.random() < 0.4 else ev.NodeRunning(offer.node, offer.id))
         else:
             ask += 1
@@ -415,7 +415,7 @@
                 "o", ask, sort, rng.choice(["", "t1", "t3"]), 1 + rng.randrange(5),
                 1.0 + rng.random() * 20, 2.0, 0, False,
             )  # fmt: skip
-            feed(ev.Asked(1, ask, spec, 3 * SECOND))
+            feed(ev.PlacementRequested(1, ask, spec, 3 * SECOND))
     return out
 
 
--- a/tests/planner/test_pulse.py
+++ b/tests/planner/test_stall_detector.py
@@ -10,7 +10,7 @@
 import pytest
 from gevent import socket
 
-from stairplank.planner import pulse
+from stairplank.planner import stall_detector
 
 
 def until(what: Callable[[], Any]) -> Any:
@@ -29,7 +29,7 @@
         decided.append((list(pending), stood))
         pending.clear()
 
-    watch = pulse.Pulse(pending, woke)
+    watch = stall_detector.Pulse(pending, woke)
 
     def reads() -> None:
         while ours.recv(1):
@@ -42,7 +42,7 @@
 
     reader = gevent.spawn(reads)
     watch.start()
-    gevent.sleep(pulse.PULSE_S)
+    gevent.sleep(stall_detector.PULSE_S)
     timer = gevent.spawn_later(0.2, due)
     theirs.sendall(b"xyz")
     time.sleep(0.5)  # the whole process stands still, bytes unread, timers overdue
@@ -57,9 +57,9 @@
 
 def test_its_own_timer_does_not_hide_a_stall() -> None:
     decided: list[int] = []
-    watch = pulse.Pulse([], decided.append)
+    watch = stall_detector.Pulse([], decided.append)
     watch.start()
-    gevent.sleep(2 * pulse.PULSE_S)
+    gevent.sleep(2 * stall_detector.PULSE_S)
     time.sleep(0.5)
     assert until(lambda: any(stood >= 400_000 for stood in decided))
 
@@ -67,7 +67,7 @@
 def test_reading_on_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     pending: list[int] = []
     decided: list[int] = []
-    watch = pulse.Pulse(pending, decided.append)
+    watch = stall_detector.Pulse(pending, decided.append)
 
     def floods() -> None:
         while not decided:
@@ -75,7 +75,7 @@
             gevent.sleep(0.001)
 
     flood = gevent.spawn(floods)
-    watch.at -= pulse.STOOD_US + 1
+    watch.at -= stall_detector.STOOD_US + 1
     assert watch.late()
     flood.join(10)
     assert len(decided) == 1
--- a/tests/planner/test_transitions.py
+++ b/tests/planner/test_transitions.py
@@ -2,21 +2,19 @@
 
 from __future__ import annotations
 
-import sys
 from collections import Counter
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).resolve().parents[2]
-sys.path.insert(0, str(ROOT / "scripts"))
-
-from world import SECOND, World  # noqa: E402
+import recorded_days
+from world import SECOND, World
 
-from stairplank.planner import events as ev  # noqa: E402
-from stairplank.planner import trace  # noqa: E402
-from stairplank.planner.transitions import ATTEMPT, LINK, PLACING  # noqa: E402
+from stairplank.planner import events as ev
+from stairplank.planner import trace
+from stairplank.planner.transitions import ATTEMPT, LINK, PLACEMENT
 
-TABLES = (ATTEMPT, PLACING, LINK)
+ROOT = Path(__file__).resolve().parents[2]
+TABLES = (ATTEMPT, PLACEMENT, LINK)
 
 
 def test_the_page_shows_the_tables() -> None:
@@ -26,8 +24,6 @@
 
 
 def test_every_legal_transition_is_taken_and_traces_repeat() -> None:
-    import same_core
-
     seen: Counter[tuple[str, Any, str]] = Counter()
     for room, seed in (
         ("drawn-room", 3),
@@ -37,7 +33,7 @@
         ("first-bad-day", 4),
         ("first-bad-day", 8),
     ):
-        for made, steps, digests in same_core.play(room, seed):
+        for made, steps, digests in recorded_days.play(room, seed):
             one = trace.Trace(made, steps, digests)
             assert trace.replay(one) is None
             core = trace.Core(*made)
@@ -54,7 +50,7 @@
     """A withdrawn task's stop is lost; it runs on, unbound, until its time-out."""
     w = World()
     offer = w.offer(1)
-    w.feed(ev.Withdrawn(1, 1))
+    w.feed(ev.PlacementCancelled(1, 1))
     w.feed(ev.NodeRunning(offer.node, offer.id))
     w.wait(10 * SECOND)
     return w.core.context.transition_counts
@@ -70,9 +66,7 @@
 
 
 def test_a_core_that_acts_otherwise_is_found_out() -> None:
-    import same_core
-
-    made, steps, digests = max(same_core.play("drawn-room", 3), key=lambda t: len(t[1]))
+    made, steps, digests = max(recorded_days.play("drawn-room", 3), key=lambda t: len(t[1]))
     digests[40] = "0" * 16
     found = trace.replay(trace.Trace(made, steps, digests))
     assert found is not None and found[0] == 40
--- a/tests/planner/world.py
+++ b/tests/planner/world.py
@@ -10,7 +10,7 @@
 from stairplank.planner.admission import Bounds
 from stairplank.planner.core import Core, CoreConfig
 from stairplank.planner.events import AttemptId
-from stairplank.planner.links import State
+from stairplank.planner.link_state import State
 
 MS, SECOND = 1_000, 1_000_000
 CLASSES = (
@@ -33,7 +33,7 @@
     position=0,
     zone=0,
     classes=CLASSES,
-    kinds=(api.NodeKind("std", 16.0, 32.0),),
+    kinds=(api.NodeType("std", 16.0, 32.0),),
     mean_cores=1.0,
     mean_memory=2.0,
     cores_limit=1.0,
@@ -79,7 +79,7 @@
         self.list(*range(1, nodes + 1))
         for node in range(1, nodes + 1):
             self.up(node)
-        self.feed(ev.OwnerCame(1, "o"))
+        self.feed(ev.ClientConnected(1, "o"))
         self.said.clear()
 
     def feed(self, event: ev.Event) -> list[ev.Action]:
@@ -93,7 +93,7 @@
         out: list[ev.Action] = []
         while (due := self.core.next_due()) is not None and due <= until:
             self.now = max(self.now, due)
-            out += self.feed(ev.Due())
+            out += self.feed(ev.TimerDue())
         self.now = until
         return out
 
@@ -107,7 +107,7 @@
 
     def list(self, *nodes: int, full: bool = True, revision: int = 1, **changes: Any) -> list[ev.Action]:
         entries = tuple(self.listed(n, **changes) for n in nodes)
-        return self.feed(ev.ListTold(revision, revision - 1, full, entries, 10**15))
+        return self.feed(ev.NodeListReceived(revision, revision - 1, full, entries, 10**15))
 
     def link_up(self, node: int, started: int = 0, draining: bool = False) -> list[ev.Action]:
         """The link stands, once it has been dialled."""
@@ -120,7 +120,7 @@
         """The link stands, if it did not, and the node tells what it holds."""
         stands = self.core.links.up(node)
         out = [] if stands else self.link_up(node, started, draining)
-        return out + self.feed(ev.HeldTold(node, started, tuple(held)))
+        return out + self.feed(ev.NodeTasksReported(node, started, tuple(held)))
 
     def spec(self, key: int, sort: str = "worker", **changes: Any) -> ev.TaskSpec:
         return replace(ev.TaskSpec("o", key, sort, "", 5, 1.0, 2.0, 0, False), **changes)
@@ -134,7 +134,7 @@
         key: int = 0,
         **spec: Any,
     ) -> list[ev.Action]:
-        return self.feed(ev.Asked(session, n, self.spec(key or n, sort, **spec), wait))
+        return self.feed(ev.PlacementRequested(session, n, self.spec(key or n, sort, **spec), wait))
 
     def offer(self, n: int, sort: str = "worker", **more: Any) -> ev.SendOffer:
         (offer,) = [a for a in self.ask(n, sort, **more) if isinstance(a, ev.SendOffer)]
@@ -147,9 +147,9 @@
 
     def words(self, kind: type | None = None, session: int = 1) -> list[Any]:
         """What the owner was told, progress left out."""
-        told = [a.word for a in self.said if isinstance(a, ev.Tell) and a.session == session]
+        told = [a.word for a in self.said if isinstance(a, ev.SendToClient) and a.session == session]
         if kind is None:
-            return [w for w in told if not isinstance(w, (ev.Taken, ev.Offered))]
+            return [w for w in told if not isinstance(w, (ev.Admitted, ev.Offered))]
         return [w for w in told if isinstance(w, kind)]
 
     def all(self, kind: type) -> list[Any]:
@@ -172,4 +172,4 @@
 def held(
     world: World, key: int, sort: str = "worker", life: int = 3, running: bool = True, owner: str = "o"
 ) -> Any:
-    return ev.HeldTask(AttemptId(life, key, 0), world.spec(key, sort, owner=owner), running)
+    return ev.NodeTask(AttemptId(life, key, 0), world.spec(key, sort, owner=owner), running)
--- a/tests/platform/cold_fleet.py
+++ b/tests/platform/cold_fleet.py
@@ -210,14 +210,14 @@
         """SIGTERM, and a new life at once, beside the one that ends."""
         old = self.planners[position]
         old.stopping_at = self.now
-        old.feed(ev.StopRequested(old.clock))
+        old.feed(ev.ShutdownRequested(old.clock))
         self.after(STOP_US, lambda: setattr(old, "alive", False))
         self.start_planner(position)
 
     def _step(self, planner: PlannerRun) -> None:
         if not planner.alive:
             return
-        planner.feed(ev.Due())
+        planner.feed(ev.TimerDue())
         if not planner.stopping_at or self.now < planner.stopping_at + STOP_TASKS_US:
             planner.feed(*(ev.ClientMessage(CLIENT, self._set_up()) for _ in range(self.tasks)))
         self.after(STEP_US, lambda: self._step(planner))
--- a/tests/platform/desk.py
+++ b/tests/platform/desk.py
@@ -108,7 +108,7 @@
             self._take(self.core.handle(self.now, [ev.LinkLost(self.ending.pop(0), frozenset())]))
         while self.now < end:
             self.now = min(end, self.now + 50_000)
-            self._take(self.core.handle(self.now, [ev.Due()]))
+            self._take(self.core.handle(self.now, [ev.TimerDue()]))
         self._take(self.core.handle(self.now, events))
 
     def passes(self, span: int, answering: bool = True) -> None:
--- a/tests/platform/drawn_days.py
+++ b/tests/platform/drawn_days.py
@@ -133,7 +133,7 @@
         "tenants": tenants,
         "tenant_share": tuple(1 / len(tenants) for _ in tenants),
         "tenant_quota_cores": tuple(rng.choice((0.5, 40.0)) for _ in tenants),
-        "kinds": (api.NodeKind("std", rng.choice((2.0, 64.0)), rng.choice((4.0, 500.0))),),
+        "kinds": (api.NodeType("std", rng.choice((2.0, 64.0)), rng.choice((4.0, 500.0))),),
         "max_attempts": rng.choice((1, 2, 3, 9)),
         "drain_grace_us": rng.choice((0, 250_000, 2 * SECOND)),
         "cold_us": rng.choice((0, 10 * SECOND, 60 * SECOND)),
--- a/tests/platform/test_platform_adoption.py
+++ b/tests/platform/test_platform_adoption.py
@@ -222,7 +222,7 @@
     """SIGKILL comes after the longest deadline, counted as 3 s at most, and 0.7 s."""
     desk = Desk(machines=1, deadline_us=deadline_us)
     conn = desk.owner()
-    desk.feed(ev.StopRequested(desk.now - 200_000))
+    desk.feed(ev.ShutdownRequested(desk.now - 200_000))
     killed = desk.now - 200_000 + min(deadline_us, 3 * SECOND) + 700_000
     for number in range(1, 40):
         if desk.now < killed - 200_000:
@@ -239,7 +239,7 @@
     desk = Desk(machines=2)
     conn = desk.owner()
     link = desk.place(conn, 1)
-    desk.feed(ev.StopRequested())
+    desk.feed(ev.ShutdownRequested())
     desk.feed(ev.MachinesClosing())
     assert link in desk.hung and not desk.up
     desk.passes(10 * SECOND, answering=False)
--- a/tests/platform/test_platform_core.py
+++ b/tests/platform/test_platform_core.py
@@ -423,7 +423,7 @@
     """Seen on roll+mass: closed as useless after 17 refusals, 15 set-ups behind them were lost."""
     desk = Desk(machines=1)
     conn = desk.owner()
-    desk.feed(ev.StopRequested())
+    desk.feed(ev.ShutdownRequested())
     desk.feed(after=shutdown.LEAVING_US + 50_000)
     for number in range(1, 3 * client_sessions.REJECTIONS_MOST):
         desk.ask(conn, number)
@@ -556,7 +556,7 @@
     desk.place(conn, 1)
     desk.ask(conn, 2, "keyed")
     desk.connect()
-    desk.feed(ev.StopRequested())
+    desk.feed(ev.ShutdownRequested())
     assert not desk.core.shutdown.is_done()
     desk.ask(conn, 3)  # still taken
     desk.connect()
@@ -580,7 +580,7 @@
     desk.machine(link, answer(1))
     for number in (2, 3):
         desk.ask(conn, number, "once", extras=f"cores:9;memory:2;service:{number:016x}")
-    desk.feed(ev.StopRequested())
+    desk.feed(ev.ShutdownRequested())
     desk.ends(link, 1)
     desk.passes(shutdown.LEAVING_US + 50_000)
     desk.machine(desk.sent(2)[0][0], answer(2))  # room was left in time for one
@@ -595,9 +595,9 @@
     conn = desk.owner()
     desk.ask(conn, 1)
     desk.connect()
-    desk.feed(ev.StopRequested())
+    desk.feed(ev.ShutdownRequested())
     desk.now = desk.core.shutdown.killed_at
-    actions = desk.core.handle(desk.now, [ev.Due()])
+    actions = desk.core.handle(desk.now, [ev.TimerDue()])
     said = [
         type(a)
         for a in actions
@@ -814,7 +814,7 @@
     real = desk.core.module.handle
 
     def handle(now: int, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.TaskAsked) and desk.core.tasks.by_number[event.task.id].id == name(1):
+        if isinstance(event, api.TaskRequested) and desk.core.tasks.by_number[event.task.id].id == name(1):
             raise KeyError("a fault")
         return real(now, event)
 
@@ -825,7 +825,7 @@
     assert desk.sent(2) and not desk.sent(1) and desk.core.counts["faults"] == 1
     heard: list[api.Event] = []
     monkeypatch.setattr(desk.core.module, "handle", lambda now, event: heard.append(event) or 1 / 0)
-    said = (api.TaskWithdrawn(1), api.TaskWithdrawn(2))
+    said = (api.TaskCancelled(1), api.TaskCancelled(2))
     desk.core._take(lambda _: [desk.core.loop.notify_module(event) for event in said], None)
     assert heard == list(said)  # what it is still to be told is told
     desk.core.survives_faults = False
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -62,7 +62,7 @@
     owed = [a.message.id for a in actions if isinstance(a, ev.SendToClient)]
     for _ in range(12):
         now += 100_000
-        actions = core.handle(now, [ev.Due()])
+        actions = core.handle(now, [ev.TimerDue()])
         actions += core.handle(now, [ev.LinkUp(a.link) for a in actions if isinstance(a, ev.Dial)])
         owed += [a.message.id for a in actions if isinstance(a, ev.SendToClient)]
     assert set(owed) == {name(n) for n in range(1, len(c.settings.classes) + 1)}
--- a/tests/platform/test_platform_settings_reload.py
+++ b/tests/platform/test_platform_settings_reload.py
@@ -224,7 +224,7 @@
     fresh = replace(desk.settings.classes[0], name="fresh")
     desk.feed(change_of(desk, classes=(*desk.settings.classes, fresh)))
     desk.send(conn, 1, "fresh")
-    desk.feed(ev.StopRequested())
+    desk.feed(ev.ShutdownRequested())
     desk.passes(4 * SECOND)
     assert desk.replies(1) == [(conn, Kind.RELEASE, int(Cause.BUSY))]
 
@@ -232,9 +232,9 @@
 def test_the_end_of_the_process_is_counted_by_the_deadlines_in_force() -> None:
     desk = Desk()
     short = tuple(replace(c, aim_us=SECOND, deadline_us=SECOND) for c in desk.settings.classes)
-    desk.feed(change_of(desk, classes=short), ev.StopRequested())
+    desk.feed(change_of(desk, classes=short), ev.ShutdownRequested())
     started = Desk(deadline_us=SECOND)
-    started.feed(ev.StopRequested())
+    started.feed(ev.ShutdownRequested())
     assert desk.core.shutdown.killed_at == started.core.shutdown.killed_at
 
 
--- a/tests/scale/counted_site.py
+++ b/tests/scale/counted_site.py
@@ -87,7 +87,7 @@
         while (due := self.core.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
             self.turns += 1
-            self._take(self.core.handle(self.now, [ev.Due()]))
+            self._take(self.core.handle(self.now, [ev.TimerDue()]))
             self.settle()
         self.now = end
 
--- a/tests/scale/test_capacity_rows.py
+++ b/tests/scale/test_capacity_rows.py
@@ -117,7 +117,7 @@
     interface = inspect.getsource(stairplank.interface).lower()
     for name in ("accelerator", "gpu", "region"):
         assert name not in interface, name
-    kind = {field.name for field in fields(stairplank.interface.NodeKind)}
+    kind = {field.name for field in fields(stairplank.interface.NodeType)}
     assert kind == {"name", "cores", "memory"}
 
 
--- a/tests/scale/test_scaling_counts_grpc.py
+++ b/tests/scale/test_scaling_counts_grpc.py
@@ -10,8 +10,8 @@
 from stairplank.emulator.world import World, WorldConfig
 from stairplank.planner import events as ev
 from stairplank.planner.core import Core
-from stairplank.planner.links import State
-from stairplank.settings.room import ROOM, room_from
+from stairplank.planner.link_state import State
+from stairplank.settings.cluster import CLUSTER, cluster_from
 from stairplank.settings.schema import load_text
 from stairplank.standin.node_model import NodeModel
 
@@ -32,7 +32,14 @@
 """
 
 
-SENT_TO_NODES = (ev.SendOffer, ev.SendStop, ev.SendCommit, ev.SendKeep, ev.AskHeld, ev.ProbeNode)
+SENT_TO_NODES = (
+    ev.SendOffer,
+    ev.SendStop,
+    ev.SendCommit,
+    ev.SendLeaseRenewal,
+    ev.RequestNodeTasks,
+    ev.CheckHealth,
+)
 
 
 class CountedWorld(World):
@@ -41,12 +48,12 @@
     def __init__(self, workers: int) -> None:
         self.dials = 0
         self.to_nodes = 0
-        section = load_text(SITE, ROOM)
+        section = load_text(SITE, CLUSTER)
         nodes = tuple(
             NodeModel(number, f"n{number}", "std", "hall", f"rack-{number // 40}", cores=8.0, memory=16.0)
             for number in range(1, workers + 1)
         )
-        super().__init__(WorldConfig(room_from(section), nodes, (), PLANNERS))
+        super().__init__(WorldConfig(cluster_from(section), nodes, (), PLANNERS))
 
     def _carry_out(self, planner: int, core: Core, actions: list[ev.Action]) -> None:
         self.dials += sum(isinstance(action, ev.Dial) for action in actions)
--- a/tests/standin/test_standins.py
+++ b/tests/standin/test_standins.py
@@ -271,7 +271,7 @@
     now = 1 * SECOND
     tries = 1
     while o.tasks:
-        o.heard(now, 0, ev.RefusedTask(ask.ask, 0, api.Reason.UNTOLD))
+        o.heard(now, 0, ev.TaskShed(ask.ask, 0, api.Reason.UNTOLD))
         now = (o.next_due() or now) + 1
         for do in o.advance(now):
             assert isinstance(do, Ask) and do.task.again and do.task.key == ask.task.key and do.ask != ask.ask
@@ -283,32 +283,32 @@
 def test_what_may_run_is_waited_for(sort: str, least: int) -> None:
     o = owner(sort)
     ask = first_ask(o)
-    o.heard(2 * SECOND, 0, ev.FailedTask(ask.ask, True))
+    o.heard(2 * SECOND, 0, ev.TaskFailed(ask.ask, True))
     assert least <= (o.next_due() or 0) - 2 * SECOND <= 3 * SECOND
 
 
 def test_a_task_that_is_found_is_not_asked_for_again() -> None:
     o = owner("report")
     ask = first_ask(o)
-    o.heard(2 * SECOND, 0, ev.FailedTask(ask.ask, True))
-    assert o.heard(3 * SECOND, 0, ev.Found(0, ask.task.key, 4)) == []
+    o.heard(2 * SECOND, 0, ev.TaskFailed(ask.ask, True))
+    assert o.heard(3 * SECOND, 0, ev.TaskRecovered(0, ask.task.key, 4)) == []
     assert o.advance(100 * SECOND) == [] and o.tasks[ask.task.key].stand is Stand.RUNNING
-    o.heard(101 * SECOND, 0, ev.EndedTask(0, ask.task.key, True, api.Reason.UNTOLD))
+    o.heard(101 * SECOND, 0, ev.TaskEnded(0, ask.task.key, True, api.Reason.UNTOLD))
     assert not o.tasks
 
 
 def test_a_copy_that_is_not_needed_is_withdrawn() -> None:
     o = owner("worker")
     ask = first_ask(o)
-    o.heard(2 * SECOND, 0, ev.PlacedAt(ask.ask, 1, 0, 5))
-    assert o.heard(3 * SECOND, 1, ev.Found(0, ask.task.key, 4)) == [Withdraw(1, 0, ask.task.key)]
-    assert o.heard(3 * SECOND, 1, ev.Found(0, 999, 4)) == [Withdraw(1, 0, 999)]
+    o.heard(2 * SECOND, 0, ev.TaskPlaced(ask.ask, 1, 0, 5))
+    assert o.heard(3 * SECOND, 1, ev.TaskRecovered(0, ask.task.key, 4)) == [Withdraw(1, 0, ask.task.key)]
+    assert o.heard(3 * SECOND, 1, ev.TaskRecovered(0, 999, 4)) == [Withdraw(1, 0, 999)]
 
 
 def test_a_planner_that_is_gone_leaves_its_tasks_unsure() -> None:
     o = owner("report")
     ask = first_ask(o)
-    o.heard(2 * SECOND, 0, ev.PlacedAt(ask.ask, 1, 0, 5))
+    o.heard(2 * SECOND, 0, ev.TaskPlaced(ask.ask, 1, 0, 5))
     o.cut(3 * SECOND, 0)
     assert o.advance(20 * SECOND) == []
     o.connected(21 * SECOND, 0)
--- a/tests/surface/test_simulator_surface.py
+++ b/tests/surface/test_simulator_surface.py
@@ -68,15 +68,15 @@
 }
 ACTIONS: list[tuple[Any, str]] = [
     (api.Bind(TASK, NODE, 250_000), "41 0300 c4913a5d20880e00 074a1203 90d00300"),
-    (api.Refuse(TASK, 5_000), "42 0300 c4913a5d20880e00 88130000"),
+    (api.Shed(TASK, 5_000), "42 0300 c4913a5d20880e00 88130000"),
     (api.Fail(TASK), "43 0300 c4913a5d20880e00"),
     (api.StopAttempt(TASK, 2), "44 0300 c4913a5d20880e00 02"),
     (api.SetTimer(8_653_274, 77), "45 0300 da09840000000000 4d000000"),
-    (api.Probe(NODE), "46 0300 074a1203"),
+    (api.HealthCheck(NODE), "46 0300 074a1203"),
     (api.Log("née"), "49 0300 0400 6ec3a965"),
-    (api.Watch(True), "4b 0300 01"),
-    (api.Watch(False), "4b 0300 00"),
-    (api.FetchList(), "4c 0300"),
+    (api.WatchNodeList(True), "4b 0300 01"),
+    (api.WatchNodeList(False), "4b 0300 00"),
+    (api.FetchNodeList(), "4c 0300"),
     (api.Evict(TASK), "4d 0300 c4913a5d20880e00"),
 ]
 
@@ -173,4 +173,4 @@
     """Those of a node's state, of a refusal's or loss's reason and of a note's sort."""
     assert {status.name: status.value for status in api.NodeStatus} == {"GONE": 0, "DRAINING": 1, "READY": 2}
     assert [reason.name for reason in sorted(api.Reason)] == REASONS
-    assert [sort.name for sort in sorted(api.NoteKind)] == NOTES
+    assert [sort.name for sort in sorted(api.StatusKind)] == NOTES
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -21,15 +21,15 @@
     NodeStatus,
     Outcome,
     Placed,
-    Refuse,
     Result,
     Scope,
     SetTimer,
+    Shed,
     Started,
     Task,
     TaskAdopted,
-    TaskAsked,
-    TaskWithdrawn,
+    TaskCancelled,
+    TaskRequested,
     TimerFired,
 )
 
@@ -65,9 +65,9 @@
                     self.timers.append(action)
                 case Bind():
                     self.check_bind(action)
-                case Refuse(task) | Fail(task):
+                case Shed(task) | Fail(task):
                     assert task in self.owed, "an answer that was not owed"
-                    if isinstance(action, Refuse):
+                    if isinstance(action, Shed):
                         self.check_refusal(task)
                     self.owed.discard(task)
 
@@ -160,7 +160,7 @@
                 self.feed(TaskAdopted(task, b % 6))
             else:
                 self.owed.add(number)
-                self.feed(TaskAsked(task))
+                self.feed(TaskRequested(task))
         elif what == 4 and keys:
             key = keys[a % len(keys)]
             self.end(key, ENDS[b % len(ENDS)], key[0] not in self.owed)
@@ -189,7 +189,7 @@
         elif what == 9 and self.owed:
             task = sorted(self.owed)[a % len(self.owed)]
             self.owed.discard(task)
-            self.feed(TaskWithdrawn(task))
+            self.feed(TaskCancelled(task))
 
     def recount(self) -> None:
         """The planner's counts of attempts agree with the history."""
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,24 +9,24 @@
 from stairplank.interface import (
     Bind,
     Fail,
+    HealthCheck,
+    HealthChecked,
     ListKind,
     NodeList,
     NodeStatus,
-    Note,
-    NoteKind,
-    Probe,
-    Probed,
     Reason,
-    Refuse,
     Result,
     SetTimer,
+    Shed,
     Started,
+    StatusKind,
+    StatusUpdate,
     StopAttempt,
     TaskAdopted,
-    TaskAsked,
-    TaskWithdrawn,
+    TaskCancelled,
+    TaskRequested,
     TimerFired,
-    Watch,
+    WatchNodeList,
 )
 
 
@@ -51,10 +51,8 @@
     world = World(nodes=0)
     task = world.task(1)
     assert not binds(world.ask(1))
-    answers = [
-        a for a in fire_due(world, task.expires_us - SETTINGS.tick_us) if isinstance(a, (Refuse, Fail))
-    ]
-    assert len(answers) == 1 and isinstance(answers[0], Refuse)
+    answers = [a for a in fire_due(world, task.expires_us - SETTINGS.tick_us) if isinstance(a, (Shed, Fail))]
+    assert len(answers) == 1 and isinstance(answers[0], Shed)
 
 
 def test_a_timeout_at_the_deadline_still_gets_an_answer() -> None:
@@ -74,9 +72,9 @@
 def test_a_withdrawn_task_is_left_alone() -> None:
     world = World(nodes=0)
     world.ask(1)
-    world.feed(TaskWithdrawn(1))
+    world.feed(TaskCancelled(1))
     world.list(entry(0), kind=ListKind.FULL)
-    assert not [a for a in fire_due(world, world.now + 9 * SECOND) if isinstance(a, (Bind, Refuse, Fail))]
+    assert not [a for a in fire_due(world, world.now + 9 * SECOND) if isinstance(a, (Bind, Shed, Fail))]
 
 
 # Rule 2
@@ -135,7 +133,7 @@
 def test_a_failed_watch_is_asked_for_again() -> None:
     world = World()
     world.feed(NodeList(ListKind.FAILED))
-    assert Watch() in fire_due(world, world.now + SETTINGS.ask_within_us)
+    assert WatchNodeList() in fire_due(world, world.now + SETTINGS.ask_within_us)
 
 
 # Rule 4
@@ -171,7 +169,7 @@
         for bind in binds(world.ask(number, cores=0.01, memory=0.01)):
             world.ends(bind, Result.REFUSED, after=0, closed=True, reason=Reason.NOT_HERE)
             sent += 1
-        world.feed(TaskWithdrawn(number))
+        world.feed(TaskCancelled(number))
     return sent
 
 
@@ -246,7 +244,7 @@
                 for bind in binds(world.ask(1000 * step + ask, cores=0.01, memory=0.01)):
                     sends.append(now)
                     world.ends(bind, Result.REFUSED, after=0, closed=True, reason=Reason.NOT_HERE)
-                world.feed(TaskWithdrawn(1000 * step + ask))
+                world.feed(TaskCancelled(1000 * step + ask))
     assert sends, "a cold node is not starved"
     for first in sends:
         assert sum(first <= at < first + SETTINGS.fall_us for at in sends) <= borne
@@ -268,7 +266,7 @@
     world = World(nodes=1)
     first, second = bind_of(world.ask(1, sort=3)), bind_of(world.ask(2, sort=3))
     world.placed(first)
-    world.feed(TaskWithdrawn(2))
+    world.feed(TaskCancelled(2))
     assert not binds(world.ask(3, sort=3))
     world.ends(second, Result.CANCELLED, closed=True)
     assert fire_due(world, world.now + SECOND // 2)
@@ -315,7 +313,7 @@
     world = World(nodes=1)
     world.ends(bind_of(world.ask(1)), Result.REFUSED, reason=Reason.NOT_HERE)
     assert asked(world, 0) == 0.0
-    world.feed(TaskWithdrawn(1))
+    world.feed(TaskCancelled(1))
     bind = bind_of(world.ask(2))
     world.placed(bind)
     world.list(entry(0, launched_us=world.now + SECOND), after=2 * SECOND)
@@ -325,8 +323,8 @@
 
 def test_a_report_replaces_older_figures() -> None:
     world = World(nodes=1, report_fields=("free_cores", "free_memory"), may_probe=True)
-    assert Probe(0) in world.ask(1)
-    world.feed(Probed(0, True, 1000, (10.0, 20.0)), after=3 * SECOND)
+    assert HealthCheck(0) in world.ask(1)
+    world.feed(HealthChecked(0, True, 1000, (10.0, 20.0)), after=3 * SECOND)
     assert asked(world, 0) == 6.0
 
 
@@ -366,12 +364,12 @@
 def test_acceptance_alone_does_not_heal_where_the_start_comes_later() -> None:
     world = World(nodes=1, confirms_running=False)
     world.ends(bind_of(world.ask(1)), Result.ERROR)
-    world.feed(TaskWithdrawn(1))
+    world.feed(TaskCancelled(1))
     bind = bind_of(world.ask(2, after=2 * SECOND))
     node = world.planner.nodes[0]
     world.placed(bind)
     assert node.streak == 1.0
-    world.feed(Note(2, 0, 0, NoteKind.RUNNING, 0.0))
+    world.feed(StatusUpdate(2, 0, 0, StatusKind.RUNNING, 0.0))
     assert node.streak < 1.0
 
 
@@ -438,14 +436,14 @@
 def test_a_silent_node_gets_a_probe_and_no_task_until_one_is_answered() -> None:
     world = World(nodes=1, may_probe=True)
     bind = bind_of(world.ask(1))
-    assert Probe(0) in world.ends(bind, Result.UNREACHABLE)
-    world.feed(TaskWithdrawn(1))
+    assert HealthCheck(0) in world.ends(bind, Result.UNREACHABLE)
+    world.feed(TaskCancelled(1))
     assert not binds(world.ask(2, after=30 * SECOND))  # time alone does not bring it back
-    world.feed(TaskWithdrawn(2))
-    world.feed(Probed(0, False, 250_000))
-    assert Probe(0) in fire_due(world, world.now + 9 * SECOND)
+    world.feed(TaskCancelled(2))
+    world.feed(HealthChecked(0, False, 250_000))
+    assert HealthCheck(0) in fire_due(world, world.now + 9 * SECOND)
     assert not binds(world.ask(3))
-    world.feed(Probed(0, True, 1000))
+    world.feed(HealthChecked(0, True, 1000))
     assert binds(world.ask(4))
 
 
@@ -468,7 +466,7 @@
     world = World(nodes=1)
     world.list(entry(0, free_cores=3.0), after=2 * SECOND)
     late = replace(world.task(1), again=True)
-    assert not binds(world.feed(TaskAsked(late)))
+    assert not binds(world.feed(TaskRequested(late)))
     assert binds(world.ask(2))
 
 
@@ -476,6 +474,6 @@
     world = World(nodes=1)
     bind = bind_of(world.ask(1))
     world.placed(bind)
-    world.feed(Note(1, 0, 0, NoteKind.NODE_MEMORY_SHARE, 0.97))
+    world.feed(StatusUpdate(1, 0, 0, StatusKind.NODE_MEMORY_SHARE, 0.97))
     assert not binds(world.ask(2))
     assert binds(world.ask(3, after=2 * SECOND))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -45,12 +45,12 @@
     assert now == 0x805C5A
     assert ask == (
         3,
-        api.TaskAsked(
+        api.TaskRequested(
             api.Task(TASK, 0, 0, 0x91F03B7C55D20A64, 0x8405DA, 0x2B8E6401D9F37C10, 2.0, 1.5, life_us=12_000)
         ),
     )
     assert due == (3, api.TimerFired(77))
-    assert lapsed == (5, api.TaskWithdrawn(OTHER))
+    assert lapsed == (5, api.TaskCancelled(OTHER))
 
 
 def test_printed_list() -> None:
@@ -76,7 +76,7 @@
         ),
         (
             "0c 0300 c4913a5d20880e00 01 00 0000003f 074a1203",
-            api.Note(TASK, 0, NODE, api.NoteKind.RUNNING, 0.5),
+            api.StatusUpdate(TASK, 0, NODE, api.StatusKind.RUNNING, 0.5),
         ),
     ],
 )
@@ -86,7 +86,7 @@
 
 def test_printed_probe_result_and_kill() -> None:
     _, probed = only(bytes.fromhex("08 0300 f211902c c800 78050000 03 cdcccc3e0000a03f52b81e3f"))
-    assert isinstance(probed, api.Probed) and probed.ok and probed.latency_us == 1400
+    assert isinstance(probed, api.HealthChecked) and probed.ok and probed.latency_us == 1400
     assert probed.report == pytest.approx((0.4, 1.25, 0.62))
     assert only(bytes.fromhex("0a 0300")) == (3, None)
 
@@ -104,14 +104,14 @@
     ("action", "text"),
     [
         (api.Bind(TASK, NODE, 80_000), "41 0300 c4913a5d20880e00 074a1203 80380100"),
-        (api.Refuse(OTHER, 250_000), "42 0300 192b6f0eb1870000 90d00300"),
+        (api.Shed(OTHER, 250_000), "42 0300 192b6f0eb1870000 90d00300"),
         (api.Fail(OTHER), "43 0300 192b6f0eb1870000"),
         (api.StopAttempt(TASK, 0), "44 0300 c4913a5d20880e00 00"),
         (api.SetTimer(0x87FD7A, 77), "45 0300 7afd870000000000 4d000000"),
-        (api.Probe(NODE2), "46 0300 f211902c"),
+        (api.HealthCheck(NODE2), "46 0300 f211902c"),
         (api.Log("two servers unknown"), "49 0300 1300 74776f207365727665727320756e6b6e6f776e"),
-        (api.Watch(), "4b 0300 01"),
-        (api.FetchList(), "4c 0300"),
+        (api.WatchNodeList(), "4b 0300 01"),
+        (api.FetchNodeList(), "4c 0300"),
         (api.Evict(OTHER), "4d 0300 192b6f0eb1870000"),
     ],
 )
@@ -201,7 +201,7 @@
 def test_settings() -> None:
     s = wire.settings_from(text())
     assert (s.planners, s.position, s.must_ask) == (2, 1, True)
-    assert s.kinds[1] == api.NodeKind("node-64", 61.0, 179.0)
+    assert s.kinds[1] == api.NodeType("node-64", 61.0, 179.0)
     assert (s.classes[0].spread, s.classes[0].spread_most) == (api.Scope.GROUP, 3)
 
 
