--- a/benchmarks/fence/run.py
+++ b/benchmarks/fence/run.py
@@ -123,7 +123,7 @@
     real_give_up, real_over = Attempts._give_up, Attempts.over
 
     def give_up(room: Attempts, attempt: Any, result: Any) -> None:
-        if attempt.placing.spec.task_class == "report":
+        if attempt.placement.spec.task_class == "report":
             given_up[attempt.id] = world.now
         real_give_up(room, attempt, result)
 
@@ -138,9 +138,9 @@
     def offered(sent: Any) -> None:
         assert inner_offer is not None
         inner_offer(sent)
-        name = (sent.task.owner, sent.task.key)
+        name = (sent.task.client, sent.task.key)
         first.setdefault(name, world.now)
-        planner = next((p for p, core in world.cores.items() if core.life == sent.id.life), -1)
+        planner = next((p for p, core in world.cores.items() if core.incarnation == sent.id.life), -1)
         if sent.task.task_class == "report" and (planner, sent.node) in held:
             touched.setdefault(name, world.now)
 
@@ -148,7 +148,7 @@
         assert inner_word is not None
         task = watch.task_of(word.id)
         if word.what == "running" and task is not None:
-            runs.setdefault((task.owner, task.key), world.now)
+            runs.setdefault((task.client, task.key), world.now)
         inner_word(node, word)
 
     world.on_offer, world.on_word = offered, said
--- a/benchmarks/wishes.py
+++ b/benchmarks/wishes.py
@@ -122,7 +122,7 @@
 
     def heard(i: int, planner: int, word: Any) -> None:
         if i == 1:
-            words.setdefault(word.ask, []).append((world.now, word))
+            words.setdefault(word.request, []).append((world.now, word))
         else:
             told(i, planner, word)
 
@@ -151,8 +151,8 @@
     }
     return {
         "wish": wish, "size": size, "load": load, "seed": seed, "steered": steer, "asked": len(asked),
-        "placed": len(placed), "met": sum(w.wishes_met for w in placed.values()),
-        "first": sum(w.wishes_met and w.tries == 1 for w in placed.values()),
+        "placed": len(placed), "met": sum(w.constraints_met for w in placed.values()),
+        "first": sum(w.constraints_met and w.attempts == 1 for w in placed.values()),
     }  # fmt: skip
 
 
--- a/stairplank/configuration/live.py
+++ b/stairplank/configuration/live.py
@@ -80,22 +80,27 @@
 }
 _OWN_MESSAGE = "it is this planner's own, and read when the process starts"
 
-LIST_KEYS: Mapping[str, str] = {"classes": "class", "kinds": "kind", "zones": "zone", "tenants": "tenant"}
+LIST_KEYS: Mapping[str, str] = {
+    "classes": "class",
+    "node_types": "kind",
+    "zones": "zone",
+    "tenants": "tenant",
+}
 CLASS_KEYS: Mapping[str, str] = {
     "effect": "effect",
     "dedup_scope": "group",
-    "window_us": "window",
-    "aim_us": "aim",
+    "dedup_window_us": "window",
+    "latency_objective_us": "aim",
     "deadline_us": "deadline",
-    "worth": "worth",
-    "start_worth_s": "start-worth",
-    "late_worth": "late-worth",
+    "priority_weight": "worth",
+    "start_bonus_s": "start-worth",
+    "late_start_weight": "late-worth",
     "spread": "spread",
-    "spread_most": "spread",
-    "node_kind": "kind",
+    "max_per_place": "spread",
+    "node_type": "kind",
     "priority": "priority",
-    "calm_until": "calm-until",
-    "lost_over": "lost-over",
+    "full_service_utilization": "calm-until",
+    "service_loss_range": "lost-over",
 }
 SETTINGS_KEYS: Mapping[str, str] = {
     "planners": "planner",
@@ -104,11 +109,11 @@
     "confirms_running": "confirms",
     "tenant_share": "tenant",
     "price_fleet": "price fleet",
-    "price_move": "price move",
+    "price_migration": "price move",
     "price_waste": "price waste",
-    "price_probe": "price probe",
+    "price_health_check": "price probe",
     "price_list": "price list",
-    "price_refusal": "price refusal",
+    "price_rejection": "price refusal",
     **{field: key for key, (field, _) in FIGURES.items()},
 }
 
@@ -116,8 +121,10 @@
 def live_changes(old: PlannerConfig, new: PlannerConfig) -> LiveChanges:
     """Which keys differ between two configurations, and which of them need a restart."""
     settings = changed_settings(old.settings, new.settings)
-    zones = changed_names("zones", old.room.zones, new.room.zones)
-    tenants = changed_names("tenants", [n for n, _ in old.room.tenants], [n for n, _ in new.room.tenants])
+    zones = changed_names("zones", old.cluster.zones, new.cluster.zones)
+    tenants = changed_names(
+        "tenants", [n for n, _ in old.cluster.tenants], [n for n, _ in new.cluster.tenants]
+    )
     found: dict[str, Change | NeedsRestart] = {}
     for difference in (*_own_differences(old, new), *settings, *zones, *tenants):
         _keep_stricter(found, _by_key(difference))
--- a/stairplank/configuration/rules.py
+++ b/stairplank/configuration/rules.py
@@ -22,7 +22,7 @@
 CLASS_NEEDS_RESTART: Mapping[str, str] = {
     "effect": _EFFECT,
     "dedup_scope": _EFFECT,
-    "window_us": _EFFECT,
+    "dedup_window_us": _EFFECT,
     "spread": "tasks in flight are counted in places of the former scope",
 }
 KIND_NEEDS_RESTART: Mapping[str, str] = {"cores": _KIND, "memory": _KIND}
@@ -31,10 +31,10 @@
     "position": "the planners divide the nodes by it",
     "zone": "a planner's home zone is its own",
     "confirms_running": "it is what Placed promises, and the mean time to an answer was measured with it",
-    "fall_us": "offers to a node that warms up are counted in slots of this length",
-    "must_ask": _PROTOCOL,
-    "shows_free": _PROTOCOL,
-    "may_probe": _PROTOCOL,
+    "overload_window_us": "offers to a node that warms up are counted in slots of this length",
+    "polls_node_list": _PROTOCOL,
+    "lists_free_capacity": _PROTOCOL,
+    "may_check_health": _PROTOCOL,
     "may_cancel": _PROTOCOL,
     "report_fields": _PROTOCOL,
     "reports_in_answers": _PROTOCOL,
@@ -69,8 +69,8 @@
     for name in (field.name for field in fields(api.Settings)):
         if name == "classes":
             out += _changed_entries(name, old.classes, new.classes, CLASS_NEEDS_RESTART)
-        elif name == "kinds":
-            out += _changed_entries(name, old.kinds, new.kinds, KIND_NEEDS_RESTART)
+        elif name == "node_types":
+            out += _changed_entries(name, old.node_types, new.node_types, KIND_NEEDS_RESTART)
         elif getattr(old, name) != getattr(new, name):
             out.append(FieldChange((name,), SETTINGS_NEED_RESTART.get(name)))
     return tuple(out)
--- a/stairplank/decide.py
+++ b/stairplank/decide.py
@@ -59,7 +59,7 @@
 COLD_OUT_MOST = 2  # unanswered binds on a cold node: its pace is a fraction of the usual
 WATCH_RETRY_US, WATCH_RETRY_MOST_US = 600_000, 3_000_000  # before the list is asked for again after a failure
 HASH_1, HASH_2, MASK = 0xBF58476D1CE4E5B9, 0x94D049BB133111EB, 0xFFFFFFFFFFFFFFFF  # of splitmix64
-ANSWERS = frozenset({api.Result.FINISHED, api.Result.ERROR, api.Result.REFUSED})  # outcomes that a node gave
+ANSWERS = frozenset({api.Result.FINISHED, api.Result.ERROR, api.Result.REJECTED})  # outcomes that a node gave
 NEAR = 1e-4  # two amounts of cores or memory closer than this are the same
 
 
@@ -116,7 +116,7 @@
         self.task, self.shot, self.node, self.sent = task, shot, node_id, sent
         self.group = node.entry.group if node else -1
         self.zone = node.entry.zone if node else -1
-        self.launched = node.entry.launched_us if node else 0
+        self.launched = node.entry.started_us if node else 0
         self.change: Change | None = None
         self.placed = False
         self.work = 1.0  # in starts that need no fetching
@@ -127,7 +127,7 @@
 
     def __init__(self, entry: api.NodeEntry, settings: api.Settings) -> None:
         self.entry = entry
-        kind = settings.kinds[entry.kind]
+        kind = settings.node_types[entry.node_type]
         self.cores, self.memory = kind.cores, kind.memory
         self.mix = mixed(entry.id)
         self.free = (entry.free_cores, entry.free_memory)  # the freshest figures, from the list or a report
@@ -267,14 +267,17 @@
     def may_repeat(self, now: int, tick: int) -> bool:
         """Rule 2: whether a further attempt may go anywhere once an earlier one may have run."""
         first = self.risk_node
-        if first is None or self.sort.effect is api.Effect.REPEATABLE:
+        if first is None or self.sort.effect is api.Effect.IDEMPOTENT:
             return True
-        return self.sort.effect is api.Effect.KEYED and now + 2 * tick < first.sent + self.sort.window_us
+        return (
+            self.sort.effect is api.Effect.IDEMPOTENT_BY_KEY
+            and now + 2 * tick < first.sent + self.sort.dedup_window_us
+        )
 
     def may_go_to(self, node: Node) -> bool:
         """Rule 2: where a further attempt may go once an earlier one may have run."""
         first, scope = self.risk_node, self.sort.dedup_scope
-        if first is None or self.sort.effect is api.Effect.REPEATABLE or scope is api.Scope.ALL:
+        if first is None or self.sort.effect is api.Effect.IDEMPOTENT or scope is api.Scope.ALL:
             return True
         if scope is api.Scope.ZONE:
             return node.entry.zone == first.zone
@@ -282,9 +285,9 @@
 
     def may_refuse(self) -> bool:
         """Rule 2: a refusal promises that a retry does no harm."""
-        if self.risk_node is None or self.sort.effect is api.Effect.REPEATABLE:
+        if self.risk_node is None or self.sort.effect is api.Effect.IDEMPOTENT:
             return True
-        return self.sort.effect is api.Effect.KEYED and self.sort.dedup_scope is api.Scope.ALL
+        return self.sort.effect is api.Effect.IDEMPOTENT_BY_KEY and self.sort.dedup_scope is api.Scope.ALL
 
 
 class Planner:
@@ -348,7 +351,7 @@
     # The node list
 
     def _watch(self) -> None:
-        if self.s.must_ask:
+        if self.s.polls_node_list:
             self.actions.append(api.WatchNodeList())
 
     def _list(self, event: api.NodeList) -> None:
@@ -370,7 +373,7 @@
         self.unlisted = {n: node for n, node in self.unlisted.items() if self._cold_since(node)}
 
     def _entry(self, entry: api.NodeEntry) -> None:
-        if entry.status is api.NodeStatus.GONE or not 0 <= entry.kind < len(self.s.kinds):
+        if entry.status is api.NodeStatus.GONE or not 0 <= entry.node_type < len(self.s.node_types):
             self._unlist(entry.id)
             return
         node = self.nodes.get(entry.id)
@@ -383,11 +386,11 @@
                 node.cold_slot, node.cold_used = before.cold_slot, before.cold_used
             return
         old, node.entry = node.entry, entry
-        if entry.launched_us > old.launched_us:
-            node.restart(entry.launched_us)
-            as_of = max(entry.launched_us, self.now - int(self.lag))
+        if entry.started_us > old.started_us:
+            node.restart(entry.started_us)
+            as_of = max(entry.started_us, self.now - int(self.lag))
             node.learn((entry.free_cores, entry.free_memory), as_of)
-        elif self.s.shows_free:
+        elif self.s.lists_free_capacity:
             self._shown(node, old, entry)
 
     def _unlist(self, node_id: int) -> None:
@@ -399,13 +402,13 @@
 
     def _cold_since(self, node: Node) -> int:
         """When a node that is cold, or may be, came up; 0 for a warm one."""
-        launched = node.entry.launched_us
-        if launched and self.now < launched + self.s.cold_us:
+        launched = node.entry.started_us
+        if launched and self.now < launched + self.s.slow_start_us:
             return launched
         # Danger: a node that was silent may have restarted, and until the list shows it all planners would
         # send it what a warm one bears. Does harm where it was only cut off: it is served slowly meanwhile.
         doubt = COLD_DOUBT * self.lag if node.back_at else LAG_MOST_US
-        until = (node.back_at or node.silent_at) + min(doubt, self.s.cold_us)
+        until = (node.back_at or node.silent_at) + min(doubt, self.s.slow_start_us)
         return node.silent_at if self.now < until else 0
 
     def _shown(self, node: Node, old: api.NodeEntry, new: api.NodeEntry) -> None:
@@ -460,13 +463,13 @@
     def _was_silent(self, node: Node) -> None:
         node.failed(self.now, SILENT_REST_US, SUSPEND_MOST_US)
         node.silent_at, node.back_at = self.now, 0
-        if self.s.may_probe and not node.silent:
+        if self.s.may_check_health and not node.silent:
             node.silent = True
             self._look(node.entry.id)
 
     def _probe_one(self) -> None:
         """Each task asked buys one probe, of the home part's node least recently heard of."""
-        if not self.s.may_probe or self.s.price_probe > PROBE_PRICE_MOST:
+        if not self.s.may_check_health or self.s.price_health_check > PROBE_PRICE_MOST:
             return
         parts = self._cut()
         home = parts[self.s.position % len(parts)]
@@ -530,7 +533,7 @@
 
     def _in_use(self, node: Node) -> bool:
         """It holds tasks, or has come up lately, so was wanted: successors of drained nodes must not idle."""
-        return bool(node.attempts) or node.asked()[0] > NEAR or node.entry.launched_us > 0
+        return bool(node.attempts) or node.asked()[0] > NEAR or node.entry.started_us > 0
 
     def _stays(self, sort: api.TaskClass, home: list[Node], other: list[Node], known_at_home: bool) -> bool:
         if other is home:
@@ -562,7 +565,9 @@
         """How full a node is; from 1 on its tasks are served worse."""
         cores, memory = asked
         use = node.use if node.use is not None else self.use if self.use is not None else 1.0
-        busy = cores / node.cores * use / (sort.calm_until + FADE_BORNE * sort.lost_over)
+        busy = (
+            cores / node.cores * use / (sort.full_service_utilization + FADE_BORNE * sort.service_loss_range)
+        )
         return max(busy, memory / node.memory * self.memory_use / MEMORY_SHORT)
 
     def _fits(self, job: Open, node: Node) -> bool:
@@ -572,9 +577,9 @@
             return False
         if node.rests(self.now) or self.now < node.shut.get((task.class_index, task.tenant), (0, 0))[0]:
             return False
-        if sort.node_kind is not None and node.entry.kind != sort.node_kind:
+        if sort.node_type is not None and node.entry.node_type != sort.node_type:
             return False
-        if node.entry.id in job.tried or node.entry.id in task.closed or not job.may_go_to(node):
+        if node.entry.id in job.tried or node.entry.id in task.excluded_nodes or not job.may_go_to(node):
             return False
         return self._has_room(job, node) and self._cold_allows(node) and self._spread_allows(task, sort, node)
 
@@ -583,7 +588,10 @@
         task, refused = job.task, node.no_room
         if refused and task.cores >= refused[0] and task.memory >= refused[1] and self.now < refused[2]:
             return False
-        late = task.again or self.now > task.expires_us - job.sort.deadline_us + job.sort.aim_us
+        late = (
+            task.resubmitted
+            or self.now > task.expires_us - job.sort.deadline_us + job.sort.latency_objective_us
+        )
         spare = LATE_RESERVE if late else 0.0  # else they take the room of those that can start in time
         cores, memory = node.asked()
         if cores + task.cores > (self.s.cores_limit - spare) * node.cores + NEAR:
@@ -595,17 +603,17 @@
         start = self._cold_since(node)
         if not start:
             return True
-        since, width = max(0, self.now - start), max(1, self.s.fall_us)
+        since, width = max(0, self.now - start), max(1, self.s.overload_window_us)
         slot = since // width
         begins = start + slot * width
         if begins <= self.born:
             return False  # what an earlier life of this planner sent in the slot is not known
         if begins > node.cold_slot + width // 2:  # the same start is read a little differently each time
             node.cold_slot, node.cold_used = begins, 0
-        budget = int(COLD_SHARE_USED * self.s.fresh_offers / 2)  # a window may lie across two slots
+        budget = int(COLD_SHARE_USED * self.s.slow_start_offers / 2)  # a window may lie across two slots
         turn = cold_turn(slot, (self.s.position + node.mix) % self.s.planners, self.s.planners, budget)
         out = sum(1 for a in node.attempts.values() if not a.placed)
-        return node.cold_used < turn and out < COLD_OUT_MOST * (1 + COLD_RAMP * since / self.s.cold_us)
+        return node.cold_used < turn and out < COLD_OUT_MOST * (1 + COLD_RAMP * since / self.s.slow_start_us)
 
     def _place(self, scope: api.Scope, node: int, group: int, zone: int) -> int:
         if scope is api.Scope.NODE:
@@ -617,7 +625,7 @@
         if sort.spread is api.Scope.NONE:
             return True
         place = self._place(sort.spread, node.entry.id, node.entry.group, node.entry.zone)
-        return self.spread[task.service, sort.spread, place] < sort.spread_most
+        return self.spread[task.service, sort.spread, place] < sort.max_per_place
 
     def _draw(self, job: Open, fitting: list[Node]) -> Node | None:
         """The roomiest of a few nodes. Which ones is drawn by the service, the same way at every planner.
@@ -668,8 +676,8 @@
 
     def _timeout(self, job: Open) -> int:
         """A short time-out pays only where a further attempt may go anywhere; else it loses the task."""
-        left, again = job.task.expires_us - self.now, job.sort.effect is api.Effect.REPEATABLE
-        again |= job.sort.effect is api.Effect.KEYED and job.sort.dedup_scope is api.Scope.ALL
+        left, again = job.task.expires_us - self.now, job.sort.effect is api.Effect.IDEMPOTENT
+        again |= job.sort.effect is api.Effect.IDEMPOTENT_BY_KEY and job.sort.dedup_scope is api.Scope.ALL
         least = TIMEOUT_LEAST_US if self.s.confirms_running else ACCEPT_LEAST_US
         wait = max(least, int(TIMEOUT_STARTS * self.start_us))
         if not again or job.shots >= self.s.max_attempts or wait * 1.3 > left:
@@ -712,7 +720,7 @@
     def _node_of(self, attempt: Attempt) -> Node | None:
         """The node of an attempt, unless it has started anew since."""
         node = self.nodes.get(attempt.node)
-        same = node is not None and node.entry.launched_us <= max(attempt.launched, attempt.sent)
+        same = node is not None and node.entry.started_us <= max(attempt.launched, attempt.sent)
         return node if same else None
 
     def _outcome(self, event: api.Outcome) -> None:
@@ -730,14 +738,14 @@
             if event.result in ANSWERS:
                 node.answered(self.now)
         job = self.open.get(event.task)
-        if job is None or event.closed:
+        if job is None or event.is_final:
             self._close(event.task)
             return
         if job.out is attempt:
             job.out = None
         if not proved and job.risk_node is None:
             job.risk_node = attempt
-        if event.result is api.Result.REFUSED and job.shots > 1:
+        if event.result is api.Result.REJECTED and job.shots > 1:
             job.wait_until = self.now + (AGAIN_US << (job.shots - 2))
         if job.out is None and self.now >= job.last_call(self.s.tick_us):
             self._give_up(job)
@@ -758,7 +766,7 @@
     def _judge(self, node: Node, attempt: Attempt, event: api.Outcome) -> None:
         """Health by symptom: errors, silence and lost tasks rest a node, whatever lies behind them."""
         reason = event.reason
-        if event.result is api.Result.REFUSED:
+        if event.result is api.Result.REJECTED:
             if reason is api.Reason.QUEUE_FULL:
                 node.rest_until = max(node.rest_until, self.now + FULL_REST_US)
             elif reason in (api.Reason.NO_CORES, api.Reason.NO_MEMORY):
@@ -794,7 +802,7 @@
         self.rng.shuffle(waiting)  # else the same few that never fit would end each poll
         self.held.clear()
         misses = 0
-        for job in sorted(waiting, key=lambda j: -j.sort.worth):
+        for job in sorted(waiting, key=lambda j: -j.sort.priority_weight):
             if misses < POLL_MISSES and self.now >= job.wait_until:
                 self._try_place(job)
                 misses += job.task.id in self.held
--- a/stairplank/emulator/experiment.py
+++ b/stairplank/emulator/experiment.py
@@ -73,7 +73,7 @@
             text = f"no class {section.one(key)}; known: {', '.join(names)}"
             raise SettingsError([Problem(section.place(key), key, text)])
     for values in section.all("fleet"):
-        if values[0] not in [k.name for k in room.kinds]:
+        if values[0] not in [k.name for k in room.node_types]:
             raise SettingsError([Problem(section.place("fleet"), "fleet", f"no kind {values[0]}")])
 
     def many(key: str) -> tuple[Any, ...]:
@@ -113,7 +113,7 @@
     )
     ends = one("lasts")
     owner = OwnerModel("owner", rate, demands, room.classes, cell.planners, ends_us=ends, wanted_us=ends)
-    owner = replace(owner, owner_wait_us=room.owner_wait_us)
+    owner = replace(owner, owner_wait_us=room.client_wait_us)
     config = WorldConfig(
         room,
         tuple(nodes),
@@ -142,7 +142,7 @@
     took = sorted(owner.tally.latencies.get(single, []))
     if cell.policy == "singles" and single == section.one("group-class"):
         took = []
-    in_time = sum(1 for g in groups if g.whole_at and g.whole_at - g.asked <= sort.aim_us)
+    in_time = sum(1 for g in groups if g.whole_at and g.whole_at - g.asked <= sort.latency_objective_us)
 
     def at(share: float) -> float:
         return took[min(len(took) - 1, int(share * len(took)))] / 1e3 if took else 0.0
--- a/stairplank/emulator/watch.py
+++ b/stairplank/emulator/watch.py
@@ -46,7 +46,7 @@
         self._members: dict[tuple[int, int], set[AttemptId]] = defaultdict(set)  # running, by group
         self._finished: dict[tuple[int, int], int] = defaultdict(int)
         self._partly: dict[tuple[int, int], int] = {}
-        self._strict = {c.name for c in world.config.room.classes if c.effect is not api.Effect.REPEATABLE}
+        self._strict = {c.name for c in world.config.room.classes if c.effect is not api.Effect.IDEMPOTENT}
         world.on_offer = self._offered
         world.on_word = self._said
         world.on_death = self.node_died
@@ -72,17 +72,19 @@
             seen.fresh_refused += now < self._until[id] - FRESH_US
         elif word.what == "running" and self._task[id].task_class in self._strict:
             task = self._task[id]
-            others = self._running[task.owner, task.key]
-            if any(other.life == id.life and other.placing == id.placing for _, other in others):
-                seen.copies.append((now, task.owner, task.key))
+            others = self._running[task.client, task.key]
+            if any(
+                other.incarnation == id.incarnation and other.placement == id.placement for _, other in others
+            ):
+                seen.copies.append((now, task.client, task.key))
             elif others:
-                seen.copies_asked.append((now, task.owner, task.key))
+                seen.copies_asked.append((now, task.client, task.key))
             others[node, id] = now
         if id in self._tag:
             self._member(word)
         if word.what in ("refused", "error", "ended"):
             task = self._task[id]
-            self._running[task.owner, task.key].pop((node, id), None)
+            self._running[task.client, task.key].pop((node, id), None)
 
     def node_died(self, node: int) -> None:
         for others in self._running.values():
@@ -95,7 +97,7 @@
 
     def _member(self, word: Said) -> None:
         tag = self._tag[word.id]
-        key = (tag.life, tag.group)
+        key = (tag.incarnation, tag.group)
         if word.what == "running":
             self._members[key].add(word.id)
         elif word.what in ("refused", "error", "ended"):
--- a/stairplank/emulator/world.py
+++ b/stairplank/emulator/world.py
@@ -233,7 +233,7 @@
         if dead is None:
             return
         for offer in dead.held.values():
-            self.meter.over((offer.task.owner, offer.task.key), False, self.now)
+            self.meter.over((offer.task.client, offer.task.key), False, self.now)
         dead.die()
         self.nodes[node] = None
         if self.on_death is not None:
@@ -263,7 +263,7 @@
         elif not self.wires.path(planner, node).passing:
             self._after(DIAL_US, self._feed, planner, core, ev.DialFailed(node))
         else:
-            wire = self.wires.open(planner, core.life, node, self.started[node])
+            wire = self.wires.open(planner, core.incarnation, node, self.started[node])
             self._feed(planner, core, ev.LinkUp(node, self.started[node], here.draining))
             self.wires.replay(wire, self._feeder(planner, core))
 
@@ -293,8 +293,8 @@
     def _keep(self, planner: int, core: Core, keep: ev.SendLeaseRenewal) -> Reached:
         def reached(node: Node, at: int | None) -> list[Word]:
             words = node.keep(self.now, list(keep.ids), keep.lease_us, said_at=at)
-            if keep.keep and at is not None:
-                self._word(planner, core, keep.node, ev.LeasesRenewed(keep.node, keep.keep))
+            if keep.renewal and at is not None:
+                self._word(planner, core, keep.node, ev.LeasesRenewed(keep.node, keep.renewal))
             return words
 
         return reached
@@ -306,7 +306,7 @@
 
         def reached(here: Node, at: int | None) -> list[Word]:
             return here.offer(
-                self.now, planner, offer.id, offer.task, offer.wait_us, sort.priority, sort.window_us,
+                self.now, planner, offer.id, offer.task, offer.wait_us, sort.priority, sort.dedup_window_us,
                 offer.group, said_at=at,
             )  # fmt: skip
 
@@ -384,13 +384,13 @@
         if self.on_word is not None:
             self.on_word(node, word)
         task = self._task_of.get(word.id)
-        name = (task.owner, task.key) if task is not None else ("", 0)
+        name = (task.client, task.key) if task is not None else ("", 0)
         if word.what == "accepted":
             here = self.nodes[node]
             assert here is not None
             task = here.held[word.id].task
             self._task_of[word.id] = task
-            self.meter.accepted((task.owner, task.key), task.cores, self.now)
+            self.meter.accepted((task.client, task.key), task.cores, self.now)
         elif word.what == "running":
             self.meter.runs(name, self.now)
         elif word.what in ("refused", "error", "ended"):
@@ -418,7 +418,7 @@
             finished = tuple(
                 ev.NodeTask(o.id, o.task, False, o.group) for o in here.finished_of(planner, self.now)
             )
-            complete = door.complete_for(core.life)
+            complete = door.complete_for(core.incarnation)
             told = ev.NodeTasksReported(node, self.started[node], tasks, complete, asked_at, finished)
             self.wires.back(wire, told, self._feeder(planner, core))
 
@@ -450,7 +450,7 @@
         free = here.free()
         status = api.NodeStatus.DRAINING if here.draining else api.NodeStatus.READY
         entry = ev.ListedNode(
-            node, model.name, (f"127.0.0.1:{node}",), model.zone, model.rack, model.kind, status, free[0],
+            node, model.name, (f"127.0.0.1:{node}",), model.zone, model.rack, model.node_type, status, free[0],
             free[1], self.started[node],
         )  # fmt: skip
         self.directory.announced(self.now, entry)
--- a/stairplank/groups/coordinator.py
+++ b/stairplank/groups/coordinator.py
@@ -515,7 +515,7 @@
             return
         harmed = group.ran and any(
             group.members[i] in (Member.OVER, Member.FINISHED)
-            and self._effect(group, i) is not api.Effect.REPEATABLE
+            and self._effect(group, i) is not api.Effect.IDEMPOTENT
             for i in range(len(group.members))
         )
         last = group.deadline - self.config.answer_us
--- a/stairplank/groups/spec.py
+++ b/stairplank/groups/spec.py
@@ -80,15 +80,15 @@
     places = {api.Scope.NODE: room.nodes, api.Scope.GROUP: room.racks}
     for (name, service), count in by_class.items():
         sort = next(c for c in settings.classes if c.name == name)
-        if sort.spread in places and count - left_out > sort.spread_most * places[sort.spread]:
-            return f"{count} of service {service}, at most {sort.spread_most} in one {sort.spread.value}"
+        if sort.spread in places and count - left_out > sort.max_per_place * places[sort.spread]:
+            return f"{count} of service {service}, at most {sort.max_per_place} in one {sort.spread.value}"
     return None
 
 
 def scarcity(member: TaskSpec, settings: api.Settings) -> tuple[float, ...]:
     """Which member goes first: the one bound to a kind, the tightest spread, the largest share of a node."""
     sort = next(c for c in settings.classes if c.name == member.task_class)
-    kinds = settings.kinds if sort.node_kind is None else (settings.kinds[sort.node_kind],)
+    kinds = settings.node_types if sort.node_type is None else (settings.node_types[sort.node_type],)
     share = min(max(member.cores / k.cores, member.memory / k.memory) for k in kinds)
-    tight = 1.0 / sort.spread_most if sort.spread is not api.Scope.NONE else 0.0
-    return (-float(sort.node_kind is not None), -tight, -share)
+    tight = 1.0 / sort.max_per_place if sort.spread is not api.Scope.NONE else 0.0
+    return (-float(sort.node_type is not None), -tight, -share)
--- a/stairplank/groups/wishes.py
+++ b/stairplank/groups/wishes.py
@@ -52,7 +52,13 @@
 def wanted(member: TaskSpec, settings: api.Settings) -> Wanted:
     sort = next(c for c in settings.classes if c.name == member.task_class)
     return Wanted(
-        member.cores, member.memory, sort.node_kind, member.service, sort.name, sort.spread, sort.spread_most
+        member.cores,
+        member.memory,
+        sort.node_type,
+        member.service,
+        sort.name,
+        sort.spread,
+        sort.max_per_place,
     )
 
 
--- a/stairplank/interface.py
+++ b/stairplank/interface.py
@@ -13,9 +13,9 @@
 class Effect(Enum):
     """What a second start of a task would do."""
 
-    REPEATABLE = "repeatable"
-    KEYED = "keyed"
-    ONCE = "once"
+    IDEMPOTENT = "repeatable"
+    IDEMPOTENT_BY_KEY = "keyed"
+    AT_MOST_ONCE = "once"
 
 
 class Scope(Enum):
@@ -50,7 +50,7 @@
 
     FINISHED = "finished"  # the task ran to its end
     ERROR = "error"  # the node answered with an error
-    REFUSED = "refused"  # turned down or handed back before it ran
+    REJECTED = "refused"  # turned down or handed back before it ran
     TIMEOUT = "timeout"
     UNREACHABLE = "unreachable"  # no connection could be made
     LOST = "lost"  # after placement: evicted, pushed out, sent away or lost; before it: answer broke off
@@ -58,7 +58,7 @@
     NOT_SENT = "not_sent"
 
 
-PROVES_NOT_RUN = frozenset({Result.REFUSED, Result.UNREACHABLE, Result.NOT_SENT})
+PROVES_NOT_RUN = frozenset({Result.REJECTED, Result.UNREACHABLE, Result.NOT_SENT})
 
 
 class Reason(IntEnum):
@@ -87,18 +87,18 @@
     name: str
     effect: Effect
     dedup_scope: Scope  # KEYED: the nodes that drop repeats of a task
-    window_us: int  # KEYED: for how long they remember
-    aim_us: int  # a start within this time earns its full worth
+    dedup_window_us: int  # KEYED: for how long they remember
+    latency_objective_us: int  # a start within this time earns its full worth
     deadline_us: int
-    worth: float = 1.0  # of one second of full service
-    start_worth_s: float = 0.0  # a start in time is worth so many seconds of service
-    late_worth: float = 0.0
+    priority_weight: float = 1.0  # of one second of full service
+    start_bonus_s: float = 0.0  # a start in time is worth so many seconds of service
+    late_start_weight: float = 0.0
     spread: Scope = Scope.NONE
-    spread_most: int = 0
-    node_kind: int | None = None
+    max_per_place: int = 0
+    node_type: int | None = None
     priority: int = 0
-    calm_until: float = 1.0  # served in full while the cores are busy up to this share
-    lost_over: float = 1.0  # and not at all from so much more on
+    full_service_utilization: float = 1.0  # served in full while the cores are busy up to this share
+    service_loss_range: float = 1.0  # and not at all from so much more on
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
     position: int
     zone: int
     classes: tuple[TaskClass, ...]
-    kinds: tuple[NodeType, ...]
+    node_types: tuple[NodeType, ...]
     mean_cores: float  # of one task
     mean_memory: float
     cores_limit: float  # a node accepts until its tasks ask for this many times its cores
@@ -126,30 +126,30 @@
     max_attempts: int
     answer_slack_us: int
     drain_grace_us: int
-    cold_share: float
-    cold_us: int
-    fall_multiple: float
-    fall_us: int
-    fresh_offers: float
-    must_ask: bool  # the node list comes only when asked for
-    ask_within_us: int
+    slow_start_share: float
+    slow_start_us: int
+    overload_multiple: float
+    overload_window_us: int
+    slow_start_offers: float
+    polls_node_list: bool  # the node list comes only when asked for
+    poll_within_us: int
     tick_us: int
-    shows_free: bool = True
-    may_probe: bool = False
+    lists_free_capacity: bool = True
+    may_check_health: bool = False
     may_cancel: bool = False
     max_retry_after_us: int = 0
-    owner_wait_us: int = 0
+    client_wait_us: int = 0
     report_fields: tuple[str, ...] = ()
     reports_in_answers: bool = False
     tenant_share: tuple[float, ...] = ()
     tenant_quota_cores: tuple[float, ...] = ()
-    over_share_worth: float = 1.0
+    over_quota_weight: float = 1.0
     price_fleet: float = 0.0
-    price_move: float = 0.0
+    price_migration: float = 0.0
     price_waste: float = 0.0
-    price_probe: float = 0.0
+    price_health_check: float = 0.0
     price_list: float = 0.0
-    price_refusal: float = 0.0
+    price_rejection: float = 0.0
 
     def __post_init__(self) -> None:
         def need(ok: bool, field: str) -> None:
@@ -159,18 +159,21 @@
         need(self.planners >= 1, "planners")
         need(0 <= self.position < self.planners, "position")
         need(len(self.classes) >= 1, "classes")
-        need(len(self.kinds) >= 1, "kinds")
-        need(all(c.node_kind is None or 0 <= c.node_kind < len(self.kinds) for c in self.classes), "classes")
-        need(all(k.cores > 0 and k.memory > 0 for k in self.kinds), "kinds")
+        need(len(self.node_types) >= 1, "node_types")
+        need(
+            all(c.node_type is None or 0 <= c.node_type < len(self.node_types) for c in self.classes),
+            "classes",
+        )
+        need(all(k.cores > 0 and k.memory > 0 for k in self.node_types), "node_types")
         for name in ("mean_cores", "mean_memory", "cores_limit", "memory_limit", "max_attempts", "tick_us"):
             need(getattr(self, name) > 0, name)
         for name in (
             "answer_slack_us",
             "drain_grace_us",
-            "cold_us",
-            "fall_us",
-            "fresh_offers",
-            "ask_within_us",
+            "slow_start_us",
+            "overload_window_us",
+            "slow_start_offers",
+            "poll_within_us",
         ):
             need(getattr(self, name) >= 0, name)
         need(all(q >= 0 for q in self.tenant_quota_cores), "tenant_quota_cores")
@@ -186,9 +189,9 @@
     service: int
     cores: float
     memory: float
-    life_us: int | None = None  # how long it is still expected to run, where told
-    again: bool = False  # it came back after a refusal, failure, move or loss
-    closed: frozenset[int] = frozenset()  # nodes that it must not go to, whatever else allows them
+    expected_duration_us: int | None = None  # how long it is still expected to run, where told
+    resubmitted: bool = False  # it came back after a refusal, failure, move or loss
+    excluded_nodes: frozenset[int] = frozenset()  # nodes that it must not go to, whatever else allows them
 
 
 @dataclass(frozen=True, slots=True)
@@ -197,12 +200,12 @@
 
     id: int
     zone: int
-    kind: int
+    node_type: int
     group: int
     status: NodeStatus
     free_cores: float
     free_memory: float
-    launched_us: int = 0  # 0: long ago
+    started_us: int = 0  # 0: long ago
 
 
 # Events
@@ -243,13 +246,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an attempt ended; ``closed`` says that the task is over and no answer is owed."""
+    """How an attempt ended; ``is_final`` says that the task is over and no answer is owed."""
 
     task: int
     attempt: int
     node: int
     result: Result
-    closed: bool
+    is_final: bool
     reason: Reason = Reason.UNTOLD
     latency_us: int = 0
     report: tuple[float, ...] = ()
--- a/stairplank/planner/abandoned_attempts.py
+++ b/stairplank/planner/abandoned_attempts.py
@@ -36,14 +36,14 @@
     A copy that may be repeated is only waste once it is given up. One that must not run twice is left alone:
     if it runs after all, that is the one run it may have.
     """
-    return effect is api.Effect.REPEATABLE
+    return effect is api.Effect.IDEMPOTENT
 
 
 def on_word(effect: api.Effect, fate: PlacementState) -> Copy:
     """The node says that it holds or runs the copy."""
     if fate is PlacementState.UNKNOWN:
         return Copy.ADOPT  # whatever the class: it was placed, and its owner may come back for it
-    if effect is api.Effect.REPEATABLE or fate in (
+    if effect is api.Effect.IDEMPOTENT or fate in (
         PlacementState.PLACED,
         PlacementState.REFUSED,
         PlacementState.WITHDRAWN,
--- a/stairplank/planner/admission.py
+++ b/stairplank/planner/admission.py
@@ -47,7 +47,7 @@
     if not 0 < wait_us <= bounds.wait_us:
         return bad("wait_us", f"{wait_us} is not within 1 to {bounds.wait_us}")
     sort = next(c for c in settings.classes if c.name == task.task_class)
-    kinds = settings.kinds if sort.node_kind is None else (settings.kinds[sort.node_kind],)
+    kinds = settings.node_types if sort.node_type is None else (settings.node_types[sort.node_type],)
     if all(task.cores > k.cores * settings.cores_limit for k in kinds):
         return bad("task.cores", f"{task.cores:g} is more than any node of this room accepts")
     if all(task.memory > k.memory * settings.memory_limit for k in kinds):
--- a/stairplank/planner/attempts.py
+++ b/stairplank/planner/attempts.py
@@ -94,10 +94,10 @@
     def bind(self, action: api.Bind) -> None:
         context = self.context
         placing = self.owners.placing(action.task)
-        if placing is None or placing.fate is not PlacementState.OPEN:
+        if placing is None or placing.state is not PlacementState.OPEN:
             raise RuntimeError(f"the module bound task {action.task}, which is over")
-        shot = placing.shots
-        placing.shots += 1
+        shot = placing.attempts_made
+        placing.attempts_made += 1
         tick = context.settings.tick_us
         if placing.group is not None and context.now >= placing.expires - (ANSWER_TICKS + 2) * tick:
             # The module knows the group's deadline, not the try's end: there is no time for this offer.
@@ -109,7 +109,7 @@
             context.count("wishes_closed")
             context.notify_module(api.Outcome(action.task, shot, action.node, api.Result.NOT_SENT, False))
             return
-        id = AttemptId(context.life, placing.number, shot)
+        id = AttemptId(context.incarnation, placing.number, shot)
         attempt = Attempt(context, id, placing, shot, action.node, AttemptState.WAITING)
         attempt.timeout = placing.expires - ANSWER_TICKS * tick
         if action.timeout_us:
@@ -132,8 +132,8 @@
     def stop_attempt(self, action: api.StopAttempt) -> None:
         placing = self.owners.placing(action.task)
         for attempt in placing.attempts.values() if placing else ():
-            if attempt.shot == action.attempt:
-                if not attempt.reported and attempt is not attempt.placing.bound:
+            if attempt.number == action.attempt:
+                if not attempt.reported and attempt is not attempt.placement.bound:
                     self._give_up(attempt, api.Result.CANCELLED)
                 return
 
@@ -141,23 +141,23 @@
         placing = self.owners.placing(action.task)
         if placing is not None and placing.bound is not None:
             self.context.count("moved")
-            self.stop(placing.bound, ev.StopReason.MOVED)
+            self.stop(placing.bound, ev.StopReason.MIGRATED)
 
     def _track(self, attempt: Attempt) -> None:
         self.attempts[attempt.id] = attempt
-        attempt.placing.attempts[attempt.id] = attempt
+        attempt.placement.attempts[attempt.id] = attempt
         self.at_node.setdefault(attempt.node, {})[attempt.id] = attempt
 
     def send(self, attempt: Attempt) -> None:
         """The link is up: the offer leaves."""
-        placing = attempt.placing
+        placing = attempt.placement
         attempt.step("sent")
         wait = max(1, attempt.timeout - self.context.now)
         tag = self.groups.tag(placing) if placing.group is not None else None
         index = placing.class_index
         self.context.emit(ev.SendOffer(attempt.node, attempt.id, placing.spec, wait, index, tag))
         if placing.group is None:
-            self.owners.tell(placing, ev.Offered(placing.ask, attempt.node, attempt.shot))
+            self.owners.tell(placing, ev.Offered(placing.request, attempt.node, attempt.number))
 
     def send_waiting(self, node: int) -> None:
         for attempt in self.at(node):
@@ -176,7 +176,7 @@
         """Call an attempt off, now or when its link is back."""
         if self.links.up(attempt.node):
             self.context.emit(ev.SendStop(attempt.node, attempt.id, why))
-        elif why is not ev.StopReason.LEFT_OVER:
+        elif why is not ev.StopReason.ABANDONED:
             self.links.unsettled(attempt.node, attempt.id)
 
     def stop_bound(self, placing: Placement, why: ev.StopReason) -> None:
@@ -189,7 +189,7 @@
             if attempt.waiting:
                 self.over(attempt, api.Result.NOT_SENT)
             else:
-                self.stop(attempt, ev.StopReason.WITHDRAWN)
+                self.stop(attempt, ev.StopReason.CANCELLED)
 
     def call_back(self, placing: Placement) -> None:
         """A member's try is given up."""
@@ -198,7 +198,7 @@
             if attempt.waiting:
                 self.over(attempt, api.Result.NOT_SENT)
             else:
-                self.stop(attempt, ev.StopReason.LEFT_OVER)
+                self.stop(attempt, ev.StopReason.ABANDONED)
                 # Its last word may be lost; the lease bounds how long the node can hold it.
                 self.context.call_at(
                     self.context.now + groups.lease_us + groups.gather_most_us, self._released, attempt
@@ -218,7 +218,7 @@
             self.over(attempt, api.Result.UNREACHABLE)
 
     def _timed_out(self, attempt: Attempt) -> None:
-        if attempt.reported or attempt.id not in self.attempts or attempt is attempt.placing.bound:
+        if attempt.reported or attempt.id not in self.attempts or attempt is attempt.placement.bound:
             return
         if attempt.waiting:
             self.over(attempt, api.Result.UNREACHABLE)
@@ -228,18 +228,18 @@
 
     def _give_up(self, attempt: Attempt, result: api.Result) -> None:
         """Tell the module an outcome that proves nothing; the node may still take the offer."""
-        context, placing = self.context, attempt.placing
+        context, placing = self.context, attempt.placement
         attempt.step("given up")
         if placing.group is not None:
             # It was never let run, and will not be: it is proven not to run, and is called back.
             self._outcome(attempt, api.Result.UNREACHABLE, api.Reason.UNTOLD)
-            self.stop(attempt, ev.StopReason.LEFT_OVER)
+            self.stop(attempt, ev.StopReason.ABANDONED)
             context.call_at(context.now + context.config.groups.lease_us, self._released, attempt)
             return
         placing.proven = False
         self._outcome(attempt, result, api.Reason.UNTOLD)
         if abandoned_attempts.on_giving_up(placing.effect):
-            self.stop(attempt, ev.StopReason.LEFT_OVER)
+            self.stop(attempt, ev.StopReason.ABANDONED)
         if attempt.accepted:
             self.copy(attempt)
         elif context.config.proofs:
@@ -259,25 +259,25 @@
 
     def _leftover_over(self, attempt: Attempt) -> None:
         """Danger: a node that hangs would hold its given-up attempts, and their tasks' names, for ever."""
-        if self.attempts.get(attempt.id) is attempt and attempt is not attempt.placing.bound:
+        if self.attempts.get(attempt.id) is attempt and attempt is not attempt.placement.bound:
             self.over(attempt, api.Result.LOST)
 
     def _released(self, attempt: Attempt) -> None:
         """No last word on a member that was called back: its lease has run out by now."""
-        if self.attempts.get(attempt.id) is attempt and attempt.placing.group is not None:
+        if self.attempts.get(attempt.id) is attempt and attempt.placement.group is not None:
             self.over(attempt, api.Result.CANCELLED)
 
     def _outcome(self, attempt: Attempt, result: api.Result, reason: api.Reason) -> None:
-        placing = attempt.placing
-        closed = placing.fate is not PlacementState.OPEN
+        placing = attempt.placement
+        closed = placing.state is not PlacementState.OPEN
         latency = self.context.now - attempt.sent
         self.context.notify_module(
-            api.Outcome(placing.number, attempt.shot, attempt.node, result, closed, reason, latency)
+            api.Outcome(placing.number, attempt.number, attempt.node, result, closed, reason, latency)
         )
 
     def over(self, attempt: Attempt, result: api.Result, reason: api.Reason = api.Reason.UNTOLD) -> None:
         """The last word on an attempt: it is dropped, and the module told unless it was before."""
-        placing = attempt.placing
+        placing = attempt.placement
         if self.attempts.pop(attempt.id, None) is None:
             return
         placing.attempts.pop(attempt.id, None)
@@ -293,7 +293,7 @@
             how = reason.name.lower().replace("_", " ") if reason else result.value
             placing.ended = "finished" if result is api.Result.FINISHED else how
             if not attempt.running and result is api.Result.LOST:
-                result = api.Result.REFUSED  # it was held and never let run
+                result = api.Result.REJECTED  # it was held and never let run
         known = attempt.reported
         attempt.step("over")
         if not known:
@@ -317,20 +317,20 @@
             self.owners.forget_if_over(placing)
             return
         self.context.count("finished" if finished else "lost")
-        self.owners.tell(placing, ev.TaskEnded(placing.ask, placing.spec.key, finished, reason))
+        self.owners.tell(placing, ev.TaskEnded(placing.request, placing.spec.key, finished, reason))
 
     # Copies
 
     def copy(self, attempt: Attempt) -> None:
         """A given-up attempt is at its node all the same."""
-        placing = attempt.placing
+        placing = attempt.placement
         if placing.group is not None:
-            self.stop(attempt, ev.StopReason.LEFT_OVER)
+            self.stop(attempt, ev.StopReason.ABANDONED)
             return
-        match abandoned_attempts.on_word(placing.effect, placing.fate):
+        match abandoned_attempts.on_word(placing.effect, placing.state):
             case abandoned_attempts.Copy.STOP:
                 self.context.count("copies_stopped")
-                self.stop(attempt, ev.StopReason.LEFT_OVER)
+                self.stop(attempt, ev.StopReason.ABANDONED)
             case abandoned_attempts.Copy.ADOPT:
                 placing.attempts.pop(attempt.id, None)
                 running = attempt.running
@@ -345,12 +345,12 @@
     ) -> Attempt:
         """Look after a task that is at a node though nothing here waits for it; counted once, told once."""
         placing = self.owners.adopt(spec, former)
-        stage = AttemptState.RUNNING if running else AttemptState.HELD
+        stage = AttemptState.RUNNING if running else AttemptState.ACCEPTED
         attempt = placing.bound = Attempt(self.context, id, placing, 0, node, stage)
         self._track(attempt)
         self.context.count("adopted")
         self.context.notify_module(api.TaskAdopted(self.owners.task(placing), node))
-        self.owners.tell(placing, ev.TaskRecovered(placing.ask, spec.key, node))
+        self.owners.tell(placing, ev.TaskRecovered(placing.request, spec.key, node))
         return attempt
 
     # What nodes say
@@ -371,7 +371,7 @@
         attempt.step("accepted")
         if attempt.reported:
             self.copy(attempt)
-        elif not self.context.settings.confirms_running and attempt.placing.group is None:
+        elif not self.context.settings.confirms_running and attempt.placement.group is None:
             self._place(attempt)
 
     def node_ready(self, event: ev.NodeReady) -> None:
@@ -379,18 +379,18 @@
         if attempt is None:
             self.links.unplaced_word(event.node)
             return
-        placing = attempt.placing
+        placing = attempt.placement
         if not attempt.accepted:
             attempt.step("accepted")
         if placing.group is None or placing.bound is attempt:
             return
-        if attempt.reported or placing.fate is not PlacementState.OPEN:
-            self.stop(attempt, ev.StopReason.LEFT_OVER)
+        if attempt.reported or placing.state is not PlacementState.OPEN:
+            self.stop(attempt, ev.StopReason.ABANDONED)
             return
         placing.bound = attempt
         placing.becomes("placed")
         latency = self.context.now - attempt.sent
-        self.context.notify_module(api.Placed(placing.number, attempt.shot, attempt.node, latency))
+        self.context.notify_module(api.Placed(placing.number, attempt.number, attempt.node, latency))
         self.groups.ready(placing, attempt)
 
     def node_running(self, event: ev.NodeRunning) -> None:
@@ -401,7 +401,7 @@
             return
         fresh = not attempt.accepted
         attempt.step("running")
-        placing = attempt.placing
+        placing = attempt.placement
         if attempt.reported:
             if fresh:
                 self.copy(attempt)
@@ -409,17 +409,17 @@
             if attempt is placing.bound:
                 self.groups.runs(placing, attempt)
         elif attempt is placing.bound:
-            note = api.StatusUpdate(placing.number, attempt.shot, event.node, api.StatusKind.RUNNING, 1.0)
+            note = api.StatusUpdate(placing.number, attempt.number, event.node, api.StatusKind.RUNNING, 1.0)
             self.context.notify_module(note)
         else:
             self._place(attempt)
 
     def _place(self, attempt: Attempt) -> None:
-        placing = attempt.placing
-        if placing.fate is not PlacementState.OPEN:
+        placing = attempt.placement
+        if placing.state is not PlacementState.OPEN:
             return  # withdrawn: its stop is under way
         placing.bound = attempt
-        self.owners.place(placing, attempt.node, attempt.shot, self.context.now - attempt.sent)
+        self.owners.place(placing, attempt.node, attempt.number, self.context.now - attempt.sent)
         for other in list(placing.attempts.values()):
             if other is not attempt and other.accepted:
                 self.copy(other)
@@ -428,14 +428,14 @@
         attempt = self._heard(event.node, event.id)
         if attempt is None:
             return
-        if attempt is attempt.placing.bound:
+        if attempt is attempt.placement.bound:
             self.over(attempt, api.Result.LOST, event.reason)  # accepted first, and then handed back
         elif event.late:
             # It is proven not to have run, and says nothing about the node's room: the way there was slow.
             self.context.count("too_late")
             self.over(attempt, api.Result.UNREACHABLE)
         else:
-            self.over(attempt, api.Result.REFUSED, event.reason)
+            self.over(attempt, api.Result.REJECTED, event.reason)
 
     def node_error(self, event: ev.NodeError) -> None:
         attempt = self._heard(event.node, event.id)
@@ -459,7 +459,7 @@
         ):
             if level > 0:
                 self.context.notify_module(
-                    api.StatusUpdate(attempt.placing.number, attempt.shot, event.node, kind, level)
+                    api.StatusUpdate(attempt.placement.number, attempt.number, event.node, kind, level)
                 )
 
     # Proofs
@@ -510,6 +510,6 @@
             return
         for attempt in self.at(event.node):
             silent = attempt.reported and not attempt.accepted
-            if silent and attempt.id not in held and event.asked_at >= attempt.timeout + SETTLE_US:
+            if silent and attempt.id not in held and event.requested_at >= attempt.timeout + SETTLE_US:
                 self.context.count("never_taken")
                 self.over(attempt, api.Result.UNREACHABLE)
--- a/stairplank/planner/client_requests.py
+++ b/stairplank/planner/client_requests.py
@@ -27,7 +27,7 @@
 from .context import CoreContext
 from .placement import Placement
 
-REPEATABLE = api.Effect.REPEATABLE
+REPEATABLE = api.Effect.IDEMPOTENT
 
 
 @dataclass(slots=True)
@@ -96,13 +96,13 @@
     # Streams
 
     def came(self, event: ev.ClientConnected) -> None:
-        self.sessions[event.session] = Session(event.owner)
-        self.by_owner.setdefault(event.owner, []).append(event.session)
-        self.groups.owner_came(event.owner, event.session, self.live)
+        self.sessions[event.session] = Session(event.client)
+        self.by_owner.setdefault(event.client, []).append(event.session)
+        self.groups.owner_came(event.client, event.session, self.live)
         for placing in list(self.by_name.values()):
             # What runs for this owner and has no stream to be told on is this stream's from now on.
-            if placing.spec.owner == event.owner and placing.bound and placing.session not in self.sessions:
-                placing.session, placing.ask = event.session, 0
+            if placing.spec.client == event.client and placing.bound and placing.session not in self.sessions:
+                placing.session, placing.request = event.session, 0
                 self.tell(placing, ev.TaskRecovered(0, placing.spec.key, placing.bound.node))
 
     def left(self, event: ev.ClientDisconnected) -> None:
@@ -116,10 +116,10 @@
         if not others:
             self.by_owner.pop(session.owner, None)
         for placing in list(session.asks.values()):
-            if placing.fate is PlacementState.OPEN:
+            if placing.state is PlacementState.OPEN:
                 self._withdraw_open(placing)
             elif others:
-                placing.session, placing.ask = others[-1], 0
+                placing.session, placing.request = others[-1], 0
         for number in list(session.groups.values()):
             self.groups.owner_left(number, others[-1] if others else 0)
 
@@ -129,26 +129,26 @@
         session = self.sessions[event.session]
         rejection = self._rejection(session, event)
         if rejection is not None:
-            self.reject(event.session, event.ask, rejection)
+            self.reject(event.session, event.request, rejection)
             return
-        known = self.named(event.task.owner, event.task.key)
+        known = self.named(event.task.client, event.task.key)
         if known is not None and known.bound is not None:
             # It runs already. Danger: placed anew it would run twice.
             old = self.sessions.get(known.session)
             if old is not None:
-                old.asks.pop(known.ask, None)
-            known.session, known.ask = event.session, event.ask
-            session.asks[event.ask] = known
-            self.tell(known, ev.TaskRecovered(event.ask, event.task.key, known.bound.node))
+                old.asks.pop(known.request, None)
+            known.session, known.request = event.session, event.request
+            session.asks[event.request] = known
+            self.tell(known, ev.TaskRecovered(event.request, event.task.key, known.bound.node))
             return
-        placing = Placement(self.context, event.session, event.ask, event.task)
+        placing = Placement(self.context, event.session, event.request, event.task)
         placing.expires = self.context.now + event.wait_us - event.age_us
         self.keep(placing)
-        session.asks[event.ask] = placing
+        session.asks[event.request] = placing
         session.open += 1
         self.open_tasks += 1
         self.context.count("taken")
-        self.tell(placing, ev.Admitted(event.ask, placing.number))
+        self.tell(placing, ev.Admitted(event.request, placing.number))
         self.context.notify_module(api.TaskRequested(self.task(placing)))
 
     def reject(self, session: int, ask: int, rejection: ev.Rejection) -> None:
@@ -179,13 +179,13 @@
         )
 
     def _rejection(self, session: Session, event: ev.PlacementRequested) -> ev.Rejection | None:
-        wrong = self.bad_ask(event.session, event.ask) or self.bad_task(event.task, event.wait_us)
+        wrong = self.bad_ask(event.session, event.request) or self.bad_task(event.task, event.wait_us)
         if wrong is None:
             wrong = admission.too_late(event.wait_us, event.age_us)
         if wrong is not None:
             return wrong
-        known = self.named(event.task.owner, event.task.key)
-        if known is not None and known.fate is PlacementState.OPEN:
+        known = self.named(event.task.client, event.task.key)
+        if known is not None and known.state is PlacementState.OPEN:
             return ev.Rejection("ALREADY_EXISTS", "task.key", "this task waits for its outcome already")
         effect = self.context.effect(self.context.classes[event.task.task_class])
         if known is not None and known.bound is None and effect is not REPEATABLE:
@@ -210,25 +210,25 @@
             spec.service,
             spec.cores,
             spec.memory,
-            spec.life_us or None,
-            spec.again,
+            spec.expected_duration_us or None,
+            spec.resubmitted,
         )
 
     def withdrawn(self, event: ev.PlacementCancelled) -> None:
         session = self.sessions[event.session]
-        if event.ask in session.groups:
+        if event.request in session.groups:
             self.context.count("groups_withdrawn")
-            self.groups.withdrawn(session.groups[event.ask])
+            self.groups.withdrawn(session.groups[event.request])
             return
         by_key = self.named(session.owner, event.key)
-        placing = session.asks.get(event.ask) if event.ask else by_key
+        placing = session.asks.get(event.request) if event.request else by_key
         if placing is None:
             return  # it is over: the words have crossed
-        if placing.fate is PlacementState.OPEN:
+        if placing.state is PlacementState.OPEN:
             self._withdraw_open(placing)
         elif placing.bound is not None and not placing.withdrawn:
             placing.withdrawn = True
-            self.attempts.stop_bound(placing, ev.StopReason.WITHDRAWN)
+            self.attempts.stop_bound(placing, ev.StopReason.CANCELLED)
 
     def _withdraw_open(self, placing: Placement) -> None:
         """Nothing is owed any more; attempts that are out are called back."""
@@ -268,19 +268,19 @@
 
     def refuse(self, action: api.Shed) -> None:
         placing = self.placings.get(action.task)
-        if placing is None or placing.fate is not PlacementState.OPEN:
+        if placing is None or placing.state is not PlacementState.OPEN:
             return
         if placing.group is not None:
             self.groups.member_unplaced(placing)
             return
         self.context.count("refused")
         self.answered(placing, "refused")
-        self.tell(placing, ev.TaskShed(placing.ask, action.retry_after_us, placing.last_reason))
+        self.tell(placing, ev.TaskShed(placing.request, action.retry_after_us, placing.last_reason))
         self._after_answer(placing)
 
     def fail(self, action: api.Fail) -> None:
         placing = self.placings.get(action.task)
-        if placing is None or placing.fate is not PlacementState.OPEN:
+        if placing is None or placing.state is not PlacementState.OPEN:
             return
         if placing.group is not None:
             self.groups.member_unplaced(placing)
@@ -288,14 +288,14 @@
         self.context.count("failed")
         may_run = bool(placing.attempts) or not placing.proven
         self.answered(placing, "failed")
-        self.tell(placing, ev.TaskFailed(placing.ask, may_run))
+        self.tell(placing, ev.TaskFailed(placing.request, may_run))
         self._after_answer(placing)
 
     def _after_answer(self, placing: Placement) -> None:
         """The ask is done with; copies that nodes have spoken of meanwhile are not."""
         session = self.sessions.get(placing.session)
         if session is not None:
-            session.asks.pop(placing.ask, None)
+            session.asks.pop(placing.request, None)
         self.attempts.after_answer(placing)
         self.forget_if_over(placing)
 
@@ -304,37 +304,37 @@
         self.context.count("placed")
         self.answered(placing, "placed")
         self.context.notify_module(api.Placed(placing.number, shot, node, latency))
-        self.tell(placing, ev.TaskPlaced(placing.ask, node, shot, latency))
+        self.tell(placing, ev.TaskPlaced(placing.request, node, shot, latency))
 
     def adopt(self, spec: ev.TaskSpec, former: Placement | None) -> Placement:
         """A task that is at a node though nothing here waits for it: it is told on its owner's stream."""
         placing = Placement(self.context, 0, 0, spec, PlacementState.PLACED)
         if former is not None and former.session in self.sessions:
-            placing.session, placing.ask = former.session, former.ask
-            self.sessions[former.session].asks[former.ask] = placing
+            placing.session, placing.request = former.session, former.request
+            self.sessions[former.session].asks[former.request] = placing
         else:
-            placing.session = self.newest(spec.owner)
+            placing.session = self.newest(spec.client)
         self.keep(placing)
         return placing
 
     def forget_if_over(self, placing: Placement) -> None:
         """Drop a placing of which nothing is left."""
-        if placing.fate is PlacementState.OPEN or placing.attempts:
+        if placing.state is PlacementState.OPEN or placing.attempts:
             return
         if self.placings.pop(placing.number, None) is not None and placing.group is not None:
             self.groups.member_gone(placing)
         if self.by_name.get(placing.name) is placing:
             del self.by_name[placing.name]
         session = self.sessions.get(placing.session)
-        if session is not None and session.asks.get(placing.ask) is placing:
-            del session.asks[placing.ask]
+        if session is not None and session.asks.get(placing.request) is placing:
+            del session.asks[placing.request]
 
     # Leaving
 
     def answer_all(self) -> None:
         """What is still owed is answered now: refused where a retry is proven harmless, else failed."""
         owed: Iterable[Placement] = [
-            p for p in self.all() if p.fate is PlacementState.OPEN and p.group is None
+            p for p in self.all() if p.state is PlacementState.OPEN and p.group is None
         ]
         for placing in owed:
             out = any(not a.waiting for a in placing.attempts.values())
--- a/stairplank/planner/context.py
+++ b/stairplank/planner/context.py
@@ -40,9 +40,9 @@
 class CoreContext(EventLoop):
     """One per core."""
 
-    def __init__(self, settings: api.Settings, config: CoreConfig, life: int) -> None:
+    def __init__(self, settings: api.Settings, config: CoreConfig, incarnation: int) -> None:
         super().__init__()
-        self.life = life
+        self.incarnation = incarnation
         self.set_settings(settings, config)
 
     def set_settings(self, settings: api.Settings, config: CoreConfig) -> None:
--- a/stairplank/planner/convert.py
+++ b/stairplank/planner/convert.py
@@ -21,9 +21,9 @@
     node_pb2.OfferEvent.Ended.HOW_STOPPED: api.Result.CANCELLED,
 }
 _WHY = {
-    ev.StopReason.WITHDRAWN: node_pb2.OfferRequest.Stop.WHY_WITHDRAWN,
-    ev.StopReason.MOVED: node_pb2.OfferRequest.Stop.WHY_MOVED,
-    ev.StopReason.LEFT_OVER: node_pb2.OfferRequest.Stop.WHY_LEFT_OVER,
+    ev.StopReason.CANCELLED: node_pb2.OfferRequest.Stop.WHY_WITHDRAWN,
+    ev.StopReason.MIGRATED: node_pb2.OfferRequest.Stop.WHY_MOVED,
+    ev.StopReason.ABANDONED: node_pb2.OfferRequest.Stop.WHY_LEFT_OVER,
 }
 
 
@@ -43,15 +43,15 @@
 
 def task_to(spec: ev.TaskSpec) -> Any:
     return common_pb2.Task(
-        owner=spec.owner,
+        owner=spec.client,
         key=spec.key,
         task_class=spec.task_class,
         tenant=spec.tenant,
         service=spec.service,
         cores=spec.cores,
         memory=spec.memory,
-        life_us=spec.life_us,
-        again=spec.again,
+        life_us=spec.expected_duration_us,
+        again=spec.resubmitted,
     )
 
 
@@ -60,7 +60,7 @@
 
 
 def id_to(id: AttemptId) -> Any:
-    return common_pb2.AttemptId(life=id.life, placing=id.placing, attempt=id.attempt)
+    return common_pb2.AttemptId(life=id.incarnation, placing=id.placement, attempt=id.attempt)
 
 
 def tag_from(tag: Any) -> ev.GroupTag:
@@ -69,7 +69,7 @@
 
 def tag_to(tag: ev.GroupTag) -> Any:
     return node_pb2.GroupMember(
-        life=tag.life, group=tag.group, size=tag.size, member=tag.member, lease_us=tag.lease_us
+        life=tag.incarnation, group=tag.group, size=tag.size, member=tag.member, lease_us=tag.lease_us
     )
 
 
@@ -152,8 +152,8 @@
             task=task_to(offer.task),
             wait_us=offer.wait_us,
             priority=sort.priority,
-            window_us=sort.window_us,
-            once=sort.effect is api.Effect.ONCE,
+            window_us=sort.dedup_window_us,
+            once=sort.effect is api.Effect.AT_MOST_ONCE,
             group=tag_to(offer.group) if offer.group is not None else None,
             sent=stamp_to(stamp),
         )
@@ -169,7 +169,7 @@
 
 def keep_to(keep: ev.SendLeaseRenewal, stamp: Stamp | None) -> Any:
     part = node_pb2.OfferRequest.Keep(
-        ids=map(id_to, keep.ids), lease_us=keep.lease_us, sent=stamp_to(stamp), keep=keep.keep
+        ids=map(id_to, keep.ids), lease_us=keep.lease_us, sent=stamp_to(stamp), keep=keep.renewal
     )
     return node_pb2.OfferRequest(keep=part)
 
@@ -191,7 +191,7 @@
 
 
 def stop_to(stop: ev.SendStop) -> Any:
-    return node_pb2.OfferRequest(stop=node_pb2.OfferRequest.Stop(id=id_to(stop.id), why=_WHY[stop.why]))
+    return node_pb2.OfferRequest(stop=node_pb2.OfferRequest.Stop(id=id_to(stop.id), why=_WHY[stop.reason]))
 
 
 def word_to(word: ev.ClientMessage) -> Any:
--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -42,9 +42,9 @@
 class Core:
     """One life of a planner. ``life`` must be a number that no other life has."""
 
-    def __init__(self, settings: api.Settings, config: CoreConfig, life: int, seed: int) -> None:
-        self.context = CoreContext(settings, config, life)
-        self.life = life
+    def __init__(self, settings: api.Settings, config: CoreConfig, incarnation: int, seed: int) -> None:
+        self.context = CoreContext(settings, config, incarnation)
+        self.incarnation = incarnation
         self.module = Planner(settings, seed)
         self.owners = ClientRequests(self.context)
         self.attempts = Attempts(self.context)
--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -365,16 +365,16 @@
         call = self.owners.get(action.session)
         if call is None:
             return
-        if not isinstance(action.word, (ev.Admitted, ev.Offered)):
+        if not isinstance(action.message, (ev.Admitted, ev.Offered)):
             self.log.debug(
-                "told", session=action.session, word=type(action.word).__name__, ask=action.word.ask
+                "told", session=action.session, word=type(action.message).__name__, ask=action.message.request
             )
         # The bound of this connection: it may have been made before send-buffer changed.
         full = call.stream.out_bytes > call.stream.connection.limits.send_bytes // 2
-        if full and isinstance(action.word, ev.Offered):
+        if full and isinstance(action.message, ev.Offered):
             self.dropped_words += 1  # the first to go where an owner is slow: no outcome hangs on it
             return
-        message = convert.word_to(action.word)
+        message = convert.word_to(action.message)
         grants = self.grants.get(action.session)
         if grants is not None:
             message.grant = grants.give_if_due(now_us())
@@ -397,8 +397,8 @@
     def _send_offer(self, action: ev.SendOffer) -> None:
         link = self.links.get(action.node)
         if link is not None:
-            name = f"{action.task.owner}/{action.task.key}"
-            number = f"{action.id.placing}.{action.id.attempt}"
+            name = f"{action.task.client}/{action.task.key}"
+            number = f"{action.id.placement}.{action.id.attempt}"
             self.log.debug("offered", task=name, attempt=number, node=action.node)
             sort = self.config.settings.classes[action.class_index]
             self._send(link, convert.offer_to(action, sort, link.stamp()), action.id)
--- a/stairplank/planner/events.py
+++ b/stairplank/planner/events.py
@@ -17,9 +17,9 @@
 
 
 class StopReason(Enum):
-    WITHDRAWN = "withdrawn"
-    MOVED = "moved"
-    LEFT_OVER = "left over"
+    CANCELLED = "withdrawn"
+    MIGRATED = "moved"
+    ABANDONED = "left over"
 
 
 # Events
@@ -28,7 +28,7 @@
 @dataclass(frozen=True, slots=True)
 class ClientConnected:
     session: int
-    owner: str
+    client: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 @dataclass(frozen=True, slots=True)
 class PlacementRequested:
     session: int
-    ask: int
+    request: int
     task: TaskSpec
     wait_us: int
     age_us: int = 0  # so long ago, at most, it was said: the wait counts from then
@@ -50,17 +50,17 @@
     """The owner wants the task no longer; by its ask, or, where that is 0, by its key."""
 
     session: int
-    ask: int
+    request: int
     key: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class GroupRequested:
     session: int
-    ask: int
+    request: int
     members: tuple[TaskSpec, ...]
     wait_us: int
-    least: int = 0
+    min_members: int = 0
     same_rack: bool = False
     distinct_nodes: bool = False
     distinct_racks: bool = False
@@ -76,7 +76,7 @@
     addresses: tuple[str, ...]
     zone: str
     rack: str
-    kind: str
+    node_type: str
     status: api.NodeStatus
     free_cores: float
     free_memory: float
@@ -178,7 +178,7 @@
     """The node has taken a keep."""
 
     node: int
-    keep: int
+    renewal: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -200,7 +200,7 @@
     started_unix_us: int
     tasks: tuple[NodeTask, ...]
     complete: bool = False  # what is neither held nor was told as over was never seen there
-    asked_at: int = 0  # when it was asked; 0: not known
+    requested_at: int = 0  # when it was asked; 0: not known
     finished: tuple[NodeTask, ...] = ()  # members of groups that ran to their end lately
 
 
@@ -269,26 +269,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    ask: int
+    request: int
     rejection: Rejection
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    ask: int
-    placing: int
+    request: int
+    placement: int
 
 
 @dataclass(frozen=True, slots=True)
 class Offered:
-    ask: int
+    request: int
     node: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class TaskPlaced:
-    ask: int
+    request: int
     node: int
     attempt: int
     latency_us: int
@@ -296,20 +296,20 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskShed:
-    ask: int
+    request: int
     retry_after_us: int
     reason: api.Reason
 
 
 @dataclass(frozen=True, slots=True)
 class TaskFailed:
-    ask: int
+    request: int
     may_run: bool
 
 
 @dataclass(frozen=True, slots=True)
 class TaskEnded:
-    ask: int
+    request: int
     key: int
     finished: bool
     reason: api.Reason
@@ -317,44 +317,44 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRecovered:
-    ask: int
+    request: int
     key: int
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class GroupPlaced:
-    ask: int
+    request: int
     bindings: tuple[tuple[int, int], ...]  # member, node
-    wishes_met: bool
-    tries: int
+    constraints_met: bool
+    attempts: int
 
 
 @dataclass(frozen=True, slots=True)
 class GroupShed:
-    ask: int
+    request: int
     retry_after_us: int
-    why: str
+    reason: str
     never: bool
 
 
 @dataclass(frozen=True, slots=True)
 class GroupFailed:
-    ask: int
-    why: str
+    request: int
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class GroupAttempted:
-    ask: int
-    tries: int
-    why: str
-    again_in_us: int
+    request: int
+    attempts: int
+    reason: str
+    retry_in_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class MemberEnded:
-    ask: int
+    request: int
     member: int
     finished: bool
     reason: api.Reason
@@ -362,7 +362,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupEnded:
-    ask: int
+    request: int
     finished: bool
 
 
@@ -407,14 +407,14 @@
     node: int
     ids: tuple[AttemptId, ...]
     lease_us: int
-    keep: int = 0  # the core's number for it
+    renewal: int = 0  # the core's number for it
 
 
 @dataclass(frozen=True, slots=True)
 class SendStop:
     node: int
     id: AttemptId
-    why: StopReason
+    reason: StopReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -452,7 +452,7 @@
 @dataclass(frozen=True, slots=True)
 class SendToClient:
     session: int
-    word: ClientMessage
+    message: ClientMessage
 
 
 @dataclass(frozen=True, slots=True)
--- a/stairplank/planner/grouping.py
+++ b/stairplank/planner/grouping.py
@@ -118,7 +118,7 @@
         size = self.records[number].spec.least
         # Held at least until the try is over and its members were let run.
         lease = placing.expires - self.context.now + self.context.config.groups.lease_us
-        return ev.GroupTag(self.context.life, number, size, member, max(1, lease))
+        return ev.GroupTag(self.context.incarnation, number, size, member, max(1, lease))
 
     def owed(self) -> bool:
         """Whether a group has no outcome yet."""
@@ -127,39 +127,39 @@
     # Owners
 
     def asked(self, event: ev.GroupRequested) -> None:
-        least = event.least or len(event.members)
+        least = event.min_members or len(event.members)
         owner = self.owners.owner_of(event.session)
         spec = GroupSpec(
             owner, event.members, least, event.same_rack, event.distinct_nodes, event.distinct_racks
         )
         rejection = self._rejection(event, spec)
         if rejection is not None:
-            self.owners.reject(event.session, event.ask, rejection)
+            self.owners.reject(event.session, event.request, rejection)
             return
         number = self.context.next_number()
         deadline = self.context.now + event.wait_us - event.age_us
-        self.records[number] = GroupRecord(event.session, event.ask, spec, deadline)
-        self.owners.group_asked(event.session, event.ask, number)
+        self.records[number] = GroupRecord(event.session, event.request, spec, deadline)
+        self.owners.group_asked(event.session, event.request, number)
         self.context.count("groups_taken")
-        self.owners.tell_on(event.session, ev.Admitted(event.ask, number))
+        self.owners.tell_on(event.session, ev.Admitted(event.request, number))
         places = self.list.places() if wishes(spec) else ()
         room = self.list.room()
         self._carry(self.coordinator.asked(self.context.now, number, spec, deadline, room, places))
 
     def _rejection(self, event: ev.GroupRequested, spec: GroupSpec) -> ev.Rejection | None:
-        wrong = self.owners.bad_ask(event.session, event.ask) or check(spec, event.least)
+        wrong = self.owners.bad_ask(event.session, event.request) or check(spec, event.min_members)
         wrong = wrong or admission.too_late(event.wait_us, event.age_us)
         if wrong is not None:
             return wrong
         for i, member in enumerate(event.members):
-            if member.owner != spec.owner:
+            if member.client != spec.owner:
                 message = "is not the stream's owner"
                 return ev.Rejection("INVALID_ARGUMENT", f"members[{i}].owner", message)
             wrong = self.owners.bad_task(member, event.wait_us)
             if wrong is not None:
                 field_ = wrong.field.replace("task.", f"members[{i}].")
                 return ev.Rejection(wrong.code, field_, wrong.message)
-            if self.owners.named(member.owner, member.key) is not None:
+            if self.owners.named(member.client, member.key) is not None:
                 message = "this task waits, runs or may run already"
                 return ev.Rejection("ALREADY_EXISTS", f"members[{i}].key", message, admission.BUSY_RETRY_US)
         if len(self.coordinator.groups) >= self.context.config.groups.groups_most:
@@ -316,7 +316,7 @@
         # matter, so that a member does not count as one that came back either.
         closed = self._closed(record, number, member) if self.coordinator.steered(number) else frozenset()
         task = self.owners.task(placing)
-        task = replace(task, expires_us=record.deadline, again=False, closed=closed)
+        task = replace(task, expires_us=record.deadline, resubmitted=False, excluded_nodes=closed)
         self.context.notify_module(api.TaskRequested(task))
 
     def _closed(self, record: GroupRecord, number: int, member: int) -> frozenset[int]:
@@ -327,7 +327,7 @@
         """Where the other members of this try go."""
         taken: dict[int, int] = {}
         for other, placing in record.placings.items():
-            if other != member and placing.fate in (PlacementState.OPEN, PlacementState.PLACED):
+            if other != member and placing.state in (PlacementState.OPEN, PlacementState.PLACED):
                 for attempt in placing.attempts.values():
                     if not attempt.reported:
                         taken[other] = attempt.node
@@ -362,7 +362,7 @@
         self.owners.group_over(record.session, record.ask)
 
     def _release(self, placing: Placement) -> None:
-        if placing.fate is PlacementState.OPEN:
+        if placing.state is PlacementState.OPEN:
             placing.becomes("withdrawn")
             self.context.notify_module(api.TaskCancelled(placing.number))
         placing.withdrawn = True
@@ -376,8 +376,8 @@
         Of an earlier life's group those that run are kept while the rest is looked for; when all have been
         found the group goes on, else it is released. Members that were never let run are released at once.
         """
-        if not held.running or tag.life == self.context.life:
-            self.context.emit(ev.SendStop(node, held.id, ev.StopReason.LEFT_OVER))
+        if not held.running or tag.incarnation == self.context.incarnation:
+            self.context.emit(ev.SendStop(node, held.id, ev.StopReason.ABANDONED))
             return
         found = self._foundling(tag)
         found.members[tag.member] = (node, held)
@@ -389,13 +389,13 @@
 
         Danger: without it the rest of a group that is almost done would count as half a group.
         """
-        if tag.life != self.context.life:
+        if tag.incarnation != self.context.incarnation:
             found = self._foundling(tag)
             found.finished[tag.member] = held
             self._perhaps_whole(found, tag)
 
     def _foundling(self, tag: ev.GroupTag) -> Foundling:
-        key = (tag.life, tag.group)
+        key = (tag.incarnation, tag.group)
         found = self.foundlings.get(key)
         if found is None:
             until = self.context.now + self.context.config.foundling_us
@@ -405,7 +405,7 @@
 
     def _perhaps_whole(self, found: Foundling, tag: ev.GroupTag) -> None:
         if found.whole:
-            del self.foundlings[tag.life, tag.group]
+            del self.foundlings[tag.incarnation, tag.group]
             self._go_on(found)
 
     def _go_on(self, found: Foundling) -> None:
@@ -413,13 +413,13 @@
         number = self.context.next_number()
         held = [found.members[m] for m in sorted(found.members)]
         done = [t for m, t in sorted(found.finished.items()) if m not in found.members]
-        owner = held[0][1].task.owner
+        owner = held[0][1].task.client
         spec = GroupSpec(owner, tuple(t.task for t in (*(t for _, t in held), *done)), found.size)
         record = self.records[number] = GroupRecord(self.owners.newest(owner), 0, spec, placed=True)
         for member, (node, task) in enumerate(held):
             attempt = self.attempts.adopt(node, task.id, task.task, True)
-            attempt.placing.group = (number, member)
-            record.placings[member] = attempt.placing
+            attempt.placement.group = (number, member)
+            record.placings[member] = attempt.placement
             self.leases.hold(attempt, self.context.now + self.context.config.groups.lease_us)
         self.context.count("groups_found")
         nodes = {m: (node, self.list.rack(node)) for m, (node, _) in enumerate(held)}
@@ -432,4 +432,4 @@
             self.context.count("groups_released")
             self.context.log("half a group found", members=len(found.members), size=found.size)
             for node, held in found.members.values():
-                self.context.emit(ev.SendStop(node, held.id, ev.StopReason.LEFT_OVER))
+                self.context.emit(ev.SendStop(node, held.id, ev.StopReason.ABANDONED))
--- a/stairplank/planner/leases.py
+++ b/stairplank/planner/leases.py
@@ -42,18 +42,18 @@
         keep = ev.SendLeaseRenewal(node, ids, lease_us, self.context.next_number())
         waiting = self.keeps.setdefault(node, deque())
         waiting.append(keep)
-        self._said[keep.keep] = self.context.now
+        self._said[keep.renewal] = self.context.now
         while len(waiting) > KEEPS_MOST:  # of a node that answers none: leases run out meanwhile
-            del self._said[waiting.popleft().keep]
+            del self._said[waiting.popleft().renewal]
         self.context.emit(keep)
 
     def kept(self, event: ev.LeasesRenewed) -> None:
         """A keep has reached its node: its members are kept from when it was said."""
         waiting = self.keeps.get(event.node)
-        while waiting and waiting[0].keep <= event.keep:
+        while waiting and waiting[0].renewal <= event.renewal:
             keep = waiting.popleft()
-            until = self._said.pop(keep.keep) + keep.lease_us
-            for id in keep.ids if keep.keep == event.keep else ():
+            until = self._said.pop(keep.renewal) + keep.lease_us
+            for id in keep.ids if keep.renewal == event.renewal else ():
                 attempt = self.attempts.known(id)
                 if attempt is not None:
                     self.hold(attempt, until)
@@ -62,7 +62,7 @@
 
     def link_lost(self, node: int) -> None:
         for keep in self.keeps.pop(node, ()):
-            del self._said[keep.keep]
+            del self._said[keep.renewal]
 
     def hold(self, attempt: Attempt, until: int) -> None:
         """So long the node keeps a member for certain; one timer an attempt looks after it."""
@@ -75,11 +75,11 @@
 
         The rest of the group would run on by itself until the link is found to be dead, seconds later.
         """
-        if self.attempts.known(attempt.id) is not attempt or attempt.placing.group is None:
+        if self.attempts.known(attempt.id) is not attempt or attempt.placement.group is None:
             return
         if attempt.kept_until > self.context.now:
             self.context.call_at(attempt.kept_until, self._over, attempt)
             return
         self.context.count("leases_over")
-        self.attempts.stop(attempt, ev.StopReason.LEFT_OVER)
+        self.attempts.stop(attempt, ev.StopReason.ABANDONED)
         self.attempts.over(attempt, api.Result.LOST)
--- a/stairplank/planner/live_settings.py
+++ b/stairplank/planner/live_settings.py
@@ -17,8 +17,8 @@
     """Bounds and waits of the core."""
     return CoreConfig(
         bounds=Bounds(config.open_most, config.owner_open_most, config.running_most, config.wait_most_us),
-        tenants=tuple(name for name, _ in config.room.tenants),
-        zones=config.room.zones,
+        tenants=tuple(name for name, _ in config.cluster.tenants),
+        zones=config.cluster.zones,
         dial_timeout_us=config.dial_timeout_us,
         dial_retry_us=config.dial_retry_us,
         dial_retry_most_us=config.dial_retry_most_us,
--- a/stairplank/planner/node_links.py
+++ b/stairplank/planner/node_links.py
@@ -281,9 +281,9 @@
                 self.attempts.node_accepted(ev.NodeAccepted(event.node, id))
             if attempt is None or self.attempts.known(id) is not attempt:
                 continue
-            placing = attempt.placing
-            if placing.withdrawn or placing.fate is PlacementState.WITHDRAWN:
-                self.attempts.stop(attempt, ev.StopReason.WITHDRAWN)
+            placing = attempt.placement
+            if placing.withdrawn or placing.state is PlacementState.WITHDRAWN:
+                self.attempts.stop(attempt, ev.StopReason.CANCELLED)
             elif spoken and id in unsettled and attempt.reported and attempt is not placing.bound:
                 # Danger: the stop of a given-up copy was lost with its link: said once, the copy runs on.
                 self.attempts.copy(attempt)
@@ -298,11 +298,11 @@
         if held.group is not None:
             self.groups.held_member(node, held, held.group)
             return
-        known = self.owners.named(held.task.owner, held.task.key)
-        fate = PlacementState.UNKNOWN if known is None else known.fate
+        known = self.owners.named(held.task.client, held.task.key)
+        fate = PlacementState.UNKNOWN if known is None else known.state
         if abandoned_attempts.on_word(self.context.effect(index), fate) is abandoned_attempts.Copy.STOP:
             self.context.count("copies_stopped")
-            self.context.emit(ev.SendStop(node, held.id, ev.StopReason.LEFT_OVER))
+            self.context.emit(ev.SendStop(node, held.id, ev.StopReason.ABANDONED))
         else:
             self.attempts.adopt(node, held.id, held.task, held.running)
 
--- a/stairplank/planner/nodelist.py
+++ b/stairplank/planner/nodelist.py
@@ -60,7 +60,7 @@
         self._places: tuple[Place, ...] | None = None
 
     def _numbered_kinds(self) -> dict[str, int]:
-        return {kind.name: number for number, kind in enumerate(self.context.settings.kinds)}
+        return {kind.name: number for number, kind in enumerate(self.context.settings.node_types)}
 
     def settings_changed(self) -> None:
         self.kinds = self._numbered_kinds()
@@ -110,10 +110,10 @@
     def room(self) -> Room:
         """The fleet as it is believed to be."""
         s = self.context.settings
-        ready = [e for e in self.entries.values() if e.status is api.NodeStatus.READY and e.kind >= 0]
+        ready = [e for e in self.entries.values() if e.status is api.NodeStatus.READY and e.node_type >= 0]
         cores = memory = free_cores = free_memory = 0.0
         for entry in ready:
-            kind = s.kinds[entry.kind]
+            kind = s.node_types[entry.node_type]
             cores += kind.cores * s.cores_limit
             memory += kind.memory * s.memory_limit
             free_cores += max(0.0, kind.cores * (s.cores_limit - 1) + entry.free_cores)
@@ -128,11 +128,11 @@
         s = self.context.settings
         out = []
         for entry in self.entries.values():
-            if entry.status is api.NodeStatus.READY and entry.kind >= 0:
-                kind = s.kinds[entry.kind]
+            if entry.status is api.NodeStatus.READY and entry.node_type >= 0:
+                kind = s.node_types[entry.node_type]
                 cores, memory = kind.cores * s.cores_limit, kind.memory * s.memory_limit
                 free = cores - kind.cores + entry.free_cores, memory - kind.memory + entry.free_memory
-                out.append(Place(entry.id, str(entry.group), entry.kind, cores, memory, *free))
+                out.append(Place(entry.id, str(entry.group), entry.node_type, cores, memory, *free))
         self._places = tuple(out)
         return self._places
 
@@ -206,7 +206,7 @@
         return api.NodeEntry(
             node.id,
             self.zones.setdefault(node.zone, len(self.zones)),
-            self.kinds.get(node.kind, -1),
+            self.kinds.get(node.node_type, -1),
             self.racks.setdefault(node.rack, len(self.racks)),
             status,
             node.free_cores,
@@ -222,9 +222,9 @@
             self._table_was_full = True
             return
         self._unknown_kinds.pop(node.id, None)
-        if entry.kind < 0:
-            self._unknown_kinds[node.id] = node.kind
-            self.context.log("node of an unknown kind", node=node.id, kind=node.kind)
+        if entry.node_type < 0:
+            self._unknown_kinds[node.id] = node.node_type
+            self.context.log("node of an unknown kind", node=node.id, kind=node.node_type)
         self.links.dial_if_due(node.id)
 
     def _gone(self, node: int) -> None:
--- a/stairplank/planner/placement.py
+++ b/stairplank/planner/placement.py
@@ -9,9 +9,19 @@
 from .events import AttemptId
 from .transitions import ATTEMPT, PLACEMENT, AttemptState
 
-_ACCEPTED = (AttemptState.HELD, AttemptState.RUNNING, AttemptState.VOID_HELD, AttemptState.VOID_RUNNING)
-_RUNS = (AttemptState.RUNNING, AttemptState.VOID_RUNNING)
-_REPORTED = (AttemptState.VOID_OUT, AttemptState.VOID_HELD, AttemptState.VOID_RUNNING, AttemptState.OVER)
+_ACCEPTED = (
+    AttemptState.ACCEPTED,
+    AttemptState.RUNNING,
+    AttemptState.ABANDONED_ACCEPTED,
+    AttemptState.ABANDONED_RUNNING,
+)
+_RUNS = (AttemptState.RUNNING, AttemptState.ABANDONED_RUNNING)
+_REPORTED = (
+    AttemptState.ABANDONED_SENT,
+    AttemptState.ABANDONED_ACCEPTED,
+    AttemptState.ABANDONED_RUNNING,
+    AttemptState.OVER,
+)
 # What a stage means, looked at far more often than it changes: waiting, accepted, running, reported.
 _MEANS = {s: (s is AttemptState.WAITING, s in _ACCEPTED, s in _RUNS, s in _REPORTED) for s in AttemptState}
 
@@ -20,7 +30,7 @@
     """One offer to a node, from the module's bind to the node's last word on it. The attempts' room's."""
 
     __slots__ = (
-        "id", "placing", "shot", "node", "sent", "stage", "timeout", "kept_until", "context",
+        "id", "placement", "number", "node", "sent", "stage", "timeout", "kept_until", "context",
         "waiting", "accepted", "running", "reported",
     )  # fmt: skip
 
@@ -31,12 +41,12 @@
         placing: Placement,
         shot: int,
         node: int,
-        stage: AttemptState = AttemptState.OUT,
+        stage: AttemptState = AttemptState.SENT,
     ) -> None:
         self.context = context
         self.id = id  # on the links
-        self.placing = placing  # with shot: the module's name for it
-        self.shot = shot
+        self.placement = placing  # with shot: the module's name for it
+        self.number = shot
         self.node = node
         self.sent = context.now
         self._enter(stage)
@@ -56,8 +66,8 @@
     """One task as it was asked for, adopted or found, until nothing of it is left."""
 
     __slots__ = (
-        "context", "number", "session", "ask", "spec", "class_index", "expires", "fate", "attempts", "bound",
-        "shots", "withdrawn", "group", "ended", "last_reason", "proven",
+        "context", "number", "session", "request", "spec", "class_index", "expires", "state", "attempts",
+        "bound", "attempts_made", "withdrawn", "group", "ended", "last_reason", "proven",
     )  # fmt: skip
 
     def __init__(
@@ -72,11 +82,11 @@
         self.number = context.next_number()
         self.spec = spec
         self.class_index = context.classes[spec.task_class]
-        self.fate = fate
+        self.state = fate
         self.expires = 0
         # The owners' room's: on which stream it is told, and under which ask.
         self.session = session
-        self.ask = ask
+        self.request = ask
         self.withdrawn = False
         # The groups' room's: number and member, where it is one of a group.
         self.group: tuple[int, int] | None = None
@@ -84,13 +94,13 @@
         # The attempts' room's.
         self.attempts: dict[AttemptId, Attempt] = {}  # without the node's last word
         self.bound: Attempt | None = None  # the one that runs, or was accepted where that binds
-        self.shots = 0
+        self.attempts_made = 0
         self.last_reason = api.Reason.UNTOLD
         self.proven = True  # every attempt that ended is proven not to have run
 
     @property
     def name(self) -> tuple[str, int]:
-        return self.spec.owner, self.spec.key
+        return self.spec.client, self.spec.key
 
     @property
     def effect(self) -> api.Effect:
@@ -98,4 +108,4 @@
 
     def becomes(self, event: str) -> None:
         """Its one outcome: placed, refused, failed or withdrawn."""
-        self.fate = self.context.transition(PLACEMENT, self.fate, event)
+        self.state = self.context.transition(PLACEMENT, self.state, event)
--- a/stairplank/planner/transitions.py
+++ b/stairplank/planner/transitions.py
@@ -20,12 +20,12 @@
     __hash__ = object.__hash__  # the enum's own is computed anew from the name at each look-up
 
     WAITING = "waiting"  # for a link: nothing has left
-    OUT = "out"  # offered; the node has said nothing
-    HELD = "held"  # accepted
+    SENT = "out"  # offered; the node has said nothing
+    ACCEPTED = "held"  # accepted
     RUNNING = "running"
-    VOID_OUT = "given up, out"  # the module was told its outcome; the node may still take it
-    VOID_HELD = "given up, held"
-    VOID_RUNNING = "given up, running"
+    ABANDONED_SENT = "given up, out"  # the module was told its outcome; the node may still take it
+    ABANDONED_ACCEPTED = "given up, held"
+    ABANDONED_RUNNING = "given up, running"
     OVER = "over"  # the last word on it
 
 
@@ -34,29 +34,29 @@
 ATTEMPT = Table(
     "attempt",
     {
-        (S.WAITING, "sent"): S.OUT,
+        (S.WAITING, "sent"): S.SENT,
         (S.WAITING, "over"): S.OVER,
-        (S.OUT, "accepted"): S.HELD,
-        (S.OUT, "running"): S.RUNNING,
-        (S.OUT, "given up"): S.VOID_OUT,
-        (S.OUT, "over"): S.OVER,
-        (S.HELD, "running"): S.RUNNING,
-        (S.HELD, "given up"): S.VOID_HELD,
-        (S.HELD, "over"): S.OVER,
-        (S.RUNNING, "given up"): S.VOID_RUNNING,
+        (S.SENT, "accepted"): S.ACCEPTED,
+        (S.SENT, "running"): S.RUNNING,
+        (S.SENT, "given up"): S.ABANDONED_SENT,
+        (S.SENT, "over"): S.OVER,
+        (S.ACCEPTED, "running"): S.RUNNING,
+        (S.ACCEPTED, "given up"): S.ABANDONED_ACCEPTED,
+        (S.ACCEPTED, "over"): S.OVER,
+        (S.RUNNING, "given up"): S.ABANDONED_RUNNING,
         (S.RUNNING, "over"): S.OVER,
-        (S.VOID_OUT, "accepted"): S.VOID_HELD,
-        (S.VOID_OUT, "running"): S.VOID_RUNNING,
-        (S.VOID_OUT, "over"): S.OVER,
-        (S.VOID_HELD, "running"): S.VOID_RUNNING,
-        (S.VOID_HELD, "adopted"): S.OVER,  # another attempt of the same name goes on in its place
-        (S.VOID_HELD, "over"): S.OVER,
-        (S.VOID_RUNNING, "adopted"): S.OVER,
-        (S.VOID_RUNNING, "over"): S.OVER,
+        (S.ABANDONED_SENT, "accepted"): S.ABANDONED_ACCEPTED,
+        (S.ABANDONED_SENT, "running"): S.ABANDONED_RUNNING,
+        (S.ABANDONED_SENT, "over"): S.OVER,
+        (S.ABANDONED_ACCEPTED, "running"): S.ABANDONED_RUNNING,
+        (S.ABANDONED_ACCEPTED, "adopted"): S.OVER,  # another attempt of the same name goes on in its place
+        (S.ABANDONED_ACCEPTED, "over"): S.OVER,
+        (S.ABANDONED_RUNNING, "adopted"): S.OVER,
+        (S.ABANDONED_RUNNING, "over"): S.OVER,
     },
 )
 PLACEMENT = Table(
-    "placing",
+    "placement",
     {
         (F.OPEN, "placed"): F.PLACED,
         (F.OPEN, "refused"): F.REFUSED,
--- a/stairplank/platform/attempts.py
+++ b/stairplank/platform/attempts.py
@@ -159,9 +159,9 @@
         sort = self.settings.classes[thing.task.request.class_index]
         if not self.links.is_open_to(thing.machine) or self.links.place_of(thing.machine) != thing.place:
             return False
-        if sort.effect is not api.Effect.KEYED or not thing.task.risk_at:
+        if sort.effect is not api.Effect.IDEMPOTENT_BY_KEY or not thing.task.risk_at:
             return True
-        return self.loop.now + 2 * self.settings.tick_us < thing.task.risk_at + sort.window_us
+        return self.loop.now + 2 * self.settings.tick_us < thing.task.risk_at + sort.dedup_window_us
 
     def message_of(self, thing: Attempt | Test) -> Message:
         """What is written for it, now."""
@@ -309,7 +309,7 @@
             self._report_outcome(attempt, result, reason, self._load_report(message), closed=True)
         elif attempt.stage is AttemptState.SENT:
             result = {
-                int(Cause.FULL): api.Result.REFUSED,
+                int(Cause.FULL): api.Result.REJECTED,
                 int(Cause.ERROR): api.Result.ERROR,
                 int(Cause.MOOT): api.Result.NOT_SENT,
             }.get(cause, api.Result.LOST)
--- a/stairplank/platform/client_requests.py
+++ b/stairplank/platform/client_requests.py
@@ -264,7 +264,7 @@
         self.loop.count("withdrawn")
         is_sent = task.attempt is not None and task.attempt.stage is AttemptState.SENT
         effect = self.settings.classes[task.request.class_index].effect
-        if effect is not api.Effect.REPEATABLE and (is_sent or not task.proven):
+        if effect is not api.Effect.IDEMPOTENT and (is_sent or not task.proven):
             self.tasks.remember_unproven(task.id)
         self._over(task, PlacementState.FAILED)
         self.loop.notify_module(api.TaskCancelled(task.number))
--- a/stairplank/platform/config.py
+++ b/stairplank/platform/config.py
@@ -86,11 +86,11 @@
 def _named(settings: api.Settings, value: Mapping[str, Any]) -> api.Settings:
     """The same with classes and kinds as they are named in the file."""
     classes = zip(settings.classes, value["classes"], strict=True)
-    kinds = zip(settings.kinds, _names(value["kinds"]), strict=True)
+    kinds = zip(settings.node_types, _names(value["kinds"]), strict=True)
     return replace(
         settings,
         classes=tuple(replace(c, name=str(v.get("name", c.name))) for c, v in classes),
-        kinds=tuple(replace(k, name=name) for k, name in kinds),
+        node_types=tuple(replace(k, name=name) for k, name in kinds),
     )
 
 
--- a/stairplank/platform/machines.py
+++ b/stairplank/platform/machines.py
@@ -91,12 +91,12 @@
                 self.loop.count("machines_beyond")
                 return False
             place = (entry.zone, entry.group)
-            machine = Machine(entry.id, row.name, row.address, entry.launched_us, entry.status, place)
+            machine = Machine(entry.id, row.name, row.address, entry.started_us, entry.status, place)
             self.machines[entry.id] = machine
             self.names[row.name] = entry.id
-        elif entry.launched_us > machine.launched:
-            machine.launched = entry.launched_us
-            self.attempts.machine_lost(machine.id, before=entry.launched_us)
+        elif entry.started_us > machine.launched:
+            machine.launched = entry.started_us
+            self.attempts.machine_lost(machine.id, before=entry.started_us)
         machine.status, machine.place = entry.status, (entry.zone, entry.group)
         machine.gone_at = 0
         address = row.address or machine.address
--- a/stairplank/platform/node_list.py
+++ b/stairplank/platform/node_list.py
@@ -90,7 +90,7 @@
         found = [(machine, kinds[kind]) for kind, machine in self._machines.values() if kind in kinds]
         for machine, _ in found:
             self.forget(machine.entry.id)
-        return tuple(replace(m, entry=replace(m.entry, kind=kind)) for m, kind in found)
+        return tuple(replace(m, entry=replace(m.entry, node_type=kind)) for m, kind in found)
 
 
 class NodeList:
--- a/stairplank/platform/reload.py
+++ b/stairplank/platform/reload.py
@@ -121,7 +121,7 @@
 
         Danger: named by the node list before the core knows it, a kind's machines would be passed over.
         """
-        kinds = tuple(kind.name for kind in change.settings.kinds)
+        kinds = tuple(kind.name for kind in change.settings.node_types)
         update = self._node_list.set_names(change.zones, kinds)
         if update is not None:
             self._enqueue(ev.NodeListUpdated(update))
--- a/stairplank/platform/service.py
+++ b/stairplank/platform/service.py
@@ -50,7 +50,7 @@
     def __init__(self, path: str) -> None:
         self.path = path
         c = config.load(path)
-        kinds = tuple(k.name for k in c.settings.kinds)
+        kinds = tuple(k.name for k in c.settings.node_types)
         self.node_list = NodeList(c.zones, kinds, clocks)
         priced = c.handshake_price > 0
         dial_us = c.dial_timeout_us
--- a/stairplank/platform/shutdown.py
+++ b/stairplank/platform/shutdown.py
@@ -68,4 +68,4 @@
     def _may_be_retried(self, task: Task) -> bool:
         is_sent = task.attempt is not None and task.attempt.stage is AttemptState.SENT
         effect = self.settings.classes[task.request.class_index].effect
-        return effect is api.Effect.REPEATABLE or (task.proven and not is_sent)
+        return effect is api.Effect.IDEMPOTENT or (task.proven and not is_sent)
--- a/stairplank/platform/tables.py
+++ b/stairplank/platform/tables.py
@@ -95,7 +95,7 @@
             spec.cores,
             spec.memory,
             None,
-            spec.again,
+            spec.resubmitted,
         )
 
 
--- a/stairplank/platform/validation.py
+++ b/stairplank/platform/validation.py
@@ -64,20 +64,20 @@
         raise InvalidRequest("a key that is none")
     wait_us = int(left) * 1000
     spec = TaskSpec(
-        owner=client,
+        client=client,
         key=int(key, 16),
         task_class=name,
         tenant=fields.get("tenant", "") if tenants else "",
         service=int(service, 16),
         cores=_amount(extras.get("cores", "")),
         memory=_amount(extras.get("memory", "")),
-        life_us=0,
-        again=fields.get("retry", "") not in ("", "0"),
+        expected_duration_us=0,
+        resubmitted=fields.get("retry", "") not in ("", "0"),
     )
     fault = admission.invalid(spec, wait_us, BOUNDS, settings, tenants)
     if fault is not None:
         raise InvalidRequest(f"{fault.field}: {fault.message}")
-    if settings.classes[index].effect is api.Effect.KEYED and not idem:
+    if settings.classes[index].effect is api.Effect.IDEMPOTENT_BY_KEY and not idem:
         raise InvalidRequest("no key, in a keyed class")
     at = extras.get("at", "")
     if len(at) > 200:
--- a/stairplank/rehearsal/run.py
+++ b/stairplank/rehearsal/run.py
@@ -154,7 +154,7 @@
             here = self._socket(f"n{model.id}")
             lines += [
                 f"node {model.id} {model.name}",
-                f"  kind {model.kind}",
+                f"  kind {model.node_type}",
                 f"  zone {model.zone}",
                 f"  rack {model.rack}",
                 f"  listen {here}",
--- a/stairplank/rehearsal/scenario.py
+++ b/stairplank/rehearsal/scenario.py
@@ -97,7 +97,7 @@
     for block in section.blocks["fleet"]:
         (name,) = block.values
         kind, zone = block.one("kind"), block.one("zone")
-        if kind not in [k.name for k in room.kinds]:
+        if kind not in [k.name for k in room.node_types]:
             problems.append(Problem(block.place("kind"), "kind", f"no kind {kind}"))
             continue
         if zone not in room.zones:
@@ -210,21 +210,21 @@
                 "name": c.name,
                 "effect": c.effect.value,
                 "scope": c.dedup_scope.value,
-                "window_us": c.window_us,
+                "window_us": c.dedup_window_us,
                 "deadline_us": c.deadline_us,
-                "aim_us": c.aim_us,
+                "aim_us": c.latency_objective_us,
                 "spread": c.spread.value,
-                "spread_most": c.spread_most,
+                "spread_most": c.max_per_place,
             }
             for c in room.classes
         ],
         "answer_slack_us": room.answer_slack_us,
         "drain_grace_us": room.drain_grace_us,
-        "cold_us": room.cold_us,
-        "cold_share": room.cold_share,
-        "fall_us": room.fall_us,
-        "fall_multiple": room.fall_multiple,
-        "fresh_offers": room.fresh_offers,
+        "cold_us": room.slow_start_us,
+        "cold_share": room.slow_start_share,
+        "fall_us": room.overload_window_us,
+        "fall_multiple": room.overload_multiple,
+        "fresh_offers": room.slow_start_offers,
         "max_attempts": room.max_attempts,
         "planners": scenario.planners,
         "starts_per_s": {
--- a/stairplank/settings/cluster.py
+++ b/stairplank/settings/cluster.py
@@ -74,14 +74,14 @@
     "max-attempts": ("max_attempts", 3),
     "answer-slack": ("answer_slack_us", 50_000),
     "drain-grace": ("drain_grace_us", 250_000),
-    "cold-share": ("cold_share", 0.2),
-    "cold-time": ("cold_us", 10_000_000),
-    "fall-multiple": ("fall_multiple", 2.0),
-    "fall-time": ("fall_us", 1_500_000),
-    "fresh-offers": ("fresh_offers", 20.0),
+    "cold-share": ("slow_start_share", 0.2),
+    "cold-time": ("slow_start_us", 10_000_000),
+    "fall-multiple": ("overload_multiple", 2.0),
+    "fall-time": ("overload_window_us", 1_500_000),
+    "fresh-offers": ("slow_start_offers", 20.0),
     "retry-after-most": ("max_retry_after_us", 3_000_000),
-    "owner-wait": ("owner_wait_us", 3_000_000),
-    "list-ask-within": ("ask_within_us", 10_000_000),
+    "owner-wait": ("client_wait_us", 3_000_000),
+    "list-ask-within": ("poll_within_us", 10_000_000),
     "tick": ("tick_us", 10_000),
 }
 
@@ -94,7 +94,7 @@
     """Typed; times in microseconds."""
 
     classes: tuple[api.TaskClass, ...]
-    kinds: tuple[api.NodeType, ...]
+    node_types: tuple[api.NodeType, ...]
     zones: tuple[str, ...]
     tenants: tuple[tuple[str, float], ...]
     mean_cores: float
@@ -106,14 +106,14 @@
     max_attempts: int
     answer_slack_us: int
     drain_grace_us: int
-    cold_share: float
-    cold_us: int
-    fall_multiple: float
-    fall_us: int
-    fresh_offers: float
+    slow_start_share: float
+    slow_start_us: int
+    overload_multiple: float
+    overload_window_us: int
+    slow_start_offers: float
     max_retry_after_us: int
-    owner_wait_us: int
-    ask_within_us: int
+    client_wait_us: int
+    poll_within_us: int
     tick_us: int
     prices: dict[str, float]
 
@@ -124,7 +124,7 @@
             position=position,
             zone=zone,
             classes=self.classes,
-            kinds=self.kinds,
+            node_types=self.node_types,
             mean_cores=self.mean_cores,
             mean_memory=self.mean_memory,
             cores_limit=self.cores_limit,
@@ -134,28 +134,28 @@
             max_attempts=self.max_attempts,
             answer_slack_us=self.answer_slack_us,
             drain_grace_us=self.drain_grace_us,
-            cold_share=self.cold_share,
-            cold_us=self.cold_us,
-            fall_multiple=self.fall_multiple,
-            fall_us=self.fall_us,
-            fresh_offers=self.fresh_offers,
-            must_ask=True,
-            ask_within_us=self.ask_within_us,
+            slow_start_share=self.slow_start_share,
+            slow_start_us=self.slow_start_us,
+            overload_multiple=self.overload_multiple,
+            overload_window_us=self.overload_window_us,
+            slow_start_offers=self.slow_start_offers,
+            polls_node_list=True,
+            poll_within_us=self.poll_within_us,
             tick_us=self.tick_us,
-            shows_free=True,
-            may_probe=True,
+            lists_free_capacity=True,
+            may_check_health=True,
             may_cancel=True,
             max_retry_after_us=self.max_retry_after_us,
-            owner_wait_us=self.owner_wait_us,
+            client_wait_us=self.client_wait_us,
             report_fields=("free_cores", "free_memory", "util"),
             reports_in_answers=False,
             tenant_share=tuple(share for _, share in self.tenants),
             price_fleet=self.prices.get("fleet", 0.0),
-            price_move=self.prices.get("move", 0.0),
+            price_migration=self.prices.get("move", 0.0),
             price_waste=self.prices.get("waste", 0.0),
-            price_probe=self.prices.get("probe", 0.0),
+            price_health_check=self.prices.get("probe", 0.0),
             price_list=self.prices.get("list", 0.0),
-            price_refusal=self.prices.get("refusal", 0.0),
+            price_rejection=self.prices.get("refusal", 0.0),
         )
 
 
@@ -178,7 +178,7 @@
         raise SettingsError(problems)
     return Cluster(
         classes=classes,
-        kinds=kinds,
+        node_types=kinds,
         zones=tuple(z for (z,) in section.all("zone")),
         tenants=tuple((t, s) for t, s in section.all("tenant")),
         confirms_running=section.one("confirms", "running") == "running",
@@ -191,7 +191,7 @@
     one = block.one
     (name,) = block.values
     effect = _EFFECTS[one("effect")]
-    keyed = effect is api.Effect.KEYED
+    keyed = effect is api.Effect.IDEMPOTENT_BY_KEY
     for key in ("group", "window"):
         if keyed and key not in block.keys:
             problems.append(Problem(block.at, key, f"class {name} is keyed: it needs a {key}"))
@@ -207,16 +207,16 @@
         name=name,
         effect=effect,
         dedup_scope=_SCOPES[one("group", "all")],
-        window_us=one("window", 0),
-        aim_us=one("aim"),
+        dedup_window_us=one("window", 0),
+        latency_objective_us=one("aim"),
         deadline_us=one("deadline"),
-        worth=one("worth", 1.0),
-        start_worth_s=one("start-worth", 0) / 1e6,
-        late_worth=one("late-worth", 0.0),
+        priority_weight=one("worth", 1.0),
+        start_bonus_s=one("start-worth", 0) / 1e6,
+        late_start_weight=one("late-worth", 0.0),
         spread=_SCOPES[place] if place else api.Scope.NONE,
-        spread_most=most,
-        node_kind=kinds.index(kind) if kind in kinds else None,
+        max_per_place=most,
+        node_type=kinds.index(kind) if kind in kinds else None,
         priority=one("priority", 0),
-        calm_until=one("calm-until", 1.0),
-        lost_over=one("lost-over", 1.0),
+        full_service_utilization=one("calm-until", 1.0),
+        service_loss_range=one("lost-over", 1.0),
     )
--- a/stairplank/settings/planner.py
+++ b/stairplank/settings/planner.py
@@ -52,9 +52,9 @@
         raise SettingsError(problems)
     site = typed_site(section, room)
     position, planners = section.one("planner")
-    zone = site.room.zones.index(section.one("home-zone", site.room.zones[0]))
+    zone = site.cluster.zones.index(section.one("home-zone", site.cluster.zones[0]))
     return PlannerConfig(
-        settings=site.room.settings(planners, position, zone),
+        settings=site.cluster.settings(planners, position, zone),
         listen=tuple(address for (address,) in section.all("listen")),
         directory=section.one("directory"),
         seed=section.one("seed"),
--- a/stairplank/settings/site.py
+++ b/stairplank/settings/site.py
@@ -65,7 +65,7 @@
 class SiteSettings:
     """What all planners of a site agree on. Times in microseconds, sizes in bytes."""
 
-    room: Cluster
+    cluster: Cluster
     dial_timeout_us: int = 250_000
     dial_retry_us: int = 100_000
     dial_retry_most_us: int = 2_000_000
@@ -117,7 +117,7 @@
 
 def typed_site(section: Section, room: Cluster) -> SiteSettings:
     """The typed settings of a section that was checked, with the room that was read from it."""
-    return SiteSettings(room=room, **_given_tunables(section))
+    return SiteSettings(cluster=room, **_given_tunables(section))
 
 
 def _given_tunables(section: Section) -> dict[str, Any]:
@@ -142,11 +142,11 @@
     What says which planner it is and where it listens stays. Raises SettingsError where the site has no zone
     of the name of the planner's home zone; ``name`` stands for the site's file.
     """
-    home_zone = config.room.zones[config.settings.zone]
-    if home_zone not in site.room.zones:
-        message = f"no zone {home_zone}, in which this planner runs; known: {', '.join(site.room.zones)}"
+    home_zone = config.cluster.zones[config.settings.zone]
+    if home_zone not in site.cluster.zones:
+        message = f"no zone {home_zone}, in which this planner runs; known: {', '.join(site.cluster.zones)}"
         raise SettingsError([Problem(Position(name, 1, 1), "zone", message)])
-    zone = site.room.zones.index(home_zone)
+    zone = site.cluster.zones.index(home_zone)
     own = config.settings
-    settings = site.room.settings(own.planners, own.position, zone)
+    settings = site.cluster.settings(own.planners, own.position, zone)
     return replace(config, settings=settings, **site_fields(site))
--- a/stairplank/standin/config.py
+++ b/stairplank/standin/config.py
@@ -165,7 +165,7 @@
 def model_from(
     room: Cluster, section: Section, id: int, name: str, kind: str, zone: str, rack: str
 ) -> NodeModel:
-    sort = next(k for k in room.kinds if k.name == kind)
+    sort = next(k for k in room.node_types if k.name == kind)
     one = section.one
     changes: dict[str, Any] = {
         "look_us": one("look-time"),
@@ -180,18 +180,18 @@
     return NodeModel(
         id=id,
         name=name,
-        kind=kind,
+        node_type=kind,
         zone=zone,
         rack=rack,
         cores=sort.cores,
         memory=sort.memory,
         cores_limit=room.cores_limit,
         memory_limit=room.memory_limit,
-        cold_share=room.cold_share,
-        cold_us=room.cold_us,
-        fall_multiple=room.fall_multiple,
-        fall_us=room.fall_us,
-        fresh_offers=room.fresh_offers,
+        slow_start_share=room.slow_start_share,
+        slow_start_us=room.slow_start_us,
+        overload_multiple=room.overload_multiple,
+        overload_window_us=room.overload_window_us,
+        slow_start_offers=room.slow_start_offers,
         preempts=room.preempts,
         **{k: value for k, value in changes.items() if value is not None},
     )
@@ -209,7 +209,7 @@
         if id in ids:
             problems.append(Problem(block.at, "node", f"{id} is there twice"))
         ids.add(id)
-        if kind not in [k.name for k in room.kinds]:
+        if kind not in [k.name for k in room.node_types]:
             problems.append(Problem(block.place("kind"), "kind", f"no kind {kind}"))
             continue
         if zone not in room.zones:
@@ -300,7 +300,7 @@
             tenant=tenants[i % len(tenants)] if tenants else "",
             again_us=one("owner-again", base.again_us),
             soon_us=one("owner-soon", base.soon_us),
-            owner_wait_us=room.owner_wait_us,
+            owner_wait_us=room.client_wait_us,
             wanted_us=one("owner-wanted", base.wanted_us),
             ends_us=one("asks-end", base.ends_us),
             total=one("tasks-most", 0) // len(names),
--- a/stairplank/standin/farm.py
+++ b/stairplank/standin/farm.py
@@ -336,7 +336,7 @@
             addresses=self.config.advertise.get(name) or self.addresses,
             zone=model.zone,
             rack=model.rack,
-            kind=model.kind,
+            kind=model.node_type,
             state=_STATE[status],
             free_cores=free[0],
             free_memory=free[1],
--- a/stairplank/standin/listing.py
+++ b/stairplank/standin/listing.py
@@ -34,7 +34,7 @@
         addresses=node.addresses,
         zone=node.zone,
         rack=node.rack,
-        kind=node.kind,
+        kind=node.node_type,
         state=_STATES[node.status],
         free_cores=node.free_cores,
         free_memory=node.free_memory,
--- a/stairplank/standin/node.py
+++ b/stairplank/standin/node.py
@@ -230,7 +230,7 @@
             reason = api.Reason.NOT_HERE
         elif self.faults.turns_away(task.task_class, self.rng):
             reason = api.Reason.UNTOLD
-        elif offer.window_us and self._copies(task).drops((task.owner, task.key), offer.id, now):
+        elif offer.window_us and self._copies(task).drops((task.client, task.key), offer.id, now):
             reason = api.Reason.NOT_HERE
         else:
             reason = self._make_room_for(offer)
@@ -244,7 +244,7 @@
         self.reserved.add(task)
         self.changed = True
         if offer.window_us:
-            self._copies(task).standing[task.owner, task.key] = offer.id
+            self._copies(task).standing[task.client, task.key] = offer.id
         self._say(offer, "accepted")
         self._begin(now)
 
@@ -282,7 +282,7 @@
         else:
             self._release(offer)
             if offer.window_us:
-                name = offer.task.owner, offer.task.key
+                name = offer.task.client, offer.task.key
                 self._copies(offer.task).finished(name, offer.came + offer.window_us, now)
             if offer.group is not None:
                 self.finished.append((now, offer))
@@ -291,7 +291,7 @@
 
     def _run(self, offer: Offer, now: int) -> None:
         offer.stage = Stage.RUNNING
-        offer.ends = now + offer.task.life_us if offer.task.life_us else 0
+        offer.ends = now + offer.task.expected_duration_us if offer.task.expected_duration_us else 0
         self._say(offer, "running")
         task, model = offer.task, self.model
         cores, memory = task.cores * model.cores_use, task.memory * model.memory_use
@@ -315,7 +315,7 @@
 
     def _stands_no_more(self, offer: Offer) -> None:
         standing = self._copies(offer.task).standing
-        name = (offer.task.owner, offer.task.key)
+        name = (offer.task.client, offer.task.key)
         if standing.get(name) == offer.id:
             del standing[name]
 
--- a/stairplank/standin/node_model.py
+++ b/stairplank/standin/node_model.py
@@ -14,7 +14,7 @@
 
     id: int
     name: str
-    kind: str
+    node_type: str
     zone: str
     rack: str
     cores: float
@@ -27,11 +27,11 @@
     start_us: int = 60_000
     from_nothing: float = 6.0  # times the work where the program is not there
     programs_kept: int = 8
-    cold_share: float = 0.2
-    cold_us: int = 10_000_000
-    fall_multiple: float = 2.0
-    fall_us: int = 1_500_000
-    fresh_offers: float = 20.0
+    slow_start_share: float = 0.2
+    slow_start_us: int = 10_000_000
+    overload_multiple: float = 2.0
+    overload_window_us: int = 1_500_000
+    slow_start_offers: float = 20.0
     preempts: bool = False
     cores_use: float = 0.5
     memory_use: float = 0.65
--- a/stairplank/standin/node_pace.py
+++ b/stairplank/standin/node_pace.py
@@ -25,19 +25,19 @@
         """Share of the usual pace of starts: a cold node gains it evenly."""
         if not self.cold:
             return 1.0
-        done = min(1.0, (now - self.started) / max(1, self.model.cold_us))
-        return self.model.cold_share + (1 - self.model.cold_share) * done
+        done = min(1.0, (now - self.started) / max(1, self.model.slow_start_us))
+        return self.model.slow_start_share + (1 - self.model.slow_start_share) * done
 
     def push(self, now: int) -> Fell | None:
         """Rule 4's model: offers push a cold node, refused ones too. Its fall, if this one was too many."""
         model = self.model
-        if not self.cold or now - self.started >= model.cold_us:
+        if not self.cold or now - self.started >= model.slow_start_us:
             return None
         self.pushed.append(now)
-        while self.pushed and self.pushed[0] < now - model.fall_us:
+        while self.pushed and self.pushed[0] < now - model.overload_window_us:
             self.pushed.popleft()
         rate = model.starts_at_once * self.share(now) / (model.start_us / 1e6)
-        borne = max(model.fresh_offers, model.fall_multiple * rate * model.fall_us / 1e6)
+        borne = max(model.slow_start_offers, model.overload_multiple * rate * model.overload_window_us / 1e6)
         return Fell(len(self.pushed), borne) if len(self.pushed) > borne else None
 
     def begin_start(self, service: int, now: int) -> float:
--- a/stairplank/standin/owner.py
+++ b/stairplank/standin/owner.py
@@ -211,7 +211,9 @@
 
     def heard(self, now: int, planner: int, word: ev.ClientMessage) -> list[Do]:
         self.out = []
-        group = self.group_asks.get((planner, word.ask)) if not isinstance(word, ev.TaskRecovered) else None
+        group = (
+            self.group_asks.get((planner, word.request)) if not isinstance(word, ev.TaskRecovered) else None
+        )
         if group is not None:
             self._group_word(group, now, word)
             return self.out
@@ -224,7 +226,7 @@
             case ev.TaskEnded(ask, key, _, _) if ask == 0:
                 task = self.tasks.get(key)
             case _:
-                task = self.asks.get((planner, word.ask))
+                task = self.asks.get((planner, word.request))
         if task is None or task.planner != planner:
             return self.out
         if isinstance(word, ev.TaskPlaced):
@@ -348,7 +350,7 @@
                     self.tally.latencies.setdefault("groups", []).append(took)
                     self._count_group(group, "started")
                     sort = self._by_name[self.model.demands[group.demand].task_class]
-                    if took <= sort.aim_us:
+                    if took <= sort.latency_objective_us:
                         self._count_group(group, "in_time")
             case ev.GroupShed(_, after, _, never):
                 self._count_group(group, "refused")
@@ -385,7 +387,7 @@
         tasks = []
         for task in group.tasks:
             self._next_key += 1
-            tasks.append(replace(task, key=self._next_key, again=True))
+            tasks.append(replace(task, key=self._next_key, resubmitted=True))
         group.tasks = tuple(tasks)
         self.groups[tasks[0].key] = group
         self._group_later(group, at)
@@ -462,7 +464,7 @@
     def _again(self, task: Wanted, now: int, *, may_run: bool, soon: bool = False, wait_us: int = 0) -> None:
         task.stand, task.again = Stand.WAITING, True
         wait = max(wait_us, self.rng.randint(*(self.model.soon_us if soon else self.model.again_us)))
-        if may_run and self._sort(task).effect is not api.Effect.REPEATABLE:
+        if may_run and self._sort(task).effect is not api.Effect.IDEMPOTENT:
             wait = max(wait, self.model.owner_wait_us)
         self._later(task, now + wait)
 
@@ -475,7 +477,7 @@
             took = now - task.first_asked
             self.tally.latencies.setdefault(sort.name, []).append(took)
             self._count(task, "started")
-            if took <= sort.aim_us:
+            if took <= sort.latency_objective_us:
                 self._count(task, "in_time")
 
     def _found(self, now: int, planner: int, ask: int, key: int) -> None:
@@ -486,7 +488,7 @@
         if task.stand in (Stand.ASKED, Stand.RUNNING) and (task.planner, task.ask) != (planner, ask):
             if task.stand is Stand.RUNNING and task.planner == planner:
                 return
-            if self._sort(task).effect is api.Effect.REPEATABLE or task.stand is Stand.RUNNING:
+            if self._sort(task).effect is api.Effect.IDEMPOTENT or task.stand is Stand.RUNNING:
                 self.out.append(Withdraw(planner, ask, 0 if ask else key))  # a copy that is not needed
                 return
             self.out.append(Withdraw(task.planner, task.ask, 0))
--- a/stairplank/tasks.py
+++ b/stairplank/tasks.py
@@ -13,29 +13,29 @@
 class TaskSpec:
     """A task as its owner describes it; names are not looked up yet."""
 
-    owner: str
+    client: str
     key: int
     task_class: str
     tenant: str
     service: int
     cores: float
     memory: float
-    life_us: int
-    again: bool
+    expected_duration_us: int
+    resubmitted: bool
 
 
 class AttemptId(NamedTuple):
     """Names an attempt on the links: the planner's life, its number for the placing, the attempt's number."""
 
-    life: int
-    placing: int
+    incarnation: int
+    placement: int
     attempt: int
 
 
 class GroupTag(NamedTuple):
     """What a node knows of a member's group."""
 
-    life: int
+    incarnation: int
     group: int
     size: int  # members that must run together
     member: int
--- a/tests/configuration/test_live.py
+++ b/tests/configuration/test_live.py
@@ -252,10 +252,10 @@
 
 def test_every_field_has_a_key_or_is_not_in_the_file() -> None:
     not_in_the_file = {
-        "must_ask", "shows_free", "may_probe", "may_cancel", "report_fields", "reports_in_answers",
-        "tenant_quota_cores", "over_share_worth",
+        "polls_node_list", "lists_free_capacity", "may_check_health", "may_cancel", "report_fields",
+        "reports_in_answers", "tenant_quota_cores", "over_quota_weight",
     }  # fmt: skip
-    known = {field.name for field in fields(api.Settings)} - {"classes", "kinds"}
+    known = {field.name for field in fields(api.Settings)} - {"classes", "node_types"}
     assert set(SETTINGS_KEYS) == known - not_in_the_file
     assert set(CLASS_KEYS) == {field.name for field in fields(api.TaskClass)} - {"name"}
     assert {key for key, _ in NEW} == NEW_CONNECTIONS
@@ -273,9 +273,9 @@
 @pytest.mark.parametrize(
     ("field", "value"),
     [
-        ("must_ask", False),
-        ("shows_free", False),
-        ("may_probe", False),
+        ("polls_node_list", False),
+        ("lists_free_capacity", False),
+        ("may_check_health", False),
         ("may_cancel", False),
         ("report_fields", ("util",)),
         ("reports_in_answers", True),
--- a/tests/golden/golden_grpc_days.py
+++ b/tests/golden/golden_grpc_days.py
@@ -33,7 +33,7 @@
         super()._carry_out(planner, core, actions)
 
     def _write_down(self, planner: int, core: Core, action: ev.Action) -> None:
-        head = (self.now, planner, core.life)
+        head = (self.now, planner, core.incarnation)
         match action:
             case ev.SendToClient(session, word):
                 self.trace.add(*head, "client", session, convert.word_to(word).SerializeToString())
--- a/tests/groups/test_coordinator.py
+++ b/tests/groups/test_coordinator.py
@@ -18,27 +18,27 @@
 
 MS, SECOND = 1_000, 1_000_000
 CLASSES = (
-    api.TaskClass("worker", api.Effect.REPEATABLE, api.Scope.ALL, 0, SECOND, 9 * SECOND),
-    api.TaskClass("report", api.Effect.ONCE, api.Scope.ALL, 0, SECOND, 9 * SECOND),
+    api.TaskClass("worker", api.Effect.IDEMPOTENT, api.Scope.ALL, 0, SECOND, 9 * SECOND),
+    api.TaskClass("report", api.Effect.AT_MOST_ONCE, api.Scope.ALL, 0, SECOND, 9 * SECOND),
     api.TaskClass(
         "apart",
-        api.Effect.REPEATABLE,
+        api.Effect.IDEMPOTENT,
         api.Scope.ALL,
         0,
         SECOND,
         9 * SECOND,
         spread=api.Scope.NODE,
-        spread_most=1,
+        max_per_place=1,
     ),  # fmt: skip
-    api.TaskClass("pinned", api.Effect.REPEATABLE, api.Scope.ALL, 0, SECOND, 9 * SECOND, node_kind=1),
+    api.TaskClass("pinned", api.Effect.IDEMPOTENT, api.Scope.ALL, 0, SECOND, 9 * SECOND, node_type=1),
 )
 SETTINGS = api.Settings(
     planners=1, position=0, zone=0, classes=CLASSES,
-    kinds=(api.NodeType("std", 16.0, 32.0), api.NodeType("big", 64.0, 128.0)),
+    node_types=(api.NodeType("std", 16.0, 32.0), api.NodeType("big", 64.0, 128.0)),
     mean_cores=1.0, mean_memory=2.0, cores_limit=1.0, memory_limit=1.0, confirms_running=True, preempts=False,
-    max_attempts=3, answer_slack_us=50 * MS, drain_grace_us=250 * MS, cold_share=0.2, cold_us=SECOND,
-    fall_multiple=2.0, fall_us=SECOND, fresh_offers=10.0, must_ask=True, ask_within_us=SECOND,
-    tick_us=10 * MS,
+    max_attempts=3, answer_slack_us=50 * MS, drain_grace_us=250 * MS, slow_start_share=0.2,
+    slow_start_us=SECOND, overload_multiple=2.0, overload_window_us=SECOND, slow_start_offers=10.0,
+    polls_node_list=True, poll_within_us=SECOND, tick_us=10 * MS,
 )  # fmt: skip
 ROOM = Room(10, 5, 160.0, 320.0, 160.0, 320.0)
 
--- a/tests/groups/test_core_groups.py
+++ b/tests/groups/test_core_groups.py
@@ -25,7 +25,7 @@
         out = super().feed(event)
         for keep in [a for a in out if isinstance(a, ev.SendLeaseRenewal)]:
             if self.answers_keeps:
-                super().feed(ev.LeasesRenewed(keep.node, keep.keep))
+                super().feed(ev.LeasesRenewed(keep.node, keep.renewal))
         return out
 
     def group(
@@ -199,7 +199,7 @@
     big = tuple(w.spec(i, cores=12.0) for i in (1, 2, 3))
     w.group(members=big)
     (word,) = w.words()
-    assert isinstance(word, ev.GroupShed) and word.never and "cores" in word.why and w.quiet()
+    assert isinstance(word, ev.GroupShed) and word.never and "cores" in word.reason and w.quiet()
 
 
 def test_invalid_groups_name_the_field() -> None:
@@ -207,8 +207,8 @@
     w.group(n=1, members=(w.spec(1), w.spec(1)))
     w.group(n=2, members=(w.spec(1), w.spec(2, cores=-1.0)))
     w.group(n=3, same_rack=True, distinct_racks=True)
-    w.group(n=4, least=9)
-    w.group(n=5, members=(w.spec(1, owner="else"),))
+    w.group(n=4, min_members=9)
+    w.group(n=5, members=(w.spec(1, client="else"),))
     fields = [x.rejection.field for x in w.words(ev.Rejected)]
     assert fields == ["members[1].key", "members[1].cores", "distinct_racks", "least", "members[0].owner"]
     w.running(6)
@@ -242,8 +242,8 @@
     out: dict[int, list[ev.NodeTask]] = {}
     for m, o in enumerate(offers):
         assert o.group is not None
-        id = ev.AttemptId(life, o.id.placing, 0)
-        tag = o.group._replace(life=life)
+        id = ev.AttemptId(life, o.id.placement, 0)
+        tag = o.group._replace(incarnation=life)
         out.setdefault(o.node, []).append(ev.NodeTask(id, o.task, m in running, tag))
     return out
 
@@ -317,7 +317,7 @@
     first = w.all(ev.SendLeaseRenewal)[0]
     held = [a for a in w.core.attempts.attempts.values() if a.node == first.node]
     until = held[0].kept_until
-    w.feed(ev.LeasesRenewed(first.node, first.keep))  # said a second ago
+    w.feed(ev.LeasesRenewed(first.node, first.renewal))  # said a second ago
     assert held[0].kept_until <= max(until, w.now - 900 * MS + first.lease_us)
 
 
--- a/tests/groups/test_wishes.py
+++ b/tests/groups/test_wishes.py
@@ -158,7 +158,7 @@
     for offer in offers:
         w.feed(ev.NodeRunning(offer.node, offer.id))
     (placed,) = w.words(ev.GroupPlaced)
-    assert placed.wishes_met and placed.tries == 1
+    assert placed.constraints_met and placed.attempts == 1
 
 
 def test_a_refused_member_goes_where_the_wish_still_holds() -> None:
@@ -182,7 +182,7 @@
     w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, same_rack=True))
     tried = w.words(ev.GroupAttempted)
     if tried:
-        assert tried[0].tries == 0 and "can never be met" in tried[0].why
+        assert tried[0].attempts == 0 and "can never be met" in tried[0].reason
         assert len(w.all(ev.SendOffer)) == 3  # and it is placed as it can be, without waiting
     else:
         assert w.words(ev.GroupShed)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -29,13 +29,13 @@
 SECOND = 1_000_000
 
 CLASSES = (
-    TaskClass("repeat", Effect.REPEATABLE, Scope.ALL, 0, 600_000, 6 * SECOND),
-    TaskClass("keyed", Effect.KEYED, Scope.GROUP, 4 * SECOND, 600_000, 8 * SECOND),
-    TaskClass("once", Effect.ONCE, Scope.ALL, 0, 600_000, 8 * SECOND),
+    TaskClass("repeat", Effect.IDEMPOTENT, Scope.ALL, 0, 600_000, 6 * SECOND),
+    TaskClass("keyed", Effect.IDEMPOTENT_BY_KEY, Scope.GROUP, 4 * SECOND, 600_000, 8 * SECOND),
+    TaskClass("once", Effect.AT_MOST_ONCE, Scope.ALL, 0, 600_000, 8 * SECOND),
     TaskClass(
-        "spread", Effect.REPEATABLE, Scope.ALL, 0, SECOND, 6 * SECOND, spread=Scope.ZONE, spread_most=2
+        "spread", Effect.IDEMPOTENT, Scope.ALL, 0, SECOND, 6 * SECOND, spread=Scope.ZONE, max_per_place=2
     ),
-    TaskClass("keyed-all", Effect.KEYED, Scope.ALL, 4 * SECOND, 600_000, 8 * SECOND),
+    TaskClass("keyed-all", Effect.IDEMPOTENT_BY_KEY, Scope.ALL, 4 * SECOND, 600_000, 8 * SECOND),
 )
 
 SETTINGS = Settings(
@@ -43,7 +43,7 @@
     position=0,
     zone=0,
     classes=CLASSES,
-    kinds=(NodeType("std", 16.0, 32.0),),
+    node_types=(NodeType("std", 16.0, 32.0),),
     mean_cores=1.0,
     mean_memory=2.0,
     cores_limit=1.0,
@@ -53,13 +53,13 @@
     max_attempts=3,
     answer_slack_us=8_000,
     drain_grace_us=250_000,
-    cold_share=0.2,
-    cold_us=10 * SECOND,
-    fall_multiple=2.0,
-    fall_us=1_500_000,
-    fresh_offers=12.0,
-    must_ask=True,
-    ask_within_us=10 * SECOND,
+    slow_start_share=0.2,
+    slow_start_us=10 * SECOND,
+    overload_multiple=2.0,
+    overload_window_us=1_500_000,
+    slow_start_offers=12.0,
+    polls_node_list=True,
+    poll_within_us=10 * SECOND,
     tick_us=2_000,
     max_retry_after_us=3 * SECOND,
     may_cancel=True,
--- a/tests/planner/room.py
+++ b/tests/planner/room.py
@@ -39,8 +39,8 @@
 
 def spec(key: int = 1, sort: str = "worker", **more: Any) -> ev.TaskSpec:
     fields: dict[str, Any] = {
-        "owner": "o", "key": key, "task_class": sort, "tenant": "", "service": 5, "cores": 1.0, "memory": 2.0,
-        "life_us": 0, "again": False, **more,
+        "client": "o", "key": key, "task_class": sort, "tenant": "", "service": 5, "cores": 1.0,
+        "memory": 2.0, "expected_duration_us": 0, "resubmitted": False, **more,
     }  # fmt: skip
     return ev.TaskSpec(**fields)
 
--- a/tests/planner/test_attempts.py
+++ b/tests/planner/test_attempts.py
@@ -45,7 +45,7 @@
     r.bind()
     (offer,) = r.sent()
     tick = r.context.settings.tick_us
-    assert offer.wait_us == 6 * SECOND - ANSWER_TICKS * tick and r.attempt.stage is AttemptState.OUT
+    assert offer.wait_us == 6 * SECOND - ANSWER_TICKS * tick and r.attempt.stage is AttemptState.SENT
 
 
 def test_one_that_waits_for_a_link_is_given_up_with_the_dial() -> None:
@@ -69,7 +69,7 @@
     r = Room(sort=sort)
     r.bind(timeout=SECOND)
     pass_time(r.context, 2 * SECOND)
-    assert r.outcomes() == [api.Result.TIMEOUT] and r.attempt.stage is AttemptState.VOID_OUT
+    assert r.outcomes() == [api.Result.TIMEOUT] and r.attempt.stage is AttemptState.ABANDONED_SENT
     stops = [a for a in r.context.actions if isinstance(a, ev.SendStop)]
     assert bool(stops) is (sort == "worker")
     r.attempts.node_error(ev.NodeError(1, r.attempt.id))
--- a/tests/planner/test_client_requests.py
+++ b/tests/planner/test_client_requests.py
@@ -27,7 +27,7 @@
         return self.owners.named("o", key or n)
 
     def words(self) -> list[Any]:
-        return [a.word for a in self.context.actions if isinstance(a, ev.SendToClient)]
+        return [a.message for a in self.context.actions if isinstance(a, ev.SendToClient)]
 
 
 def test_what_is_taken_has_one_outcome() -> None:
@@ -77,7 +77,7 @@
     r.owners.place(one, 3, 0, 10)
     r.owners.left(ev.ClientDisconnected(1))
     assert one.session == 2
-    r.owners.tell(one, ev.TaskEnded(one.ask, 1, True, api.Reason.UNTOLD))
+    r.owners.tell(one, ev.TaskEnded(one.request, 1, True, api.Reason.UNTOLD))
     assert [a.session for a in r.context.actions if isinstance(a, ev.SendToClient)][-1] == 2
 
 
@@ -95,4 +95,4 @@
     risky.proven = False
     r.owners.answer_all()
     assert [type(w) for w in r.words()[-2:]] == [ev.TaskShed, ev.TaskFailed]
-    assert safe.fate.value == "refused" and r.owners.open_tasks == 0
+    assert safe.state.value == "refused" and r.owners.open_tasks == 0
--- a/tests/planner/test_core.py
+++ b/tests/planner/test_core.py
@@ -63,7 +63,7 @@
     w.ask(4, cores=15.0, wait=3 * SECOND)
     asked = w.now
     w.wait(4 * SECOND)
-    assert w.words(ev.TaskShed)[0].ask == 4
+    assert w.words(ev.TaskShed)[0].request == 4
     assert w.now > asked
 
 
@@ -88,9 +88,9 @@
     offer = w.offer(1, wait=20 * SECOND)
     w.wait(5500 * MS)
     stops = w.all(ev.SendStop)
-    assert [s.why for s in stops][0] is ev.StopReason.LEFT_OVER and stops[0].id == offer.id
+    assert [s.reason for s in stops][0] is ev.StopReason.ABANDONED and stops[0].id == offer.id
     w.feed(ev.NodeRunning(offer.node, offer.id))
-    assert ev.SendStop(offer.node, offer.id, ev.StopReason.LEFT_OVER) in w.all(ev.SendStop)[1:]
+    assert ev.SendStop(offer.node, offer.id, ev.StopReason.ABANDONED) in w.all(ev.SendStop)[1:]
     assert w.words(ev.TaskRecovered) == []
 
 
@@ -282,7 +282,7 @@
             ev.NodeListReceived(revision, revision - 1, False, (w.listed(1, started=10**15 - 500),), 10**15)
         )
         w.now += 7
-    launched = w.core.list.entries[1].launched_us
+    launched = w.core.list.entries[1].started_us
     assert launched == w.now - 14 - 500
 
 
@@ -308,7 +308,7 @@
     open_one, running = w.offer(1), w.running(2)
     w.said.clear()
     w.feed(ev.ClientDisconnected(1))
-    assert [(s.id, s.why) for s in w.all(ev.SendStop)] == [(open_one.id, ev.StopReason.WITHDRAWN)]
+    assert [(s.id, s.reason) for s in w.all(ev.SendStop)] == [(open_one.id, ev.StopReason.CANCELLED)]
     assert w.core.owners.open_tasks == 0 and w.all(ev.SendToClient) == []
     w.feed(ev.NodeRejected(open_one.node, open_one.id, api.Reason.NOT_HERE))
     assert list(w.core.attempts.attempts) == [running.id]  # what was placed runs on
@@ -324,7 +324,7 @@
     offer = w.offer(1)
     w.ask(2, key=1)
     (word,) = w.words(ev.Rejected)
-    assert (word.ask, word.rejection.code, word.rejection.field) == (2, "ALREADY_EXISTS", "task.key")
+    assert (word.request, word.rejection.code, word.rejection.field) == (2, "ALREADY_EXISTS", "task.key")
     w.feed(ev.NodeRunning(offer.node, offer.id))
     w.ask(3, key=1)  # it runs: found, not placed anew
     assert w.words()[-1] == ev.TaskRecovered(3, 1, offer.node) and len(w.all(ev.SendOffer)) == 1
@@ -334,7 +334,7 @@
     w = World()
     w.feed(ev.ClientConnected(2, "other"))
     w.ask(1)
-    w.ask(1, session=2, owner="other")
+    w.ask(1, session=2, client="other")
     assert len(w.all(ev.SendOffer)) == 2 and w.words(ev.Rejected) == []
 
 
@@ -348,7 +348,7 @@
         w.feed(ev.NodeRunning(offer.node, offer.id))
     w.feed(ev.PlacementCancelled(1, 1))
     w.feed(ev.PlacementCancelled(1, 1))
-    assert w.all(ev.SendStop) == [ev.SendStop(offer.node, offer.id, ev.StopReason.WITHDRAWN)]
+    assert w.all(ev.SendStop) == [ev.SendStop(offer.node, offer.id, ev.StopReason.CANCELLED)]
     if after == "running":
         w.feed(ev.NodeEnded(offer.node, offer.id, api.Result.CANCELLED, api.Reason.UNTOLD))
         assert w.words(ev.TaskEnded) == [ev.TaskEnded(1, 1, False, api.Reason.UNTOLD)]
@@ -366,7 +366,7 @@
     w.feed(ev.PlacementCancelled(1, 1))
     assert w.all(ev.SendStop) == []
     w.up(1, held=[ev.NodeTask(offer.id, offer.task, True)])
-    assert w.all(ev.SendStop) == [ev.SendStop(1, offer.id, ev.StopReason.WITHDRAWN)]
+    assert w.all(ev.SendStop) == [ev.SendStop(1, offer.id, ev.StopReason.CANCELLED)]
 
 
 @pytest.mark.parametrize(
@@ -450,7 +450,7 @@
     running = w.running(1)
     other = 3 - running.node
     w.up(other, held=[held(w, 1)])
-    assert w.all(ev.SendStop) == [ev.SendStop(other, held(w, 1).id, ev.StopReason.LEFT_OVER)]
+    assert w.all(ev.SendStop) == [ev.SendStop(other, held(w, 1).id, ev.StopReason.ABANDONED)]
 
 
 def test_a_held_task_of_an_unknown_class_is_left_alone() -> None:
@@ -488,7 +488,7 @@
         w.ask(n, "report", service=n, wait=(1 + n % 3) * SECOND)
     w.now += 30 * SECOND
     w.feed(ev.TimerDue())
-    outcomes = [x.ask for x in w.words() if isinstance(x, (ev.TaskFailed, ev.TaskShed))]
+    outcomes = [x.request for x in w.words() if isinstance(x, (ev.TaskFailed, ev.TaskShed))]
     assert sorted(outcomes) == list(range(1, 20))
 
 
--- a/tests/planner/test_daemon_settings.py
+++ b/tests/planner/test_daemon_settings.py
@@ -65,7 +65,7 @@
         prepare,
         (text(("aim 1s\n    deadline 6s\nend\nkind", "aim 2s\n    deadline 6s\nend\nkind")), "revision-1"),
     )
-    assert prepared.settings.classes[1].aim_us == 2_000_000
+    assert prepared.settings.classes[1].latency_objective_us == 2_000_000
 
 
 def test_a_class_that_is_removed_is_refused_with_all_that_came_with_it(world: World) -> None:
--- a/tests/planner/test_leases.py
+++ b/tests/planner/test_leases.py
@@ -47,7 +47,7 @@
     keep = next(a for a in leases.context.actions if isinstance(a, ev.SendLeaseRenewal))
     said = leases.context.now
     pass_time(leases.context, 900 * MS)
-    leases.kept(ev.LeasesRenewed(4, keep.keep))
+    leases.kept(ev.LeasesRenewed(4, keep.renewal))
     assert attempt.kept_until == said + 2 * SECOND and not leases.keeps
     pass_time(leases.context, 1099 * MS)
     assert not over(others)
@@ -61,7 +61,7 @@
     leases.keep(4, (attempt.id,), 9 * SECOND)
     leases.keep(4, (other,), SECOND)
     last = [a for a in leases.context.actions if isinstance(a, ev.SendLeaseRenewal)][-1]
-    leases.kept(ev.LeasesRenewed(4, last.keep))
+    leases.kept(ev.LeasesRenewed(4, last.renewal))
     assert not leases.keeps and attempt.kept_until == 0
 
 
--- a/tests/planner/test_settings_changed.py
+++ b/tests/planner/test_settings_changed.py
@@ -16,7 +16,7 @@
 from stairplank.planner.nodelist import LIST_RETRY_US
 
 HUGE = api.NodeType("huge", 64.0, 128.0)
-FRESH = api.TaskClass("fresh", api.Effect.ONCE, api.Scope.ALL, 0, SECOND, 6 * SECOND)
+FRESH = api.TaskClass("fresh", api.Effect.AT_MOST_ONCE, api.Scope.ALL, 0, SECOND, 6 * SECOND)
 
 
 def change(world: World, settings: dict[str, Any] | None = None, **config: Any) -> list[ev.Action]:
@@ -39,7 +39,7 @@
 
 
 def of_kind(world: World, node: int, kind: str, zone: str = "z1") -> ev.ListedNode:
-    return replace(world.listed(node), kind=kind, zone=zone)
+    return replace(world.listed(node), node_type=kind, zone=zone)
 
 
 def tell_list(world: World, revision: int, *nodes: ev.ListedNode) -> list[ev.Action]:
@@ -76,7 +76,7 @@
     w = World()
     offer = w.offer(1, "report")
     asked = w.now
-    change(w, {"classes": with_class(SETTINGS, "report", deadline_us=SECOND, aim_us=SECOND)})
+    change(w, {"classes": with_class(SETTINGS, "report", deadline_us=SECOND, latency_objective_us=SECOND)})
     w.wait(5 * SECOND)
     assert w.words() == []
     w.wait(SECOND)
@@ -111,7 +111,7 @@
     assert rejections(w) == ["INVALID_ARGUMENT"]
     change(w, tenants=("t1", "t2", "t3"))
     offer = w.offer(2, tenant="t3")
-    job = w.core.module.open[offer.id.placing]
+    job = w.core.module.open[offer.id.placement]
     assert job.task.tenant == 2
 
 
@@ -184,7 +184,7 @@
     w = World(nodes=1)
     tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
     assert sorted(w.core.module.nodes) == [1]
-    (watch,) = watches(change(w, {"kinds": (*SETTINGS.kinds, HUGE)}))
+    (watch,) = watches(change(w, {"node_types": (*SETTINGS.node_types, HUGE)}))
     assert watch == ev.WatchNodeList(True, 0)
     tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
     assert w.core.module.nodes[2].cores == HUGE.cores
@@ -195,7 +195,7 @@
 def test_a_kind_and_a_list_that_names_it_come_together(list_first: bool, after_a_stall: bool) -> None:
     w = World(nodes=1)
     whole = ev.NodeListReceived(2, 0, True, (of_kind(w, 1, "std"), of_kind(w, 2, "huge")), 10**15)
-    both: list[ev.Event] = [whole, changed(w.core, {"kinds": (*SETTINGS.kinds, HUGE)})]
+    both: list[ev.Event] = [whole, changed(w.core, {"node_types": (*SETTINGS.node_types, HUGE)})]
     events = both if list_first else both[::-1]
     actions = w.core.woke(w.now, events) if after_a_stall else [a for e in events for a in w.feed(e)]
     if watches(actions):
@@ -208,7 +208,7 @@
 def test_a_list_change_that_is_on_its_way_while_the_whole_is_fetched_does_no_harm() -> None:
     w = World(nodes=1)
     tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
-    change(w, {"kinds": (*SETTINGS.kinds, HUGE)})
+    change(w, {"node_types": (*SETTINGS.node_types, HUGE)})
     late = w.feed(ev.NodeListReceived(3, 2, False, (of_kind(w, 3, "std"),), 10**15))
     assert watches(late) == []  # it is being fetched
     tell_list(w, 3, of_kind(w, 1, "std"), of_kind(w, 2, "huge"), of_kind(w, 3, "std"))
@@ -218,7 +218,7 @@
 def test_a_fetch_of_the_whole_that_fails_is_asked_for_again_from_the_beginning() -> None:
     w = World(nodes=1)
     tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
-    change(w, {"kinds": (*SETTINGS.kinds, HUGE)})
+    change(w, {"node_types": (*SETTINGS.node_types, HUGE)})
     w.feed(ev.NodeListFailed())
     assert watches(w.wait(5 * SECOND)) == [ev.WatchNodeList(True, 0)]
 
@@ -232,7 +232,9 @@
     assert w.core.links.nodes() == [1, 2]
 
 
-@pytest.mark.parametrize("more", [{"settings": {"kinds": (*SETTINGS.kinds, HUGE)}}, {"nodes_most": 3}])
+@pytest.mark.parametrize(
+    "more", [{"settings": {"node_types": (*SETTINGS.node_types, HUGE)}}, {"nodes_most": 3}]
+)
 def test_the_whole_list_is_fetched_once_for_what_is_left_out(more: dict[str, Any]) -> None:
     w = World(nodes=1, nodes_most=2)
     tell_list(w, 2, w.listed(1), of_kind(w, 2, "huge"), w.listed(3))
@@ -245,7 +247,7 @@
     w = World(nodes=1)
     tell_list(w, 2, w.listed(1), of_kind(w, 2, "huge"))
     tell_list(w, 3, w.listed(1))
-    assert watches(change(w, {"kinds": (*SETTINGS.kinds, HUGE)})) == []
+    assert watches(change(w, {"node_types": (*SETTINGS.node_types, HUGE)})) == []
 
 
 def test_a_smaller_table_keeps_the_nodes_it_has() -> None:
@@ -426,13 +428,16 @@
     new_config = replace(old_config, tenants=("t1", "t2", "t3"), zones=("z1", "z2", "z0"), dials_most=3)
     new = replace(
         SETTINGS,
-        classes=(*with_class(SETTINGS, "worker", aim_us=300 * MS, deadline_us=2 * SECOND), FRESH),
-        kinds=(*SETTINGS.kinds, HUGE),
+        classes=(
+            *with_class(SETTINGS, "worker", latency_objective_us=300 * MS, deadline_us=2 * SECOND),
+            FRESH,
+        ),
+        node_types=(*SETTINGS.node_types, HUGE),
         max_attempts=2,
         cores_limit=1.5,
         tick_us=20 * MS,
         answer_slack_us=90 * MS,
-        price_probe=0.0,
+        price_health_check=0.0,
     )
     started = Core(new, new_config, 7, seed)
     started.start(start)
--- a/tests/planner/world.py
+++ b/tests/planner/world.py
@@ -14,18 +14,18 @@
 
 MS, SECOND = 1_000, 1_000_000
 CLASSES = (
-    api.TaskClass("worker", api.Effect.REPEATABLE, api.Scope.ALL, 0, SECOND, 6 * SECOND),
-    api.TaskClass("ingest", api.Effect.KEYED, api.Scope.GROUP, 8 * SECOND, SECOND, 6 * SECOND),
-    api.TaskClass("report", api.Effect.ONCE, api.Scope.ALL, 0, SECOND, 6 * SECOND),
+    api.TaskClass("worker", api.Effect.IDEMPOTENT, api.Scope.ALL, 0, SECOND, 6 * SECOND),
+    api.TaskClass("ingest", api.Effect.IDEMPOTENT_BY_KEY, api.Scope.GROUP, 8 * SECOND, SECOND, 6 * SECOND),
+    api.TaskClass("report", api.Effect.AT_MOST_ONCE, api.Scope.ALL, 0, SECOND, 6 * SECOND),
     api.TaskClass(
         "apart",
-        api.Effect.REPEATABLE,
+        api.Effect.IDEMPOTENT,
         api.Scope.ALL,
         0,
         SECOND,
         6 * SECOND,
         spread=api.Scope.NODE,
-        spread_most=1,
+        max_per_place=1,
     ),
 )
 SETTINGS = api.Settings(
@@ -33,7 +33,7 @@
     position=0,
     zone=0,
     classes=CLASSES,
-    kinds=(api.NodeType("std", 16.0, 32.0),),
+    node_types=(api.NodeType("std", 16.0, 32.0),),
     mean_cores=1.0,
     mean_memory=2.0,
     cores_limit=1.0,
@@ -43,18 +43,18 @@
     max_attempts=3,
     answer_slack_us=50 * MS,
     drain_grace_us=250 * MS,
-    cold_share=0.2,
-    cold_us=10 * SECOND,
-    fall_multiple=2.0,
-    fall_us=1500 * MS,
-    fresh_offers=40.0,
-    must_ask=True,
-    ask_within_us=10 * SECOND,
+    slow_start_share=0.2,
+    slow_start_us=10 * SECOND,
+    overload_multiple=2.0,
+    overload_window_us=1500 * MS,
+    slow_start_offers=40.0,
+    polls_node_list=True,
+    poll_within_us=10 * SECOND,
     tick_us=10 * MS,
-    may_probe=True,
+    may_check_health=True,
     may_cancel=True,
     max_retry_after_us=3 * SECOND,
-    price_probe=1.0,  # no probe with each task: the tests name what is to be sent
+    price_health_check=1.0,  # no probe with each task: the tests name what is to be sent
     report_fields=("free_cores", "free_memory", "util"),
 )
 BOUNDS = Bounds(open_tasks=100, owner_open=60, attempts=200, wait_us=60 * SECOND)
@@ -147,7 +147,7 @@
 
     def words(self, kind: type | None = None, session: int = 1) -> list[Any]:
         """What the owner was told, progress left out."""
-        told = [a.word for a in self.said if isinstance(a, ev.SendToClient) and a.session == session]
+        told = [a.message for a in self.said if isinstance(a, ev.SendToClient) and a.session == session]
         if kind is None:
             return [w for w in told if not isinstance(w, (ev.Admitted, ev.Offered))]
         return [w for w in told if isinstance(w, kind)]
@@ -172,4 +172,4 @@
 def held(
     world: World, key: int, sort: str = "worker", life: int = 3, running: bool = True, owner: str = "o"
 ) -> Any:
-    return ev.NodeTask(AttemptId(life, key, 0), world.spec(key, sort, owner=owner), running)
+    return ev.NodeTask(AttemptId(life, key, 0), world.spec(key, sort, client=owner), running)
--- a/tests/platform/cold_fleet.py
+++ b/tests/platform/cold_fleet.py
@@ -168,7 +168,7 @@
     ) -> None:
         self.rng = random.Random(seed)
         self.now = 0
-        self.settings = replace(SETTINGS, planners=planners, must_ask=False, **settings)
+        self.settings = replace(SETTINGS, planners=planners, polls_node_list=False, **settings)
         self.dial_us, self.dial_timeout_us, self.skew_us = dial_us, dial_timeout_us, skew_us
         self.tasks = tasks
         self.list_delays = [self.rng.randrange(*list_delay_us) for _ in range(planners)]
@@ -303,6 +303,6 @@
 
     def most_in_window(self, run: MachineRun, requests: list[int]) -> int:
         """The most requests within the rule's window while the machine is cold."""
-        cold = [at for at in requests if at < run.born + self.settings.cold_us]
-        ends = [bisect_left(cold, at + self.settings.fall_us) for at in cold]
+        cold = [at for at in requests if at < run.born + self.settings.slow_start_us]
+        ends = [bisect_left(cold, at + self.settings.overload_window_us) for at in cold]
         return max((end - first for first, end in enumerate(ends)), default=0)
--- a/tests/platform/desk.py
+++ b/tests/platform/desk.py
@@ -64,7 +64,7 @@
         tenants: tuple[str, ...] = (),
         **settings: Any,
     ) -> None:
-        self.settings = replace(SETTINGS, must_ask=False, may_probe=probes, **settings)
+        self.settings = replace(SETTINGS, polls_node_list=False, may_check_health=probes, **settings)
         if deadline_us:
             classes = tuple(replace(c, deadline_us=deadline_us) for c in self.settings.classes)
             self.settings = replace(self.settings, classes=classes)
--- a/tests/platform/drawn_days.py
+++ b/tests/platform/drawn_days.py
@@ -58,11 +58,11 @@
         if any(c.out for c in task.copies) or any(c.stands for c in task.copies):
             self.faults.append(f"copy: {id} beside one that is out")
         risky = [c for c in task.copies if c.may_have_run]
-        if risky and sort.effect is api.Effect.ONCE:
+        if risky and sort.effect is api.Effect.AT_MOST_ONCE:
             self.faults.append(f"again: {id} may have run")
-        if risky and sort.effect is api.Effect.KEYED:
+        if risky and sort.effect is api.Effect.IDEMPOTENT_BY_KEY:
             first = risky[0]
-            if now > first.at + sort.window_us:
+            if now > first.at + sort.dedup_window_us:
                 self.faults.append(f"window: {id}")
             if sort.dedup_scope is api.Scope.NODE and machine != first.machine:
                 self.faults.append(f"machine: {id}")
@@ -96,7 +96,9 @@
             self.faults.append(f"late: {id}")
         task.answer = "stands" if message.kind is Kind.ANSWER else "refused"
         effect, scope = self.classes[task.sort].effect, self.classes[task.sort].dedup_scope
-        harmless = effect is api.Effect.REPEATABLE or (effect is api.Effect.KEYED and scope is api.Scope.ALL)
+        harmless = effect is api.Effect.IDEMPOTENT or (
+            effect is api.Effect.IDEMPOTENT_BY_KEY and scope is api.Scope.ALL
+        )
         if message.cause == Cause.BUSY and not harmless and any(c.may_have_run for c in task.copies):
             self.faults.append(f"refused: {id} may have run")
 
@@ -115,15 +117,15 @@
         deadline = rng.choice((100_000, 900_000, 3 * SECOND, 20 * SECOND, 60 * SECOND))
         classes.append(
             api.TaskClass(
-                f"{'keyed ' if effect is api.Effect.KEYED else ''}Klasse {number}, ä",
+                f"{'keyed ' if effect is api.Effect.IDEMPOTENT_BY_KEY else ''}Klasse {number}, ä",
                 effect,
                 rng.choice(scopes),
                 rng.choice((300_000, 2 * SECOND, 60 * SECOND)),
                 deadline // rng.choice((1, 2, 8)),
                 deadline,
-                worth=rng.choice((0.1, 1.0, 9.0)),
+                priority_weight=rng.choice((0.1, 1.0, 9.0)),
                 spread=rng.choice(list(api.Scope)),
-                spread_most=rng.choice((0, 1, 4)),
+                max_per_place=rng.choice((0, 1, 4)),
                 priority=rng.randrange(3),
             )
         )
@@ -133,20 +135,20 @@
         "tenants": tenants,
         "tenant_share": tuple(1 / len(tenants) for _ in tenants),
         "tenant_quota_cores": tuple(rng.choice((0.5, 40.0)) for _ in tenants),
-        "kinds": (api.NodeType("std", rng.choice((2.0, 64.0)), rng.choice((4.0, 500.0))),),
+        "node_types": (api.NodeType("std", rng.choice((2.0, 64.0)), rng.choice((4.0, 500.0))),),
         "max_attempts": rng.choice((1, 2, 3, 9)),
         "drain_grace_us": rng.choice((0, 250_000, 2 * SECOND)),
-        "cold_us": rng.choice((0, 10 * SECOND, 60 * SECOND)),
-        "fresh_offers": rng.choice((0.0, 3.0, 130.0)),
+        "slow_start_us": rng.choice((0, 10 * SECOND, 60 * SECOND)),
+        "slow_start_offers": rng.choice((0.0, 3.0, 130.0)),
         "confirms_running": rng.random() < 0.5,
         "preempts": rng.random() < 0.5,
-        "shows_free": rng.random() < 0.7,
+        "lists_free_capacity": rng.random() < 0.7,
         "probes": rng.random() < 0.5,
         "max_retry_after_us": rng.choice((0, 3 * SECOND)),
         "tick_us": rng.choice((1, 1000, 10_000)),
         "dial_timeout_us": rng.choice((20_000, 250_000, 2 * SECOND)),
         "idle_us": rng.choice((0, SECOND, 30 * SECOND)),
-        "price_move": rng.choice((0.0, 0.05)),
+        "price_migration": rng.choice((0.0, 0.05)),
         "price_waste": rng.choice((0.0, 0.3)),
     }
 
--- a/tests/platform/test_platform_cold_budget.py
+++ b/tests/platform/test_platform_cold_budget.py
@@ -28,8 +28,12 @@
         return self.offers + 2 * self.offers**0.5 + 2
 
     def fleet(self, seed: int = 1, **changes: Any) -> Fleet:
-        given = {"planners": self.planners, "fresh_offers": self.offers, "fall_us": self.window_us}
-        return Fleet(seed, **given | {"cold_us": self.cold_us, "tasks": self.tasks} | changes)
+        given = {
+            "planners": self.planners,
+            "slow_start_offers": self.offers,
+            "overload_window_us": self.window_us,
+        }
+        return Fleet(seed, **given | {"slow_start_us": self.cold_us, "tasks": self.tasks} | changes)
 
 
 SMALL = Budget(30, 5.0, 1_500 * MS, 10 * SECOND)
@@ -60,7 +64,7 @@
     fleet.stop(*lost)
     fleet.run(down_us)
     fleet.come_back(*lost)
-    fleet.run(fleet.settings.fall_us * 3 // 2 + SECOND // 2)
+    fleet.run(fleet.settings.overload_window_us * 3 // 2 + SECOND // 2)
 
 
 @pytest.mark.parametrize("budget", BUDGETS)
@@ -143,7 +147,7 @@
 
 
 def test_probes_are_no_requests() -> None:
-    fleet = USUAL.fleet(may_probe=True)
+    fleet = USUAL.fleet(may_check_health=True)
     join(fleet)
     fleet.run(2 * USUAL.window_us + SECOND)
     assert min(run.probes for run in fleet.cold_runs()) > 0
--- a/tests/platform/test_platform_core.py
+++ b/tests/platform/test_platform_core.py
@@ -772,7 +772,7 @@
     desk.ask(conn, 1)
     desk.connect()
     desk.feed(ev.ClientDisconnected(conn))
-    assert [e.closed for e in told if isinstance(e, api.Outcome)] == [True]
+    assert [e.is_final for e in told if isinstance(e, api.Outcome)] == [True]
 
 
 def test_after_a_stall_the_boards_word_goes_before_machines_words() -> None:
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -45,7 +45,7 @@
     """A moment of a day: two machines, a few tasks of each class, time passes."""
     priced = c.handshake_price > 0
     core = Core(c.settings, c.fields, c.seed, c.sockets, c.dial_timeout_us, priced, c.idle_us, c.tenants)
-    board = NodeList(c.zones, tuple(k.name for k in c.settings.kinds), lambda: (10**15, 10**9))
+    board = NodeList(c.zones, tuple(k.name for k in c.settings.node_types), lambda: (10**15, 10**9))
     rows = [
         {"host": f"s-{n}", "dial": f"127.8.1.{n}:1", "site": "hall 1", "class": "node-32", "block": 1}
         | {"health": "SERVING", "born_ms": 0, "spare": [30.0, 90.0]}
--- a/tests/platform/test_platform_settings_reload.py
+++ b/tests/platform/test_platform_settings_reload.py
@@ -71,10 +71,13 @@
         (lambda value: None, ()),
         (put("board", value="127.0.0.1:9"), ()),
         (put("known", value={"rev": 7, "notices": []}), ()),
-        (put("settings", "classes", 0, "promise_us", value=2_000_000), ("classes.worker.aim_us",)),
+        (
+            put("settings", "classes", 0, "promise_us", value=2_000_000),
+            ("classes.worker.latency_objective_us",),
+        ),
         (put("settings", "classes", 0, "deadline_us", value=5_000_000), ("classes.worker.deadline_us",)),
-        (put("settings", "classes", 0, "worth", value=3.0), ("classes.worker.worth",)),
-        (put("settings", "penalties", "probe", value=0.5), ("price_probe",)),
+        (put("settings", "classes", 0, "worth", value=3.0), ("classes.worker.priority_weight",)),
+        (put("settings", "penalties", "probe", value=0.5), ("price_health_check",)),
         (put("settings", "penalties", "handshake", value=0.5), ("handshake_price",)),
         (put("settings", "limits", "max_attempts", value=5), ("max_attempts",)),
         (put("settings", "limits", "max_retry_after_us", value=5), ("max_retry_after_us",)),
@@ -84,7 +87,7 @@
         (put("settings", "parties", value=[{"name": "a", "portion": 1.0}]), ("tenant_share", "tenants")),
         (put("settings", "dcs", value=["hall 1", "hall 2"]), ("zones",)),
         (add_class, ("classes",)),
-        (add_kind, ("kinds",)),
+        (add_kind, ("node_types",)),
     ],
 )
 def test_what_comes_into_force(tmp_path: Path, edit: Edit, fields: tuple[str, ...]) -> None:
@@ -105,17 +108,17 @@
         (put("settings", "position", value=1), "position"),
         (put("settings", "group_size", value=2), "planners"),
         (put("settings", "zone", value=1), "zone"),
-        (put("settings", "registry_mode", value="ask"), "must_ask"),
-        (put("settings", "limits", "probes", value=False), "may_probe"),
+        (put("settings", "registry_mode", value="ask"), "polls_node_list"),
+        (put("settings", "limits", "probes", value=False), "may_check_health"),
         (put("settings", "family_info", "confirms", value="accepted"), "confirms_running"),
-        (put("settings", "contract", "fall_us", value=2_000_000), "fall_us"),
+        (put("settings", "contract", "fall_us", value=2_000_000), "overload_window_us"),
         (put("settings", "classes", 0, "effect", value="once"), "classes.worker.effect"),
-        (put("settings", "classes", 1, "window_us", value=9_000_000), "classes.ingest.window_us"),
+        (put("settings", "classes", 1, "window_us", value=9_000_000), "classes.ingest.dedup_window_us"),
         (put("settings", "classes", 1, "dedup_scope", value="all"), "classes.ingest.dedup_scope"),
         (put("settings", "classes", 0, "name", value="other"), "classes"),
         (put("settings", "family_info", "spread_by", value=["machine", "cell"]), "classes.worker.spread"),
-        (put("settings", "family_info", "size_cores", value=[37, 57]), "kinds.node-64.cores"),
-        (put("settings", "kinds", value=["node-64", "node-32"]), "kinds"),
+        (put("settings", "family_info", "size_cores", value=[37, 57]), "node_types.node-64.cores"),
+        (put("settings", "kinds", value=["node-64", "node-32"]), "node_types"),
         (put("settings", "dcs", value=["hall 2"]), "zones"),
     ],
 )
@@ -178,7 +181,11 @@
     desk = Desk()
     conn = desk.owner()
     desk.send(conn, 1, "once")
-    desk.feed(change_of(desk, classes=with_class(desk.settings, "once", deadline_us=SECOND, aim_us=SECOND)))
+    desk.feed(
+        change_of(
+            desk, classes=with_class(desk.settings, "once", deadline_us=SECOND, latency_objective_us=SECOND)
+        )
+    )
     desk.passes(4 * SECOND)
     assert desk.replies(1) == []
     desk.passes(3 * SECOND)
@@ -231,7 +238,7 @@
 
 def test_the_end_of_the_process_is_counted_by_the_deadlines_in_force() -> None:
     desk = Desk()
-    short = tuple(replace(c, aim_us=SECOND, deadline_us=SECOND) for c in desk.settings.classes)
+    short = tuple(replace(c, latency_objective_us=SECOND, deadline_us=SECOND) for c in desk.settings.classes)
     desk.feed(change_of(desk, classes=short), ev.ShutdownRequested())
     started = Desk(deadline_us=SECOND)
     started.feed(ev.ShutdownRequested())
@@ -298,7 +305,7 @@
     new = replace(
         old,
         classes=(
-            *with_class(old, "repeat", deadline_us=SECOND, aim_us=SECOND // 2),
+            *with_class(old, "repeat", deadline_us=SECOND, latency_objective_us=SECOND // 2),
             replace(old.classes[0], name="fresh"),
         ),
         max_attempts=2,
@@ -337,7 +344,7 @@
 
 def names_of(node_list: NodeList) -> list[tuple[str, int]]:
     update = node_list.set_names(("east",), ("std", "huge"))
-    return [(m.name, m.entry.kind) for m in update.machines] if update is not None else []
+    return [(m.name, m.entry.node_type) for m in update.machines] if update is not None else []
 
 
 HUGE = {"class": "huge"}
--- a/tests/platform/test_told.py
+++ b/tests/platform/test_told.py
@@ -23,7 +23,7 @@
 def test_a_good_set_up_is_read() -> None:
     got = validation.validate_request(set_up(1, retry="1"), "c", SETTINGS)
     assert (got.spec.cores, got.spec.memory, got.spec.service, got.wait_us) == (1, 2, 0xB4D65521, 6 * SECOND)
-    assert got.spec.again and got.class_index == 0 and got.at == ""
+    assert got.spec.resubmitted and got.class_index == 0 and got.at == ""
     assert validation.validate_request(set_up(1, at="s-1"), "c", SETTINGS).at == "s-1"
 
 
@@ -99,7 +99,7 @@
     now[0] += 12_345
     two, _ = b.apply(notice(2, row(1, born_ms=5_007_000)))
     assert one is not None and two is not None
-    assert one.machines[0].entry.launched_us == two.machines[0].entry.launched_us == 7 * SECOND
+    assert one.machines[0].entry.started_us == two.machines[0].entry.started_us == 7 * SECOND
 
 
 @pytest.mark.parametrize(
@@ -139,7 +139,7 @@
     assert got.settings == wire.settings_from(
         "\n".join(f"{k}={v}" for k, v in wire.flattened(CONFIG["settings"]).items())
     )
-    assert got.settings.classes[1].name == "ingest" and got.settings.kinds[1].cores == 56
+    assert got.settings.classes[1].name == "ingest" and got.settings.node_types[1].cores == 56
     assert got.fields == ("x0", "x1", "utilization") and got.zones == ("hall 1",)
     assert (got.sockets, got.dial_timeout_us, got.seed) == (256, 250_000, 0x8C1F)
 
@@ -203,7 +203,7 @@
     got = config.load(str(path))
     assert [c.name for c in got.settings.classes] == ["Lesesaal, groß", "ingest"]
     assert got.zones == ("hall 1", "hall,2") and got.fields[0] == "free cores"
-    assert [k.name for k in got.settings.kinds] == ["node 32", "node,64"]
+    assert [k.name for k in got.settings.node_types] == ["node 32", "node,64"]
 
 
 def test_zones_that_the_settings_do_not_name_are_places_of_their_own() -> None:
--- a/tests/rehearsal/test_day.py
+++ b/tests/rehearsal/test_day.py
@@ -108,8 +108,8 @@
     room = scenario.room
     assert [c.effect.value for c in room.classes] == ["repeatable", "keyed", "once"]
     assert [c.spread.value for c in room.classes] == ["node", "group", "none"]
-    assert room.classes[1].window_us == 6 * S and room.classes[2].node_kind == 1
-    assert (room.max_attempts, room.drain_grace_us, room.fall_multiple, room.preempts) == (
+    assert room.classes[1].dedup_window_us == 6 * S and room.classes[2].node_type == 1
+    assert (room.max_attempts, room.drain_grace_us, room.overload_multiple, room.preempts) == (
         4,
         400_000,
         3.0,
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -61,8 +61,8 @@
         2,
     ),
     "answers": (
-        "import stairplank.planner.owners as o\n"
-        "o.Owners.refuse = o.Owners.fail = lambda self, action: None\n",
+        "import stairplank.planner.client_requests as r\n"
+        "r.ClientRequests.refuse = r.ClientRequests.fail = lambda self, action: None\n",
         1,
     ),
     "fence": (
--- a/tests/scale/test_capacity_rows.py
+++ b/tests/scale/test_capacity_rows.py
@@ -111,7 +111,7 @@
 
 def test_what_nothing_carries_is_missing_still() -> None:
     """Where one of these fails, the program has grown: its row needs the part that carries it now."""
-    decisions = inspect.getsource(stairplank.decide)
+    decisions = inspect.getsource(stairplank.decide).replace(".priority_weight", "")
     for name in ("tenant_quota_cores", "tenant_share", ".priority", "preempts", "api.Evict("):
         assert name not in decisions, name
     interface = inspect.getsource(stairplank.interface).lower()
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -65,14 +65,18 @@
         65_536,
     )
     worker, ingest = s.classes
-    assert (worker.spread, worker.spread_most, worker.aim_us) == (api.Scope.NODE, 2, 3_500_000)
-    assert (ingest.effect, ingest.dedup_scope, ingest.window_us) == (
-        api.Effect.KEYED,
+    assert (worker.spread, worker.max_per_place, worker.latency_objective_us) == (
+        api.Scope.NODE,
+        2,
+        3_500_000,
+    )
+    assert (ingest.effect, ingest.dedup_scope, ingest.dedup_window_us) == (
+        api.Effect.IDEMPOTENT_BY_KEY,
         api.Scope.GROUP,
         8_000_000,
     )
-    assert ingest.node_kind == 1 and s.kinds[1].memory == 128
-    assert s.price_probe == 0.003 and s.drain_grace_us == 250_000 and s.tenant_share == (2.0,)
+    assert ingest.node_type == 1 and s.node_types[1].memory == 128
+    assert s.price_health_check == 0.003 and s.drain_grace_us == 250_000 and s.tenant_share == (2.0,)
 
 
 @pytest.mark.parametrize(
--- a/tests/settings/test_site.py
+++ b/tests/settings/test_site.py
@@ -87,9 +87,9 @@
 def test_every_tunable_is_read_into_its_field() -> None:
     site = load_site_text(SITE_TEXT)
     assert {name: getattr(site, name) for name in TUNED} == TUNED
-    assert set(TUNED) == {field.name for field in fields(SiteSettings)} - {"room"}
-    assert site.room.max_attempts == 4
-    assert list(site.room.zones) == ["a", "b"]
+    assert set(TUNED) == {field.name for field in fields(SiteSettings)} - {"cluster"}
+    assert site.cluster.max_attempts == 4
+    assert list(site.cluster.zones) == ["a", "b"]
 
 
 def test_the_table_of_fields_has_every_tunable_and_no_other_key() -> None:
@@ -99,7 +99,7 @@
 def test_keys_that_are_not_given_keep_their_defaults() -> None:
     text = SITE_TEXT[: SITE_TEXT.index("dial-timeout")]
     site = load_site_text(text)
-    defaults = {f.name: f.default for f in fields(SiteSettings) if f.name != "room"}
+    defaults = {f.name: f.default for f in fields(SiteSettings) if f.name != "cluster"}
     assert {name: getattr(site, name) for name in defaults} == defaults
 
 
--- a/tests/standin/test_standins.py
+++ b/tests/standin/test_standins.py
@@ -95,7 +95,7 @@
 
 def test_a_drain_sends_all_away_and_says_so() -> None:
     h = Host(starts_at_once=1)
-    runs, starts = h.offer(1, life_us=0), None
+    runs, starts = h.offer(1, expected_duration_us=0), None
     h.wait(500 * MS)
     starts, accepted = h.offer(2, service=6), h.offer(3, service=7)
     h.wait(10 * MS)
@@ -110,7 +110,7 @@
 
 def test_stops_end_what_runs_and_hand_back_what_has_not_begun() -> None:
     h = Host()
-    runs = h.offer(1, life_us=0)
+    runs = h.offer(1, expected_duration_us=0)
     h.wait(500 * MS)
     waits = h.offer(2)
     for id in (runs, waits, AttemptId(9, 9, 9)):
@@ -142,7 +142,7 @@
 def test_which_nodes_drop_repeats_is_the_class_s_matter() -> None:
     """Of a class whose group is all nodes, a node of another rack drops the repeat as well."""
     for scope, dropped in ((api.Scope.ALL, True), (api.Scope.ZONE, True), (api.Scope.GROUP, False)):
-        sort = api.TaskClass("worker", api.Effect.KEYED, scope, 8 * SECOND, SECOND, SECOND)
+        sort = api.TaskClass("worker", api.Effect.IDEMPOTENT_BY_KEY, scope, 8 * SECOND, SECOND, SECOND)
         copies = CopyBook((sort,))
         a, b = Host(copies), Host(copies, rack="another", id=2)
         a.offer(1, window=8 * SECOND)
@@ -154,7 +154,7 @@
 
 def test_lower_priorities_are_pushed_out() -> None:
     h = Host(preempts=True)
-    low = [h.offer(n, cores=2.0, life_us=0, service=n) for n in (1, 2)]
+    low = [h.offer(n, cores=2.0, expected_duration_us=0, service=n) for n in (1, 2)]
     h.wait(2 * SECOND)
     high = h.offer(3, cores=3.0, priority=1)
     h.wait(10 * MS)
@@ -165,7 +165,7 @@
 
 
 def test_a_cold_node_is_slow_and_falls_over_when_pushed() -> None:
-    h = Host(cold=True, fresh_offers=5)
+    h = Host(cold=True, slow_start_offers=5)
     id = h.offer(1)
     h.wait(SECOND)
     assert "running" not in h.words(id)
@@ -173,7 +173,7 @@
         h.offer(n)
     assert any(isinstance(w, Fell) for w in h.said) and h.node.down
     assert h.words(h.offer(20)) == [] and h.node.next_due() is None
-    warm = Host(cold=False, fresh_offers=5)
+    warm = Host(cold=False, slow_start_offers=5)
     for n in range(1, 30):
         warm.offer(n)
     assert not warm.node.down
@@ -193,7 +193,7 @@
 
 def test_probes_share_the_line() -> None:
     h = Host(look_us=(50 * MS, 50 * MS))
-    h.offer(1, life_us=0)
+    h.offer(1, expected_duration_us=0)
     h.said += h.node.probe(h.now, 9)
     assert not [w for w in h.said if isinstance(w, Probed)]
     h.wait(101 * MS)
@@ -247,8 +247,8 @@
 
 
 CLASSES = (
-    api.TaskClass("worker", api.Effect.REPEATABLE, api.Scope.ALL, 0, SECOND, 6 * SECOND),
-    api.TaskClass("report", api.Effect.ONCE, api.Scope.ALL, 0, SECOND, 6 * SECOND),
+    api.TaskClass("worker", api.Effect.IDEMPOTENT, api.Scope.ALL, 0, SECOND, 6 * SECOND),
+    api.TaskClass("report", api.Effect.AT_MOST_ONCE, api.Scope.ALL, 0, SECOND, 6 * SECOND),
 )
 
 
@@ -274,7 +274,12 @@
         o.heard(now, 0, ev.TaskShed(ask.ask, 0, api.Reason.UNTOLD))
         now = (o.next_due() or now) + 1
         for do in o.advance(now):
-            assert isinstance(do, Ask) and do.task.again and do.task.key == ask.task.key and do.ask != ask.ask
+            assert (
+                isinstance(do, Ask)
+                and do.task.resubmitted
+                and do.task.key == ask.task.key
+                and do.ask != ask.ask
+            )
             ask, tries = do, tries + 1
     assert tries > 5 and o.tally.counts["given_up"] == 1 and o.idle
 
--- a/tests/stored/test_stored_settings.py
+++ b/tests/stored/test_stored_settings.py
@@ -44,14 +44,14 @@
     "max_attempts": 4,
     "answer_slack_us": 60_000,
     "drain_grace_us": 300_000,
-    "cold_share": 0.3,
-    "cold_us": 11_000_000,
-    "fall_multiple": 2.5,
-    "fall_us": 1_600_000,
-    "fresh_offers": 21.0,
+    "slow_start_share": 0.3,
+    "slow_start_us": 11_000_000,
+    "overload_multiple": 2.5,
+    "overload_window_us": 1_600_000,
+    "slow_start_offers": 21.0,
     "max_retry_after_us": 4_000_000,
-    "owner_wait_us": 5_000_000,
-    "ask_within_us": 12_000_000,
+    "client_wait_us": 5_000_000,
+    "poll_within_us": 12_000_000,
     "tick_us": 15_000,
 }
 SITE_FIGURES = {
@@ -77,21 +77,21 @@
     "planners": 3,
     "position": 1,
     "zone": 1,
-    "must_ask": True,
-    "shows_free": True,
-    "may_probe": True,
+    "polls_node_list": True,
+    "lists_free_capacity": True,
+    "may_check_health": True,
     "may_cancel": True,
     "report_fields": ("free_cores", "free_memory", "util"),
     "reports_in_answers": False,
     "tenant_share": (2.0, 0.5),
     "tenant_quota_cores": (),
-    "over_share_worth": 1.0,
+    "over_quota_weight": 1.0,
     "price_fleet": 0.1,
-    "price_move": 0.2,
+    "price_migration": 0.2,
     "price_waste": 0.3,
-    "price_probe": 0.4,
+    "price_health_check": 0.4,
     "price_list": 0.5,
-    "price_refusal": 0.6,
+    "price_rejection": 0.6,
 }
 PLATFORM_FIGURES = {
     "planners": 5,
@@ -106,46 +106,46 @@
     "max_attempts": 4,
     "answer_slack_us": 5_000,
     "drain_grace_us": 260_000,
-    "cold_share": 0.2,
-    "cold_us": 9_000_000,
-    "fall_multiple": 2.25,
-    "fall_us": 1_500_000,
-    "fresh_offers": 40.0,
-    "must_ask": True,
-    "ask_within_us": 11_000_000,
+    "slow_start_share": 0.2,
+    "slow_start_us": 9_000_000,
+    "overload_multiple": 2.25,
+    "overload_window_us": 1_500_000,
+    "slow_start_offers": 40.0,
+    "polls_node_list": True,
+    "poll_within_us": 11_000_000,
     "tick_us": 1_100,
-    "shows_free": True,
-    "may_probe": True,
+    "lists_free_capacity": True,
+    "may_check_health": True,
     "may_cancel": True,
     "max_retry_after_us": 3_000_000,
-    "owner_wait_us": 2_000_000,
+    "client_wait_us": 2_000_000,
     "report_fields": ("free_cores", "free_memory", "util"),
     "reports_in_answers": True,
     "tenant_share": (0.75, 0.25),
     "tenant_quota_cores": (12.0, 8.0),
-    "over_share_worth": 0.9,
+    "over_quota_weight": 0.9,
     "price_fleet": 0.01,
-    "price_move": 0.02,
+    "price_migration": 0.02,
     "price_waste": 0.03,
-    "price_probe": 0.04,
+    "price_health_check": 0.04,
     "price_list": 0.05,
-    "price_refusal": 0.06,
+    "price_rejection": 0.06,
 }
 MODEL_FIGURES = {
     "id": 3,
     "name": "n3",
-    "kind": "std",
+    "node_type": "std",
     "zone": "west",
     "rack": "r1",
     "cores": 16.0,
     "memory": 32.5,
     "cores_limit": 1.5,
     "memory_limit": 1.1,
-    "cold_share": 0.3,
-    "cold_us": 11_000_000,
-    "fall_multiple": 2.5,
-    "fall_us": 1_600_000,
-    "fresh_offers": 21.0,
+    "slow_start_share": 0.3,
+    "slow_start_us": 11_000_000,
+    "overload_multiple": 2.5,
+    "overload_window_us": 1_600_000,
+    "slow_start_offers": 21.0,
     "preempts": True,
     "look_us": (2_000, 5_000),
     "waiting_most": 24,
@@ -225,23 +225,26 @@
     """The three classes that every file with a room has."""
     worker, ingest, report = classes
     assert [c.name for c in classes] == ["worker", "ingest", "report"]
-    assert [c.effect for c in classes] == [Effect.REPEATABLE, Effect.KEYED, Effect.ONCE]
+    assert [c.effect for c in classes] == [Effect.IDEMPOTENT, Effect.IDEMPOTENT_BY_KEY, Effect.AT_MOST_ONCE]
     assert [c.dedup_scope for c in classes] == [Scope.ALL, Scope.ZONE, Scope.ALL]
-    assert [c.window_us for c in classes] == [0, 8_000_000, 0]
-    assert [c.aim_us for c in classes] == [3_500_000, 600_000, 1_000_000]
+    assert [c.dedup_window_us for c in classes] == [0, 8_000_000, 0]
+    assert [c.latency_objective_us for c in classes] == [3_500_000, 600_000, 1_000_000]
     assert [c.deadline_us for c in classes] == [7_000_000, 120_000_000, 1_000_000]
-    assert (worker.worth, worker.start_worth_s, worker.late_worth) == (2.5, 1.5, 0.25)
-    assert (worker.spread, worker.spread_most, worker.node_kind) == (Scope.GROUP, 2, 1)
-    assert (worker.priority, worker.calm_until, worker.lost_over) == (2, 0.75, 0.5)
-    assert (ingest.worth, ingest.start_worth_s, ingest.late_worth) == (1.0, 0.0, 0.0)
-    assert (report.spread, report.spread_most, report.node_kind) == (Scope.NONE, 0, None)
-    assert (report.priority, report.calm_until, report.lost_over) == (0, 1.0, 1.0)
+    assert (worker.priority_weight, worker.start_bonus_s, worker.late_start_weight) == (2.5, 1.5, 0.25)
+    assert (worker.spread, worker.max_per_place, worker.node_type) == (Scope.GROUP, 2, 1)
+    assert (worker.priority, worker.full_service_utilization, worker.service_loss_range) == (2, 0.75, 0.5)
+    assert (ingest.priority_weight, ingest.start_bonus_s, ingest.late_start_weight) == (1.0, 0.0, 0.0)
+    assert (report.spread, report.max_per_place, report.node_type) == (Scope.NONE, 0, None)
+    assert (report.priority, report.full_service_utilization, report.service_loss_range) == (0, 1.0, 1.0)
 
 
 def assert_room(room: Any) -> None:
     """The room that every file with one has."""
     assert_classes(room.classes)
-    assert [(k.name, k.cores, k.memory) for k in room.kinds] == [("std", 16.0, 32.5), ("big", 64.0, 256.0)]
+    assert [(k.name, k.cores, k.memory) for k in room.node_types] == [
+        ("std", 16.0, 32.5),
+        ("big", 64.0, 256.0),
+    ]
     assert room.zones == ("west", "east")
     assert room.tenants == (("red", 2.0), ("blue", 0.5))
     assert room.prices == {"fleet": 0.1, "move": 0.2, "waste": 0.3, "probe": 0.4, "list": 0.5, "refusal": 0.6}
@@ -250,13 +253,13 @@
 
 def test_a_site_file_is_typed() -> None:
     site = load_site(DATA / "site.conf")
-    assert_room(site.room)
+    assert_room(site.cluster)
     assert figures(site, SITE_FIGURES) == SITE_FIGURES
 
 
 def test_a_planner_file_is_typed() -> None:
     config = load_planner(DATA / "planner.conf")
-    assert_room(config.room)
+    assert_room(config.cluster)
     assert figures(config, SITE_FIGURES) == SITE_FIGURES
     assert config.listen == ("127.0.0.1:7301", "unix:planner.sock")
     assert (config.directory, config.seed) == ("[::1]:7300", 2**64 - 1)
@@ -267,7 +270,7 @@
 def test_the_decision_module_is_told_what_a_planner_file_says() -> None:
     settings = load_planner(DATA / "planner.conf").settings
     assert_classes(settings.classes)
-    assert [(k.name, k.cores, k.memory) for k in settings.kinds] == [
+    assert [(k.name, k.cores, k.memory) for k in settings.node_types] == [
         ("std", 16.0, 32.5),
         ("big", 64.0, 256.0),
     ]
@@ -411,17 +414,21 @@
 def test_the_decision_module_is_told_what_a_platform_file_says() -> None:
     settings = platform_config.load(str(DATA / "platform.json")).settings
     assert figures(settings, PLATFORM_FIGURES) == PLATFORM_FIGURES
-    assert [(k.name, k.cores, k.memory) for k in settings.kinds] == [
+    assert [(k.name, k.cores, k.memory) for k in settings.node_types] == [
         ("node 32", 37.0, 107.0),
         ("node-64", 56.0, 171.0),
     ]
     worker, ingest, report = settings.classes
     assert [c.name for c in settings.classes] == ["the worker", "ingest", "report"]
-    assert [c.effect for c in settings.classes] == [Effect.REPEATABLE, Effect.KEYED, Effect.ONCE]
+    assert [c.effect for c in settings.classes] == [
+        Effect.IDEMPOTENT,
+        Effect.IDEMPOTENT_BY_KEY,
+        Effect.AT_MOST_ONCE,
+    ]
     assert [c.dedup_scope for c in settings.classes] == [Scope.ALL, Scope.GROUP, Scope.ALL]
-    assert (worker.aim_us, worker.deadline_us) == (1_000_000, 6_000_000)
-    assert (ingest.window_us, ingest.worth, ingest.late_worth) == (8_000_000, 2.0, 0.1)
-    assert (ingest.start_worth_s, ingest.spread, ingest.spread_most) == (8.5, Scope.ZONE, 3)
-    assert (worker.node_kind, ingest.node_kind, report.node_kind) == (None, 1, 0)
-    assert (ingest.priority, ingest.calm_until, ingest.lost_over) == (2, 0.8, 0.4)
-    assert (report.spread, report.spread_most, report.worth) == (Scope.NODE, 1, 1.0)
+    assert (worker.latency_objective_us, worker.deadline_us) == (1_000_000, 6_000_000)
+    assert (ingest.dedup_window_us, ingest.priority_weight, ingest.late_start_weight) == (8_000_000, 2.0, 0.1)
+    assert (ingest.start_bonus_s, ingest.spread, ingest.max_per_place) == (8.5, Scope.ZONE, 3)
+    assert (worker.node_type, ingest.node_type, report.node_type) == (None, 1, 0)
+    assert (ingest.priority, ingest.full_service_utilization, ingest.service_loss_range) == (2, 0.8, 0.4)
+    assert (report.spread, report.max_per_place, report.priority_weight) == (Scope.NODE, 1, 1.0)
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -34,8 +34,8 @@
 )
 
 # Few offers are borne, so that the budget of a cold node is soon at its end.
-RULES = replace(SETTINGS, fresh_offers=4.0)
-ENDS = [Result.ERROR, Result.REFUSED, Result.UNREACHABLE, Result.LOST, Result.CANCELLED, Result.NOT_SENT]
+RULES = replace(SETTINGS, slow_start_offers=4.0)
+ENDS = [Result.ERROR, Result.REJECTED, Result.UNREACHABLE, Result.LOST, Result.CANCELLED, Result.NOT_SENT]
 
 
 class Book:
@@ -74,8 +74,10 @@
     def check_refusal(self, task: int) -> None:
         sort = CLASSES[self.tasks[task].class_index]
         may_have_run = task in self.risk or any(k[0] == task for k in self.out)
-        if may_have_run and sort.effect is not Effect.REPEATABLE:
-            assert sort.effect is Effect.KEYED and sort.dedup_scope is Scope.ALL, "rule 2: refused"
+        if may_have_run and sort.effect is not Effect.IDEMPOTENT:
+            assert sort.effect is Effect.IDEMPOTENT_BY_KEY and sort.dedup_scope is Scope.ALL, (
+                "rule 2: refused"
+            )
 
     def check_bind(self, bind: Bind) -> None:
         task = self.tasks[bind.task]
@@ -84,18 +86,18 @@
         assert not [k for k in self.out if k[0] == bind.task], "two attempts out"
         assert self.shots[bind.task] < RULES.max_attempts
         node = self.told[bind.node]
-        if bind.task in self.risk and sort.effect is not Effect.REPEATABLE:
+        if bind.task in self.risk and sort.effect is not Effect.IDEMPOTENT:
             first, sent = self.risk[bind.task]
-            assert sort.effect is Effect.KEYED, "rule 2: sent again"
-            assert self.now <= sent + sort.window_us, "rule 2: after the window"
+            assert sort.effect is Effect.IDEMPOTENT_BY_KEY, "rule 2: sent again"
+            assert self.now <= sent + sort.dedup_window_us, "rule 2: after the window"
             assert sort.dedup_scope is Scope.ALL or first // 3 == node.group, "rule 2: another group"
         away = self.away_since.get(bind.node)
         assert away is None or self.now <= away + RULES.drain_grace_us, "rule 3"
-        if node.launched_us and self.now < node.launched_us + RULES.cold_us:
+        if node.started_us and self.now < node.started_us + RULES.slow_start_us:
             sends = self.cold_sends.setdefault(bind.node, [])
             sends.append(self.now)
-            recent = [t for t in sends if t > self.now - RULES.fall_us]
-            assert len(recent) <= RULES.fresh_offers / RULES.planners, "rule 4"
+            recent = [t for t in sends if t > self.now - RULES.overload_window_us]
+            assert len(recent) <= RULES.slow_start_offers / RULES.planners, "rule 4"
         key = (bind.task, self.shots[bind.task])
         self.shots[bind.task] += 1
         self.out[key] = bind
@@ -103,7 +105,7 @@
         if sort.spread is Scope.ZONE:
             nodes = [b.node for k, b in self.out.items() if self.same(k[0], task)]
             nodes += [n for k, n in self.running.items() if self.same(k[0], task)]
-            assert sum(n % 3 == bind.node % 3 for n in nodes) <= sort.spread_most, "rule 5"
+            assert sum(n % 3 == bind.node % 3 for n in nodes) <= sort.max_per_place, "rule 5"
 
     def same(self, other: int, task: Task) -> bool:
         o = self.tasks[other]
@@ -184,7 +186,7 @@
                 self.cold_sends.pop(node, None)
             else:
                 self.away_since.setdefault(node, self.now)
-            self.told[node] = entry(node, status=status, launched_us=launched)
+            self.told[node] = entry(node, status=status, started_us=launched)
             self.feed(NodeList(ListKind.CHANGES, (self.told[node],)))
         elif what == 9 and self.owed:
             task = sorted(self.owed)[a % len(self.owed)]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -133,7 +133,7 @@
 def test_a_failed_watch_is_asked_for_again() -> None:
     world = World()
     world.feed(NodeList(ListKind.FAILED))
-    assert WatchNodeList() in fire_due(world, world.now + SETTINGS.ask_within_us)
+    assert WatchNodeList() in fire_due(world, world.now + SETTINGS.poll_within_us)
 
 
 # Rule 4
@@ -141,24 +141,24 @@
 
 def test_a_cold_node_gets_few_binds_whatever_becomes_of_them() -> None:
     world = World(nodes=0)
-    world.list(entry(0, launched_us=world.now + 1), kind=ListKind.FULL, after=1)
+    world.list(entry(0, started_us=world.now + 1), kind=ListKind.FULL, after=1)
     sent = sum(len(binds(world.ask(n))) for n in range(40))
     assert sent == COLD_OUT_MOST
-    share = SETTINGS.fresh_offers / SETTINGS.planners
+    share = SETTINGS.slow_start_offers / SETTINGS.planners
     offers = [a for a in world.done if isinstance(a, Bind)]
     for n in range(40, 80):  # answered binds free a place, but the window's budget stands
         for bind in offers:
             attempt = sum(1 for a in world.done[: world.done.index(bind)] if a == bind)
-            world.ends(bind, Result.REFUSED, attempt, after=1000, reason=Reason.NOT_HERE)
+            world.ends(bind, Result.REJECTED, attempt, after=1000, reason=Reason.NOT_HERE)
         offers = binds(world.ask(n))
     assert len([a for a in world.done if isinstance(a, Bind)]) <= share
 
 
 def test_a_cold_node_bears_more_unanswered_binds_as_it_warms() -> None:
-    world = World(nodes=0, fresh_offers=100.0)
-    world.list(entry(0, launched_us=world.now + 1), kind=ListKind.FULL, after=1)
+    world = World(nodes=0, slow_start_offers=100.0)
+    world.list(entry(0, started_us=world.now + 1), kind=ListKind.FULL, after=1)
     early = sum(len(binds(world.ask(n))) for n in range(12))
-    world.now += SETTINGS.cold_us * 3 // 4
+    world.now += SETTINGS.slow_start_us * 3 // 4
     assert sum(len(binds(world.ask(n, cores=0.1, memory=0.1))) for n in range(20, 40)) > early
 
 
@@ -167,7 +167,7 @@
     sent = 0
     for number in range(first, first + count):
         for bind in binds(world.ask(number, cores=0.01, memory=0.01)):
-            world.ends(bind, Result.REFUSED, after=0, closed=True, reason=Reason.NOT_HERE)
+            world.ends(bind, Result.REJECTED, after=0, closed=True, reason=Reason.NOT_HERE)
             sent += 1
         world.feed(TaskCancelled(number))
     return sent
@@ -177,16 +177,14 @@
 def test_a_cold_node_that_leaves_the_list_and_comes_back_gets_no_second_turn(kind: ListKind) -> None:
     world = World(nodes=0)
     start = world.now + 1
-    world.list(entry(0, launched_us=start), kind=ListKind.FULL, after=1)
+    world.list(entry(0, started_us=start), kind=ListKind.FULL, after=1)
     assert refused_sends(world, 0, 40) > 0
     world.list(
         *([entry(0, status=NodeStatus.GONE)] if kind is ListKind.CHANGES else []), kind=kind, after=1000
     )
-    world.list(
-        entry(0, launched_us=start + 200), after=1000
-    )  # a clock is read a little differently each time
+    world.list(entry(0, started_us=start + 200), after=1000)  # a clock is read a little differently each time
     assert refused_sends(world, 100, 40) == 0
-    world.list(entry(0, launched_us=start), after=SETTINGS.fall_us)
+    world.list(entry(0, started_us=start), after=SETTINGS.overload_window_us)
     assert refused_sends(world, 200, 40) > 0
 
 
@@ -194,17 +192,17 @@
     world = World(nodes=1)
     world.ends(bind_of(world.ask(1)), Result.UNREACHABLE, closed=True)
     world.now += 3 * SECOND  # its rest is over
-    share = SETTINGS.fresh_offers / SETTINGS.planners
+    share = SETTINGS.slow_start_offers / SETTINGS.planners
     assert 0 < refused_sends(world, 100, 40) <= share
     world.now += int(COLD_DOUBT * LIST_LAG_US)
     assert refused_sends(world, 200, 40) == 40
 
 
 def test_a_node_that_nobody_hears_again_is_not_held_to_be_cold_for_good() -> None:
-    world = World(nodes=1, fresh_offers=0.0)  # no turn, so no answer can come
+    world = World(nodes=1, slow_start_offers=0.0)  # no turn, so no answer can come
     world.ends(bind_of(world.ask(1)), Result.UNREACHABLE, closed=True)
     assert refused_sends(world, 100, 5) == 0
-    world.now += min(LAG_MOST_US, SETTINGS.cold_us)
+    world.now += min(LAG_MOST_US, SETTINGS.slow_start_us)
     assert refused_sends(world, 200, 5) > 0
     world.now += int(COLD_DOUBT * LIST_LAG_US)  # after its answer
     assert refused_sends(world, 300, 5) == 5
@@ -226,7 +224,7 @@
     """Refused offers count, and planners restart in the middle of it."""
     borne, start = 60.0, 100 * SECOND + 1
     worlds = [
-        World(nodes=0, planners=planners, position=p, fresh_offers=borne, cold_us=6 * SECOND)
+        World(nodes=0, planners=planners, position=p, slow_start_offers=borne, slow_start_us=6 * SECOND)
         for p in range(planners)
     ]
     sends: list[int] = []
@@ -234,20 +232,22 @@
         now = start + step * SECOND // 10
         for p, world in enumerate(worlds):
             if step in (0, 25) and (step == 0 or p % 2):
-                again = World(nodes=0, planners=planners, position=p, fresh_offers=borne, cold_us=6 * SECOND)
+                again = World(
+                    nodes=0, planners=planners, position=p, slow_start_offers=borne, slow_start_us=6 * SECOND
+                )
                 world.planner, world.now = again.planner, now - 1
                 if step:
                     world.planner.handle(now - 1, Started())
-                world.list(entry(9, launched_us=start), kind=ListKind.FULL)
+                world.list(entry(9, started_us=start), kind=ListKind.FULL)
             world.now = now
             for ask in range(3 if planners > 3 else 60):
                 for bind in binds(world.ask(1000 * step + ask, cores=0.01, memory=0.01)):
                     sends.append(now)
-                    world.ends(bind, Result.REFUSED, after=0, closed=True, reason=Reason.NOT_HERE)
+                    world.ends(bind, Result.REJECTED, after=0, closed=True, reason=Reason.NOT_HERE)
                 world.feed(TaskCancelled(1000 * step + ask))
     assert sends, "a cold node is not starved"
     for first in sends:
-        assert sum(first <= at < first + SETTINGS.fall_us for at in sends) <= borne
+        assert sum(first <= at < first + SETTINGS.overload_window_us for at in sends) <= borne
 
 
 # Rule 5
@@ -300,7 +300,7 @@
     start = world.now + SECOND // 2
     new = bind_of(world.ask(2, service=6, after=SECOND))
     world.placed(new)
-    world.list(entry(0, launched_us=start), after=SECOND // 2)
+    world.list(entry(0, started_us=start), after=SECOND // 2)
     node = world.planner.nodes[0]
     assert [a.task.id for a in node.attempts.values()] == [2]
     assert dict(node.services) == {6: 1}
@@ -311,18 +311,18 @@
 
 def test_a_refused_bind_and_a_restart_leave_nothing_behind() -> None:
     world = World(nodes=1)
-    world.ends(bind_of(world.ask(1)), Result.REFUSED, reason=Reason.NOT_HERE)
+    world.ends(bind_of(world.ask(1)), Result.REJECTED, reason=Reason.NOT_HERE)
     assert asked(world, 0) == 0.0
     world.feed(TaskCancelled(1))
     bind = bind_of(world.ask(2))
     world.placed(bind)
-    world.list(entry(0, launched_us=world.now + SECOND), after=2 * SECOND)
+    world.list(entry(0, started_us=world.now + SECOND), after=2 * SECOND)
     world.ends(bind, Result.LOST, closed=True)
     assert asked(world, 0) == 0.0
 
 
 def test_a_report_replaces_older_figures() -> None:
-    world = World(nodes=1, report_fields=("free_cores", "free_memory"), may_probe=True)
+    world = World(nodes=1, report_fields=("free_cores", "free_memory"), may_check_health=True)
     assert HealthCheck(0) in world.ask(1)
     world.feed(HealthChecked(0, True, 1000, (10.0, 20.0)), after=3 * SECOND)
     assert asked(world, 0) == 6.0
@@ -375,7 +375,7 @@
 
 def test_a_refusal_for_room_stands_until_later_word() -> None:
     world = World(nodes=1)
-    world.ends(bind_of(world.ask(1)), Result.REFUSED, reason=Reason.NO_CORES)
+    world.ends(bind_of(world.ask(1)), Result.REJECTED, reason=Reason.NO_CORES)
     assert not binds(world.ask(2))
     assert binds(world.ask(3, cores=0.5))
     assert binds(world.ask(4, after=2 * SECOND))
@@ -434,7 +434,7 @@
 
 
 def test_a_silent_node_gets_a_probe_and_no_task_until_one_is_answered() -> None:
-    world = World(nodes=1, may_probe=True)
+    world = World(nodes=1, may_check_health=True)
     bind = bind_of(world.ask(1))
     assert HealthCheck(0) in world.ends(bind, Result.UNREACHABLE)
     world.feed(TaskCancelled(1))
@@ -449,7 +449,7 @@
 
 def test_a_class_turned_away_rests_at_that_node_alone() -> None:
     world = World(nodes=1)
-    world.ends(bind_of(world.ask(1)), Result.REFUSED, reason=Reason.UNTOLD)
+    world.ends(bind_of(world.ask(1)), Result.REJECTED, reason=Reason.UNTOLD)
     assert not binds(world.ask(2))
     assert bind_of(world.ask(3, sort=2)).node == 0
     assert binds(world.ask(4, after=10 * SECOND))
@@ -457,15 +457,15 @@
 
 def test_later_attempts_after_refusals_wait() -> None:
     world = World(nodes=4)
-    second = bind_of(world.ends(bind_of(world.ask(1)), Result.REFUSED, reason=Reason.NO_CORES))
-    assert not binds(world.ends(second, Result.REFUSED, attempt=1, reason=Reason.NO_CORES))
+    second = bind_of(world.ends(bind_of(world.ask(1)), Result.REJECTED, reason=Reason.NO_CORES))
+    assert not binds(world.ends(second, Result.REJECTED, attempt=1, reason=Reason.NO_CORES))
     assert binds(fire_due(world, world.now + SECOND))
 
 
 def test_a_task_that_came_again_leaves_room_for_those_that_can_start_in_time() -> None:
     world = World(nodes=1)
     world.list(entry(0, free_cores=3.0), after=2 * SECOND)
-    late = replace(world.task(1), again=True)
+    late = replace(world.task(1), resubmitted=True)
     assert not binds(world.feed(TaskRequested(late)))
     assert binds(world.ask(2))
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -46,7 +46,17 @@
     assert ask == (
         3,
         api.TaskRequested(
-            api.Task(TASK, 0, 0, 0x91F03B7C55D20A64, 0x8405DA, 0x2B8E6401D9F37C10, 2.0, 1.5, life_us=12_000)
+            api.Task(
+                TASK,
+                0,
+                0,
+                0x91F03B7C55D20A64,
+                0x8405DA,
+                0x2B8E6401D9F37C10,
+                2.0,
+                1.5,
+                expected_duration_us=12_000,
+            )
         ),
     )
     assert due == (3, api.TimerFired(77))
@@ -200,9 +210,9 @@
 
 def test_settings() -> None:
     s = wire.settings_from(text())
-    assert (s.planners, s.position, s.must_ask) == (2, 1, True)
-    assert s.kinds[1] == api.NodeType("node-64", 61.0, 179.0)
-    assert (s.classes[0].spread, s.classes[0].spread_most) == (api.Scope.GROUP, 3)
+    assert (s.planners, s.position, s.polls_node_list) == (2, 1, True)
+    assert s.node_types[1] == api.NodeType("node-64", 61.0, 179.0)
+    assert (s.classes[0].spread, s.classes[0].max_per_place) == (api.Scope.GROUP, 3)
 
 
 @pytest.mark.parametrize(
