--- a/stairplank/emulator/world.py
+++ b/stairplank/emulator/world.py
@@ -450,8 +450,8 @@
         free = here.free()
         status = api.NodeStatus.DRAINING if here.draining else api.NodeStatus.READY
         entry = ev.ListedNode(
-            node, model.name, (f"127.0.0.1:{node}",), model.zone, model.rack, model.node_type, status, free[0],
-            free[1], self.started[node],
+            node, model.name, (f"127.0.0.1:{node}",), model.zone, model.rack, model.node_type, status,
+            free[0], free[1], self.started[node],
         )  # fmt: skip
         self.directory.announced(self.now, entry)
 
