--- a/benchmarks/fence/run.py
+++ b/benchmarks/fence/run.py
@@ -27,7 +27,7 @@
 from stairplank.planner.attempts import Attempts
 from stairplank.proto import common_pb2, node_pb2
 from stairplank.rehearsal.scenario import load_scenario
-from stairplank.standin.config import client_models, directory_model
+from stairplank.standin.config import client_models, node_list_model
 
 ROOT = Path(__file__).resolve().parents[2]
 OUT = ROOT / "docs" / "results" / "held-bytes"
@@ -108,7 +108,7 @@
     nodes = tuple(n.model for n in scenario.nodes if not n.absent)
     config = WorldConfig(
         scenario.room, nodes, tuple(owners), scenario.planners, seed,
-        directory=directory_model(scenario.section), **MODES[mode],
+        directory=node_list_model(scenario.section), **MODES[mode],
     )  # fmt: skip
     world = World(config)
     watch = Watch(world)
--- a/benchmarks/wishes.py
+++ b/benchmarks/wishes.py
@@ -22,7 +22,7 @@
 from stairplank.groups.wishes import Place, impossible
 from stairplank.planner import events as ev
 from stairplank.rehearsal.scenario import load_scenario
-from stairplank.standin.config import client_models, directory_model
+from stairplank.standin.config import client_models, node_list_model
 
 ROOT = Path(__file__).resolve().parents[1]
 OUT = ROOT / "docs" / "results" / "wishes"
@@ -117,7 +117,7 @@
         (replace(owners[0], demand_ends_us=55 * SECOND), replace(owners[0], name="groups", demand_ends_us=0)),
         3,
         seed,
-        directory=directory_model(scenario.section),
+        directory=node_list_model(scenario.section),
         groups=GroupConfig(steer=steer),
     )
     world = World(config)
--- a/stairplank/emulator/experiment.py
+++ b/stairplank/emulator/experiment.py
@@ -23,7 +23,7 @@
 from ..settings.lines import Problem, SettingsError
 from ..settings.schema import Block, Key, Section, load
 from ..standin.client import ClientModel, Demand
-from ..standin.config import LIST, MODEL, directory_model, model_from
+from ..standin.config import LIST, MODEL, model_from, node_list_model
 from ..standin.node_model import NodeModel
 from .world import World, WorldConfig
 
@@ -122,7 +122,7 @@
         (owner,),
         cell.planners,
         cell.seed,
-        directory_model(section),
+        node_list_model(section),
         groups=GroupConfig(blocking=cell.policy == "blocking"),
         singles=cell.policy == "singles",
     )
--- a/stairplank/emulator/world.py
+++ b/stairplank/emulator/world.py
@@ -16,10 +16,10 @@
 from ..settings.cluster import Cluster
 from ..standin.client import Client, ClientAction, ClientModel, SubmitGroup, SubmitTask
 from ..standin.dedup_memory import DedupMemories
-from ..standin.directory import Directory, DirectoryModel
 from ..standin.door import Door
 from ..standin.node import Node
 from ..standin.node_events import Fell, Probed, Said, SaidDraining, Word
+from ..standin.node_list_state import NodeListModel, NodeListState
 from ..standin.node_model import NodeModel
 from .meter import Meter
 from .wires import DIAL_US, KEEPALIVE_US, Wire, Wires
@@ -38,7 +38,7 @@
     owners: tuple[ClientModel, ...]
     planners: int
     seed: int = 1
-    directory: DirectoryModel = DirectoryModel()
+    directory: NodeListModel = NodeListModel()
     link_us: tuple[int, int] = (150, 400)
     groups: GroupConfig = GroupConfig()
     singles: bool = False  # baseline: members of groups are asked for on their own
@@ -94,10 +94,10 @@
         self.started: dict[int, int] = {}
         for model in config.nodes:
             self._start_node(model, cold=False)
-        self.directory = Directory(config.directory, revision=1)
+        self.directory = NodeListState(config.directory, revision=1)
         for node in self.nodes:
             self._announce(node)
-        self.directory.advance(self.now + config.directory.notice_us + config.directory.period_us)
+        self.directory.advance(self.now + config.directory.update_delay_us + config.directory.period_us)
         self.cores: dict[int, Core] = {}
         self.watching: dict[int, int] = {}
         self.lives = 0
@@ -242,7 +242,7 @@
         if self.on_death is not None:
             self.on_death(node)
         linked = self.wires.node_gone(node)
-        self.directory.fell_silent(self.now, node)
+        self.directory.announcement_lost(self.now, node)
         for planner, core in list(self.cores.items()):
             if planner in linked:
                 self._later(planner, core, ev.LinkDown(node))
@@ -416,7 +416,7 @@
             if here is None:
                 return
             tasks = tuple(
-                ev.NodeTask(o.id, o.task, o.stage.value == "running", o.group)
+                ev.NodeTask(o.id, o.task, o.state.value == "running", o.group)
                 for o in here.offers_of(planner)
             )
             finished = tuple(
@@ -477,7 +477,7 @@
     def _list_told(self, planner: int, core: Core, have: int) -> None:
         changes = self.directory.changes_since(have) if have else None
         full = changes is None
-        nodes = self.directory.whole() if changes is None else changes
+        nodes = self.directory.all_nodes() if changes is None else changes
         told = ev.NodeListReceived(self.directory.revision, have, full, nodes, CLOCK_UNIX_US + self.now)
         self.watching[planner] = self.directory.revision
         self._later(planner, core, told)
--- a/stairplank/rehearsal/run.py
+++ b/stairplank/rehearsal/run.py
@@ -271,14 +271,14 @@
         recorder.note(text)
         self.progress(f"{fault.at_us / 1e6:>6.1f} s: {said(text)}")
         if fault.target == "planner":
-            for i in fault.which:
+            for i in fault.target_ids:
                 gevent.spawn(self._planner_fault, fault, i, recorder)
         elif fault.target == "node" and fault.what == "cut":
-            for i in fault.which:
+            for i in fault.target_ids:
                 for zone in self.scenario.room.zones:
                     recorder.relays[f"node {i} {zone}"].cut()
         elif fault.target == "farm":
-            gevent.spawn(self._pause, self.children["nodes"], fault.for_us)
+            gevent.spawn(self._pause, self.children["nodes"], fault.duration_us)
         what, direction, value = self._weather(fault)
         touched = [recorder.relays[key] for key in self._touched(fault)]
         for relay in touched:
@@ -286,8 +286,8 @@
                 relay.cut()
             else:
                 relay.begin(what, direction, value)
-        if fault.for_us:
-            gevent.sleep(fault.for_us / 1e6)
+        if fault.duration_us:
+            gevent.sleep(fault.duration_us / 1e6)
             for relay in touched:
                 relay.end(what, direction, value)
             recorder.note(f"over: {text}")
@@ -310,8 +310,8 @@
         if fault.name == "list":
             return [f"list {zone}" for zone in zones]
         if fault.name == "planner":
-            return [f"planner {i}" for i in fault.which]
-        return [f"node {i} {zone}" for i in fault.which for zone in zones]
+            return [f"planner {i}" for i in fault.target_ids]
+        return [f"node {i} {zone}" for i in fault.target_ids for zone in zones]
 
     @staticmethod
     def _pause(child: Child, for_us: int) -> None:
@@ -333,13 +333,13 @@
         if fault.what == "cut":
             recorder.relays[f"planner {i}"].cut()
         elif fault.what == "pause":
-            self._pause(child, fault.for_us)
+            self._pause(child, fault.duration_us)
         elif fault.what == "kill":
             child.meant = True  # type: ignore[attr-defined]
             child.signal(signal.SIGKILL)
             child.process.wait(timeout=5)
             child.process.stdin.close()
-            gevent.sleep(fault.for_us / 1e6)
+            gevent.sleep(fault.duration_us / 1e6)
             if not self.ending:
                 child.start()
                 gevent.sleep(1.0)
--- a/stairplank/rehearsal/scenario.py
+++ b/stairplank/rehearsal/scenario.py
@@ -149,8 +149,8 @@
             continue
         here = [n.model.id for n in nodes if not n.absent] if fault.kind == "node" else list(range(planners))
         every = [n.model.id for n in nodes] if fault.kind == "node" else here
-        if fault.which:
-            unknown = [n for n in fault.which if n not in every]
+        if fault.target_ids:
+            unknown = [n for n in fault.target_ids if n not in every]
             if unknown:
                 text = f"no {fault.kind} {unknown[0]}; they run from {every[0]} to {every[-1]}"
                 problems.append(Problem(section.place("at"), "at", text))
@@ -158,7 +158,7 @@
             continue
         if fault.what == "grow":
             here = [n.model.id for n in nodes if n.absent]
-        pool = [n for n in here if not (fault.avoid and n in drawn)]
+        pool = [n for n in here if not (fault.avoids_affected and n in drawn)]
         count = fault.count or max(1, round(fault.share * len(here)))
         if count > len(pool):
             text = f"{count} {fault.kind}s wanted, {len(pool)} are there to draw from"
@@ -167,7 +167,7 @@
         which = tuple(sorted(rng.sample(pool, count)))
         if fault.target == "node" and fault.what in ("drain", "leave", "kill"):
             drawn.update(which)
-        out.append(replace(fault, which=which, count=0, share=0.0))
+        out.append(replace(fault, target_ids=which, count=0, share=0.0))
     if problems:
         raise SettingsError(problems)
     return tuple(out)
--- a/stairplank/scale/grpc_peers.py
+++ b/stairplank/scale/grpc_peers.py
@@ -15,14 +15,14 @@
 from ..rpc import ServerCall
 from ..settings import load_planner
 from ..standin.config import NodeListConfig
-from ..standin.directory import DirectoryModel
 from ..standin.light_node import LightNode
 from ..standin.node_list_server import NodeListServer
+from ..standin.node_list_state import NodeListModel
 from .socket_bytes import TrafficByPlanner
 
 POLL_S = 0.02
 FIRST_NODE = 1  # ids of nodes are not 0
-MODEL = DirectoryModel(notice_us=10_000, period_us=50_000)
+MODEL = NodeListModel(update_delay_us=10_000, period_us=50_000)
 
 
 class GrpcWorkerHost:
--- a/stairplank/standin/client.py
+++ b/stairplank/standin/client.py
@@ -1,8 +1,8 @@
-"""Owners as a state machine: which tasks are wanted, asked for, found, asked for again. No I/O, no clock.
+"""Simulated clients as a state machine: which tasks are created, submitted, recovered, submitted again.
 
-An owner asks again, as the users' brief says, after a refusal, failure, move or loss, until the task's time
-is over. Where an attempt may have run and a second start could do harm it waits first: a task that turns out
-to run is told as found.
+No I/O, no clock. A client submits a task again after it was shed, failed, migrated or lost, until the task's
+time is over. Where an attempt may have run and a second start could do harm it waits first: a task that turns
+out to run is reported as recovered.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from .. import interface as api
 from ..planner import events as ev
 
-GROUP_GONE_US = 9_000_000  # without its planner a group has ended by then
+GROUP_EXPIRY_US = 9_000_000  # without its planner a group has ended by then
 
 
 @dataclass(frozen=True)
 class Demand:
-    """The tasks of one class; times in microseconds."""
+    """The tasks of one class that a client creates; times in microseconds."""
 
     task_class: str
     share: float  # of all tasks
@@ -35,6 +35,8 @@
 
 @dataclass(frozen=True)
 class ClientModel:
+    """Demand and retry behaviour of one client; times in microseconds."""
+
     name: str
     rate: float  # tasks a second
     demands: tuple[Demand, ...]
@@ -50,6 +52,8 @@
 
 
 class RequestState(Enum):
+    """How a task or group stands for its client."""
+
     WAITING = "waiting"  # to be asked for at a time
     REQUESTED = "asked"
     RUNNING = "running"
@@ -60,7 +64,7 @@
 
 @dataclass(slots=True)
 class RequestedTask:
-    """A task as its owner sees it."""
+    """A task as its client sees it."""
 
     key: int
     demand: int
@@ -82,7 +86,7 @@
 
 @dataclass(slots=True)
 class RequestedGroup:
-    """A group as its owner sees it: its tasks are asked for, run and are lost together."""
+    """A group as its client sees it: its tasks are requested, run and are lost together."""
 
     tasks: tuple[ev.TaskSpec, ...]
     origin: int  # key of its first task when it was first asked for
@@ -99,6 +103,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitGroup:
+    """Request the placement of a group at a planner."""
+
     planner: int
     request: int
     tasks: tuple[ev.TaskSpec, ...]
@@ -108,6 +114,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitTask:
+    """Request the placement of a task at a planner."""
+
     planner: int
     request: int
     task: ev.TaskSpec
@@ -116,6 +124,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelTask:
+    """Cancel a task at a planner: by its request, or by its key where ``request`` is 0."""
+
     planner: int
     request: int
     key: int
@@ -126,7 +136,7 @@
 
 @dataclass
 class ClientStatistics:
-    """What became of the tasks; latencies are from the first ask to the first start, in microseconds."""
+    """What became of the tasks; latencies are from the first request to the first start, in microseconds."""
 
     counts: Counter[str] = field(default_factory=Counter)
     by_class: dict[str, Counter[str]] = field(default_factory=dict)
@@ -134,7 +144,7 @@
 
 
 class Client:
-    """One owner's demand and memory."""
+    """One client's demand and the state of its tasks."""
 
     def __init__(self, model: ClientModel, seed: int, start: int) -> None:
         self.model = model
@@ -158,12 +168,14 @@
     # Driving
 
     def next_due(self) -> int | None:
+        """When ``advance`` is wanted, in microseconds, or None."""
         times = [self._arrival] if self._has_arrivals() else []
         if self._due:
             times.append(self._due[0][0])
         return min(times, default=None)
 
     def advance(self, now: int) -> list[ClientAction]:
+        """Do what has come due: new tasks, retries, timeouts."""
         self.actions = []
         while self._has_arrivals() and self._arrival <= now:
             self._arrive(self._arrival)
@@ -178,7 +190,7 @@
         return self.actions
 
     def connected(self, now: int, planner: int) -> list[ClientAction]:
-        """A stream to a planner is open. What it does not tell as found in time counts as lost."""
+        """A stream to a planner is open. Tasks that it does not report as recovered in time count as lost."""
         self.actions = []
         self.connected_planners.add(planner)
         for task in self.tasks.values():
@@ -187,15 +199,15 @@
         return self.actions
 
     def disconnected(self, now: int, planner: int) -> list[ClientAction]:
-        """The stream broke, or the planner died: what it owed it will not tell here any more."""
+        """The stream broke, or the planner died: no outcome will come on it any more."""
         self.actions = []
         self.connected_planners.discard(planner)
         for group in [g for g in self.groups.values() if g.planner == planner]:
-            # Groups end by themselves without their planner: what ran is asked for again after the wait.
+            # Groups end by themselves without their planner: what ran is requested again after the wait.
             if group.state in (RequestState.REQUESTED, RequestState.RUNNING):
                 self.group_requests.pop((planner, group.request), None)
                 self._count_group(group, "cut")
-                self._resubmit_group(group, now + GROUP_GONE_US)
+                self._resubmit_group(group, now + GROUP_EXPIRY_US)
         for task in list(self.tasks.values()):
             if task.planner != planner:
                 continue
@@ -210,53 +222,53 @@
         return self.actions
 
     def received(self, now: int, planner: int, message: ev.ClientMessage) -> list[ClientAction]:
+        """Take a message of a planner."""
         self.actions = []
-        group = (
-            self.group_requests.get((planner, message.request))
-            if not isinstance(message, ev.TaskRecovered)
-            else None
-        )
+        if isinstance(message, ev.TaskRecovered):
+            self._recovered(now, planner, message.request, message.key)
+            return self.actions
+        group = self.group_requests.get((planner, message.request))
         if group is not None:
             self._group_message(group, now, message)
             return self.actions
+        task = self._task_of(planner, message)
+        if task is not None and task.planner == planner:
+            self._task_message(task, now, message)
+        return self.actions
+
+    def _task_of(self, planner: int, message: ev.ClientMessage) -> RequestedTask | None:
+        """The task that a message is about: by its request, or by its key where it was recovered."""
+        if isinstance(message, ev.TaskEnded) and message.request == 0:
+            return self.tasks.get(message.key)
+        return self.requests.get((planner, message.request))
+
+    def _task_message(self, task: RequestedTask, now: int, message: ev.ClientMessage) -> None:
         match message:
-            case ev.Admitted() | ev.Offered():
-                return self.actions
-            case ev.TaskRecovered(request, key, _):
-                self._recovered(now, planner, request, key)
-                return self.actions
-            case ev.TaskEnded(request, key, _, _) if request == 0:
-                task = self.tasks.get(key)
-            case _:
-                task = self.requests.get((planner, message.request))
-        if task is None or task.planner != planner:
-            return self.actions
-        if isinstance(message, ev.TaskPlaced):
-            self._started_running(task, now)
-        elif isinstance(message, ev.TaskEnded):
-            self._forget_request(task)
-            if message.finished:
+            case ev.TaskPlaced():
+                self._started_running(task, now)
+            case ev.TaskEnded(finished=True):
+                self._forget_request(task)
                 self._forget_task(task, RequestState.DONE, "finished")
-            else:
+            case ev.TaskEnded(reason=reason):
+                self._forget_request(task)
                 self._count(task, "lost")
-                evicted = message.reason in (api.Reason.EVICTED,)
-                self._resubmit(task, now, may_run=message.reason is api.Reason.UNTOLD, soon=not evicted)
-        elif isinstance(message, ev.TaskShed):
-            self._forget_request(task)
-            self._count(task, "refused")
-            self._resubmit(task, now, may_run=False, wait_us=message.retry_after_us)
-        elif isinstance(message, ev.TaskFailed):
-            self._forget_request(task)
-            self._count(task, "failed")
-            self._resubmit(task, now, may_run=message.may_run)
-        elif isinstance(message, ev.Rejected):
-            self._forget_request(task)
-            self._count(task, "rejected")
-            self._resubmit(task, now, may_run=False, wait_us=message.rejection.retry_after_us)
-        return self.actions
+                evicted = reason is api.Reason.EVICTED
+                self._resubmit(task, now, may_run=reason is api.Reason.UNTOLD, soon=not evicted)
+            case ev.TaskShed(retry_after_us=retry_after_us):
+                self._forget_request(task)
+                self._count(task, "refused")
+                self._resubmit(task, now, may_run=False, wait_us=retry_after_us)
+            case ev.TaskFailed(may_run=may_run):
+                self._forget_request(task)
+                self._count(task, "failed")
+                self._resubmit(task, now, may_run=may_run)
+            case ev.Rejected(rejection=rejection):
+                self._forget_request(task)
+                self._count(task, "rejected")
+                self._resubmit(task, now, may_run=False, wait_us=rejection.retry_after_us)
 
     def restart_services(self, now: int, share: float, within_us: int) -> list[ClientAction]:
-        """Stop that share of the services and ask for all their tasks again, as new ones, within the time."""
+        """Cancel that share of the services and submit their tasks again, as new ones, within the time."""
         self.actions = []
         services = sorted({t.service for t in self.tasks.values()})
         chosen = set(self.rng.sample(services, int(len(services) * share)))
@@ -276,7 +288,7 @@
 
     @property
     def idle(self) -> bool:
-        """No new tasks will come, and none waits to be asked for or for an answer."""
+        """Whether no new tasks will come, and none waits to be submitted or for an outcome."""
         unanswered = any(
             t.state in (RequestState.WAITING, RequestState.REQUESTED) for t in self.tasks.values()
         )
@@ -412,11 +424,11 @@
         self.group_requests.pop((group.planner, group.request), None)
         self.groups.pop(group.tasks[0].key, None)
         self.tasks_by_service[group.tasks[0].service] -= len(group.tasks)
-        self._count_group(group, what)
+        self._count_group(group, outcome)
 
     def _count_group(self, group: RequestedGroup, outcome: str) -> None:
-        self.statistics.counts[f"groups_{what}"] += 1
-        self.statistics.by_class.setdefault("groups", Counter())[what] += 1
+        self.statistics.counts[f"groups_{outcome}"] += 1
+        self.statistics.by_class.setdefault("groups", Counter())[outcome] += 1
 
     def _create_task(
         self, demand: int, service: int, size: tuple[float, float], life_us: int, now: int
@@ -511,7 +523,9 @@
             if task.state is RequestState.RUNNING and task.planner == planner:
                 return
             if self._task_class(task).effect is api.Effect.IDEMPOTENT or task.state is RequestState.RUNNING:
-                self.actions.append(CancelTask(planner, request, 0 if request else key))  # a copy that is not needed
+                self.actions.append(
+                    CancelTask(planner, request, 0 if request else key)
+                )  # a copy that is not needed
                 return
             self.actions.append(CancelTask(task.planner, task.request, 0))
             self._forget_request(task)
@@ -529,13 +543,13 @@
         task.generation += 1
         self.tasks.pop(task.key, None)
         self.tasks_by_service[task.service] -= 1
-        self._count(task, what)
+        self._count(task, outcome)
 
     def _schedule(self, task: RequestedTask, at: int) -> None:
         task.generation += 1
         heapq.heappush(self._due, (at, task.key, task.generation, 0))
 
     def _count(self, task: RequestedTask, outcome: str) -> None:
-        self.statistics.counts[what] += 1
+        self.statistics.counts[outcome] += 1
         name = self.model.demands[task.demand].task_class
-        self.statistics.by_class.setdefault(name, Counter())[what] += 1
+        self.statistics.by_class.setdefault(name, Counter())[outcome] += 1
--- a/stairplank/standin/client_pool.py
+++ b/stairplank/standin/client_pool.py
@@ -1,4 +1,4 @@
-"""Stand-in owners on sockets: a stream to each planner each, all asks and answers as they come."""
+"""Stand-in clients on sockets: each has a stream to each planner."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def message_from(event: Any) -> ev.ClientMessage | None:
-    """A planner's message as the word it carries; None for the welcome and for what is not known."""
+    """A planner's message as an event; None for the welcome and for kinds that are not known."""
     match event.WhichOneof("kind"):
         case "rejected":
             r = event.rejected
@@ -64,6 +64,7 @@
 
 
 def request_to(do: ClientAction, stamp: Stamp | None) -> Any:
+    """The message of an action; ``stamp`` proves its age."""
     sent = convert.stamp_to(stamp)
     if isinstance(do, SubmitTask):
         task = convert.task_to(do.task)
@@ -78,7 +79,7 @@
 
 
 class ConnectedClient:
-    """One owner with its streams."""
+    """One client with its streams."""
 
     def __init__(self, pool: ClientPool, model: ClientModel, seed: int, begin: int) -> None:
         self.pool = pool
@@ -92,11 +93,13 @@
         self.wake = Flag()
 
     def start(self) -> None:
+        """Start a greenlet for each planner's stream and one for the client's timers."""
         for planner, address in self.pool.config.planners.items():
             gevent.spawn(self.stream, planner, address)
         gevent.spawn(self.clock)
 
     def clock(self) -> None:
+        """Advance the client whenever something is due."""
         while True:
             self.wake.clear()
             due = self.client.next_due()
@@ -138,6 +141,7 @@
             gevent.sleep(RETRY_S)
 
     def carry_out(self, does: list[ClientAction]) -> None:
+        """Send what the client wants sent; to planners without a stream nothing is sent."""
         for do in does:
             call = self.calls.get(do.planner)
             if call is None:
@@ -145,12 +149,12 @@
             try:
                 call.try_send(request_to(do, self.stamps[do.planner].stamp(now_us())))
             except RpcError:
-                pass  # the stream breaks: its greenlet tells the owner
+                pass  # the stream breaks: its greenlet notifies the client
         self.wake.set()
 
 
 class ClientPool:
-    """All owners of one process."""
+    """All clients of one process."""
 
     def __init__(self, config: ClientPoolConfig) -> None:
         self.config = config
@@ -162,6 +166,7 @@
         ]
 
     def start(self) -> None:
+        """Start every client, and the faults of the script."""
         for customer in self.clients:
             customer.start()
         for fault in self.config.faults:
@@ -169,6 +174,7 @@
                 gevent.spawn(self.script, fault)
 
     def script(self, fault: Fault) -> None:
+        """Wait for a fault's time and carry it out."""
         gevent.sleep(max(0.0, (self.begin + fault.at_us - now_us()) / 1e6))
         self.log.info("fault", what=fault.what, values=list(fault.values))
         for customer in self.clients:
@@ -179,17 +185,18 @@
             elif fault.what == "cut":
                 for channel in list(customer.channels.values()):
                     channel.close()
-        if fault.for_us:
-            gevent.sleep(fault.for_us / 1e6)
+        if fault.duration_us:
+            gevent.sleep(fault.duration_us / 1e6)
             for customer in self.clients:
                 customer.client.rate_factor /= fault.values[0]
 
     @property
     def idle(self) -> bool:
+        """Whether no client waits for anything or will submit more."""
         return all(c.client.idle for c in self.clients)
 
     def report(self) -> dict[str, Any]:
-        """Counts and latencies by class, all owners together."""
+        """Counts and latencies by class, all clients together."""
         counts: dict[str, dict[str, int]] = {}
         latencies: dict[str, list[int]] = {}
         total: dict[str, int] = {}
@@ -210,9 +217,11 @@
         }
 
     def latency_objectives(self) -> dict[str, int]:
+        """The latency objective of each class, in microseconds."""
         return {c.name: c.latency_objective_us for c in self.config.room.classes}
 
     def write_report(self) -> None:
+        """Write the report file, complete or not at all."""
         if self.config.report is not None:
             path = Path(self.config.report)
             path.with_suffix(".part").write_text(json.dumps(self.report()))
--- a/stairplank/standin/config.py
+++ b/stairplank/standin/config.py
@@ -15,7 +15,7 @@
 from ..settings.lines import Problem, SettingsError
 from ..settings.schema import Block, Key, Section, load
 from .client import ClientModel, Demand
-from .directory import DirectoryModel
+from .node_list_state import NodeListModel
 from .node_model import NodeModel
 from .script import Fault, parse
 
@@ -102,6 +102,8 @@
 
 @dataclass(frozen=True)
 class NodeConfig:
+    """One stand-in node: its model and addresses, and whether it is there at the start."""
+
     model: NodeModel
     listen: tuple[str, ...]
     advertise: dict[str, tuple[str, ...]]  # by the directory's name
@@ -111,6 +113,8 @@
 
 @dataclass(frozen=True)
 class NodePoolConfig:
+    """The nodes of one process, and their faults."""
+
     nodes: tuple[NodeConfig, ...]
     directories: tuple[tuple[str, str], ...]  # address and name
     seed: int
@@ -122,14 +126,18 @@
 
 @dataclass(frozen=True)
 class NodeListConfig:
+    """The stand-in node list."""
+
     listen: tuple[str, ...]
-    model: DirectoryModel
+    model: NodeListModel
     begin: str | None
     faults: tuple[Fault, ...]
 
 
 @dataclass(frozen=True)
 class ClientPoolConfig:
+    """The clients of one process, and their faults."""
+
     room: Cluster
     clients: tuple[ClientModel, ...]
     planners: dict[int, str]
@@ -165,6 +173,7 @@
 def model_from(
     room: Cluster, section: Section, id: int, name: str, kind: str, zone: str, rack: str
 ) -> NodeModel:
+    """The model of one node of a type. Keys that are not in the section keep their defaults."""
     sort = next(k for k in room.node_types if k.name == kind)
     one = section.one
     changes: dict[str, Any] = {
@@ -198,6 +207,7 @@
 
 
 def load_node_pool(path: str | Path) -> NodePoolConfig:
+    """Read a file of nodes. Raises SettingsError."""
     section = load(path, NODE_POOL)
     room = cluster_from(section)
     problems: list[Problem] = []
@@ -241,22 +251,25 @@
     )
 
 
-def directory_model(section: Section) -> DirectoryModel:
-    base = DirectoryModel()
-    return DirectoryModel(
-        section.one("list-notice", base.notice_us),
-        section.one("list-silent", base.silent_us),
+def node_list_model(section: Section) -> NodeListModel:
+    """The delays of the node list that a section has."""
+    base = NodeListModel()
+    return NodeListModel(
+        section.one("list-notice", base.update_delay_us),
+        section.one("list-silent", base.silence_timeout_us),
         section.one("list-period", base.period_us),
     )
 
 
 def load_node_list(path: str | Path) -> NodeListConfig:
+    """Read a node list's file. Raises SettingsError."""
     section = load(path, NODE_LIST)
     listen = tuple(a for (a,) in section.all("listen"))
-    return NodeListConfig(listen, directory_model(section), section.one("begin"), faults_from(section))
+    return NodeListConfig(listen, node_list_model(section), section.one("begin"), faults_from(section))
 
 
 def demands_from(section: Section, room: Cluster) -> tuple[Demand, ...]:
+    """The demands of a section. Raises SettingsError for classes that are not known."""
     problems: list[Problem] = []
     out: list[Demand] = []
     names = [c.name for c in room.classes]
@@ -288,6 +301,7 @@
 def client_models(
     section: Section, room: Cluster, names: list[str], planners: int
 ) -> tuple[ClientModel, ...]:
+    """The models of clients of these names, which divide the section's demand."""
     one = section.one
     demands = demands_from(section, room)
     base = ClientModel("", 1.0, demands, room.classes, planners)
@@ -312,6 +326,7 @@
 
 
 def load_client_pool(path: str | Path) -> ClientPoolConfig:
+    """Read a file of clients. Raises SettingsError."""
     section = load(path, CLIENT_POOL)
     room = cluster_from(section)
     planners = dict(section.all("planner"))
--- a/stairplank/standin/dedup_memory.py
+++ b/stairplank/standin/dedup_memory.py
@@ -1,4 +1,4 @@
-"""What nodes remember of keyed tasks: one copy stands, repeats are dropped. No I/O and no clock."""
+"""What nodes remember of tasks with an idempotency key, so that repeats are dropped. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 
 @dataclass(slots=True)
 class DedupMemory:
-    """What the nodes of one group remember of keyed tasks: one copy stands, repeats are dropped."""
+    """What the nodes of one place remember: which attempt of a task runs, and which tasks have finished."""
 
-    standing: dict[tuple[str, int], AttemptId] = field(default_factory=dict)
-    done: dict[tuple[str, int], int] = field(default_factory=dict)  # finished: remembered until
-    most: int = 100_000
+    running: dict[tuple[str, int], AttemptId] = field(default_factory=dict)
+    finished_until: dict[tuple[str, int], int] = field(default_factory=dict)  # finished: remembered until
+    max_entries: int = 100_000
 
-    def drops(self, name: tuple[str, int], id: AttemptId, now: int) -> bool:
-        stands = self.standing.get(name)
+    def is_repeat(self, name: tuple[str, int], id: AttemptId, now: int) -> bool:
+        """Whether another attempt of the task runs, or one has finished within its window."""
+        stands = self.running.get(name)
         if stands is not None and stands != id:
             return True
-        return self.done.get(name, 0) > now
+        return self.finished_until.get(name, 0) > now
 
-    def finished(self, name: tuple[str, int], until: int, now: int) -> None:
-        self.done[name] = until
-        if len(self.done) > self.most:
-            self.done = {k: u for k, u in self.done.items() if u > now}
+    def record_finished(self, name: tuple[str, int], until: int, now: int) -> None:
+        """Remember a finished task until a time."""
+        self.finished_until[name] = until
+        if len(self.finished_until) > self.max_entries:
+            self.finished_until = {k: u for k, u in self.finished_until.items() if u > now}
 
 
 class DedupMemories:
@@ -37,6 +39,7 @@
         self._copies: dict[tuple[str, str], DedupMemory] = {}
 
     def of(self, model: NodeModel, task_class: str) -> DedupMemory:
+        """The memory that a node shares for a class."""
         scope = self._scopes.get(task_class, api.Scope.GROUP)
         place = {api.Scope.NODE: str(model.id), api.Scope.GROUP: model.rack, api.Scope.ZONE: model.zone}
         return self._copies.setdefault((task_class, place.get(scope, "")), DedupMemory())
--- a/stairplank/standin/light_node.py
+++ b/stairplank/standin/light_node.py
@@ -20,9 +20,14 @@
 class Observer(Protocol):
     """Who counts the traffic of light nodes."""
 
-    def opened(self, planner: int, connection: Any) -> None: ...
-    def closed(self, planner: int, connection: Any) -> None: ...
-    def task_message(self, planner: int, message: Any) -> None: ...
+    def opened(self, planner: int, connection: Any) -> None:
+        """A planner's stream was opened."""
+
+    def closed(self, planner: int, connection: Any) -> None:
+        """A planner's stream has ended."""
+
+    def task_message(self, planner: int, message: Any) -> None:
+        """A message about a task was sent or received."""
 
 
 class LightNode:
@@ -55,6 +60,7 @@
     # Calls
 
     def offers(self, call: Any) -> None:
+        """Handler of Node.Offers."""
         planner = call.recv().hello.planner
         connection = call.stream.connection
         if self._observer is not None:
@@ -68,9 +74,11 @@
                 self._observer.closed(planner, connection)
 
     def probe(self, request: Any, call: Any) -> Any:
+        """Handler of Node.Probe."""
         return node_pb2.ProbeResponse(node=self.id, report=_report())
 
     def held_by(self, request: Any, call: Any) -> Any:
+        """Handler of Node.Held: it reports no tasks."""
         return node_pb2.HeldResponse(node=self.id)
 
     # Messages
--- a/stairplank/standin/node.py
+++ b/stairplank/standin/node.py
@@ -16,13 +16,13 @@
 from .dedup_memory import DedupMemories, DedupMemory
 from .node_events import Probed, Said, SaidDraining, Word
 from .node_faults import NodeFaults
-from .node_model import NodeModel, Offer, OfferState, due_of
+from .node_model import NodeModel, Offer, OfferState, next_event_of
 from .node_pace import NodePace
 from .reservations import Reservations
 
 FINISHED_US = 30_000_000  # members that ran to their end are told of for so long
-FINISHED_MOST = 1_000  # and not more of them; the oldest go first
-FAILS_US = 20_000  # how long a start that fails takes
+MAX_FINISHED = 1_000  # and not more of them; the oldest go first
+FAILED_START_US = 20_000  # how long a start that fails takes
 
 
 class Node:
@@ -40,8 +40,8 @@
         self.offers: dict[AttemptId, Offer] = {}
         self.queue: deque[Offer | int] = deque()  # offers and probes wait in one line
         self.admission_ends_at = 0
-        self.reserved = Reservations(model)
-        self.finished: deque[tuple[int, Offer]] = deque(maxlen=FINISHED_MOST)  # members of groups
+        self.reservations = Reservations(model)
+        self.finished: deque[tuple[int, Offer]] = deque(maxlen=MAX_FINISHED)  # members of groups
         self.changed = True  # something that the list shows
         self.clock = started  # the latest time that was told
         self.reports: list[Word] = []
@@ -98,7 +98,7 @@
 
     def _cancel(self, offer: Offer) -> None:
         self._release(offer)
-        if offer.begun:
+        if offer.has_begun:
             self._report(offer, "ended", api.Result.CANCELLED)
         else:
             self._report(offer, "refused", reason=api.Reason.NOT_HERE)
@@ -114,9 +114,9 @@
         until = now if said_at is None else said_at + lease_us
         for id in ids:
             offer = self.offers.get(id)
-            if until > now and offer is not None and offer.stage is OfferState.READY and not self.crashed:
-                offer.let_run = True
-                offer.kept_until = until
+            if until > now and offer is not None and offer.state is OfferState.READY and not self.crashed:
+                offer.committed = True
+                offer.leased_until = until
                 self._run(offer, now)
         return self.reports
 
@@ -127,11 +127,12 @@
         until = 0 if said_at is None else said_at + lease_us
         for id in ids:
             offer = self.offers.get(id)
-            if offer is not None and offer.group is not None and offer.kept_until:
-                offer.kept_until = max(offer.kept_until, until)
+            if offer is not None and offer.group is not None and offer.leased_until:
+                offer.leased_until = max(offer.leased_until, until)
         return self.reports
 
     def probe(self, now: int, token: int) -> list[Word]:
+        """Queue a health check behind the offers; ``token`` names its answer."""
         self.reports = []
         self._advance(now)
         if not self.crashed:
@@ -151,6 +152,7 @@
         return self.reports
 
     def advance(self, now: int) -> list[Word]:
+        """Do what has come due."""
         self.reports = []
         self._advance(now)
         return self.reports
@@ -160,11 +162,12 @@
         if self.crashed:
             return None
         times = [self.admission_ends_at] if self.queue and self.admission_ends_at else []
-        times += [o.ends for o in self.offers.values() if o.ends]
-        times += [o.kept_until for o in self.offers.values() if o.kept_until]
+        times += [o.ends_at for o in self.offers.values() if o.ends_at]
+        times += [o.leased_until for o in self.offers.values() if o.leased_until]
         return min(times, default=None)
 
     def offers_of(self, planner: int) -> list[Offer]:
+        """A planner's offers that are here."""
         return [o for o in self.offers.values() if o.planner == planner]
 
     def finished_of(self, planner: int, now: int) -> list[Offer]:
@@ -175,11 +178,12 @@
 
     def free(self) -> tuple[float, float]:
         """Cores and memory that no accepted task asks for."""
-        return self.reserved.free()
+        return self.reservations.free()
 
-    def util(self) -> float:
-        running = sum(o.task.cores for o in self.offers.values() if o.stage is OfferState.RUNNING)
-        starting = sum(1 for o in self.offers.values() if o.stage is OfferState.STARTING)
+    def utilization(self) -> float:
+        """Busy share of the cores, starts included."""
+        running = sum(o.task.cores for o in self.offers.values() if o.state is OfferState.RUNNING)
+        starting = sum(1 for o in self.offers.values() if o.state is OfferState.STARTING)
         return min(1.0, (running * self.model.cores_use + starting) / self.model.cores)
 
     # Inside
@@ -194,8 +198,8 @@
             if self.queue and self.admission_ends_at == due:
                 self._finish_admission(due)
                 continue
-            offer = min(self.offers.values(), key=lambda o: (due_of(o), o.id))
-            if offer.kept_until and offer.kept_until <= due:
+            offer = min(self.offers.values(), key=lambda o: (next_event_of(o), o.id))
+            if offer.leased_until and offer.leased_until <= due:
                 # Nobody keeps it any more: its group never became whole, or its planner is gone.
                 self._cancel(offer)
                 self._start_accepted(due)
@@ -203,7 +207,7 @@
                 self._end(offer, due)
 
     def _record_offer(self, now: int) -> None:
-        fall = self.pace.push(now)
+        fall = self.pace.record_offer(now)
         if fall is not None:
             self.crashed = self.changed = True
             self.reports.append(fall)
@@ -211,7 +215,7 @@
     def _start_admission(self, now: int) -> None:
         if self.queue and not self.admission_ends_at:
             self.admission_ends_at = now + int(
-                self.rng.randint(*self.model.admission_time_us) * self.faults.slow
+                self.rng.randint(*self.model.admission_time_us) * self.faults.slowdown
             )
 
     def _finish_admission(self, now: int) -> None:
@@ -221,18 +225,20 @@
             if first.id in self.offers:
                 self._admit(first, now)
         else:
-            self.reports.append(Probed(first, *self.free(), self.util()))
+            self.reports.append(Probed(first, *self.free(), self.utilization()))
         self._start_admission(now)
 
     def _admit(self, offer: Offer, now: int) -> None:
         task = offer.task
         reason = None
-        if self.clock >= offer.until:
+        if self.clock >= offer.expires_at:
             # Danger: a node that stood still looks at offers that came before, as if it were still then.
             reason = api.Reason.NOT_HERE
-        elif self.faults.turns_away(task.task_class, self.rng):
+        elif self.faults.rejects(task.task_class, self.rng):
             reason = api.Reason.UNTOLD
-        elif offer.window_us and self._dedup_memory(task).drops((task.client, task.key), offer.id, now):
+        elif offer.dedup_window_us and self._dedup_memory(task).is_repeat(
+            (task.client, task.key), offer.id, now
+        ):
             reason = api.Reason.NOT_HERE
         else:
             reason = self._make_capacity_for(offer)
@@ -240,60 +246,62 @@
             del self.offers[offer.id]
             self._report(offer, "refused", reason=reason)
             return
-        offer.stage = OfferState.ACCEPTED
+        offer.state = OfferState.ACCEPTED
         if offer.group is not None:
-            offer.kept_until = now + offer.group.lease_us
-        self.reserved.add(task)
+            offer.leased_until = now + offer.group.lease_us
+        self.reservations.add(task)
         self.changed = True
-        if offer.window_us:
-            self._dedup_memory(task).standing[task.client, task.key] = offer.id
+        if offer.dedup_window_us:
+            self._dedup_memory(task).running[task.client, task.key] = offer.id
         self._report(offer, "accepted")
         self._start_accepted(now)
 
     def _make_capacity_for(self, offer: Offer) -> api.Reason | None:
         """None where it fits, if need be after tasks of lower priority were pushed out."""
-        reason, victims = self.reserved.room_for(offer, self.offers.values())
+        reason, victims = self.reservations.capacity_for(offer, self.offers.values())
         for victim in victims:
             self._evict(victim, api.Reason.PUSHED_OUT)
         return reason
 
     def _start_accepted(self, now: int) -> None:
         """Start accepted tasks in the order of their coming, while slots are free."""
-        busy = sum(1 for o in self.offers.values() if o.stage is OfferState.STARTING)
+        busy = sum(1 for o in self.offers.values() if o.state is OfferState.STARTING)
         for offer in self.offers.values():
             if busy >= self.model.starts_at_once:
                 return
-            if offer.stage is OfferState.ACCEPTED:
+            if offer.state is OfferState.ACCEPTED:
                 busy += 1
-                offer.stage = OfferState.STARTING
+                offer.state = OfferState.STARTING
                 work = self.pace.begin_start(offer.task.service, now)
-                offer.fails = self.faults.fails_start(self.rng)
-                if offer.fails:
-                    work = FAILS_US  # and fast: a node like that looks roomy
-                offer.ends = now + max(1, int(work * self.faults.slow * self.rng.uniform(0.8, 1.2)))
+                offer.start_fails = self.faults.fails_start(self.rng)
+                if offer.start_fails:
+                    work = FAILED_START_US  # and fast: a node like that looks roomy
+                offer.ends_at = now + max(1, int(work * self.faults.slowdown * self.rng.uniform(0.8, 1.2)))
 
     def _end(self, offer: Offer, now: int) -> None:
-        if offer.stage is OfferState.STARTING and offer.fails:
+        if offer.state is OfferState.STARTING and offer.start_fails:
             self._release(offer)
             self._report(offer, "error")
-        elif offer.stage is OfferState.STARTING and offer.group is not None:
-            offer.stage, offer.ends = OfferState.READY, 0
+        elif offer.state is OfferState.STARTING and offer.group is not None:
+            offer.state, offer.ends_at = OfferState.READY, 0
             self._report(offer, "ready")
-        elif offer.stage is OfferState.STARTING:
+        elif offer.state is OfferState.STARTING:
             self._run(offer, now)
         else:
             self._release(offer)
-            if offer.window_us:
+            if offer.dedup_window_us:
                 name = offer.task.client, offer.task.key
-                self._dedup_memory(offer.task).finished(name, offer.came + offer.window_us, now)
+                self._dedup_memory(offer.task).record_finished(
+                    name, offer.received_at + offer.dedup_window_us, now
+                )
             if offer.group is not None:
                 self.finished.append((now, offer))
             self._report(offer, "ended", api.Result.FINISHED)
         self._start_accepted(now)
 
     def _run(self, offer: Offer, now: int) -> None:
-        offer.stage = OfferState.RUNNING
-        offer.ends = now + offer.task.expected_duration_us if offer.task.expected_duration_us else 0
+        offer.state = OfferState.RUNNING
+        offer.ends_at = now + offer.task.expected_duration_us if offer.task.expected_duration_us else 0
         self._report(offer, "running")
         task, model = offer.task, self.model
         cores, memory = task.cores * model.cores_use, task.memory * model.memory_use
@@ -301,7 +309,7 @@
 
     def _evict(self, offer: Offer, reason: api.Reason) -> None:
         self._release(offer)
-        if offer.begun:
+        if offer.has_begun:
             self._report(offer, "ended", api.Result.LOST, reason)
         else:
             self._report(offer, "refused", reason=api.Reason.NOT_HERE)
@@ -310,26 +318,26 @@
         """Its process is gone, and its copies with it."""
         self.crashed = True
         for offer in self.offers.values():
-            self._forget_standing(offer)
+            self._forget_running(offer)
 
     def _dedup_memory(self, task: TaskSpec) -> DedupMemory:
         return self.dedup_memories.of(self.model, task.task_class)
 
-    def _forget_standing(self, offer: Offer) -> None:
-        standing = self._dedup_memory(offer.task).standing
+    def _forget_running(self, offer: Offer) -> None:
+        standing = self._dedup_memory(offer.task).running
         name = (offer.task.client, offer.task.key)
         if standing.get(name) == offer.id:
             del standing[name]
 
     def _release(self, offer: Offer) -> None:
         self.offers.pop(offer.id, None)
-        if offer.stage is OfferState.WAITING:
+        if offer.state is OfferState.WAITING:
             return
         task = offer.task
-        self.reserved.remove(task)
+        self.reservations.remove(task)
         self.changed = True
-        self._forget_standing(offer)
-        if offer.stage in (OfferState.STARTING, OfferState.READY, OfferState.RUNNING):
+        self._forget_running(offer)
+        if offer.state in (OfferState.STARTING, OfferState.READY, OfferState.RUNNING):
             self.pace.end(task.service)
 
     def _report(
--- a/stairplank/standin/node_events.py
+++ b/stairplank/standin/node_events.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SaidDraining:
-    pass
+    """The node takes no new work from now on."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/stairplank/standin/node_list_server.py
+++ b/stairplank/standin/node_list_server.py
@@ -16,7 +16,7 @@
 from ..proto import directory_pb2, methods
 from ..rpc import Code, RpcError, Server, ServerCall
 from .config import NodeListConfig, wait_for_begin
-from .directory import Directory
+from .node_list_state import NodeListState
 from .script import Fault
 
 BEAT_S = 1.0  # a watcher hears something so often, if only that there is nothing new
@@ -28,6 +28,7 @@
 
 
 def entry_to(node: ListedNode) -> Any:
+    """The message of a list entry."""
     return directory_pb2.NodeEntry(
         id=node.id,
         name=node.name,
@@ -43,11 +44,13 @@
 
 
 class NodeListServer:
+    """Serves Directory; faults make it late, unreachable or hanging."""
+
     def __init__(self, config: NodeListConfig) -> None:
         self.config = config
         self.log = structlog.get_logger("directory")
         # Revisions go on where an earlier life may have left off: they follow the clock.
-        self.directory = Directory(config.model, revision=int(time.time()))
+        self.directory = NodeListState(config.model, revision=int(time.time()))
         self.unreachable = False
         self.not_hanging = Flag()
         self.not_hanging.set()
@@ -56,6 +59,7 @@
         self.server = Server(config.listen, handlers)
 
     def start(self) -> None:
+        """Start serving, and the faults of the script."""
         self.server.start()
         gevent.spawn(self.clock)
         for fault in self.config.faults:
@@ -63,6 +67,7 @@
                 gevent.spawn(self.script, fault)
 
     def clock(self) -> None:
+        """Publish revisions as they come due."""
         while True:
             gevent.sleep(0.02)
             if self.directory.advance(now_us()):
@@ -70,18 +75,20 @@
                 self.updated = Flag()
 
     def script(self, fault: Fault) -> None:
+        """Wait for a fault's time, carry it out and end it."""
         begin = wait_for_begin(self.config.begin)
         gevent.sleep(max(0.0, (begin + fault.at_us - now_us()) / 1e6))
         self.log.info("fault", what=fault.what, values=list(fault.values))
         self.apply(fault, True)
-        if fault.for_us:
-            gevent.sleep(fault.for_us / 1e6)
+        if fault.duration_us:
+            gevent.sleep(fault.duration_us / 1e6)
             self.apply(fault, False)
 
     def apply(self, fault: Fault, on: bool) -> None:
+        """Begin a fault, or end it."""
         match fault.what:
             case "behind":
-                self.directory.behind_us = fault.values[0] if on else 0
+                self.directory.extra_delay_us = fault.values[0] if on else 0
             case "away":
                 self.unreachable = on
                 if on:
@@ -103,11 +110,13 @@
                 connection.close(RpcError(Code.UNAVAILABLE, "out of reach by script"))
 
     def check_reachable(self) -> None:
+        """Raise RpcError while unreachable; wait while hanging."""
         if self.unreachable:
             raise RpcError(Code.UNAVAILABLE, "out of reach by script")
         self.not_hanging.wait()
 
     def message(self, nodes: tuple[ListedNode, ...], full: bool, since: int) -> Any:
+        """A list message with these nodes, complete or changes since a revision."""
         return directory_pb2.NodeList(
             revision=self.directory.revision,
             full=full,
@@ -117,10 +126,12 @@
         )
 
     def list(self, request: Any, call: ServerCall) -> Any:
+        """Handler of Directory.List."""
         self.check_reachable()
-        return self.message(self.directory.whole(), True, 0)
+        return self.message(self.directory.all_nodes(), True, 0)
 
     def watch(self, request: Any, call: ServerCall) -> None:
+        """Handler of Directory.Watch."""
         self.check_reachable()
         have = request.revision
         first = True
@@ -128,7 +139,7 @@
             news = self.updated
             changes = self.directory.changes_since(have) if have else None
             if changes is None:
-                call.send(self.message(self.directory.whole(), True, 0))
+                call.send(self.message(self.directory.all_nodes(), True, 0))
             elif changes or first or not news.is_set():
                 call.send(self.message(changes, False, have))
             first = False
@@ -137,6 +148,7 @@
             self.not_hanging.wait()
 
     def announce(self, call: ServerCall) -> Any:
+        """Handler of Directory.Announce: one node's stream."""
         node = None
         try:
             while (entry := call.recv()) is not None:
@@ -145,5 +157,5 @@
                     self.directory.announced(now_us(), node)
         finally:
             if node is not None:
-                self.directory.fell_silent(now_us(), node.id)
+                self.directory.announcement_lost(now_us(), node.id)
         return directory_pb2.AnnounceResponse()
--- a/stairplank/standin/directory.py
+++ b/stairplank/standin/node_list_state.py
@@ -12,54 +12,55 @@
 
 
 @dataclass(frozen=True)
-class DirectoryModel:
+class NodeListModel:
     """Times in microseconds."""
 
-    notice_us: int = 300_000  # from a change to the list's knowing
-    silent_us: int = 3_000_000  # until a node that stopped announcing itself counts as gone
+    update_delay_us: int = 300_000  # from a change to the list's knowing
+    silence_timeout_us: int = 3_000_000  # until a node that stopped announcing itself counts as gone
     period_us: int = 200_000  # changes are told together, so often
 
 
-class Directory:
+class NodeListState:
     """What the list knows, when, and what each revision changed."""
 
-    def __init__(self, model: DirectoryModel, revision: int = 0) -> None:
+    def __init__(self, model: NodeListModel, revision: int = 0) -> None:
         self.model = model
-        self.behind_us = 0  # fault: so much further behind
+        self.extra_delay_us = 0  # fault: so much further behind
         self.revision = revision
         self.nodes: dict[int, ListedNode] = {}
         self.history: deque[tuple[int, tuple[ListedNode, ...]]] = deque(maxlen=HISTORY)
-        self._coming: deque[tuple[int, ListedNode]] = deque()
-        self._silent: dict[int, int] = {}
-        self._fresh: dict[int, ListedNode] = {}
-        self._tell_at = 0
+        self._pending: deque[tuple[int, ListedNode]] = deque()
+        self._expiring: dict[int, int] = {}
+        self._changed: dict[int, ListedNode] = {}
+        self._publish_at = 0
 
     def announced(self, now: int, node: ListedNode) -> None:
-        """A node's own word; it reaches the list after the notice time."""
-        self._silent.pop(node.id, None)
-        self._coming.append((now + self.model.notice_us, node))
+        """A node's own announcement; it reaches the list after the update delay."""
+        self._expiring.pop(node.id, None)
+        self._pending.append((now + self.model.update_delay_us, node))
 
-    def fell_silent(self, now: int, node: int) -> None:
-        self._silent[node] = now + self.model.silent_us
+    def announcement_lost(self, now: int, node: int) -> None:
+        """A node's announcing stream has ended: it counts as gone after the silence timeout."""
+        self._expiring[node] = now + self.model.silence_timeout_us
 
     def advance(self, now: int) -> bool:
         """Take in what has come due. True where there is a new revision."""
-        while self._coming and self._coming[0][0] + self.behind_us <= now:
-            self._know(self._coming.popleft()[1])
-        for node, until in list(self._silent.items()):
-            if until + self.behind_us <= now:
-                del self._silent[node]
+        while self._pending and self._pending[0][0] + self.extra_delay_us <= now:
+            self._apply(self._pending.popleft()[1])
+        for node, until in list(self._expiring.items()):
+            if until + self.extra_delay_us <= now:
+                del self._expiring[node]
                 if node in self.nodes:
-                    self._know(replace(self.nodes[node], status=api.NodeStatus.GONE))
-        if not self._fresh or now < self._tell_at:
+                    self._apply(replace(self.nodes[node], status=api.NodeStatus.GONE))
+        if not self._changed or now < self._publish_at:
             return False
-        self._tell_at = now + self.model.period_us
+        self._publish_at = now + self.model.period_us
         self.revision += 1
-        self.history.append((self.revision, tuple(self._fresh.values())))
-        self._fresh.clear()
+        self.history.append((self.revision, tuple(self._changed.values())))
+        self._changed.clear()
         return True
 
-    def _know(self, node: ListedNode) -> None:
+    def _apply(self, node: ListedNode) -> None:
         old = self.nodes.get(node.id)
         if old is not None and old.started_unix_us > node.started_unix_us and old.started_unix_us:
             return  # a word of an earlier life that came late
@@ -68,7 +69,7 @@
                 return
         else:
             self.nodes[node.id] = node
-        self._fresh[node.id] = node
+        self._changed[node.id] = node
 
     def changes_since(self, revision: int) -> tuple[ListedNode, ...] | None:
         """What changed after a revision, each node once; None where the whole list is needed."""
@@ -82,5 +83,6 @@
                 changed.update((n.id, n) for n in nodes)
         return tuple(changed.values())
 
-    def whole(self) -> tuple[ListedNode, ...]:
+    def all_nodes(self) -> tuple[ListedNode, ...]:
+        """The complete list."""
         return tuple(self.nodes.values())
--- a/stairplank/standin/node_model.py
+++ b/stairplank/standin/node_model.py
@@ -38,6 +38,8 @@
 
 
 class OfferState(Enum):
+    """How an offer stands at its node."""
+
     WAITING = "waiting"  # not looked at
     ACCEPTED = "accepted"  # room is taken; not begun
     STARTING = "starting"
@@ -52,25 +54,25 @@
     planner: int
     id: AttemptId
     task: TaskSpec
-    until: int  # an answer is of use until then
+    expires_at: int  # an answer is of use until then
     priority: int
-    window_us: int  # keyed: how long repeats are dropped; else 0
-    came: int
-    stage: OfferState = OfferState.WAITING
-    ends: int = 0  # of the start, or of the task; 0: not by itself
-    fails: bool = False  # its start will
+    dedup_window_us: int  # keyed: how long repeats are dropped; else 0
+    received_at: int
+    state: OfferState = OfferState.WAITING
+    ends_at: int = 0  # of the start, or of the task; 0: not by itself
+    start_fails: bool = False  # its start will
     group: GroupTag | None = None
-    kept_until: int = 0  # a member of a group is released by the node after that; 0: not accepted yet
-    let_run: bool = False
+    leased_until: int = 0  # a member of a group is released by the node after that; 0: not accepted yet
+    committed: bool = False
 
     @property
-    def begun(self) -> bool:
+    def has_begun(self) -> bool:
         """It may have had an effect. A member that is held never has."""
         if self.group is not None:
-            return self.let_run
-        return self.stage in (OfferState.STARTING, OfferState.RUNNING)
+            return self.committed
+        return self.state in (OfferState.STARTING, OfferState.RUNNING)
 
 
-def due_of(offer: Offer) -> int:
+def next_event_of(offer: Offer) -> int:
     """When something happens to it by itself."""
-    return min((at for at in (offer.ends, offer.kept_until) if at), default=2**62)
+    return min((at for at in (offer.ends_at, offer.leased_until) if at), default=2**62)
--- a/stairplank/standin/node_pace.py
+++ b/stairplank/standin/node_pace.py
@@ -1,5 +1,6 @@
-"""How fast a node starts tasks: its pace while it is cold, the programs it has, and how it falls over when
-pushed. No I/O and no clock.
+"""How fast a node starts tasks: its slow start, the programs it has cached, and its crash by overload.
+
+No I/O and no clock.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
         self.model = model
         self.started = started
         self.cold = cold
-        self.pushed: deque[int] = deque()  # when offers came to a cold node, lately
+        self.recent_offers: deque[int] = deque()  # when offers came to a cold node, lately
         self._running: Counter[int] = Counter()  # starts and tasks by the program of their service
-        self._kept: deque[int] = deque(maxlen=model.max_cached_programs)
+        self._cached_programs: deque[int] = deque(maxlen=model.max_cached_programs)
 
     def share(self, now: int) -> float:
         """Share of the usual pace of starts: a cold node gains it evenly."""
@@ -28,21 +29,21 @@
         done = min(1.0, (now - self.started) / max(1, self.model.slow_start_us))
         return self.model.slow_start_share + (1 - self.model.slow_start_share) * done
 
-    def push(self, now: int) -> Fell | None:
-        """Rule 4's model: offers push a cold node, refused ones too. Its fall, if this one was too many."""
+    def record_offer(self, now: int) -> Fell | None:
+        """Count an offer to a node that warms up, rejected ones too. Its crash, if this one was too many."""
         model = self.model
         if not self.cold or now - self.started >= model.slow_start_us:
             return None
-        self.pushed.append(now)
-        while self.pushed and self.pushed[0] < now - model.overload_window_us:
-            self.pushed.popleft()
+        self.recent_offers.append(now)
+        while self.recent_offers and self.recent_offers[0] < now - model.overload_window_us:
+            self.recent_offers.popleft()
         rate = model.starts_at_once * self.share(now) / (model.start_us / 1e6)
         borne = max(model.slow_start_offers, model.overload_multiple * rate * model.overload_window_us / 1e6)
-        return Fell(len(self.pushed), borne) if len(self.pushed) > borne else None
+        return Fell(len(self.recent_offers), borne) if len(self.recent_offers) > borne else None
 
     def begin_start(self, service: int, now: int) -> float:
         """The work of a start, in microseconds: several times as much where the program is not there."""
-        is_known = self._running[service] > 0 or service in self._kept
+        is_known = self._running[service] > 0 or service in self._cached_programs
         self._running[service] += 1
         return self.model.start_us * (1.0 if is_known else self.model.cold_start_factor) / self.share(now)
 
@@ -52,5 +53,5 @@
         if self._running[service] > 0:
             return
         del self._running[service]
-        if service not in self._kept:
-            self._kept.append(service)
+        if service not in self._cached_programs:
+            self._cached_programs.append(service)
--- a/stairplank/standin/node_pool.py
+++ b/stairplank/standin/node_pool.py
@@ -37,6 +37,7 @@
 
 
 def message(word: Said) -> Any:
+    """The message of a report about an attempt."""
     id = convert.id_to(word.id)
     reason: Any = int(word.reason)
     match word.what:
@@ -83,6 +84,7 @@
         self.addresses: tuple[str, ...] = config.listen
 
     def start(self, cold: bool) -> None:
+        """Begin a life: listen, announce, serve. ``cold``: it warms up."""
         seed = self.rng.randrange(2**63)
         self.node = Node(self.config.model, self.pool.copies, seed, now_us(), cold)
         self.started_unix_us = int(time.time() * 1e6) if cold else 0
@@ -94,6 +96,7 @@
         gevent.spawn(self.clock, self.node)
 
     def kill(self) -> None:
+        """End the life at once, with everything it holds."""
         node, self.node = self.node, None
         if node is not None:
             node.die()
@@ -107,6 +110,7 @@
     # Time
 
     def clock(self, node: Node) -> None:
+        """Advance the node whenever something is due."""
         while self.node is node:
             self.wake.clear()
             due = node.next_due()
@@ -117,6 +121,7 @@
                 self.report_all(node.advance(now_us()))
 
     def report_all(self, words: list[Word]) -> None:
+        """Send what the node reports to its planners, and carry out its crash."""
         for word in words:
             match word:
                 case Said():
@@ -140,6 +145,7 @@
         self.wake.set()
 
     def report_status(self, word: Said) -> None:
+        """Send an attempt's status to its planner; final ones are kept until acknowledged."""
         call = self.calls.get(word.planner)
         event = message(word)
         if word.what in FINAL_STATUSES:
@@ -169,6 +175,7 @@
     # Services
 
     def offers(self, call: ServerCall) -> None:
+        """Handler of Node.Offers: one planner's stream."""
         self.not_hanging.wait()
         first = call.recv(5.0)
         if first is None or first.WhichOneof("kind") != "hello":
@@ -213,9 +220,11 @@
 
     @staticmethod
     def report(told: Probed) -> Any:
+        """The load report of a health check."""
         return common_pb2.Report(free_cores=told.free_cores, free_memory=told.free_memory, util=told.util)
 
     def take(self, node: Node, call: ServerCall, planner: int, request: Any) -> None:
+        """Carry out a planner's message."""
         door = self.doors[planner]
         match request.WhichOneof("kind"):
             case "offer":
@@ -255,11 +264,13 @@
                 self.report_all(node.probe(now_us(), self.next_probe))
 
     def running_node(self) -> Node:
+        """The node's present life. Raises RpcError while it is down."""
         if self.node is None or self.node.crashed:
             raise RpcError(Code.UNAVAILABLE, "the node is down")
         return self.node
 
     def probe(self, request: Any, call: ServerCall) -> Any:
+        """Handler of Node.Probe."""
         self.not_hanging.wait()
         node = self.running_node()
         self.next_probe += 1
@@ -277,6 +288,7 @@
         )
 
     def list_tasks(self, request: Any, call: ServerCall) -> Any:
+        """Handler of Node.Held: the tasks of a planner number, over all its lives."""
         self.not_hanging.wait()
         node = self.running_node()
         door = self.doors.get(request.planner)
@@ -293,7 +305,7 @@
                 told.add(
                     id=convert.id_to(offer.id),
                     task=convert.task_to(offer.task),
-                    running=offer.stage.value == "running",
+                    running=offer.state.value == "running",
                     group=convert.tag_to(offer.group) if offer.group is not None else None,
                 )
         return answer
@@ -327,6 +339,7 @@
         return self.changed
 
     def entry(self, node: Node, name: str) -> Any:
+        """The node's entry for the directory called ``name``."""
         model = self.config.model
         status = api.NodeStatus.DRAINING if node.draining else api.NodeStatus.READY
         free = node.free()
@@ -354,6 +367,7 @@
         self.nodes = {n.model.id: HostedNode(self, n) for n in config.nodes}
 
     def start(self) -> None:
+        """Start the nodes that are not absent, and the faults of the script."""
         for node in self.nodes.values():
             if not node.config.absent:
                 node.start(node.config.cold)
@@ -367,17 +381,19 @@
             gevent.spawn(self.run_fault, fault)
 
     def script(self, fault: Fault) -> None:
+        """Wait for a fault's time and carry it out."""
         begin = wait_for_begin(self.config.begin)
         gevent.sleep(max(0.0, (begin + fault.at_us - now_us()) / 1e6))
         self.run_fault(fault)
 
     def run_fault(self, fault: Fault) -> None:
-        nodes = [self.nodes[i] for i in fault.which if i in self.nodes]
+        """Carry out a fault at its nodes, and end it after its duration."""
+        nodes = [self.nodes[i] for i in fault.target_ids if i in self.nodes]
         self.log.info("fault", what=fault.what, nodes=[n.id for n in nodes], values=list(fault.values))
         for node in nodes:
             self.apply(node, fault, True)
-        if fault.for_us:
-            gevent.sleep(fault.for_us / 1e6)
+        if fault.duration_us:
+            gevent.sleep(fault.duration_us / 1e6)
             for node in nodes:
                 self.apply(node, fault, False)
 
@@ -392,42 +408,52 @@
 
     def apply(self, served: HostedNode, fault: Fault, on: bool) -> None:
         """Begin a fault, or end it."""
-        node = served.node
+        if not self._apply_to_process(served, fault, on) and served.node is not None:
+            self._apply_to_node(served, served.node, fault, on)
+
+    def _apply_to_process(self, served: HostedNode, fault: Fault, on: bool) -> bool:
+        """Faults of the process and its connections; False where the fault is another's."""
         match fault.what:
+            case "kill" if on:
+                served.kill()
             case "kill":
-                if on:
-                    served.kill()
-                else:
-                    served.start(cold=True)
+                served.start(cold=True)
             case "grow":
-                if node is None:
+                if served.node is None:
                     served.start(cold=True)
             case "cut":
                 for call in list(served.calls.values()):
                     call.stream.connection.close(RpcError(Code.UNAVAILABLE, "cut by script"))
+            case "hang" if on:
+                served.not_hanging.clear()
             case "hang":
-                if on:
-                    served.not_hanging.clear()
-                else:
-                    served.not_hanging.set()
+                served.not_hanging.set()
             case "silent":
                 served.unresponsive = on
             case "lose-answers":
                 served.answer_loss = (fault.values[0], fault.values[1]) if on else (0.0, "silence")
-            case "drain" if node is not None:
-                served.report_all(node.drain(now_us()))
-            case "fail-starts" if node is not None:
-                node.faults.failing = fault.values[0] if on else 0.0
-            case "refuse" if node is not None:
-                node.faults.refusing = fault.values[0] if on else 0.0
-            case "turn-away" if node is not None:
-                node.faults.turning = {fault.values[0]: fault.values[1]} if on else {}
             case "pauses":
                 served.is_pausing = on
                 if on:
                     gevent.spawn(self.pauses, served, *fault.values)
-            case "leave" if node is not None:
+            case _:
+                return False
+        return True
+
+    @staticmethod
+    def _apply_to_node(served: HostedNode, node: Node, fault: Fault, on: bool) -> None:
+        """Faults of how the node treats tasks."""
+        match fault.what:
+            case "drain":
+                served.report_all(node.drain(now_us()))
+            case "leave":
                 served.report_all(node.drain(now_us()))
                 gevent.spawn_later(fault.values[0] / 1e6, served.kill)
-            case "slow" if node is not None:
-                node.faults.slow = fault.values[0] if on else 1.0
+            case "fail-starts":
+                node.faults.start_failure_share = fault.values[0] if on else 0.0
+            case "refuse":
+                node.faults.rejection_share = fault.values[0] if on else 0.0
+            case "turn-away":
+                node.faults.rejection_share_by_class = {fault.values[0]: fault.values[1]} if on else {}
+            case "slow":
+                node.faults.slowdown = fault.values[0] if on else 1.0
--- a/stairplank/standin/reservations.py
+++ b/stairplank/standin/reservations.py
@@ -33,9 +33,12 @@
         """Cores and memory that no accepted task asks for."""
         return self.model.cores - self.cores, self.model.memory - self.memory
 
-    def room_for(self, offer: Offer, held: Iterable[Offer]) -> tuple[api.Reason | None, list[Offer]]:
-        """None where it fits, and the tasks of lower priority that must go for it, the latest first; else
-        what there is too little of even without them."""
+    def capacity_for(self, offer: Offer, held: Iterable[Offer]) -> tuple[api.Reason | None, list[Offer]]:
+        """Whether an offer fits, and what must go for it.
+
+        Returns None where it fits, with the tasks of lower priority that must be preempted, the latest first;
+        else the resource that is short even without them.
+        """
         cores, memory = self._missing(offer.task)
         victims: list[Offer] = []
         for other in self._preemptible(offer, held):
@@ -51,8 +54,8 @@
     def _preemptible(self, offer: Offer, held: Iterable[Offer]) -> list[Offer]:
         if not self.model.preempts:
             return []
-        lower = [o for o in held if o.stage is not OfferState.WAITING and o.priority < offer.priority]
-        return sorted(lower, key=lambda o: (o.priority, -o.came))
+        lower = [o for o in held if o.state is not OfferState.WAITING and o.priority < offer.priority]
+        return sorted(lower, key=lambda o: (o.priority, -o.received_at))
 
     def _missing(self, task: TaskSpec) -> tuple[float, float]:
         """Cores and memory above the limits, were it accepted."""
--- a/stairplank/standin/script.py
+++ b/stairplank/standin/script.py
@@ -64,11 +64,11 @@
     target: str
     what: str
     values: tuple[Any, ...] = ()
-    for_us: int = 0
-    which: tuple[int, ...] = ()
+    duration_us: int = 0
+    target_ids: tuple[int, ...] = ()
     count: int = 0
     share: float = 0.0
-    avoid: bool = False  # drawn among those that no earlier line drained, killed or took away
+    avoids_affected: bool = False  # drawn among those that no earlier line drained, killed or took away
     name: str = ""  # of a zone; of a links fault, what they lead to: node, planner or list
 
     @property
@@ -80,17 +80,17 @@
         """The line again, with what was drawn by name."""
         words = ["at", v.as_duration(self.at_us)]
         if self.target == "links":
-            words += ["links", self.name, *map(str, self.which)]
-        elif self.target in ("node", "planner") and self.which:
-            words += [self.target, *map(str, self.which)]
+            words += ["links", self.name, *map(str, self.target_ids)]
+        elif self.target in ("node", "planner") and self.target_ids:
+            words += [self.target, *map(str, self.target_ids)]
         else:
             words += [self.target, self.name] if self.name else [self.target]
         if self.target != "demand":
             words.append(self.what)
         for kind, value in zip(FAULTS[self.target][self.what][0], self.values, strict=True):
             words.append(v.as_duration(value) if kind in (v.duration, v.positive_duration) else str(value))
-        if self.for_us:
-            words += ["for", v.as_duration(self.for_us)]
+        if self.duration_us:
+            words += ["for", v.as_duration(self.duration_us)]
         return " ".join(words)
 
 
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -13,7 +13,7 @@
 from stairplank.emulator.world import World, WorldConfig
 from stairplank.rehearsal.scenario import load_scenario
 from stairplank.settings import SettingsError
-from stairplank.standin.config import client_models, directory_model
+from stairplank.standin.config import client_models, node_list_model
 
 ROOT = Path(__file__).resolve().parents[2]
 SECOND = 1_000_000
@@ -52,7 +52,7 @@
         tuple(replace(o, demand_ends_us=5 * SECOND) for o in owners),
         scenario.planners,
         seed=3,
-        directory=directory_model(scenario.section),
+        directory=node_list_model(scenario.section),
     )
     return replace(config, **changes)  # type: ignore[arg-type]
 
--- a/tests/emulator/test_held.py
+++ b/tests/emulator/test_held.py
@@ -14,7 +14,7 @@
 from stairplank.emulator.world import World, WorldConfig
 from stairplank.planner import events as ev
 from stairplank.rehearsal.scenario import load_scenario
-from stairplank.standin.config import client_models, directory_model
+from stairplank.standin.config import client_models, node_list_model
 
 MS = 1_000
 BOTH = ("there", "back")
@@ -99,7 +99,7 @@
     return [
         n
         for n, node in world.nodes.items()
-        if node and any(o.stage.value == "running" for o in node.offers.values())
+        if node and any(o.state.value == "running" for o in node.offers.values())
     ]
 
 
@@ -228,7 +228,7 @@
         tuple(replace(o, demand_ends_us=10 * SECOND) for o in owners),
         scenario.planners,
         seed,
-        directory=directory_model(scenario.section),
+        directory=node_list_model(scenario.section),
     )
     world = World(config)
     return world, Watch(world)
--- a/tests/golden/golden_grpc_days.py
+++ b/tests/golden/golden_grpc_days.py
@@ -13,7 +13,7 @@
 from stairplank.planner import events as ev
 from stairplank.planner.core import Core
 from stairplank.rehearsal.scenario import load_scenario
-from stairplank.standin.config import client_models, directory_model
+from stairplank.standin.config import client_models, node_list_model
 
 SECOND = 1_000_000
 SCENARIOS = Path(__file__).resolve().parents[2] / "stairplank" / "scenarios"
@@ -76,7 +76,7 @@
         tuple(replace(client, demand_ends_us=25 * SECOND) for client in clients),
         scenario.planners,
         seed,
-        directory=directory_model(scenario.section),
+        directory=node_list_model(scenario.section),
     )
     world = TracedWorld(config, trace)
     rng = random.Random(seed)
@@ -106,4 +106,4 @@
             world.drain_node(some[0])
         case 7:
             if (node := world.nodes[some[0]]) is not None:
-                node.faults.failing = 0.7
+                node.faults.start_failure_share = 0.7
--- a/tests/planner/recorded_days.py
+++ b/tests/planner/recorded_days.py
@@ -11,7 +11,7 @@
 from stairplank.planner import events as ev
 from stairplank.planner import trace
 from stairplank.rehearsal.scenario import load_scenario
-from stairplank.standin.config import client_models, directory_model
+from stairplank.standin.config import client_models, node_list_model
 
 ROOT = Path(__file__).resolve().parents[2]
 SECOND = 1_000_000
@@ -37,7 +37,7 @@
         tuple(replace(o, demand_ends_us=25 * SECOND) for o in owners),
         scenario.planners,
         seed,
-        directory=directory_model(scenario.section),
+        directory=node_list_model(scenario.section),
     )
     emulated.Core = recorded  # type: ignore[assignment,misc]
     try:
@@ -62,7 +62,7 @@
                     world.drain_node(some[0])
                 case 7:
                     if (node := world.nodes[some[0]]) is not None:
-                        node.faults.failing = 0.7
+                        node.faults.start_failure_share = 0.7
         world.run(60 * SECOND)
         for core in list(world.cores.values()):  # and they leave
             core.handle(world.now, ev.ShutdownRequested())
--- a/tests/rehearsal/test_day.py
+++ b/tests/rehearsal/test_day.py
@@ -135,7 +135,7 @@
         abs(small.section.one("rate") / full.section.one("rate") - 1.0) < 0.1
     )  # half the room, twice as fast
     crash = next(f for f in small.faults if f.what == "kill")
-    assert crash.at_us == S and crash.for_us == 1_500_000 and crash.which
+    assert crash.at_us == S and crash.duration_us == 1_500_000 and crash.target_ids
 
 
 @pytest.mark.parametrize(
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -132,7 +132,7 @@
     other = load_scenario(DAY, seed=99)
     assert first.faults == again.faults and first.faults != other.faults
     for fault in first.faults:
-        assert fault.which or fault.target not in ("node", "planner")
+        assert fault.target_ids or fault.target not in ("node", "planner")
 
 
 @pytest.mark.parametrize(
--- a/tests/standin/test_node_fenced.py
+++ b/tests/standin/test_node_fenced.py
@@ -68,7 +68,7 @@
     h = Host(cold=True)
     for n in range(200):
         say(h, n + 1, h.now - 12 * SECOND)
-    assert not h.node.crashed and not h.node.pace.pushed and not h.node.offers
+    assert not h.node.crashed and not h.node.pace.recent_offers and not h.node.offers
 
 
 def test_a_commit_that_was_kept_lets_nothing_run() -> None:
--- a/tests/standin/test_standins.py
+++ b/tests/standin/test_standins.py
@@ -11,9 +11,9 @@
 from stairplank.planner.events import AttemptId, ListedNode, TaskSpec
 from stairplank.standin.client import CancelTask, Client, ClientModel, Demand, RequestState, SubmitTask
 from stairplank.standin.dedup_memory import DedupMemories
-from stairplank.standin.directory import Directory, DirectoryModel
 from stairplank.standin.node import Node
 from stairplank.standin.node_events import Fell, Probed, Said, SaidDraining
+from stairplank.standin.node_list_state import NodeListModel, NodeListState
 from stairplank.standin.node_model import NodeModel
 from stairplank.standin.script import parse
 
@@ -183,11 +183,11 @@
 
 def test_faults_at_a_node() -> None:
     h = Host()
-    h.node.faults.failing = 1.0
+    h.node.faults.start_failure_share = 1.0
     id = h.offer(1)
     h.wait(SECOND)
     assert h.words(id) == ["accepted", "error"] and h.node.free() == (4.0, 8.0)
-    h.node.faults.refusing = 1.0
+    h.node.faults.rejection_share = 1.0
     other = h.offer(2)
     h.wait(SECOND)
     assert h.words(other) == ["refused"] and h.reason(other) is api.Reason.UNTOLD
@@ -210,33 +210,33 @@
 
 
 def test_the_list_is_late_and_later_by_script() -> None:
-    d = Directory(DirectoryModel(notice_us=SECOND, silent_us=3 * SECOND, period_us=0))
+    d = NodeListState(NodeListModel(update_delay_us=SECOND, silence_timeout_us=3 * SECOND, period_us=0))
     d.announced(0, entry(1))
-    assert not d.advance(900 * MS) and d.whole() == ()
-    assert d.advance(SECOND) and d.whole() == (entry(1),)
-    d.behind_us = 5 * SECOND
+    assert not d.advance(900 * MS) and d.all_nodes() == ()
+    assert d.advance(SECOND) and d.all_nodes() == (entry(1),)
+    d.extra_delay_us = 5 * SECOND
     d.announced(2 * SECOND, entry(1, api.NodeStatus.DRAINING))
     assert not d.advance(7 * SECOND) and d.advance(8 * SECOND)
 
 
 def test_silent_nodes_are_taken_off_and_come_back() -> None:
-    d = Directory(DirectoryModel(notice_us=0, silent_us=3 * SECOND, period_us=0))
+    d = NodeListState(NodeListModel(update_delay_us=0, silence_timeout_us=3 * SECOND, period_us=0))
     d.announced(0, entry(1, started=5))
     d.advance(0)
-    d.fell_silent(SECOND, 1)
+    d.announcement_lost(SECOND, 1)
     d.announced(2 * SECOND, entry(1, started=9))  # back in time
     d.advance(10 * SECOND)
-    assert [n.started_unix_us for n in d.whole()] == [9]
+    assert [n.started_unix_us for n in d.all_nodes()] == [9]
     d.announced(10 * SECOND, entry(1, started=5))  # an old word that came late
     d.advance(10 * SECOND)
-    assert [n.started_unix_us for n in d.whole()] == [9]
-    d.fell_silent(10 * SECOND, 1)
+    assert [n.started_unix_us for n in d.all_nodes()] == [9]
+    d.announcement_lost(10 * SECOND, 1)
     d.advance(14 * SECOND)
-    assert d.whole() == () and d.changes_since(d.revision - 1)[0].status is api.NodeStatus.GONE  # type: ignore[index]
+    assert d.all_nodes() == () and d.changes_since(d.revision - 1)[0].status is api.NodeStatus.GONE  # type: ignore[index]
 
 
 def test_changes_build_on_revisions_until_too_many_were_missed() -> None:
-    d = Directory(DirectoryModel(notice_us=0, period_us=0), revision=100)
+    d = NodeListState(NodeListModel(update_delay_us=0, period_us=0), revision=100)
     for i in range(600):
         d.announced(i, entry(1 + i % 3))
         d.advance(i)
@@ -342,7 +342,7 @@
 def test_script_lines(line: str) -> None:
     fault = parse(line.split())
     assert fault.at_us >= SECOND
-    if fault.which or fault.target not in ("node", "planner"):
+    if fault.target_ids or fault.target not in ("node", "planner"):
         assert parse(fault.line().split()[1:]) == fault
 
 
--- a/tests/stored/test_stored_settings.py
+++ b/tests/stored/test_stored_settings.py
@@ -310,7 +310,7 @@
     listing = load_node_list(DATA / "directory.conf")
     assert listing.listen == ("127.0.0.1:7300", "127.0.0.1:7310")
     model = listing.model
-    assert (model.notice_us, model.silent_us, model.period_us) == (110_000, 1_100_000, 90_000)
+    assert (model.update_delay_us, model.silence_timeout_us, model.period_us) == (110_000, 1_100_000, 90_000)
     assert listing.begin == "begin.txt"
     assert [fault.line() for fault in listing.faults] == [
         "at 1500ms list forget",
