--- a/stairplank/standin/client_pool.py
+++ b/stairplank/standin/client_pool.py
@@ -4,6 +4,7 @@
 
 import json
 import random
+from collections.abc import Callable, Mapping
 from pathlib import Path
 from typing import Any
 
@@ -25,42 +26,48 @@
 _REQUEST = placement_pb2.PlaceRequest
 
 
+def _rejected(message: Any) -> ev.ClientMessage:
+    code = Code(message.code).name if message.code in list(Code) else "UNKNOWN"
+    rejection = ev.Rejection(code, message.field, message.message, message.retry_after_us)
+    return ev.Rejected(message.ask, rejection)
+
+
+def _shed(message: Any) -> ev.ClientMessage:
+    return ev.TaskShed(message.ask, message.retry_after_us, convert.reason_from(message.reason))
+
+
+def _ended(message: Any) -> ev.ClientMessage:
+    return ev.TaskEnded(message.ask, message.key, message.finished, convert.reason_from(message.reason))
+
+
+def _group_placed(message: Any) -> ev.ClientMessage:
+    bindings = tuple((binding.member, binding.node) for binding in message.bindings)
+    return ev.GroupPlaced(message.ask, bindings, message.wishes_met, message.tries)
+
+
+_EVENT_OF: Mapping[str, Callable[[Any], ev.ClientMessage]] = {
+    "rejected": _rejected,
+    "taken": lambda message: ev.Admitted(message.ask, message.placing),
+    "offered": lambda message: ev.Offered(message.ask, message.node, message.attempt),
+    "placed": lambda message: ev.TaskPlaced(message.ask, message.node, message.attempt, message.latency_us),
+    "refused": _shed,
+    "failed": lambda message: ev.TaskFailed(message.ask, message.may_run),
+    "ended": _ended,
+    "group_placed": _group_placed,
+    "group_refused": lambda message: ev.GroupShed(
+        message.ask, message.retry_after_us, message.why, message.never
+    ),
+    "group_failed": lambda message: ev.GroupFailed(message.ask, message.why),
+    "group_ended": lambda message: ev.GroupEnded(message.ask, message.finished),
+    "found": lambda message: ev.TaskRecovered(message.ask, message.key, message.node),
+}
+
+
 def message_from(event: Any) -> ev.ClientMessage | None:
     """A planner's message as an event; None for the welcome and for kinds that are not known."""
-    match event.WhichOneof("kind"):
-        case "rejected":
-            r = event.rejected
-            code = Code(r.code).name if r.code in list(Code) else "UNKNOWN"
-            return ev.Rejected(r.ask, ev.Rejection(code, r.field, r.message, r.retry_after_us))
-        case "taken":
-            return ev.Admitted(event.taken.ask, event.taken.placing)
-        case "offered":
-            return ev.Offered(event.offered.ask, event.offered.node, event.offered.attempt)
-        case "placed":
-            p = event.placed
-            return ev.TaskPlaced(p.ask, p.node, p.attempt, p.latency_us)
-        case "refused":
-            reason = convert.reason_from(event.refused.reason)
-            return ev.TaskShed(event.refused.ask, event.refused.retry_after_us, reason)
-        case "failed":
-            return ev.TaskFailed(event.failed.ask, event.failed.may_run)
-        case "ended":
-            e = event.ended
-            return ev.TaskEnded(e.ask, e.key, e.finished, convert.reason_from(e.reason))
-        case "group_placed":
-            g = event.group_placed
-            bindings = tuple((b.member, b.node) for b in g.bindings)
-            return ev.GroupPlaced(g.ask, bindings, g.wishes_met, g.tries)
-        case "group_refused":
-            r = event.group_refused
-            return ev.GroupShed(r.ask, r.retry_after_us, r.why, r.never)
-        case "group_failed":
-            return ev.GroupFailed(event.group_failed.ask, event.group_failed.why)
-        case "group_ended":
-            return ev.GroupEnded(event.group_ended.ask, event.group_ended.finished)
-        case "found":
-            return ev.TaskRecovered(event.found.ask, event.found.key, event.found.node)
-    return None
+    kind = event.WhichOneof("kind")
+    to_event = _EVENT_OF.get(kind)
+    return to_event(getattr(event, kind)) if to_event is not None else None
 
 
 def request_to(do: ClientAction, stamp: Stamp | None) -> Any:
--- a/stairplank/standin/script.py
+++ b/stairplank/standin/script.py
@@ -94,43 +94,26 @@
         return " ".join(words)
 
 
+@dataclass(slots=True)
+class _Selection:
+    """What a fault strikes, and the words of the line behind that."""
+
+    target: str
+    rest: list[str]
+    target_ids: tuple[int, ...] = ()
+    count: int = 0
+    share: float = 0.0
+    avoids_affected: bool = False
+    name: str = ""
+
+
 def parse(words: list[str]) -> Fault:
     """A line without its ``at``. Raises ValueError."""
     if len(words) < 2:
         raise ValueError("TIME TARGET FAULT is needed")
-    at = v.duration(words[0])
-    target, rest = words[1], words[2:]
-    which: tuple[int, ...] = ()
-    count, share, avoid, name = 0, 0.0, False, ""
-    links = target == "links"
-    if links:
-        if not rest or rest[0] not in ("node", "nodes", "planner", "planners", "list"):
-            raise ValueError("what the links lead to is needed: node, nodes, planner, planners or list")
-        target, rest = rest[0], rest[1:]
-    if target in ("nodes", "planners"):
-        target = target[:-1]
-        if rest[:1] == ["other"]:
-            avoid, rest = True, rest[1:]
-        if not rest or not (rest[0].isdigit() or rest[0].endswith("%")):
-            raise ValueError(f"how many {target}s, or which share of them, is needed")
-        if rest[0].isdigit():
-            count = int(rest[0])
-        else:
-            share = v.share(rest[0])
-        rest = rest[1:]
-    elif target in ("node", "planner"):
-        digits = next((i for i, word in enumerate(rest) if not word.isdigit()), len(rest))
-        if digits == 0:
-            raise ValueError(f"the number of the {target} is needed")
-        which, rest = tuple(map(int, rest[:digits])), rest[digits:]
-    elif target == "demand":
-        rest = ["times", *rest]
-    elif target == "zone":
-        if not rest:
-            raise ValueError("the zone's name is needed")
-        name, rest = v.name(rest[0]), rest[1:]
-    if links:
-        target, name = "links", target
+    at_us = v.duration(words[0])
+    chosen = _selection(words[1], words[2:])
+    target, rest = chosen.target, chosen.rest
     if target not in FAULTS:
         raise ValueError(f"no target {target!r}; known: {', '.join(sorted(FAULTS))}")
     what, rest = (rest[0], rest[1:]) if rest else ("", [])
@@ -141,12 +124,74 @@
     if len(rest) < len(kinds):
         raise ValueError(f"{what} needs {len(kinds)} value(s)")
     values = tuple(kind(word) for kind, word in zip(kinds, rest, strict=False))
-    rest = rest[len(kinds) :]
-    for_us = 0
+    duration_us = _duration(what, rest[len(kinds) :], bool(lasts))
+    return Fault(
+        at_us,
+        target,
+        what,
+        values,
+        duration_us,
+        chosen.target_ids,
+        chosen.count,
+        chosen.share,
+        chosen.avoids_affected,
+        chosen.name,
+    )
+
+
+def _selection(target: str, rest: list[str]) -> _Selection:
+    if target != "links":
+        return _selected(target, rest)
+    if not rest or rest[0] not in ("node", "nodes", "planner", "planners", "list"):
+        raise ValueError("what the links lead to is needed: node, nodes, planner, planners or list")
+    chosen = _selected(rest[0], rest[1:])
+    chosen.target, chosen.name = "links", chosen.target
+    return chosen
+
+
+def _selected(target: str, rest: list[str]) -> _Selection:
+    match target:
+        case "nodes" | "planners":
+            return _drawn(target[:-1], rest)
+        case "node" | "planner":
+            return _numbered(target, rest)
+        case "demand":
+            return _Selection(target, ["times", *rest])
+        case "zone":
+            if not rest:
+                raise ValueError("the zone's name is needed")
+            return _Selection(target, rest[1:], name=v.name(rest[0]))
+    return _Selection(target, rest)
+
+
+def _drawn(target: str, rest: list[str]) -> _Selection:
+    """So many of them, or a share of them, to be drawn."""
+    avoids_affected = rest[:1] == ["other"]
+    if avoids_affected:
+        rest = rest[1:]
+    if not rest or not (rest[0].isdigit() or rest[0].endswith("%")):
+        raise ValueError(f"how many {target}s, or which share of them, is needed")
+    chosen = _Selection(target, rest[1:], avoids_affected=avoids_affected)
+    if rest[0].isdigit():
+        chosen.count = int(rest[0])
+    else:
+        chosen.share = v.share(rest[0])
+    return chosen
+
+
+def _numbered(target: str, rest: list[str]) -> _Selection:
+    digits = next((i for i, word in enumerate(rest) if not word.isdigit()), len(rest))
+    if digits == 0:
+        raise ValueError(f"the number of the {target} is needed")
+    return _Selection(target, rest[digits:], tuple(map(int, rest[:digits])))
+
+
+def _duration(what: str, rest: list[str], lasts: bool) -> int:
+    """The time behind ``for``, in microseconds; 0 for a fault that does not last."""
     if lasts:
         if len(rest) != 2 or rest[0] != "for":
             raise ValueError(f"{what} needs `for TIME` at its end")
-        for_us = v.positive_duration(rest[1])
-    elif rest:
+        return v.positive_duration(rest[1])
+    if rest:
         raise ValueError(f"{rest[0]!r} is one word too many")
-    return Fault(at, target, what, values, for_us, which, count, share, avoid, name)
+    return 0
