--- a/stairplank/cli/main.py
+++ b/stairplank/cli/main.py
@@ -196,11 +196,11 @@
     from pathlib import Path
 
     from ..rehearsal import report as reports
+    from ..rehearsal.batch import HEAD, Batch
     from ..rehearsal.run import work_folder
-    from ..rehearsal.series import HEAD, Series
 
     folder = work_folder(report)
-    series = Series(folder, jobs, lambda line: click.echo(line, err=True))
+    series = Batch(folder, jobs, lambda line: click.echo(line, err=True))
     click.echo(f"{count} drawn scenarios, seeds {seed} to {seed + count - 1}; kept in {folder}", err=True)
     runs = series.drawn(Path(_shipped(scenario)), count, seed)
     table = reports.table([HEAD, *(run.row() for run in runs)])
@@ -228,7 +228,7 @@
     import json
     from pathlib import Path
 
-    from ..rehearsal.day import DayError, scenario_from_day
+    from ..rehearsal.bench_day import DayError, scenario_from_day
 
     try:
         made = scenario_from_day(json.loads(Path(day).read_text()), scale, speed, seed)
--- a/stairplank/rehearsal/series.py
+++ b/stairplank/rehearsal/batch.py
@@ -13,7 +13,7 @@
 import gevent.pool
 import gevent.subprocess as subprocess
 
-from .drawn import Space, draw
+from .fault_generator import Space, draw
 from .scenario import Scenario, load_scenario
 
 RUN_LIMIT_S = 600.0
@@ -81,7 +81,7 @@
     )
 
 
-class Series:
+class Batch:
     """Runs scenario files; ``jobs`` at a time."""
 
     def __init__(self, folder: Path, jobs: int, progress: Callable[[str], None]) -> None:
--- a/stairplank/rehearsal/checker.py
+++ b/stairplank/rehearsal/checker.py
@@ -13,17 +13,17 @@
 from collections.abc import Callable, Iterable
 
 from .decode import Message
-from .rules.seen import (
+from .rules.node_messages import NodeMessageRules
+from .rules.observations import (
     ACROSS_US,
     GONE,
     STATES,
     TOLERANCE_US,
 )
-from .rules.seen import Breach as Breach
-from .rules.words import WordRules
+from .rules.observations import Breach as Breach
 
 
-class Checker(WordRules):
+class Checker(NodeMessageRules):
     """Feed it messages in order, then ``end`` it."""
 
     def feed(self, messages: Iterable[Message]) -> None:
@@ -44,10 +44,10 @@
                 handler(self, message)
 
     def _watch_request(self, m: Message) -> None:
-        self.list_planner[m.link, m.stream] = m.body.planner
+        self.list_watcher[m.link, m.stream] = m.body.planner
 
     def _list_told(self, m: Message) -> None:
-        planner = self.list_planner.get((m.link, m.stream))
+        planner = self.list_watcher.get((m.link, m.stream))
         if planner is None:
             return
         known = self.listed[planner]
@@ -63,9 +63,9 @@
             self.place_of[entry.id] = (entry.zone, entry.rack)
             if entry.started_unix_us:
                 began = m.at - max(0, m.body.now_unix_us - entry.started_unix_us)
-                if self.lives.get(entry.id, (0, 0))[0] < entry.started_unix_us:
-                    self.lives[entry.id] = (entry.started_unix_us, began)
-                self.told_life[entry.id, entry.started_unix_us].add(planner)
+                if self.node_incarnations.get(entry.id, (0, 0))[0] < entry.started_unix_us:
+                    self.node_incarnations[entry.id] = (entry.started_unix_us, began)
+                self.notified_of_start[entry.id, entry.started_unix_us].add(planner)
             old = known.get(entry.id)
             if old is None or old[0] != state:
                 known[entry.id] = (state, m.at, m)
@@ -80,57 +80,59 @@
         if whole and not m.from_dialler:
             # The node's end has closed: it may be dead. What still runs there it tells on a newer link.
             for sent in self.by_link.get(m.link, ()):
-                self.runs[sent.task].pop((sent.node, sent.id), None)
-        if whole and m.link in self.over_links:
+                self.running[sent.task].pop((sent.node, sent.id), None)
+        if whole and m.link in self.ended_links:
             return  # the other end's closing came before
         if whole:
-            self.over_links.add(m.link)
+            self.ended_links.add(m.link)
         told = not m.from_dialler and m.to.startswith("node")
         if m.heard != told and not whole:
             return  # an end counts from when it was said, but for a planner that is told of it
-        for key, record in self.asks.items():
-            if key[0] == m.link and (whole or key[1] == m.stream) and record.released is None:
-                record.released = m.at
+        for key, record in self.requests.items():
+            if key[0] == m.link and (whole or key[1] == m.stream) and record.released_at is None:
+                record.released_at = m.at
         if not m.to.startswith("node"):
             return
         node = int(m.to.split()[1])
-        for (link, stream), (_, life) in self.offer_life.items():
+        for (link, stream), (_, life) in self.offer_incarnation.items():
             if link == m.link and (whole or stream == m.stream):
-                if self.newest.get((life, node)) != m.link:
+                if self.newest_link.get((life, node)) != m.link:
                     continue  # an older link of this life: the newer one tells
                 # What the planner cannot know is no breach; it counts again once the node tells of it.
-                for counted in [k for k in self.here[life] if k[0] == node]:
-                    del self.here[life][counted]
+                for counted in [k for k in self.counted[life] if k[0] == node]:
+                    del self.counted[life][counted]
                 self._members_cut(node, life, m)
         for sent in self.by_link.get(m.link, ()):
             if (whole or sent.message.stream == m.stream) and sent.ended_at is None:
                 sent.ended_at = m.at
-                sent.word = sent.word or "cut"
+                sent.final_status = sent.final_status or "cut"
 
     def end(self) -> None:
         """After the last message: what was owed and never told, and what does not add up."""
         slack = self.facts["answer_slack_us"]
-        for m, sent, earlier in self.member_doubts:
+        for m, sent, earlier in self.possible_duplicates:
             if earlier.ended_at is None or earlier.ended_at > m.at + ACROSS_US:
                 text = f"member offered to node {sent.node} while an attempt is out at node {earlier.node}"
                 self._breach(2, "member", text, m, sent.task, sent.node, [earlier.message])
-        for record in self.asks.values():
-            assert record.ask is not None and record.deadline is not None
-            if record.heard is None:
+        for record in self.requests.values():
+            assert record.request is not None and record.deadline is not None
+            if record.received_at is None:
                 continue  # it never reached the planner, which owes nothing
-            late = (record.released or self.last_at) > max(record.heard, self._due_by(record)) + slack
+            late = (record.released_at or self.last_at) > max(
+                record.received_at, self._due_by(record)
+            ) + slack
             if record.outcome is None and late:
-                taken = "taken and never answered" if record.taken else "never answered"
-                self._breach(1, "no task lost", taken, record.ask, record.task, others=[record.taken])
+                taken = "taken and never answered" if record.admitted else "never answered"
+                self._breach(1, "no task lost", taken, record.request, record.task, others=[record.admitted])
         for record in self.records.values():
-            member = bool(record.sent) and record.sent[0].id in self.member_of
-            if record.taken is None and record.ask is None and record.sent and not member:
-                first = record.sent[0]
-                if not self._owner_cut_near(first.at):
+            member = bool(record.offers) and record.offers[0].id in self.member_of
+            if record.admitted is None and record.request is None and record.offers and not member:
+                first = record.offers[0]
+                if not self._owner_cut_near(first.sent_at):
                     text = "offered though no owner's ask was taken for it"
                     self._breach(0, "attempts", text, first.message, record.task, first.node)
         for sent in self.offers.values():
-            if sent.ended_at is None and not sent.running and sent.until + TOLERANCE_US < self.last_at:
+            if sent.ended_at is None and not sent.running and sent.expires_at + TOLERANCE_US < self.last_at:
                 self.counts.offers_silent += 1
 
 
@@ -141,11 +143,11 @@
     ("Place", False, False): (Checker._place_event,),
     ("Offers", True, False): (Checker._offer_request,),
     ("Offers", True, True): (Checker._offer_heard,),
-    ("Offers", False, False): (Checker._node_said,),
+    ("Offers", False, False): (Checker._node_sent,),
     ("Offers", False, True): (Checker._offer_event,),
-    ("Held", True, False): (Checker._held_asked,),
-    ("Held", False, False): (Checker._held_said,),
-    ("Held", False, True): (Checker._held,),
+    ("Held", True, False): (Checker._tasks_requested,),
+    ("Held", False, False): (Checker._tasks_sent,),
+    ("Held", False, True): (Checker._tasks_received,),
     ("Watch", True, False): (Checker._watch_request,),
     ("List", True, False): (Checker._watch_request,),
     ("Watch", False, True): (Checker._list_told,),
--- a/stairplank/rehearsal/kills.py
+++ b/stairplank/rehearsal/kill_sweep.py
@@ -21,7 +21,7 @@
 PLANNER, NODE = "planner", "node"
 
 
-class KillRun(Rehearsal):
+class KillSweepRun(Rehearsal):
     """``after``: the piece after which ``target`` is killed; 0: none is."""
 
     def __init__(
--- a/stairplank/rehearsal/relay.py
+++ b/stairplank/rehearsal/relay.py
@@ -23,7 +23,7 @@
 from ..rpc import address
 from ..rpc.address import abort
 from . import capture
-from .ways import Way, Weather
+from .relay_channel import PathConditions, RelayChannel
 
 THERE, BACK, BOTH = "there", "back", "both"  # from the dialling end; to it
 DIAL_S = 5.0
@@ -38,8 +38,8 @@
         self.far: Any = None
         writer = relay.recorder.writer
         self.number = relay.recorder.opened(relay.name)
-        self.there = Way(near, self.number, capture.FROM_DIALLER, relay.weather[THERE], writer)
-        self.back: Way | None = None
+        self.there = RelayChannel(near, self.number, capture.FROM_DIALLER, relay.weather[THERE], writer)
+        self.back: RelayChannel | None = None
 
     def run(self) -> None:
         """Dial the far end as the path allows; hand on until both ends have said their last."""
@@ -48,7 +48,7 @@
             relay.stirred.wait()
             if self.there.broken:
                 return
-        if self.there.ended:
+        if self.there.source_ended:
             self.there.drop()  # who dialled has given up: a handshake never came about
             abort(self.near)
             return
@@ -62,12 +62,12 @@
             abort(self.far)
             return
         writer = relay.recorder.writer
-        self.back = Way(self.far, self.number, capture.FROM_LISTENER, relay.weather[BACK], writer)
-        self.there.on_piece = self.back.on_piece = relay.on_piece
+        self.back = RelayChannel(self.far, self.number, capture.FROM_LISTENER, relay.weather[BACK], writer)
+        self.there.on_forward = self.back.on_forward = relay.on_piece
         self.back.join(self.near)
         self.there.join(self.far)
-        self.there.over.wait()
-        self.back.over.wait()
+        self.there.finished.wait()
+        self.back.finished.wait()
         self.near.close()
         self.far.close()
 
@@ -92,7 +92,7 @@
         self.target = target
         self.listener, self.address = address.listen("127.0.0.1:0")
         self.links: set[Link] = set()
-        self.weather = {THERE: Weather(), BACK: Weather()}
+        self.weather = {THERE: PathConditions(), BACK: PathConditions()}
         self.half_open = 0
         self.on_piece: Callable[[], None] | None = None  # told of each piece that passes, either way
         self.stirred = gevent.event.Event()
@@ -124,7 +124,7 @@
         old, self.stirred = self.stirred, gevent.event.Event()
         old.set()
 
-    def _ways(self, direction: str) -> list[Weather]:
+    def _ways(self, direction: str) -> list[PathConditions]:
         return [w for name, w in self.weather.items() if direction in (BOTH, name)]
 
     def begin(self, what: str, direction: str = BOTH, value: int = 0) -> None:
--- a/stairplank/rehearsal/rules/owners.py
+++ b/stairplank/rehearsal/rules/clients.py
@@ -7,72 +7,76 @@
 from ...settings.values import duration
 from ..decode import Message
 from .groups import GroupRules
-from .seen import (
+from .observations import (
     DEADLINE_EXCEEDED,
     PAUSE_OVER_US,
     TOLERANCE_US,
-    Record,
+    ObservedPlacement,
 )
 
 
-class OwnerRules(GroupRules):
+class ClientRules(GroupRules):
     def _place_request(self, m: Message) -> None:
         kind = m.body.WhichOneof("kind")
         if kind == "ask":
             self.counts.asks += 1
             ask = m.body.ask
-            record = Record(0, 0, m, ask.wait_us, (ask.task.owner, ask.task.key), ask.task.task_class)
-            self.asks[m.link, m.stream, ask.ask] = record
+            record = ObservedPlacement(
+                0, 0, m, ask.wait_us, (ask.task.owner, ask.task.key), ask.task.task_class
+            )
+            self.requests[m.link, m.stream, ask.ask] = record
         elif kind == "ask_group":
             self.counts.groups += 1
             ask = m.body.ask_group
             first = ask.members[0] if ask.members else None
             name = (first.owner or "", first.key) if first is not None else ("", 0)
-            self.asks[m.link, m.stream, ask.ask] = Record(0, 0, m, ask.wait_us, name, "(group)")
+            self.requests[m.link, m.stream, ask.ask] = ObservedPlacement(
+                0, 0, m, ask.wait_us, name, "(group)"
+            )
         elif kind == "withdraw":
-            found = self.asks.get((m.link, m.stream, m.body.withdraw.ask))
-            if found is not None and found.released is None:
-                found.released = m.at
+            found = self.requests.get((m.link, m.stream, m.body.withdraw.ask))
+            if found is not None and found.released_at is None:
+                found.released_at = m.at
                 self.counts.withdrawn += 1
 
     def _place_heard(self, m: Message) -> None:
         """What reached the planner, and whether it was still of use then."""
         kind = m.body.WhichOneof("kind")
         if kind in ("ask", "ask_group"):
-            record = self.asks.get((m.link, m.stream, getattr(m.body, kind).ask))
+            record = self.requests.get((m.link, m.stream, getattr(m.body, kind).ask))
             if record is not None:
-                record.heard = m.at
+                record.received_at = m.at
 
     def _place_event(self, m: Message) -> None:
         kind = m.body.WhichOneof("kind")
         if kind == "welcome":
-            self.place_life[m.link, m.stream] = m.body.welcome.life
+            self.planner_incarnation[m.link, m.stream] = m.body.welcome.life
             return
         if kind in (None, "renewed"):
             return
         body = getattr(m.body, kind)
-        record = self.asks.get((m.link, m.stream, body.ask))
+        record = self.requests.get((m.link, m.stream, body.ask))
         if kind == "found":
             self.counts.found += 1
-            if record is not None and record.taken is None:
-                record.released = m.at  # not taken: it runs already
+            if record is not None and record.admitted is None:
+                record.released_at = m.at  # not taken: it runs already
             elif record is not None:
-                record.found = True
+                record.recovered = True
             return
         if kind == "group_tried":
             self.counts.groups_tried += 1
         if kind in ("group_tried", "group_ended", "member_ended"):
-            if record is not None and record.what in ("group_refused", "group_failed"):
-                text = f"{kind} after it was {record.what}"
+            if record is not None and record.outcome_kind in ("group_refused", "group_failed"):
+                text = f"{kind} after it was {record.outcome_kind}"
                 self._breach(1, "one outcome", text, m, record.task, others=[record.outcome])
             return
         if kind == "ended":
             self.counts.finished += body.finished
             self.counts.lost += not body.finished
             self.timeline.append((m.at, "finished" if body.finished else "lost", ""))
-            known = record is None or record.what in ("placed", "") or record.found
-            if not known and record is not None and record.released is None:
-                text = f"told as ended after it was {record.what}"
+            known = record is None or record.outcome_kind in ("placed", "") or record.recovered
+            if not known and record is not None and record.released_at is None:
+                text = f"told as ended after it was {record.outcome_kind}"
                 self._breach(1, "one outcome", text, m, record.task, others=[record.outcome])
             return
         if record is None:
@@ -81,10 +85,10 @@
         if kind == "rejected":
             self.counts.rejected += 1
             self.counts.stale_asks += body.code == DEADLINE_EXCEEDED
-            if record.taken is not None:
+            if record.admitted is not None:
                 text = "rejected after it was taken"
-                self._breach(1, "one outcome", text, m, record.task, others=[record.taken])
-            del self.asks[m.link, m.stream, body.ask]
+                self._breach(1, "one outcome", text, m, record.task, others=[record.admitted])
+            del self.requests[m.link, m.stream, body.ask]
         elif kind == "taken":
             self._taken(m, record, body.placing)
         elif kind in ("placed", "refused", "failed"):
@@ -92,24 +96,24 @@
         elif kind in ("group_placed", "group_refused", "group_failed"):
             self._group_outcome(m, record, kind)
 
-    def _taken(self, m: Message, record: Record, placing: int) -> None:
+    def _taken(self, m: Message, record: ObservedPlacement, placing: int) -> None:
         self.counts.taken += 1
-        record.life = self.place_life.get((m.link, m.stream), 0)
-        record.placing, record.taken = placing, m
-        assert record.ask is not None
-        over = record.ask.at + record.wait_us
-        if record.stamped and record.heard is not None and record.heard > over + TOLERANCE_US:
-            late = (record.heard - over) / 1e3
+        record.incarnation = self.planner_incarnation.get((m.link, m.stream), 0)
+        record.placement, record.admitted = placing, m
+        assert record.request is not None
+        over = record.request.at + record.wait_us
+        if record.has_age and record.received_at is not None and record.received_at > over + TOLERANCE_US:
+            late = (record.received_at - over) / 1e3
             text = f"an ask that came {late:.1f} ms after its owner had given up was taken"
-            self._breach(1, "stale", text, m, record.task, others=[record.ask])
-        early = self.records.get((record.life, placing))
+            self._breach(1, "stale", text, m, record.task, others=[record.request])
+        early = self.records.get((record.incarnation, placing))
         if early is not None:
-            if early.taken is not None:
+            if early.admitted is not None:
                 self._breach(1, "one outcome", "two asks were taken as one placing", m, record.task)
-            record.sent = early.sent  # offers that the relay read first
-        self.records[record.life, placing] = record
+            record.offers = early.offers  # offers that the relay read first
+        self.records[record.incarnation, placing] = record
 
-    def _outcome(self, m: Message, record: Record, kind: str, body: Any) -> None:
+    def _outcome(self, m: Message, record: ObservedPlacement, kind: str, body: Any) -> None:
         if not self._once_and_in_time(m, record, kind, kind, record.task_class):
             return
         if kind == "refused":
@@ -117,63 +121,65 @@
         if kind == "placed":
             self._binding(m, record, body)
 
-    def _group_outcome(self, m: Message, record: Record, kind: str) -> None:
+    def _group_outcome(self, m: Message, record: ObservedPlacement, kind: str) -> None:
         """A group has one outcome as well, in time."""
         self._once_and_in_time(m, record, kind, kind.replace("group_", "groups_"), "(group)")
 
-    def _once_and_in_time(self, m: Message, record: Record, kind: str, counted: str, sort: str) -> bool:
+    def _once_and_in_time(
+        self, m: Message, record: ObservedPlacement, kind: str, counted: str, sort: str
+    ) -> bool:
         """False where the ask had an outcome before."""
         setattr(self.counts, counted, getattr(self.counts, counted) + 1)
         self.timeline.append((m.at, kind.removeprefix("group_"), sort))
-        assert record.ask is not None
-        shown = [record.ask, record.outcome]
-        if record.taken is None:
+        assert record.request is not None
+        shown = [record.request, record.outcome]
+        if record.admitted is None:
             self._breach(1, "one outcome", f"{kind} before it was taken", m, record.task, others=shown)
         if record.outcome is not None:
-            text = f"{kind} after it was {record.what}: two outcomes"
+            text = f"{kind} after it was {record.outcome_kind}: two outcomes"
             self._breach(1, "one outcome", text, m, record.task, others=shown)
             return False
-        record.outcome, record.what = m, kind
+        record.outcome, record.outcome_kind = m, kind
         late = m.at - self._due_by(record)
-        if late > self.facts["answer_slack_us"] and record.released is None:
+        if late > self.facts["answer_slack_us"] and record.released_at is None:
             text = f"{kind} {late / 1e3:.1f} ms after its owner gave up"
             self._breach(1, "in time", text, m, record.task, others=shown)
         return True
 
-    def _due_by(self, record: Record) -> int:
+    def _due_by(self, record: ObservedPlacement) -> int:
         """When an answer is due: the owner's deadline, or the end of a pause of the planner that covers it.
 
         A planner that the script stands still does not run; on waking it owes what fell due at once.
         """
-        assert record.ask is not None and record.deadline is not None
+        assert record.request is not None and record.deadline is not None
         due = record.deadline
         for at, what in self.script:
             words = what.split()
             if len(words) < 5 or words[0] != "planner" or words[-2] != "for" or words[-3] != "pause":
                 continue
             end = at + duration(words[-1])
-            if record.ask.to.split()[1] in words[1:-3] and at <= due <= end:
+            if record.request.to.split()[1] in words[1:-3] and at <= due <= end:
                 due = end + PAUSE_OVER_US
         return due
 
-    def _refusal(self, m: Message, record: Record) -> None:
+    def _refusal(self, m: Message, record: ObservedPlacement) -> None:
         """Rule 2: a refusal promises that asking again does no harm."""
         sort = self.classes.get(record.task_class)
         if sort is None or sort["effect"] == "repeatable":
             return
         if sort["effect"] == "keyed" and sort["scope"] == "all":
             return
-        for sent in record.sent:
-            if not sent.proven:
+        for sent in record.offers:
+            if not sent.known_not_run:
                 text = f"refused though attempt {sent.id[2]} at node {sent.node} may have run"
                 self._breach(2, "refusal", text, m, record.task, sent.node, [sent.message])
                 return
 
-    def _binding(self, m: Message, record: Record, body: Any) -> None:
+    def _binding(self, m: Message, record: ObservedPlacement, body: Any) -> None:
         """A binding must rest on an offer to that node that the node has not turned down."""
-        for sent in record.sent:
+        for sent in record.offers:
             if sent.id[2] == body.attempt and sent.node == body.node:
-                if sent.proven:
+                if sent.known_not_run:
                     text = f"bound to node {body.node}, which turned the offer down"
                     self._breach(1, "binding", text, m, record.task, body.node, [sent.message])
                 return
@@ -182,4 +188,6 @@
 
     def _owner_cut_near(self, at: int) -> bool:
         """Whether an owner's stream ended about then: its 'taken' may have been lost with it."""
-        return any(r.released is not None and abs(r.released - at) < 1_000_000 for r in self.asks.values())
+        return any(
+            r.released_at is not None and abs(r.released_at - at) < 1_000_000 for r in self.requests.values()
+        )
--- a/stairplank/rehearsal/rules/seen.py
+++ b/stairplank/rehearsal/rules/observations.py
@@ -24,7 +24,7 @@
 DEADLINE_EXCEEDED = 4  # the status code of gRPC
 TOO_LATE = common_pb2.REASON_TOO_LATE
 FINISHED = node_pb2.OfferEvent.Ended.HOW_FINISHED
-Id = tuple[int, int, int]  # life, placing, attempt
+AttemptKey = tuple[int, int, int]  # life, placing, attempt
 
 
 @dataclass(frozen=True)
@@ -41,79 +41,83 @@
 
 
 @dataclass
-class Sent:
-    """One offer as it passed."""
+class ObservedOffer:
+    """One offer as it passed the relays."""
 
-    id: Id
+    id: AttemptKey
     message: Message
     node: int
     planner: int
-    at: int
-    until: int  # by the time-out that it stated
+    sent_at: int
+    expires_at: int  # by the time-out that it stated
     service: int
     task_class: str
     task: tuple[str, int]
     ended_at: int | None = None  # the node's last word, a stop, or the end of its link
-    proven: bool = False  # the node said that it never ran
+    known_not_run: bool = False  # the node said that it never ran
     accepted: bool = False
     running: bool = False
-    word: str = ""
-    seen: int | None = None  # when it was handed on to its node
+    final_status: str = ""
+    delivered_at: int | None = None  # when it was handed on to its node
 
 
 @dataclass
-class Record:
-    """One placing: from the ask to what became of it."""
+class ObservedPlacement:
+    """One placement: from the request to its outcome."""
 
-    life: int
-    placing: int
-    ask: Message | None = None
+    incarnation: int
+    placement: int
+    request: Message | None = None
     wait_us: int = 0
     task: tuple[str, int] = ("", 0)
     task_class: str = ""
-    taken: Message | None = None
+    admitted: Message | None = None
     outcome: Message | None = None
-    what: str = ""
-    found: bool = False  # told as found after its outcome
-    released: int | None = None  # withdrawn, or its owner's stream ended
-    heard: int | None = None  # when it reached the planner
-    sent: list[Sent] = field(default_factory=list)
+    outcome_kind: str = ""
+    recovered: bool = False  # told as found after its outcome
+    released_at: int | None = None  # withdrawn, or its owner's stream ended
+    received_at: int | None = None  # when it reached the planner
+    offers: list[ObservedOffer] = field(default_factory=list)
 
     @property
-    def stamped(self) -> bool:
-        """Whether the ask says when it was said; else its wait counts from its arrival."""
-        return self.ask is not None and getattr(self.ask.body, self.ask.body.WhichOneof("kind")).HasField(
-            "sent"
-        )
+    def has_age(self) -> bool:
+        """Whether the request carries its age; else its wait counts from its arrival."""
+        return self.request is not None and getattr(
+            self.request.body, self.request.body.WhichOneof("kind")
+        ).HasField("sent")
 
     @property
     def deadline(self) -> int | None:
-        if self.ask is None:
+        if self.request is None:
             return None
-        since = self.ask.at if self.stamped or self.heard is None else self.heard
+        since = self.request.at if self.has_age or self.received_at is None else self.received_at
         return since + self.wait_us
 
 
 @dataclass
-class GroupSeen:
-    """One try of a group as nodes were told of it."""
+class ObservedGroup:
+    """One attempt to place a group, as nodes were notified of it."""
 
     key: tuple[int, int]
     size: int
     offered: set[int] = field(default_factory=set)
-    let_run: set[int] = field(default_factory=set)
+    committed: set[int] = field(default_factory=set)
     running: dict[int, int] = field(default_factory=dict)  # member: since when
     finished: set[int] = field(default_factory=set)
-    gone: set[int] = field(default_factory=set)  # ran, and ended otherwise
-    unsure: dict[int, int] = field(default_factory=dict)  # ran when the link to its node was cut, then
-    attempt: dict[int, Id] = field(default_factory=dict)  # the one by which a member runs
-    last_run: int = 0  # when a member was last known to run
-    partly_since: int | None = None
+    failed: set[int] = field(default_factory=set)  # ran, and ended otherwise
+    uncertain_since: dict[int, int] = field(
+        default_factory=dict
+    )  # ran when the link to its node was cut, then
+    attempt_of: dict[int, AttemptKey] = field(default_factory=dict)  # the one by which a member runs
+    last_running_at: int = 0  # when a member was last known to run
+    partial_since: int | None = None
     evidence: Message | None = None
 
 
 @dataclass
 class Counts:
+    """What the capture shows, counted."""
+
     asks: int = 0
     taken: int = 0
     rejected: int = 0
@@ -141,12 +145,12 @@
     messages: int = 0
 
 
-def name_of(task: tuple[str, int]) -> str:
+def task_name(task: tuple[str, int]) -> str:
     return f"{task[0]}/{task[1]}"
 
 
-class Seen:
-    """Tables that the clauses share."""
+class Observations:
+    """Tables that the rules share."""
 
     def __init__(self, facts: dict[str, Any]) -> None:
         self.facts = facts
@@ -156,35 +160,39 @@
         self.counts = Counts()
         self.first_at = 0
         self.last_at = 0
-        self.records: dict[tuple[int, int], Record] = {}
-        self.asks: dict[tuple[int, int, int], Record] = {}  # link, stream, ask
-        self.place_life: dict[tuple[int, int], int] = {}
-        self.offer_life: dict[tuple[int, int], tuple[int, int]] = {}  # planner and life
-        self.newest: dict[tuple[int, int], int] = {}  # life and node: the link of its newest stream
-        self.over_links: set[int] = set()
+        self.records: dict[tuple[int, int], ObservedPlacement] = {}
+        self.requests: dict[tuple[int, int, int], ObservedPlacement] = {}  # link, stream, ask
+        self.planner_incarnation: dict[tuple[int, int], int] = {}
+        self.offer_incarnation: dict[tuple[int, int], tuple[int, int]] = {}  # planner and life
+        self.newest_link: dict[tuple[int, int], int] = {}  # life and node: the link of its newest stream
+        self.ended_links: set[int] = set()
         self.closed_ends: set[tuple[int, bool]] = set()  # link, and whether it was the dialling end
-        self.held_asked: dict[tuple[int, int], int] = {}  # when, by link and stream
-        self.committed: dict[Id, tuple[int, Message]] = {}  # until when the last commit counts
-        self.offers: dict[tuple[int, Id], Sent] = {}  # by node
-        self.by_link: dict[int, list[Sent]] = defaultdict(list)
-        self.list_planner: dict[tuple[int, int], int] = {}
+        self.tasks_requested_at: dict[tuple[int, int], int] = {}  # when, by link and stream
+        self.committed: dict[AttemptKey, tuple[int, Message]] = {}  # until when the last commit counts
+        self.offers: dict[tuple[int, AttemptKey], ObservedOffer] = {}  # by node
+        self.by_link: dict[int, list[ObservedOffer]] = defaultdict(list)
+        self.list_watcher: dict[tuple[int, int], int] = {}
         self.listed: dict[int, dict[int, tuple[str, int, Message]]] = defaultdict(dict)
-        self.own_word: dict[tuple[int, int], tuple[int, Message]] = {}  # life, node: draining since
+        self.draining_since: dict[tuple[int, int], tuple[int, Message]] = {}  # life, node: draining since
         self.place_of: dict[int, tuple[str, str]] = {}  # zone and rack
-        self.lives: dict[int, tuple[int, int]] = {}  # node: its life, and when it began here
-        self.told_life: dict[tuple[int, int], set[int]] = defaultdict(set)  # node, life: planners told
-        self.pushes: dict[tuple[int, int], deque[tuple[int, int, Message]]] = defaultdict(deque)
-        self.pushed_over: set[tuple[int, int]] = set()
-        self.here: dict[int, dict[tuple[int, Id], tuple[int, str]]] = defaultdict(dict)  # life: what counts
-        self.runs: dict[tuple[str, int], dict[tuple[int, Id], Sent]] = defaultdict(dict)
-        self.groups: dict[tuple[int, int], GroupSeen] = {}  # life and number of a try
-        self.said: set[tuple[int, int, int, int]] = set()  # numbered words, as they were heard
-        self.said_first: set[tuple[int, int, int, int]] = set()  # and as they were said
-        self.member_doubts: list[tuple[Message, Sent, Sent]] = []
-        self.seen_life: dict[int, int] = {}
-        self.partly: dict[tuple[int, int], GroupSeen] = {}
-        self.member_of: dict[Id, tuple[tuple[int, int], int]] = {}
-        self.members_out: dict[tuple[str, int], Sent] = {}
+        self.node_incarnations: dict[int, tuple[int, int]] = {}  # node: its life, and when it began here
+        self.notified_of_start: dict[tuple[int, int], set[int]] = defaultdict(
+            set
+        )  # node, life: planners told
+        self.slow_start_offers: dict[tuple[int, int], deque[tuple[int, int, Message]]] = defaultdict(deque)
+        self.crashed: set[tuple[int, int]] = set()
+        self.counted: dict[int, dict[tuple[int, AttemptKey], tuple[int, str]]] = defaultdict(
+            dict
+        )  # life: what counts
+        self.running: dict[tuple[str, int], dict[tuple[int, AttemptKey], ObservedOffer]] = defaultdict(dict)
+        self.groups: dict[tuple[int, int], ObservedGroup] = {}  # life and number of a try
+        self.received_numbers: set[tuple[int, int, int, int]] = set()  # numbered words, as they were heard
+        self.sent_numbers: set[tuple[int, int, int, int]] = set()  # and as they were said
+        self.possible_duplicates: list[tuple[Message, ObservedOffer, ObservedOffer]] = []
+        self.observed_incarnation: dict[int, int] = {}
+        self.partial_groups: dict[tuple[int, int], ObservedGroup] = {}
+        self.member_of: dict[AttemptKey, tuple[tuple[int, int], int]] = {}
+        self.members_in_flight: dict[tuple[str, int], ObservedOffer] = {}
         self.timeline: list[tuple[int, str, str]] = []  # at, what, class
 
     def _breach(
@@ -199,7 +207,7 @@
     ) -> None:
         shown = [m for m in others if m is not None] + [message]
         evidence = tuple(f"{(m.at - self.first_at) / 1e6:.6f}s {m.where()}" for m in shown)
-        name = name_of(task) if task else ""
+        name = task_name(task) if task else ""
         self.breaches.append(Breach(rule, clause, text, message.at, name, node, evidence))
 
     def _place_name(self, scope: str, node: int) -> object:
@@ -207,5 +215,5 @@
         return {"node": node, "group": rack, "zone": zone, "all": "", "none": ""}[scope]
 
 
-def id_of(id: Any) -> Id:
+def attempt_key(id: Any) -> AttemptKey:
     return (id.life, id.placing, id.attempt)
--- a/tests/rehearsal/test_day.py
+++ b/tests/rehearsal/test_bench_day.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from stairplank.rehearsal.day import DayError, scenario_from_day
+from stairplank.rehearsal.bench_day import DayError, scenario_from_day
 from stairplank.rehearsal.scenario import load_scenario
 
 S = 1_000_000
--- a/tests/rehearsal/test_drawn.py
+++ b/tests/rehearsal/test_fault_generator.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from stairplank.rehearsal.drawn import Space, draw, kinds
+from stairplank.rehearsal.batch import Batch, Run, space_of
+from stairplank.rehearsal.fault_generator import Space, draw, kinds
 from stairplank.rehearsal.scenario import load_scenario
-from stairplank.rehearsal.series import Run, Series, space_of
 from stairplank.standin.script import FAULTS, parse
 
 ROOM = Path(str(resources.files("stairplank") / "scenarios" / "drawn-room"))
@@ -28,7 +28,7 @@
     for seed in range(1, 120):
         lines = draw(SPACE, seed)
         assert 1 <= len(lines) <= 12
-        file.write_text(Series.with_lines(room, seed, lines))
+        file.write_text(Batch.with_lines(room, seed, lines))
         scenario = load_scenario(file)
         assert scenario.seed == seed and len(scenario.faults) == len(lines)
         assert all(0 < f.at_us <= SPACE.until_us for f in scenario.faults)
@@ -52,7 +52,7 @@
         assert len(gone) <= 2 and sum("grow" in x for x in draw(space, seed, 12, 12)) <= 1
 
 
-class Pretended(Series):
+class Pretended(Batch):
     """Runs nothing: a script fails where it has both of two lines."""
 
     def __init__(self, folder: Path, bad: tuple[str, ...]) -> None:
@@ -73,7 +73,7 @@
     lines[6:6] = ["at 5s planner 1 cut"]
     lines.append("at 9s farm pause for 1s")
     series = Pretended(tmp_path, bad)
-    failing = series.made("it", Series.with_lines(ROOM.read_text(), 1, lines))
+    failing = series.made("it", Batch.with_lines(ROOM.read_text(), 1, lines))
     series.run([failing])
     assert not failing.clean
     least = series.shrink(failing, 60)
@@ -85,7 +85,7 @@
 def test_cutting_down_ends_at_its_bound(tmp_path: Path) -> None:
     series = Pretended(tmp_path, ("planner 0 cut",))
     failing = series.made(
-        "it", Series.with_lines(ROOM.read_text(), 1, [f"at {n}s planner 0 cut" for n in range(1, 13)])
+        "it", Batch.with_lines(ROOM.read_text(), 1, [f"at {n}s planner 0 cut" for n in range(1, 13)])
     )
     series.run([failing])
     least = series.shrink(failing, 3)
--- a/tests/rehearsal/test_relay.py
+++ b/tests/rehearsal/test_relay.py
@@ -10,7 +10,7 @@
 import pytest
 from gevent import socket
 
-from stairplank.rehearsal import capture, ways
+from stairplank.rehearsal import capture, relay_channel
 from stairplank.rehearsal.relay import Recorder, Relay
 from stairplank.rpc import address
 
@@ -203,7 +203,7 @@
 
 
 def test_the_bound_of_held_bytes_is_felt_by_the_sender(room: Room, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ways, "HOLD_MOST", 100_000)
+    monkeypatch.setattr(relay_channel, "MAX_HELD_BYTES", 100_000)
     near = room.dial()
     near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
     room.relay.begin("hold", "there")
@@ -215,7 +215,9 @@
     except TimeoutError:
         pass
     link = next(iter(room.relay.links))
-    assert link.there.held == 100_000 and sent < 64 << 20  # it stands, as before a peer that does not read
+    assert (
+        link.there.held_bytes == 100_000 and sent < 64 << 20
+    )  # it stands, as before a peer that does not read
     room.relay.end("hold", "there")
     room.until(lambda: room.came and len(room.came[0]) == sent)  # and nothing is lost
     assert not [r for r in room.records() if r.kind == capture.LOST_TO_LISTENER]
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -161,9 +161,10 @@
     """One of the points that benchmarks/kills.py goes through."""
     scenario = Path(str(resources.files("stairplank") / "scenarios" / "one-group"))
     code = (
-        "import sys\nfrom pathlib import Path\nfrom stairplank.rehearsal.kills import KillRun\n"
+        "import sys\nfrom pathlib import Path\nfrom stairplank.rehearsal.kill_sweep import KillSweepRun\n"
         "from stairplank.rehearsal.scenario import load_scenario\n"
-        f"run = KillRun(load_scenario({str(scenario)!r}), Path({str(tmp_path)!r}), print, 12, {target!r})\n"
+        f"scenario = load_scenario({str(scenario)!r})\n"
+        f"run = KillSweepRun(scenario, Path({str(tmp_path)!r}), print, 12, {target!r})\n"
         "result = run.run()\n"
         "print(run.killed, result.checker.counts.groups, result.checker.breaches)\n"
         "sys.exit(1 if result.checker.breaches or result.problems else 0)\n"
