--- a/stairplank/rehearsal/relay_channel.py
+++ b/stairplank/rehearsal/relay_channel.py
@@ -1,8 +1,8 @@
 """One direction of one link through a relay: bytes are read, wait as the script says, go on or are dropped.
 
 A channel reads whatever its source sends, also while nothing may pass, and notes when; up to
-``MAX_HELD_BYTES`` bytes wait in it. At that bound it stops reading, which is to the source as a peer that does
-not read: its kernel's buffers fill, then its writes wait.
+``MAX_HELD_BYTES`` bytes wait in it. At that bound it stops reading, which is to the source as a peer that
+does not read: its kernel's buffers fill, then its writes wait.
 """
 
 from __future__ import annotations
