--- a/stairplank/standin/listing.py
+++ b/stairplank/standin/node_list_server.py
@@ -15,8 +15,8 @@
 from ..planner.events import ListedNode
 from ..proto import directory_pb2, methods
 from ..rpc import Code, RpcError, Server, ServerCall
-from .config import ListingConfig, begun
-from .directory import Directory
+from .config import NodeListConfig, wait_for_begin
+from .node_list_state import NodeListState
 from .script import Fault
 
 BEAT_S = 1.0  # a watcher hears something so often, if only that there is nothing new
@@ -28,6 +28,7 @@
 
 
 def entry_to(node: ListedNode) -> Any:
+    """The message of a list entry."""
     return directory_pb2.NodeEntry(
         id=node.id,
         name=node.name,
@@ -42,20 +43,23 @@
     )
 
 
-class Listing:
-    def __init__(self, config: ListingConfig) -> None:
+class NodeListServer:
+    """Serves Directory; faults make it late, unreachable or hanging."""
+
+    def __init__(self, config: NodeListConfig) -> None:
         self.config = config
         self.log = structlog.get_logger("directory")
         # Revisions go on where an earlier life may have left off: they follow the clock.
-        self.directory = Directory(config.model, revision=int(time.time()))
-        self.away = False
-        self.hung = Flag()
-        self.hung.set()
-        self.news = Flag()
+        self.directory = NodeListState(config.model, revision=int(time.time()))
+        self.unreachable = False
+        self.not_hanging = Flag()
+        self.not_hanging.set()
+        self.updated = Flag()
         handlers = methods(DIRECTORY, List=self.list, Watch=self.watch, Announce=self.announce)
         self.server = Server(config.listen, handlers)
 
     def start(self) -> None:
+        """Start serving, and the faults of the script."""
         self.server.start()
         gevent.spawn(self.clock)
         for fault in self.config.faults:
@@ -63,51 +67,56 @@
                 gevent.spawn(self.script, fault)
 
     def clock(self) -> None:
+        """Publish revisions as they come due."""
         while True:
             gevent.sleep(0.02)
             if self.directory.advance(now_us()):
-                self.news.set()
-                self.news = Flag()
+                self.updated.set()
+                self.updated = Flag()
 
     def script(self, fault: Fault) -> None:
-        begin = begun(self.config.begin)
+        """Wait for a fault's time, carry it out and end it."""
+        begin = wait_for_begin(self.config.begin)
         gevent.sleep(max(0.0, (begin + fault.at_us - now_us()) / 1e6))
         self.log.info("fault", what=fault.what, values=list(fault.values))
         self.apply(fault, True)
-        if fault.for_us:
-            gevent.sleep(fault.for_us / 1e6)
+        if fault.duration_us:
+            gevent.sleep(fault.duration_us / 1e6)
             self.apply(fault, False)
 
     def apply(self, fault: Fault, on: bool) -> None:
+        """Begin a fault, or end it."""
         match fault.what:
             case "behind":
-                self.directory.behind_us = fault.values[0] if on else 0
+                self.directory.extra_delay_us = fault.values[0] if on else 0
             case "away":
-                self.away = on
+                self.unreachable = on
                 if on:
-                    self.cut()
+                    self.break_watches()
             case "hang":
                 if on:
-                    self.hung.clear()
+                    self.not_hanging.clear()
                 else:
-                    self.hung.set()
+                    self.not_hanging.set()
             case "forget":
                 # Danger for watchers: what changed meanwhile cannot be told as changes any more.
                 self.directory.history.clear()
-                self.cut()
+                self.break_watches()
 
-    def cut(self) -> None:
+    def break_watches(self) -> None:
         """Break the watchers' streams; nodes go on announcing."""
         for connection in list(self.server.connections):
             if any(call.path.endswith("/Watch") for call, _ in connection.calls.values()):
                 connection.close(RpcError(Code.UNAVAILABLE, "out of reach by script"))
 
-    def here(self) -> None:
-        if self.away:
+    def check_reachable(self) -> None:
+        """Raise RpcError while unreachable; wait while hanging."""
+        if self.unreachable:
             raise RpcError(Code.UNAVAILABLE, "out of reach by script")
-        self.hung.wait()
+        self.not_hanging.wait()
 
     def message(self, nodes: tuple[ListedNode, ...], full: bool, since: int) -> Any:
+        """A list message with these nodes, complete or changes since a revision."""
         return directory_pb2.NodeList(
             revision=self.directory.revision,
             full=full,
@@ -117,26 +126,29 @@
         )
 
     def list(self, request: Any, call: ServerCall) -> Any:
-        self.here()
-        return self.message(self.directory.whole(), True, 0)
+        """Handler of Directory.List."""
+        self.check_reachable()
+        return self.message(self.directory.all_nodes(), True, 0)
 
     def watch(self, request: Any, call: ServerCall) -> None:
-        self.here()
+        """Handler of Directory.Watch."""
+        self.check_reachable()
         have = request.revision
         first = True
         while True:
-            news = self.news
+            news = self.updated
             changes = self.directory.changes_since(have) if have else None
             if changes is None:
-                call.send(self.message(self.directory.whole(), True, 0))
+                call.send(self.message(self.directory.all_nodes(), True, 0))
             elif changes or first or not news.is_set():
                 call.send(self.message(changes, False, have))
             first = False
             have = self.directory.revision
             news.wait(BEAT_S)
-            self.hung.wait()
+            self.not_hanging.wait()
 
     def announce(self, call: ServerCall) -> Any:
+        """Handler of Directory.Announce: one node's stream."""
         node = None
         try:
             while (entry := call.recv()) is not None:
@@ -145,5 +157,5 @@
                     self.directory.announced(now_us(), node)
         finally:
             if node is not None:
-                self.directory.fell_silent(now_us(), node.id)
+                self.directory.announcement_lost(now_us(), node.id)
         return directory_pb2.AnnounceResponse()
--- a/tests/golden/golden_grpc_days.py
+++ b/tests/golden/golden_grpc_days.py
@@ -13,7 +13,7 @@
 from stairplank.planner import events as ev
 from stairplank.planner.core import Core
 from stairplank.rehearsal.scenario import load_scenario
-from stairplank.standin.config import directory_model, owner_models
+from stairplank.standin.config import client_models, node_list_model
 
 SECOND = 1_000_000
 SCENARIOS = Path(__file__).resolve().parents[2] / "stairplank" / "scenarios"
@@ -68,15 +68,15 @@
 def play(scenario_name: str, seed: int, trace: Trace) -> None:
     """A day of 60 simulated seconds with faults drawn from the seed; at its end the planners shut down."""
     scenario = load_scenario(SCENARIOS / scenario_name)
-    clients = owner_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
+    clients = client_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
     nodes = tuple(node.model for node in scenario.nodes if not node.absent)
     config = WorldConfig(
         scenario.room,
         nodes,
-        tuple(replace(client, ends_us=25 * SECOND) for client in clients),
+        tuple(replace(client, demand_ends_us=25 * SECOND) for client in clients),
         scenario.planners,
         seed,
-        directory=directory_model(scenario.section),
+        directory=node_list_model(scenario.section),
     )
     world = TracedWorld(config, trace)
     rng = random.Random(seed)
@@ -106,4 +106,4 @@
             world.drain_node(some[0])
         case 7:
             if (node := world.nodes[some[0]]) is not None:
-                node.faults.failing = 0.7
+                node.faults.start_failure_share = 0.7
