--- a/benchmarks/wishes.py
+++ b/benchmarks/wishes.py
@@ -17,9 +17,9 @@
 from typing import Any
 
 from stairplank.emulator.world import World, WorldConfig
+from stairplank.groups.constraints import NodeCapacity, infeasible_constraint
 from stairplank.groups.coordinator import GroupConfig
 from stairplank.groups.spec import GroupSpec
-from stairplank.groups.wishes import Place, impossible
 from stairplank.planner import events as ev
 from stairplank.rehearsal.scenario import load_scenario
 from stairplank.standin.config import directory_model, owner_models
@@ -78,7 +78,7 @@
 """
 
 
-def places(world: World) -> list[Place]:
+def places(world: World) -> list[NodeCapacity]:
     """The room as it is, not as the list says."""
     out = []
     for node, here in world.nodes.items():
@@ -87,7 +87,7 @@
             model = here.model
             cores, memory = model.cores * model.cores_limit, model.memory * model.memory_limit
             out.append(
-                Place(
+                NodeCapacity(
                     node, model.rack, 0, cores, memory,
                     cores - model.cores + free[0], memory - model.memory + free[1],
                 )
@@ -98,7 +98,7 @@
 def can(spec: GroupSpec, world: World) -> bool:
     """Whether the wish can be met in what is free now."""
     now = [replace(p, cores=p.free_cores, memory=p.free_memory) for p in places(world)]
-    return impossible(spec, now, world.config.room.settings(3, 0, 0)) is None
+    return infeasible_constraint(spec, now, world.config.room.settings(3, 0, 0)) is None
 
 
 def run(wish: str, size: int, load: float, seed: int, steer: bool) -> dict[str, Any]:
@@ -114,7 +114,7 @@
     config = WorldConfig(
         scenario.room, tuple(n.model for n in scenario.nodes),
         (replace(owners[0], ends_us=55 * SECOND), replace(owners[0], name="groups", ends_us=0)), 3, seed,
-        directory=directory_model(scenario.section), groups=GroupConfig(steer=steer),
+        directory=directory_model(scenario.section), groups=GroupConfig(enforce_constraints=steer),
     )  # fmt: skip
     world = World(config)
     words: dict[int, list[tuple[int, Any]]] = {}
--- a/stairplank/groups/__init__.py
+++ b/stairplank/groups/__init__.py
@@ -6,6 +6,6 @@
 """
 
 from .coordinator import Coordinator, GroupConfig
-from .spec import GroupProblem, GroupSpec, check
+from .spec import GroupProblem, GroupSpec, validate
 
-__all__ = ["Coordinator", "GroupConfig", "GroupProblem", "GroupSpec", "check"]
+__all__ = ["Coordinator", "GroupConfig", "GroupProblem", "GroupSpec", "validate"]
--- a/stairplank/groups/wishes.py
+++ b/stairplank/groups/constraints.py
@@ -18,18 +18,18 @@
 from ..tasks import TaskSpec
 from .spec import GroupSpec
 
-LOOK_MOST = (
+MAX_PAIRS = (
     200_000  # pairs of members and places that are looked at for one member; past it only what is taken
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class NodeCapacity:
     """A ready node as it is believed to be; amounts as it accepts them."""
 
     node: int
     rack: str
-    kind: int
+    node_type: int
     cores: float
     memory: float
     free_cores: float
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class MemberRequirements:
     """What a member asks of a place."""
 
     cores: float
@@ -49,9 +49,9 @@
     most: int
 
 
-def wanted(member: TaskSpec, settings: api.Settings) -> Wanted:
+def requirements_of(member: TaskSpec, settings: api.Settings) -> MemberRequirements:
     sort = next(c for c in settings.classes if c.name == member.task_class)
-    return Wanted(
+    return MemberRequirements(
         member.cores,
         member.memory,
         sort.node_type,
@@ -62,17 +62,19 @@
     )
 
 
-def wishes(spec: GroupSpec) -> bool:
+def has_constraints(spec: GroupSpec) -> bool:
     """Whether the group has any."""
     return len(spec.members) > 1 and (spec.same_rack or spec.distinct_nodes or spec.distinct_racks)
 
 
-def impossible(spec: GroupSpec, places: Sequence[Place], settings: api.Settings) -> str | None:
+def infeasible_constraint(
+    spec: GroupSpec, places: Sequence[NodeCapacity], settings: api.Settings
+) -> str | None:
     """Why a wish can never be met by these nodes, however empty; None where it can, as far as is known."""
     if not places:
         return None
-    empty = [Place(p.node, p.rack, p.kind, p.cores, p.memory, p.cores, p.memory) for p in places]
-    members = [wanted(m, settings) for m in spec.members]
+    empty = [NodeCapacity(p.node, p.rack, p.node_type, p.cores, p.memory, p.cores, p.memory) for p in places]
+    members = [requirements_of(m, settings) for m in spec.members]
     if spec.same_rack and not any(
         _pack(members, rack, spec.distinct_nodes) for rack in _racks(empty).values()
     ):
@@ -85,11 +87,11 @@
     return None
 
 
-def closed(
+def excluded_nodes(
     spec: GroupSpec,
     member: int,
     taken: Mapping[int, int],
-    places: Sequence[Place],
+    places: Sequence[NodeCapacity],
     settings: api.Settings,
     avoid: Iterable[str] = (),
 ) -> frozenset[int]:
@@ -113,7 +115,7 @@
     return frozenset(out)
 
 
-def breaks(spec: GroupSpec, node: int, taken: Mapping[int, int], rack: Callable[[int], str]) -> bool:
+def violates(spec: GroupSpec, node: int, taken: Mapping[int, int], rack: Callable[[int], str]) -> bool:
     """Whether a member at this node would break a wish, where the others are; nothing else is looked at."""
     nodes = taken.values()
     if spec.distinct_nodes and node in nodes:
@@ -122,7 +124,7 @@
     return bool(taken) and ((spec.same_rack and not same) or (spec.distinct_racks and same))
 
 
-def _less(spec: GroupSpec, taken: Mapping[int, int], places: Sequence[Place]) -> list[Place]:
+def _less(spec: GroupSpec, taken: Mapping[int, int], places: Sequence[NodeCapacity]) -> list[NodeCapacity]:
     """Places with what the group itself has taken off their room."""
     cores: dict[int, float] = {}
     memory: dict[int, float] = {}
@@ -130,8 +132,8 @@
         cores[node] = cores.get(node, 0.0) + spec.members[i].cores
         memory[node] = memory.get(node, 0.0) + spec.members[i].memory
     return [
-        Place(
-            p.node, p.rack, p.kind, p.cores, p.memory,
+        NodeCapacity(
+            p.node, p.rack, p.node_type, p.cores, p.memory,
             p.free_cores - cores[p.node], p.free_memory - memory[p.node],
         )
         if p.node in cores else p
@@ -139,32 +141,32 @@
     ]  # fmt: skip
 
 
-def _fits(member: Wanted, place: Place) -> bool:
-    if member.kind is not None and place.kind != member.kind:
+def _fits(member: MemberRequirements, place: NodeCapacity) -> bool:
+    if member.kind is not None and place.node_type != member.kind:
         return False
     return member.cores <= place.free_cores + 1e-9 and member.memory <= place.free_memory + 1e-9
 
 
-def _racks(places: Iterable[Place]) -> dict[str, list[Place]]:
-    racks: dict[str, list[Place]] = {}
+def _racks(places: Iterable[NodeCapacity]) -> dict[str, list[NodeCapacity]]:
+    racks: dict[str, list[NodeCapacity]] = {}
     for place in places:
         racks.setdefault(place.rack, []).append(place)
     return racks
 
 
 def _roomy(
-    spec: GroupSpec, rest: list[int], places: Sequence[Place], settings: api.Settings, avoid: set[str]
+    spec: GroupSpec, rest: list[int], places: Sequence[NodeCapacity], settings: api.Settings, avoid: set[str]
 ) -> set[str]:
     """Racks in which the whole group is believed to fit; those where no try failed, if there are any."""
-    members = [wanted(spec.members[i], settings) for i in rest]
+    members = [requirements_of(spec.members[i], settings) for i in rest]
     fit = {name for name, rack in _racks(places).items() if _pack(members, rack, spec.distinct_nodes)}
     return (fit - avoid) or fit or {p.rack for p in places}
 
 
-def _pack(members: Sequence[Wanted], rack: Sequence[Place], apart: bool) -> bool:
+def _pack(members: Sequence[MemberRequirements], rack: Sequence[NodeCapacity], apart: bool) -> bool:
     """Whether members fit into one rack together: the largest first, each where most is left."""
     free = {p.node: [p.free_cores, p.free_memory] for p in rack}
-    kinds = {p.node: p.kind for p in rack}
+    kinds = {p.node: p.node_type for p in rack}
     used: set[int] = set()
     counts: dict[tuple[str, int, object], int] = {}
     for member in sorted(members, key=lambda m: (-m.cores, -m.memory)):
@@ -197,15 +199,17 @@
 # Members and places apart
 
 
-def _units(spec: GroupSpec, places: Iterable[Place]) -> dict[object, list[Place]]:
+def _units(spec: GroupSpec, places: Iterable[NodeCapacity]) -> dict[object, list[NodeCapacity]]:
     """What each member needs one of: racks, or nodes."""
-    units: dict[object, list[Place]] = {}
+    units: dict[object, list[NodeCapacity]] = {}
     for place in places:
         units.setdefault(place.rack if spec.distinct_racks else place.node, []).append(place)
     return units
 
 
-def _edges(members: Sequence[Wanted], units: Mapping[object, list[Place]]) -> list[list[object]]:
+def _edges(
+    members: Sequence[MemberRequirements], units: Mapping[object, list[NodeCapacity]]
+) -> list[list[object]]:
     return [[u for u, places in units.items() if any(_fits(m, p) for p in places)] for m in members]
 
 
@@ -237,7 +241,9 @@
     return False
 
 
-def _match(members: Sequence[Wanted], units: Mapping[object, list[Place]]) -> dict[object, int] | None:
+def _match(
+    members: Sequence[MemberRequirements], units: Mapping[object, list[NodeCapacity]]
+) -> dict[object, int] | None:
     """A unit for each member, as unit: member; None where there is none."""
     edges = _edges(members, units)
     owner: dict[object, int] = {}
@@ -247,7 +253,7 @@
     return owner
 
 
-def _ample(spec: GroupSpec, members: Sequence[Wanted], places: Sequence[Place]) -> bool:
+def _ample(spec: GroupSpec, members: Sequence[MemberRequirements], places: Sequence[NodeCapacity]) -> bool:
     """Whether more places than members fit even what asks for most: then none can be a dead end."""
     if any(m.kind is not None for m in members):
         return False
@@ -262,13 +268,13 @@
 
 
 def _dead_ends(
-    spec: GroupSpec, member: int, rest: list[int], places: Sequence[Place], settings: api.Settings
+    spec: GroupSpec, member: int, rest: list[int], places: Sequence[NodeCapacity], settings: api.Settings
 ) -> set[int]:
     """Open places that would leave the others without places of their own."""
     order = [member, *(i for i in rest if i != member)]
-    if len(order) < 2 or len(order) * len(places) > LOOK_MOST:
+    if len(order) < 2 or len(order) * len(places) > MAX_PAIRS:
         return set()
-    members = [wanted(spec.members[i], settings) for i in order]
+    members = [requirements_of(spec.members[i], settings) for i in order]
     if _ample(spec, members, places):
         return set()
     units = _units(spec, places)
--- a/stairplank/groups/coordinator.py
+++ b/stairplank/groups/coordinator.py
@@ -21,45 +21,47 @@
 from enum import Enum
 
 from .. import interface as api
-from .spec import GroupSpec, Room, never, scarcity
-from .wishes import Place, breaks, closed, impossible, wishes
+from .constraints import NodeCapacity, excluded_nodes, has_constraints, infeasible_constraint, violates
+from .spec import ClusterCapacity, GroupSpec, infeasible_reason, scarcity
 
-AGED = 0.8  # of its back-off that a group is spared by the time its owner is about to give up
+MAX_AGE_DISCOUNT = 0.8  # of its back-off that a group is spared by the time its owner is about to give up
 
 
 @dataclass(frozen=True, slots=True)
 class GroupConfig:
     """Times in microseconds."""
 
-    gather_us: int = 1_500_000  # a try may hold members so long; longer as the group ages, up to the next
-    gather_most_us: int = 3_000_000
-    whole_within_us: int = 1_000_000  # from letting run to all running
-    keep_every_us: int = 400_000
+    reserve_timeout_us: int = (
+        1_500_000  # a try may hold members so long; longer as the group ages, up to the next
+    )
+    max_reserve_timeout_us: int = 3_000_000
+    commit_timeout_us: int = 1_000_000  # from letting run to all running
+    lease_renewal_interval_us: int = 400_000
     lease_us: int = 1_200_000  # before a group is whole
     lease_step_us: int = 400_000  # by which the lease grows with each keeping after that
-    lease_most_us: int = 8_000_000
-    back_off_us: int = 200_000  # first wait between tries, doubling
-    back_off_most_us: int = 3_000_000
-    answer_us: int = 100_000  # so long before the deadline the group is answered
-    groups_most: int = 1_000
-    held_share: float = 0.5  # of the believed free room that gathering groups may hold at once
-    steer: bool = True  # False, a baseline: wishes are looked at once all are bound, not before
+    max_lease_us: int = 8_000_000
+    initial_backoff_us: int = 200_000  # first wait between tries, doubling
+    max_backoff_us: int = 3_000_000
+    answer_margin_us: int = 100_000  # so long before the deadline the group is answered
+    max_groups: int = 1_000
+    max_reserved_share: float = 0.5  # of the believed free room that gathering groups may hold at once
+    enforce_constraints: bool = True  # False, a baseline: wishes are looked at once all are bound, not before
     blocking: bool = False  # baseline for experiments: hold what was got until all is there
 
 
-class Stand(Enum):
+class GroupState(Enum):
     WAITING = "waiting"
-    GATHERING = "gathering"
+    RESERVING = "gathering"
     COMMITTED = "committed"
-    WHOLE = "whole"
+    COMPLETE = "whole"
     RELEASING = "releasing"
     OVER = "over"
 
 
-class Member(Enum):
+class MemberState(Enum):
     IDLE = "idle"  # no attempt of this try
-    ASKED = "asked"
-    READY = "ready"
+    REQUESTED = "asked"
+    RESERVED = "ready"
     RUNNING = "running"
     FINISHED = "finished"
     OVER = "over"  # its attempt of this try is over without a good end
@@ -69,23 +71,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
+class PlaceMember:
     """Have this member placed; it is to be held ready."""
 
     group: int
     member: int
-    until: int
+    deadline: int
 
 
 @dataclass(frozen=True, slots=True)
-class LetRun:
+class Commit:
     group: int
     members: tuple[int, ...]
     lease_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class RenewLeases:
     group: int
     members: tuple[int, ...]
     lease_us: int
@@ -103,30 +105,30 @@
 class Placed:
     group: int
     members: tuple[int, ...]
-    wishes_met: bool
-    tries: int
+    constraints_met: bool
+    attempts: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class Shed:
     group: int
-    why: str
-    never: bool
+    reason: str
+    is_permanent: bool
     retry_after_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
     group: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Tried:
+class Attempted:
     group: int
-    tries: int
-    why: str
-    again_in_us: int
+    attempts: int
+    reason: str
+    retry_in_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,30 +137,30 @@
     finished: bool
 
 
-Action = Try | LetRun | Keep | Release | Placed | Refused | Failed | Tried | Ended
+Action = PlaceMember | Commit | RenewLeases | Release | Placed | Shed | Failed | Attempted | Ended
 
 
 @dataclass(slots=True)
 class Group:
     number: int
     spec: GroupSpec
-    asked: int
+    requested_at: int
     deadline: int
-    stand: Stand = Stand.WAITING
-    members: list[Member] = field(default_factory=list)
+    state: GroupState = GroupState.WAITING
+    members: list[MemberState] = field(default_factory=list)
     nodes: dict[int, tuple[int, str]] = field(default_factory=dict)  # member: node and rack
-    tries: int = 0
-    until: int = 0  # of the present stand
+    attempts: int = 0
+    state_deadline: int = 0  # of the present stand
     lease_us: int = 0
-    why: str = ""
-    ran: bool = False  # members of it were let run at some time
-    answered: bool = False
-    placed: bool = False
-    final: bool = False  # no further try after the release
-    steered: bool = False  # its wishes close nodes to members
-    resigned: bool = False  # its wishes can never be met
+    reason: str = ""
+    was_committed: bool = False  # members of it were let run at some time
+    is_answered: bool = False
+    is_placed: bool = False
+    is_final: bool = False  # no further try after the release
+    enforces_constraints: bool = False  # its wishes close nodes to members
+    constraints_infeasible: bool = False  # its wishes can never be met
     rack: str = ""  # that members of this try go to
-    avoid: set[str] = field(default_factory=set)  # racks in which tries failed
+    failed_racks: set[str] = field(default_factory=set)  # racks in which tries failed
     generation: int = 0
 
 
@@ -171,7 +173,7 @@
         self.rng = random.Random(seed)
         self.groups: dict[int, Group] = {}
         self.now = 0
-        self.room = Room(0, 0, 0.0, 0.0, 0.0, 0.0)
+        self.capacity = ClusterCapacity(0, 0, 0.0, 0.0, 0.0, 0.0)
         self.out: list[Action] = []
         self._due: list[tuple[int, int, int]] = []
         self.keep_at = 0
@@ -186,113 +188,119 @@
 
     # Events
 
-    def asked(
+    def request(
         self,
         now: int,
         number: int,
         spec: GroupSpec,
         deadline: int,
-        room: Room,
-        places: Sequence[Place] = (),
+        room: ClusterCapacity,
+        places: Sequence[NodeCapacity] = (),
     ) -> list[Action]:
         """``places`` are wanted where the group has wishes: what they could be met by."""
         self._begin(now, room)
-        group = Group(number, spec, now, deadline, members=[Member.IDLE] * len(spec.members))
+        group = Group(number, spec, now, deadline, members=[MemberState.IDLE] * len(spec.members))
         self.groups[number] = group
-        group.steered = self.config.steer and wishes(spec)
-        reason = never(spec, room, self.settings)
+        group.enforces_constraints = self.config.enforce_constraints and has_constraints(spec)
+        reason = infeasible_reason(spec, room, self.settings)
         if reason is not None:
-            self._answer(group, Refused(number, reason, True, 0))
+            self._answer(group, Shed(number, reason, True, 0))
             return self.out
-        hopeless = impossible(spec, places, self.settings) if group.steered else None
+        hopeless = infeasible_constraint(spec, places, self.settings) if group.enforces_constraints else None
         if hopeless is not None:
             # Said at once, not found out by tries: the group is placed as it can be.
-            group.steered, group.resigned = False, True
-            self.out.append(Tried(number, 0, f"the wishes can never be met: {hopeless}", 0))
+            group.enforces_constraints, group.constraints_infeasible = False, True
+            self.out.append(Attempted(number, 0, f"the wishes can never be met: {hopeless}", 0))
         self._try(group)
         return self.out
 
-    def closed(
-        self, number: int, member: int, taken: Mapping[int, int], places: Sequence[Place]
+    def excluded_nodes(
+        self, number: int, member: int, taken: Mapping[int, int], places: Sequence[NodeCapacity]
     ) -> frozenset[int]:
         """Nodes closed to a member of this try; ``taken``: nodes that other members go to."""
         group = self.groups.get(number)
-        if group is None or not group.steered:
+        if group is None or not group.enforces_constraints:
             return frozenset()
         group.rack = next((p.rack for p in places if p.node in taken.values()), group.rack)
-        return closed(group.spec, member, taken, places, self.settings, group.avoid)
+        return excluded_nodes(group.spec, member, taken, places, self.settings, group.failed_racks)
 
-    def breaks(self, number: int, node: int, taken: Mapping[int, int], rack: Callable[[int], str]) -> bool:
+    def violates_constraints(
+        self, number: int, node: int, taken: Mapping[int, int], rack: Callable[[int], str]
+    ) -> bool:
         """Whether a member that goes to this node breaks a wish, where the others of its try go."""
         group = self.groups.get(number)
-        return group is not None and group.steered and breaks(group.spec, node, taken, rack)
+        return group is not None and group.enforces_constraints and violates(group.spec, node, taken, rack)
 
-    def gathers(self, number: int, tries: int) -> bool:
+    def is_reserving(self, number: int, tries: int) -> bool:
         """Whether this try of a group goes on."""
         group = self.groups.get(number)
-        return group is not None and group.stand is Stand.GATHERING and group.tries == tries
+        return group is not None and group.state is GroupState.RESERVING and group.attempts == tries
 
-    def steered(self, number: int) -> bool:
+    def enforces_constraints(self, number: int) -> bool:
         """Whether members are placed one after the other, for the group's wishes."""
         group = self.groups.get(number)
-        return group is not None and group.steered
+        return group is not None and group.enforces_constraints
 
-    def ready(self, now: int, number: int, member: int, node: int, rack: str) -> list[Action]:
+    def member_reserved(self, now: int, number: int, member: int, node: int, rack: str) -> list[Action]:
         """A member is held ready at a node."""
         self._begin(now)
         group = self.groups.get(number)
-        if group is not None and group.stand is Stand.GATHERING and group.members[member] is Member.ASKED:
-            group.members[member] = Member.READY
+        if (
+            group is not None
+            and group.state is GroupState.RESERVING
+            and group.members[member] is MemberState.REQUESTED
+        ):
+            group.members[member] = MemberState.RESERVED
             group.nodes[member] = (node, rack)
-            if all(m is Member.READY for m in group.members):
+            if all(m is MemberState.RESERVED for m in group.members):
                 self._let_run(group)
         return self.out
 
-    def running(self, now: int, number: int, member: int) -> list[Action]:
+    def member_running(self, now: int, number: int, member: int) -> list[Action]:
         self._begin(now)
         group = self.groups.get(number)
-        if group is not None and group.members[member] is Member.READY:
-            group.members[member] = Member.RUNNING
-            if group.stand is Stand.COMMITTED:
+        if group is not None and group.members[member] is MemberState.RESERVED:
+            group.members[member] = MemberState.RUNNING
+            if group.state is GroupState.COMMITTED:
                 self._perhaps_whole(group)
         return self.out
 
-    def over(self, now: int, number: int, member: int, finished: bool, why: str) -> list[Action]:
+    def member_over(self, now: int, number: int, member: int, finished: bool, why: str) -> list[Action]:
         """A member's attempt has its last word: turned down, failed, lost, released or at its good end."""
         self._begin(now)
         group = self.groups.get(number)
         if group is None:
             return self.out
         was = group.members[member]
-        group.members[member] = Member.FINISHED if finished else Member.OVER
+        group.members[member] = MemberState.FINISHED if finished else MemberState.OVER
         group.nodes.pop(member, None) if not finished else None
-        if group.stand is Stand.GATHERING:
-            if finished or was in (Member.ASKED, Member.READY):
+        if group.state is GroupState.RESERVING:
+            if finished or was in (MemberState.REQUESTED, MemberState.RESERVED):
                 self._short(group, why)
-        elif group.stand is Stand.COMMITTED:
-            if finished and was in (Member.READY, Member.RUNNING):
+        elif group.state is GroupState.COMMITTED:
+            if finished and was in (MemberState.RESERVED, MemberState.RUNNING):
                 self._perhaps_whole(group)
-            elif was in (Member.READY, Member.RUNNING):
+            elif was in (MemberState.RESERVED, MemberState.RUNNING):
                 self._give_up(group, f"a member was lost before all ran: {why}")
-        elif group.stand is Stand.WHOLE:
-            if not finished and was is Member.RUNNING:
+        elif group.state is GroupState.COMPLETE:
+            if not finished and was is MemberState.RUNNING:
                 self._lost_one(group)
             self._perhaps_ended(group)
-        elif group.stand is Stand.RELEASING:
+        elif group.state is GroupState.RELEASING:
             self._perhaps_released(group)
         return self.out
 
-    def withdrawn(self, now: int, number: int) -> list[Action]:
+    def cancel(self, now: int, number: int) -> list[Action]:
         """The owner wants the group no longer: nothing is owed, all of it is released."""
         self._begin(now)
         group = self.groups.get(number)
         if group is not None:
-            group.answered = group.final = True
-            if group.stand is not Stand.RELEASING:
+            group.is_answered = group.is_final = True
+            if group.state is not GroupState.RELEASING:
                 self._release(group)
         return self.out
 
-    def found(
+    def recover(
         self, now: int, number: int, spec: GroupSpec, nodes: dict[int, tuple[int, str]]
     ) -> list[Action]:
         """A whole group of an earlier life of this planner: it is kept on.
@@ -300,25 +308,27 @@
         ``nodes``: where members run; those without one have run to their end.
         """
         self._begin(now)
-        members = [Member.RUNNING if i in nodes else Member.FINISHED for i in range(len(spec.members))]
-        group = Group(number, spec, now, now, Stand.WHOLE, members, dict(nodes))
-        group.answered = group.placed = group.ran = True
+        members = [
+            MemberState.RUNNING if i in nodes else MemberState.FINISHED for i in range(len(spec.members))
+        ]
+        group = Group(number, spec, now, now, GroupState.COMPLETE, members, dict(nodes))
+        group.is_answered = group.is_placed = group.was_committed = True
         group.lease_us = self.config.lease_us
         self.groups[number] = group
         self._keep(group)
         return self.out
 
-    def leave(self, now: int) -> list[Action]:
+    def shut_down(self, now: int) -> list[Action]:
         """The planner leaves: groups that do not run are refused and released."""
         self._begin(now)
-        for group in [g for g in self.groups.values() if not g.answered]:
-            group.answered = group.final = True
-            self.out.append(Refused(group.number, "this planner is leaving", False, 0))
-            if group.stand is not Stand.RELEASING:
+        for group in [g for g in self.groups.values() if not g.is_answered]:
+            group.is_answered = group.is_final = True
+            self.out.append(Shed(group.number, "this planner is leaving", False, 0))
+            if group.state is not GroupState.RELEASING:
                 self._release(group)
         return self.out
 
-    def advance(self, now: int, room: Room) -> list[Action]:
+    def advance(self, now: int, room: ClusterCapacity) -> list[Action]:
         """What has come due."""
         self._begin(now, room)
         while self._due and self._due[0][0] <= now:
@@ -330,51 +340,51 @@
 
     # Tries
 
-    def _begin(self, now: int, room: Room | None = None) -> None:
+    def _begin(self, now: int, room: ClusterCapacity | None = None) -> None:
         self.now = max(self.now, now)
         self.out = []
         if room is not None:
-            self.room = room
+            self.capacity = room
 
     def _timer(self, group: Group) -> None:
-        match group.stand:
-            case Stand.WAITING:
+        match group.state:
+            case GroupState.WAITING:
                 self._try(group)
-            case Stand.GATHERING:
+            case GroupState.RESERVING:
                 self._short(group, "not all members found a place in time")
-            case Stand.COMMITTED | Stand.WHOLE:
+            case GroupState.COMMITTED | GroupState.COMPLETE:
                 self._keep(group)
-            case Stand.RELEASING:
+            case GroupState.RELEASING:
                 self._answer_while_releasing(group)
 
     def _try(self, group: Group) -> None:
         """Begin a try, unless there is no point in it yet."""
-        last = group.deadline - self.config.answer_us
+        last = group.deadline - self.config.answer_margin_us
         if self.now >= last:
             self._answer_late(group)
             return
         why = self._no_point(group)
         if why is not None:
-            group.why = why
+            group.reason = why
             self._wait(group, min(self._back_off(group), last - self.now))
             return
-        group.tries += 1
-        group.stand = Stand.GATHERING
+        group.attempts += 1
+        group.state = GroupState.RESERVING
         group.nodes.clear()
         for i in range(len(group.members)):
-            group.members[i] = Member.ASKED
-        age = (self.now - group.asked) / max(1, group.deadline - group.asked)
-        gather = self.config.gather_us
-        gather += int((self.config.gather_most_us - gather) * age)
+            group.members[i] = MemberState.REQUESTED
+        age = (self.now - group.requested_at) / max(1, group.deadline - group.requested_at)
+        gather = self.config.reserve_timeout_us
+        gather += int((self.config.max_reserve_timeout_us - gather) * age)
         if self.config.blocking:
             gather = last - self.now
-        group.until = min(last, self.now + gather)
+        group.state_deadline = min(last, self.now + gather)
         order = sorted(
             range(len(group.members)), key=lambda i: (scarcity(group.spec.members[i], self.settings), i)
         )
         for i in order:
-            self.out.append(Try(group.number, i, group.until))
-        self._at(group, group.until)
+            self.out.append(PlaceMember(group.number, i, group.state_deadline))
+        self._at(group, group.state_deadline)
 
     def _no_point(self, group: Group) -> str | None:
         """Believed room first. Danger: tries that cannot succeed hold what others could use.
@@ -383,8 +393,8 @@
         tasks, which would starve beside many gathering groups. An old group is tried whatever is believed:
         belief is late, and a group that is never tried never starts.
         """
-        room = self.room
-        old = (self.now - group.asked) * 2 > group.deadline - group.asked
+        room = self.capacity
+        old = (self.now - group.requested_at) * 2 > group.deadline - group.requested_at
         if room.nodes == 0 or old or self.config.blocking:
             return None
         cores = sum(m.cores for m in group.spec.members)
@@ -392,24 +402,24 @@
         if cores > room.free_cores or memory > room.free_memory:
             return "no room is believed to be there"
         held = sum(
-            m.cores for g in self.groups.values() if g.stand is Stand.GATHERING for m in g.spec.members
+            m.cores for g in self.groups.values() if g.state is GroupState.RESERVING for m in g.spec.members
         )
-        if held and held + cores > self.config.held_share * room.free_cores:
+        if held and held + cores > self.config.max_reserved_share * room.free_cores:
             return "other groups are being gathered"
         return None
 
     def _short(self, group: Group, why: str) -> None:
         """The try cannot be completed, or its time is over."""
-        ready = [i for i, m in enumerate(group.members) if m is Member.READY]
-        open_ones = [i for i, m in enumerate(group.members) if m is Member.ASKED]
-        if len(ready) + len(open_ones) >= group.spec.least:
-            if self.now < group.until and open_ones:
+        ready = [i for i, m in enumerate(group.members) if m is MemberState.RESERVED]
+        open_ones = [i for i, m in enumerate(group.members) if m is MemberState.REQUESTED]
+        if len(ready) + len(open_ones) >= group.spec.min_members:
+            if self.now < group.state_deadline and open_ones:
                 return  # others may still do
-            if len(ready) >= group.spec.least:
+            if len(ready) >= group.spec.min_members:
                 if open_ones:
                     self.out.append(Release(group.number, tuple(open_ones)))
                     for i in open_ones:
-                        group.members[i] = Member.OVER
+                        group.members[i] = MemberState.OVER
                 self._let_run(group)
                 return
         self._give_up(group, why)
@@ -425,72 +435,74 @@
         return not (spec.distinct_racks and len(set(racks)) < len(racks))
 
     def _let_run(self, group: Group) -> None:
-        early = (self.now - group.asked) * 3 < group.deadline - group.asked
-        if early and not group.resigned and not self._wishes_met(group):
+        early = (self.now - group.requested_at) * 3 < group.deadline - group.requested_at
+        if early and not group.constraints_infeasible and not self._wishes_met(group):
             self._give_up(group, "the bindings do not meet the wishes")
             return
-        group.stand, group.ran = Stand.COMMITTED, True
-        group.until = self.now + self.config.whole_within_us
+        group.state, group.was_committed = GroupState.COMMITTED, True
+        group.state_deadline = self.now + self.config.commit_timeout_us
         group.lease_us = self.config.lease_us
-        ready = tuple(i for i, m in enumerate(group.members) if m is Member.READY)
-        self.out.append(LetRun(group.number, ready, group.lease_us))
-        self._at(group, min(group.until, self.now + self.config.keep_every_us))
+        ready = tuple(i for i, m in enumerate(group.members) if m is MemberState.RESERVED)
+        self.out.append(Commit(group.number, ready, group.lease_us))
+        self._at(group, min(group.state_deadline, self.now + self.config.lease_renewal_interval_us))
 
     def _perhaps_whole(self, group: Group) -> None:
-        going = [i for i, m in enumerate(group.members) if m in (Member.RUNNING, Member.FINISHED)]
-        if any(m is Member.READY for m in group.members) or len(going) < group.spec.least:
+        going = [i for i, m in enumerate(group.members) if m in (MemberState.RUNNING, MemberState.FINISHED)]
+        if any(m is MemberState.RESERVED for m in group.members) or len(going) < group.spec.min_members:
             return
-        group.stand = Stand.WHOLE
-        if not group.answered:
-            group.answered = group.placed = True
-            self.out.append(Placed(group.number, tuple(going), self._wishes_met(group), group.tries))
+        group.state = GroupState.COMPLETE
+        if not group.is_answered:
+            group.is_answered = group.is_placed = True
+            self.out.append(Placed(group.number, tuple(going), self._wishes_met(group), group.attempts))
         self._keep(group)
         self._perhaps_ended(group)
 
     def _keep(self, group: Group) -> None:
         """Renew the leases; before the group is whole only while it may still become so."""
         config = self.config
-        if group.stand is Stand.COMMITTED and self.now >= group.until:
+        if group.state is GroupState.COMMITTED and self.now >= group.state_deadline:
             self._give_up(group, "not all members ran in time")
             return
-        if group.stand is Stand.WHOLE:
+        if group.state is GroupState.COMPLETE:
             # It grows by steps. Danger: two members whose last keepings differ by one must not end far apart.
-            group.lease_us = min(config.lease_most_us, group.lease_us + config.lease_step_us)
-        members = tuple(i for i, m in enumerate(group.members) if m in (Member.READY, Member.RUNNING))
+            group.lease_us = min(config.max_lease_us, group.lease_us + config.lease_step_us)
+        members = tuple(
+            i for i, m in enumerate(group.members) if m in (MemberState.RESERVED, MemberState.RUNNING)
+        )
         if members:
-            self.out.append(Keep(group.number, members, group.lease_us))
-            at = self.now + config.keep_every_us
-            self._at(group, min(at, group.until) if group.stand is Stand.COMMITTED else at)
+            self.out.append(RenewLeases(group.number, members, group.lease_us))
+            at = self.now + config.lease_renewal_interval_us
+            self._at(group, min(at, group.state_deadline) if group.state is GroupState.COMMITTED else at)
 
     def _lost_one(self, group: Group) -> None:
         """A member of a whole group was lost. Danger: the rest would run on as half a group."""
-        alive = sum(m in (Member.RUNNING, Member.FINISHED) for m in group.members)
-        if alive < group.spec.least:
-            group.final = True
+        alive = sum(m in (MemberState.RUNNING, MemberState.FINISHED) for m in group.members)
+        if alive < group.spec.min_members:
+            group.is_final = True
             self._release(group)
 
     def _perhaps_ended(self, group: Group) -> None:
-        if group.stand is Stand.WHOLE and not any(m is Member.RUNNING for m in group.members):
-            self._end(group, sum(m is Member.FINISHED for m in group.members) >= group.spec.least)
+        if group.state is GroupState.COMPLETE and not any(m is MemberState.RUNNING for m in group.members):
+            self._end(group, sum(m is MemberState.FINISHED for m in group.members) >= group.spec.min_members)
 
     # Release and what comes after
 
     def _give_up(self, group: Group, why: str) -> None:
-        group.why = why
+        group.reason = why
         if group.spec.same_rack and group.rack:
-            group.avoid.add(group.rack)
+            group.failed_racks.add(group.rack)
             group.rack = ""
         self._release(group)
 
     def _release(self, group: Group) -> None:
-        group.stand = Stand.RELEASING
+        group.state = GroupState.RELEASING
         group.generation += 1
-        open_ones = (Member.ASKED, Member.READY, Member.RUNNING)
+        open_ones = (MemberState.REQUESTED, MemberState.RESERVED, MemberState.RUNNING)
         members = tuple(i for i, m in enumerate(group.members) if m in open_ones)
         if members:
             self.out.append(Release(group.number, members))
-        if not group.answered:
-            self._at(group, max(self.now, group.deadline - self.config.answer_us))
+        if not group.is_answered:
+            self._at(group, max(self.now, group.deadline - self.config.answer_margin_us))
         self._perhaps_released(group)
 
     def _answer_while_releasing(self, group: Group) -> None:
@@ -498,35 +510,37 @@
 
         Where no member was let run nothing of the group can run any more, whatever the nodes still say.
         """
-        if group.answered:
+        if group.is_answered:
             return  # withdrawn meanwhile
-        group.answered = group.final = True
-        if group.ran:
-            self.out.append(Failed(group.number, group.why))
+        group.is_answered = group.is_final = True
+        if group.was_committed:
+            self.out.append(Failed(group.number, group.reason))
         else:
-            self.out.append(Refused(group.number, group.why, False, self.config.back_off_most_us))
+            self.out.append(Shed(group.number, group.reason, False, self.config.max_backoff_us))
 
     def _perhaps_released(self, group: Group) -> None:
         """Invariant 4: only when every attempt is over is the group tried again, or answered for good."""
-        if any(m in (Member.ASKED, Member.READY, Member.RUNNING) for m in group.members):
+        if any(
+            m in (MemberState.REQUESTED, MemberState.RESERVED, MemberState.RUNNING) for m in group.members
+        ):
             return
-        if group.final:
+        if group.is_final:
             self._end(group, False)
             return
-        harmed = group.ran and any(
-            group.members[i] in (Member.OVER, Member.FINISHED)
+        harmed = group.was_committed and any(
+            group.members[i] in (MemberState.OVER, MemberState.FINISHED)
             and self._effect(group, i) is not api.Effect.IDEMPOTENT
             for i in range(len(group.members))
         )
-        last = group.deadline - self.config.answer_us
+        last = group.deadline - self.config.answer_margin_us
         if harmed:
             # Members that must not run twice were let run for a moment: they are not sent again.
-            self._answer(group, Failed(group.number, group.why))
+            self._answer(group, Failed(group.number, group.reason))
         elif self.now >= last:
             self._answer_late(group)
         else:
             wait = min(self._back_off(group), last - self.now)
-            self.out.append(Tried(group.number, group.tries, group.why, wait))
+            self.out.append(Attempted(group.number, group.attempts, group.reason, wait))
             self._wait(group, wait)
 
     def _effect(self, group: Group, member: int) -> api.Effect:
@@ -540,32 +554,32 @@
         and a large group, which needs more to come free at once, would always find a small one there first.
         """
         config = self.config
-        most = min(config.back_off_us << min(group.tries, 6), config.back_off_most_us)
-        age = min(1.0, (self.now - group.asked) / max(1, group.deadline - group.asked))
-        most = max(config.back_off_us // 2, int(most * (1 - AGED * age)))
+        most = min(config.initial_backoff_us << min(group.attempts, 6), config.max_backoff_us)
+        age = min(1.0, (self.now - group.requested_at) / max(1, group.deadline - group.requested_at))
+        most = max(config.initial_backoff_us // 2, int(most * (1 - MAX_AGE_DISCOUNT * age)))
         return most // 2 + self.rng.randrange(most // 2 + 1)
 
     def _wait(self, group: Group, wait: int) -> None:
-        group.stand = Stand.WAITING
+        group.state = GroupState.WAITING
         self._at(group, self.now + wait)
 
     def _answer_late(self, group: Group) -> None:
-        why = group.why or "its time is over"
-        self._answer(group, Refused(group.number, why, False, self.config.back_off_most_us))
+        why = group.reason or "its time is over"
+        self._answer(group, Shed(group.number, why, False, self.config.max_backoff_us))
 
-    def _answer(self, group: Group, action: Refused | Failed) -> None:
-        if not group.answered:
-            group.answered = True
+    def _answer(self, group: Group, action: Shed | Failed) -> None:
+        if not group.is_answered:
+            group.is_answered = True
             self.out.append(action)
         self._drop(group)
 
     def _end(self, group: Group, finished: bool) -> None:
-        if group.placed:
+        if group.is_placed:
             self.out.append(Ended(group.number, finished))
         self._drop(group)
 
     def _drop(self, group: Group) -> None:
-        group.stand = Stand.OVER
+        group.state = GroupState.OVER
         group.generation += 1
         self.groups.pop(group.number, None)
 
--- a/stairplank/groups/spec.py
+++ b/stairplank/groups/spec.py
@@ -7,23 +7,23 @@
 from .. import interface as api
 from ..tasks import Rejection, TaskSpec
 
-MEMBERS_MOST = 64
+MAX_MEMBERS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class GroupSpec:
     """A group as its owner asks for it."""
 
-    owner: str
+    client: str
     members: tuple[TaskSpec, ...]
-    least: int  # members that make it whole
+    min_members: int  # members that make it whole
     same_rack: bool = False
     distinct_nodes: bool = False
     distinct_racks: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class ClusterCapacity:
     """What the planner believes of the fleet at the moment; amounts as nodes accept them."""
 
     nodes: int
@@ -37,15 +37,15 @@
 GroupProblem = Rejection
 
 
-def check(spec: GroupSpec, least_asked: int) -> Rejection | None:
+def validate(spec: GroupSpec, least_asked: int) -> Rejection | None:
     """The first field at fault; fields of single members are checked like those of single tasks."""
 
     def bad(field: str, message: str) -> Rejection:
         return Rejection("INVALID_ARGUMENT", field, message)
 
     count = len(spec.members)
-    if not 1 <= count <= MEMBERS_MOST:
-        return bad("members", f"{count} members; 1 to {MEMBERS_MOST} make a group")
+    if not 1 <= count <= MAX_MEMBERS:
+        return bad("members", f"{count} members; 1 to {MAX_MEMBERS} make a group")
     keys: dict[int, int] = {}
     for i, member in enumerate(spec.members):
         if member.key in keys:
@@ -58,25 +58,25 @@
     return None
 
 
-def never(spec: GroupSpec, room: Room, settings: api.Settings) -> str | None:
+def infeasible_reason(spec: GroupSpec, room: ClusterCapacity, settings: api.Settings) -> str | None:
     """Why the group can never start in this room, or None. An unknown fleet rules nothing out."""
     if room.nodes == 0:
         return None
-    order = sorted(spec.members, key=lambda m: m.cores)[: spec.least]
+    order = sorted(spec.members, key=lambda m: m.cores)[: spec.min_members]
     cores = sum(m.cores for m in order)
-    memory = sum(sorted(m.memory for m in spec.members)[: spec.least])
+    memory = sum(sorted(m.memory for m in spec.members)[: spec.min_members])
     if cores > room.cores:
         return f"its members ask for {cores:g} cores, all nodes together accept {room.cores:g}"
     if memory > room.memory:
         return f"its members ask for {memory:g} of memory, all nodes together accept {room.memory:g}"
-    if spec.distinct_nodes and spec.least > room.nodes:
-        return f"{spec.least} members on distinct nodes, {room.nodes} nodes are listed"
-    if spec.distinct_racks and spec.least > room.racks:
-        return f"{spec.least} members in distinct racks, {room.racks} racks are listed"
+    if spec.distinct_nodes and spec.min_members > room.nodes:
+        return f"{spec.min_members} members on distinct nodes, {room.nodes} nodes are listed"
+    if spec.distinct_racks and spec.min_members > room.racks:
+        return f"{spec.min_members} members in distinct racks, {room.racks} racks are listed"
     by_class: dict[tuple[str, int], int] = {}
     for member in spec.members:
         by_class[member.task_class, member.service] = by_class.get((member.task_class, member.service), 0) + 1
-    left_out = len(spec.members) - spec.least
+    left_out = len(spec.members) - spec.min_members
     places = {api.Scope.NODE: room.nodes, api.Scope.GROUP: room.racks}
     for (name, service), count in by_class.items():
         sort = next(c for c in settings.classes if c.name == name)
--- a/stairplank/planner/attempts.py
+++ b/stairplank/planner/attempts.py
@@ -59,9 +59,9 @@
     """What attempts of members need of their groups."""
 
     def tag(self, placing: Placement) -> ev.GroupTag: ...
-    def allows(self, placing: Placement, node: int) -> bool: ...
-    def ready(self, placing: Placement, attempt: Attempt) -> None: ...
-    def runs(self, placing: Placement, attempt: Attempt) -> None: ...
+    def may_place(self, placing: Placement, node: int) -> bool: ...
+    def member_reserved(self, placing: Placement, attempt: Attempt) -> None: ...
+    def member_running(self, placing: Placement, attempt: Attempt) -> None: ...
     def member_over(self, placing: Placement, finished: bool, reason: api.Reason) -> None: ...
 
 
@@ -105,7 +105,7 @@
             context.notify_module(api.Outcome(action.task, shot, action.node, api.Result.NOT_SENT, True))
             self.call_back(placing)
             return
-        if placing.group is not None and not self.groups.allows(placing, action.node):
+        if placing.group is not None and not self.groups.may_place(placing, action.node):
             context.count("wishes_closed")
             context.notify_module(api.Outcome(action.task, shot, action.node, api.Result.NOT_SENT, False))
             return
@@ -201,7 +201,9 @@
                 self.stop(attempt, ev.StopReason.ABANDONED)
                 # Its last word may be lost; the lease bounds how long the node can hold it.
                 self.context.call_at(
-                    self.context.now + groups.lease_us + groups.gather_most_us, self._released, attempt
+                    self.context.now + groups.lease_us + groups.max_reserve_timeout_us,
+                    self._released,
+                    attempt,
                 )
         self.owners.forget_if_over(placing)
 
@@ -391,7 +393,7 @@
         placing.becomes("placed")
         latency = self.context.now - attempt.sent
         self.context.notify_module(api.Placed(placing.number, attempt.number, attempt.node, latency))
-        self.groups.ready(placing, attempt)
+        self.groups.member_reserved(placing, attempt)
 
     def node_running(self, event: ev.NodeRunning) -> None:
         attempt = self._heard(event.node, event.id)
@@ -407,7 +409,7 @@
                 self.copy(attempt)
         elif placing.group is not None:
             if attempt is placing.bound:
-                self.groups.runs(placing, attempt)
+                self.groups.member_running(placing, attempt)
         elif attempt is placing.bound:
             note = api.StatusUpdate(placing.number, attempt.number, event.node, api.StatusKind.RUNNING, 1.0)
             self.context.notify_module(note)
--- a/stairplank/planner/client_requests.py
+++ b/stairplank/planner/client_requests.py
@@ -52,9 +52,9 @@
 class Groups(Protocol):
     """What owners' matters need to know of groups, and have done to them."""
 
-    def owner_came(self, owner: str, session: int, live: Callable[[int], bool]) -> None: ...
-    def owner_left(self, number: int, other: int) -> None: ...
-    def withdrawn(self, number: int) -> None: ...
+    def client_connected(self, owner: str, session: int, live: Callable[[int], bool]) -> None: ...
+    def client_disconnected(self, number: int, other: int) -> None: ...
+    def cancel(self, number: int) -> None: ...
     def member_unplaced(self, placing: Placement) -> None: ...
     def member_gone(self, placing: Placement) -> None: ...
 
@@ -98,7 +98,7 @@
     def came(self, event: ev.ClientConnected) -> None:
         self.sessions[event.session] = Session(event.client)
         self.by_owner.setdefault(event.client, []).append(event.session)
-        self.groups.owner_came(event.client, event.session, self.live)
+        self.groups.client_connected(event.client, event.session, self.live)
         for placing in list(self.by_name.values()):
             # What runs for this owner and has no stream to be told on is this stream's from now on.
             if placing.spec.client == event.client and placing.bound and placing.session not in self.sessions:
@@ -121,7 +121,7 @@
             elif others:
                 placing.session, placing.request = others[-1], 0
         for number in list(session.groups.values()):
-            self.groups.owner_left(number, others[-1] if others else 0)
+            self.groups.client_disconnected(number, others[-1] if others else 0)
 
     # Asks
 
@@ -218,7 +218,7 @@
         session = self.sessions[event.session]
         if event.request in session.groups:
             self.context.count("groups_withdrawn")
-            self.groups.withdrawn(session.groups[event.request])
+            self.groups.cancel(session.groups[event.request])
             return
         by_key = self.named(session.owner, event.key)
         placing = session.asks.get(event.request) if event.request else by_key
--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -31,7 +31,7 @@
 from .client_requests import ClientRequests
 from .context import CoreConfig as CoreConfig
 from .context import CoreContext
-from .grouping import Groups
+from .group_requests import GroupRequests
 from .leases import Leases
 from .node_links import Links
 from .nodelist import NodeList
@@ -51,7 +51,7 @@
         self.links = Links(self.context, random.Random(seed ^ 0x11))
         self.list = NodeList(self.context)
         self.leases = Leases(self.context)
-        self.groups = Groups(self.context, self.leases, seed ^ 0x6709)
+        self.groups = GroupRequests(self.context, self.leases, seed ^ 0x6709)
         self.owners.attempts, self.owners.groups = self.attempts, self.groups
         self.attempts.owners, self.attempts.links = self.owners, self.links
         self.attempts.groups = self.groups
@@ -68,7 +68,7 @@
             ev.ClientDisconnected: self.owners.left,
             ev.PlacementRequested: self.owners.asked,
             ev.PlacementCancelled: self.owners.withdrawn,
-            ev.GroupRequested: self.groups.asked,
+            ev.GroupRequested: self.groups.request,
             ev.NodeListReceived: self.list.told,
             ev.NodeListFailed: self.list.failed,
             ev.LinkUp: self.links.came_up,
@@ -84,7 +84,7 @@
             ev.NodeError: self.attempts.node_error,
             ev.NodeEnded: self.attempts.node_ended,
             ev.NodeUsage: self.attempts.node_usage,
-            ev.LeasesRenewed: self.leases.kept,
+            ev.LeasesRenewed: self.leases.renewal_received,
             ev.HealthCheckCompleted: self._probe_told,
             ev.ShutdownRequested: self._stop_asked,
             ev.SettingsChanged: self._settings_changed,
@@ -146,7 +146,7 @@
     @property
     def finished(self) -> bool:
         """Whether a stopping planner owes nothing more."""
-        return self.stopping and self.owners.open_tasks == 0 and not self.groups.owed()
+        return self.stopping and self.owners.open_tasks == 0 and not self.groups.has_unanswered()
 
     @property
     def counts(self) -> dict[str, int]:
@@ -157,13 +157,13 @@
 
     def _run(self) -> None:
         """Let the module decide on what has been fed, and carry its actions out, until both are done."""
-        told, words = self.context.module_events, self.groups.words
+        told, words = self.context.module_events, self.groups.messages
         while told or words:
             while told:
                 for action in self.module.handle(self.context.now, told.popleft()):
                     self._carriers[type(action)](action)
             if words:
-                self.groups.take_word()
+                self.groups.take_message()
 
     def _pass_time(self) -> None:
         while (due := self.context.pop_due()) is not None:
@@ -220,7 +220,7 @@
     def _stop_asked(self, event: ev.ShutdownRequested) -> None:
         if not self.stopping:
             self.stopping = self.owners.leaving = True
-            self.groups.leave()
+            self.groups.shut_down()
             self.context.call_at(self.context.now + self.context.config.stop_grace_us, self._stop_over)
 
     def _stop_over(self, _: None) -> None:
--- a/stairplank/planner/grouping.py
+++ b/stairplank/planner/group_requests.py
@@ -22,9 +22,9 @@
 
 from .. import interface as api
 from ..groups import coordinator as gr
+from ..groups.constraints import NodeCapacity, has_constraints
 from ..groups.coordinator import Coordinator
-from ..groups.spec import GroupSpec, Room, check
-from ..groups.wishes import Place, wishes
+from ..groups.spec import ClusterCapacity, GroupSpec, validate
 from . import admission
 from . import events as ev
 from .abandoned_attempts import PlacementState
@@ -39,24 +39,24 @@
     """A group as its owner knows it, and the placings of its present try."""
 
     session: int
-    ask: int
+    request: int
     spec: GroupSpec
     deadline: int = 0
-    placings: dict[int, Placement] = field(default_factory=dict)
-    placed: bool = False
+    placements: dict[int, Placement] = field(default_factory=dict)
+    is_placed: bool = False
 
 
 @dataclass(slots=True)
-class Foundling:
+class OrphanGroup:
     """Members of an earlier life's group, as nodes tell of them."""
 
     size: int
-    until: int
+    deadline: int
     members: dict[int, tuple[int, ev.NodeTask]] = field(default_factory=dict)
     finished: dict[int, ev.NodeTask] = field(default_factory=dict)  # ran to their end meanwhile
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         return bool(self.members) and len({*self.members, *self.finished}) >= self.size
 
 
@@ -90,12 +90,12 @@
 
 
 class NodeList(Protocol):
-    def room(self) -> Room: ...
-    def places(self) -> tuple[Place, ...]: ...
+    def room(self) -> ClusterCapacity: ...
+    def places(self) -> tuple[NodeCapacity, ...]: ...
     def rack(self, node: int) -> str: ...
 
 
-class Groups:
+class GroupRequests:
     def __init__(self, context: CoreContext, leases: Leases, seed: int) -> None:
         self.context = context
         self.leases = leases
@@ -105,8 +105,8 @@
         self.list: NodeList
         self.coordinator = Coordinator(context.settings, context.config.groups, seed)
         self.records: dict[int, GroupRecord] = {}
-        self.foundlings: dict[tuple[int, int], Foundling] = {}
-        self.words: deque[tuple[str, int, int, Any]] = deque()  # of members, not yet taken
+        self.orphans: dict[tuple[int, int], OrphanGroup] = {}
+        self.messages: deque[tuple[str, int, int, Any]] = deque()  # of members, not yet taken
         self._due: int | None = None
 
     # Questions
@@ -115,18 +115,18 @@
         """What a node is told of a member's group."""
         assert placing.group is not None
         number, member = placing.group
-        size = self.records[number].spec.least
+        size = self.records[number].spec.min_members
         # Held at least until the try is over and its members were let run.
         lease = placing.expires - self.context.now + self.context.config.groups.lease_us
         return ev.GroupTag(self.context.incarnation, number, size, member, max(1, lease))
 
-    def owed(self) -> bool:
+    def has_unanswered(self) -> bool:
         """Whether a group has no outcome yet."""
-        return any(not g.answered for g in self.coordinator.groups.values())
+        return any(not g.is_answered for g in self.coordinator.groups.values())
 
     # Owners
 
-    def asked(self, event: ev.GroupRequested) -> None:
+    def request(self, event: ev.GroupRequested) -> None:
         least = event.min_members or len(event.members)
         owner = self.owners.owner_of(event.session)
         spec = GroupSpec(
@@ -142,17 +142,17 @@
         self.owners.group_asked(event.session, event.request, number)
         self.context.count("groups_taken")
         self.owners.tell_on(event.session, ev.Admitted(event.request, number))
-        places = self.list.places() if wishes(spec) else ()
+        places = self.list.places() if has_constraints(spec) else ()
         room = self.list.room()
-        self._carry(self.coordinator.asked(self.context.now, number, spec, deadline, room, places))
+        self._carry(self.coordinator.request(self.context.now, number, spec, deadline, room, places))
 
     def _rejection(self, event: ev.GroupRequested, spec: GroupSpec) -> ev.Rejection | None:
-        wrong = self.owners.bad_ask(event.session, event.request) or check(spec, event.min_members)
+        wrong = self.owners.bad_ask(event.session, event.request) or validate(spec, event.min_members)
         wrong = wrong or admission.too_late(event.wait_us, event.age_us)
         if wrong is not None:
             return wrong
         for i, member in enumerate(event.members):
-            if member.client != spec.owner:
+            if member.client != spec.client:
                 message = "is not the stream's owner"
                 return ev.Rejection("INVALID_ARGUMENT", f"members[{i}].owner", message)
             wrong = self.owners.bad_task(member, event.wait_us)
@@ -162,73 +162,73 @@
             if self.owners.named(member.client, member.key) is not None:
                 message = "this task waits, runs or may run already"
                 return ev.Rejection("ALREADY_EXISTS", f"members[{i}].key", message, admission.BUSY_RETRY_US)
-        if len(self.coordinator.groups) >= self.context.config.groups.groups_most:
+        if len(self.coordinator.groups) >= self.context.config.groups.max_groups:
             message = f"{len(self.coordinator.groups)} groups are looked after here"
             return ev.Rejection("RESOURCE_EXHAUSTED", "", message, admission.BUSY_RETRY_US)
         return self.owners.no_room(event.session)
 
-    def owner_came(self, owner: str, session: int, live: Callable[[int], bool]) -> None:
+    def client_connected(self, owner: str, session: int, live: Callable[[int], bool]) -> None:
         """What has no stream to be told on, and members that are still known, is told on this one."""
         for record in self.records.values():
-            if record.spec.owner == owner and not live(record.session) and self._any_known(record):
-                record.session, record.ask = session, 0
+            if record.spec.client == owner and not live(record.session) and self._any_known(record):
+                record.session, record.request = session, 0
 
     def _any_known(self, record: GroupRecord) -> bool:
-        return any(self.owners.named(*p.name) is p for p in record.placings.values())
+        return any(self.owners.named(*p.name) is p for p in record.placements.values())
 
-    def owner_left(self, number: int, other: int) -> None:
+    def client_disconnected(self, number: int, other: int) -> None:
         record = self.records.get(number)
-        if record is not None and record.placed:
-            record.session, record.ask = other, 0
+        if record is not None and record.is_placed:
+            record.session, record.request = other, 0
         elif record is not None:
-            self.withdrawn(number)
+            self.cancel(number)
 
-    def withdrawn(self, number: int) -> None:
-        self._carry(self.coordinator.withdrawn(self.context.now, number))
+    def cancel(self, number: int) -> None:
+        self._carry(self.coordinator.cancel(self.context.now, number))
 
     def settings_changed(self) -> None:
         """Groups in flight are tried by the new settings from their next try on."""
         self.coordinator.set_settings(self.context.settings, self.context.config.groups)
 
-    def leave(self) -> None:
-        self._carry(self.coordinator.leave(self.context.now))
+    def shut_down(self) -> None:
+        self._carry(self.coordinator.shut_down(self.context.now))
 
     # Words of members, taken in turn with the module
 
-    def ready(self, placing: Placement, attempt: Attempt) -> None:
+    def member_reserved(self, placing: Placement, attempt: Attempt) -> None:
         assert placing.group is not None
-        self.words.append(("ready", *placing.group, attempt))
+        self.messages.append(("ready", *placing.group, attempt))
 
-    def runs(self, placing: Placement, attempt: Attempt) -> None:
+    def member_running(self, placing: Placement, attempt: Attempt) -> None:
         assert placing.group is not None
-        self.words.append(("running", *placing.group, attempt))
+        self.messages.append(("running", *placing.group, attempt))
 
     def member_gone(self, placing: Placement) -> None:
         """Nothing is left of a member's placing."""
         assert placing.group is not None
-        self.words.append(("over", *placing.group, placing))
+        self.messages.append(("over", *placing.group, placing))
 
-    def take_word(self) -> None:
+    def take_message(self) -> None:
         """The next word of a member."""
-        what, number, member, of = self.words.popleft()
+        what, number, member, of = self.messages.popleft()
         if what == "try":
             until, tries = of
-            if self.coordinator.gathers(number, tries):
+            if self.coordinator.is_reserving(number, tries):
                 self._try(self.records[number], number, member, until)
             return
         if what == "over":
             placing: Placement = of
             record = self.records.get(number)
-            if record is None or record.placings.get(member) is not placing:
+            if record is None or record.placements.get(member) is not placing:
                 return  # of a try that is long over
             why = placing.ended or "no place was found"
             done = placing.ended == "finished"
-            out = self.coordinator.over(self.context.now, number, member, done, why)
+            out = self.coordinator.member_over(self.context.now, number, member, done, why)
         elif what == "ready":
             rack = self.list.rack(of.node)
-            out = self.coordinator.ready(self.context.now, number, member, of.node, rack)
+            out = self.coordinator.member_reserved(self.context.now, number, member, of.node, rack)
         else:
-            out = self.coordinator.running(self.context.now, number, member)
+            out = self.coordinator.member_running(self.context.now, number, member)
         self._carry(out)
         self._drop_if_over(number)
 
@@ -241,8 +241,8 @@
         """A member that was bound has its node's last word."""
         assert placing.group is not None
         record = self.records.get(placing.group[0])
-        if record is not None and record.placed:
-            self._tell(record, ev.MemberEnded(record.ask, placing.group[1], finished, reason))
+        if record is not None and record.is_placed:
+            self._tell(record, ev.MemberEnded(record.request, placing.group[1], finished, reason))
 
     # What the coordinator says
 
@@ -264,89 +264,97 @@
 
     def _carry_one(self, action: gr.Action, record: GroupRecord) -> None:
         match action:
-            case gr.Try(number, member, until):
-                if self.coordinator.steered(number):
+            case gr.PlaceMember(number, member, until):
+                if self.coordinator.enforces_constraints(number):
                     # One after the other: what a member takes closes places to the next.
-                    tries = self.coordinator.groups[number].tries
-                    self.words.append(("try", number, member, (until, tries)))
+                    tries = self.coordinator.groups[number].attempts
+                    self.messages.append(("try", number, member, (until, tries)))
                 else:
                     self._try(record, number, member, until)
-            case gr.LetRun(_, members, lease):
+            case gr.Commit(_, members, lease):
                 for node, ids in self._ids(record, members):
                     self.context.emit(ev.SendCommit(node, ids, lease))
                     for id in ids:
                         attempt = self.attempts.known(id)
                         assert attempt is not None
-                        self.leases.hold(attempt, self.context.now + lease)
-            case gr.Keep(_, members, lease):
+                        self.leases.extend(attempt, self.context.now + lease)
+            case gr.RenewLeases(_, members, lease):
                 for node, ids in self._ids(record, members):
-                    self.leases.keep(node, ids, lease)
+                    self.leases.renew(node, ids, lease)
             case gr.Release(_, members):
                 for member in members:
-                    self._release(record.placings[member])
+                    self._release(record.placements[member])
             case gr.Placed(_, members, met, tries):
-                record.placed = True
+                record.is_placed = True
                 self.context.count("groups_placed")
-                bound = [(m, record.placings[m].bound) for m in members]
+                bound = [(m, record.placements[m].bound) for m in members]
                 bindings = tuple((m, a.node) for m, a in bound if a is not None)
-                self._tell(record, ev.GroupPlaced(record.ask, bindings, met, tries))
-            case gr.Refused(_, why, never, after):
+                self._tell(record, ev.GroupPlaced(record.request, bindings, met, tries))
+            case gr.Shed(_, why, never, after):
                 self.context.count("groups_refused")
-                self._tell(record, ev.GroupShed(record.ask, after, why, never))
+                self._tell(record, ev.GroupShed(record.request, after, why, never))
             case gr.Failed(_, why):
                 self.context.count("groups_failed")
-                self._tell(record, ev.GroupFailed(record.ask, why))
-            case gr.Tried(_, tries, why, again):
+                self._tell(record, ev.GroupFailed(record.request, why))
+            case gr.Attempted(_, tries, why, again):
                 self.context.count("groups_tried_again")
-                self._tell(record, ev.GroupAttempted(record.ask, tries, why, again))
+                self._tell(record, ev.GroupAttempted(record.request, tries, why, again))
             case gr.Ended(_, finished):
                 self.context.count("groups_finished" if finished else "groups_lost")
-                self._tell(record, ev.GroupEnded(record.ask, finished))
+                self._tell(record, ev.GroupEnded(record.request, finished))
         self._drop_if_over(action.group)
 
     def _try(self, record: GroupRecord, number: int, member: int, until: int) -> None:
         placing = Placement(self.context, record.session, 0, record.spec.members[member])
         placing.group = (number, member)
         placing.expires = until
-        record.placings[member] = placing
+        record.placements[member] = placing
         self.owners.keep(placing)
         self.context.count("members_tried")
         # The module is told the group's deadline, not the try's: else it would take every member for one that
         # comes too late and keep a reserve from it. Whether a group is tried again is the coordinator's
         # matter, so that a member does not count as one that came back either.
-        closed = self._closed(record, number, member) if self.coordinator.steered(number) else frozenset()
+        closed = (
+            self._closed(record, number, member)
+            if self.coordinator.enforces_constraints(number)
+            else frozenset()
+        )
         task = self.owners.task(placing)
         task = replace(task, expires_us=record.deadline, resubmitted=False, excluded_nodes=closed)
         self.context.notify_module(api.TaskRequested(task))
 
     def _closed(self, record: GroupRecord, number: int, member: int) -> frozenset[int]:
         """Nodes closed to a member, by where the others of this try go."""
-        return self.coordinator.closed(number, member, self._taken(record, member), self.list.places())
+        return self.coordinator.excluded_nodes(
+            number, member, self._taken(record, member), self.list.places()
+        )
 
     def _taken(self, record: GroupRecord, member: int) -> dict[int, int]:
         """Where the other members of this try go."""
         taken: dict[int, int] = {}
-        for other, placing in record.placings.items():
+        for other, placing in record.placements.items():
             if other != member and placing.state in (PlacementState.OPEN, PlacementState.PLACED):
                 for attempt in placing.attempts.values():
                     if not attempt.reported:
                         taken[other] = attempt.node
         return taken
 
-    def allows(self, placing: Placement, node: int) -> bool:
+    def may_place(self, placing: Placement, node: int) -> bool:
         """Whether a member may go there now: others may have taken places since the module was asked."""
         assert placing.group is not None
         number, member = placing.group
         record = self.records.get(number)
-        if record is None or not self.coordinator.steered(number):
+        if record is None or not self.coordinator.enforces_constraints(number):
             return True
-        return not self.coordinator.breaks(number, node, self._taken(record, member), self.list.rack)
+        return not self.coordinator.violates_constraints(
+            number, node, self._taken(record, member), self.list.rack
+        )
 
     def _ids(self, record: GroupRecord, members: tuple[int, ...]) -> list[tuple[int, tuple[AttemptId, ...]]]:
         """The bound attempts of members, by node, over links that are up."""
         by_node: dict[int, list[AttemptId]] = {}
         for member in members:
-            attempt = record.placings[member].bound
+            attempt = record.placements[member].bound
             if attempt is not None and self.links.up(attempt.node):
                 by_node.setdefault(attempt.node, []).append(attempt.id)
         return [(node, tuple(ids)) for node, ids in by_node.items()]
@@ -359,7 +367,7 @@
         if record is None or number in self.coordinator.groups:
             return
         del self.records[number]
-        self.owners.group_over(record.session, record.ask)
+        self.owners.group_over(record.session, record.request)
 
     def _release(self, placing: Placement) -> None:
         if placing.state is PlacementState.OPEN:
@@ -370,7 +378,7 @@
 
     # Groups of an earlier life
 
-    def held_member(self, node: int, held: ev.NodeTask, tag: ev.GroupTag) -> None:
+    def member_reported(self, node: int, held: ev.NodeTask, tag: ev.GroupTag) -> None:
         """A member of a group of an earlier life, or of a try that was given up.
 
         Of an earlier life's group those that run are kept while the rest is looked for; when all have been
@@ -381,10 +389,10 @@
             return
         found = self._foundling(tag)
         found.members[tag.member] = (node, held)
-        self.leases.keep(node, (held.id,), self.context.config.groups.lease_us)
+        self.leases.renew(node, (held.id,), self.context.config.groups.lease_us)
         self._perhaps_whole(found, tag)
 
-    def finished_member(self, held: ev.NodeTask, tag: ev.GroupTag) -> None:
+    def finished_member_reported(self, held: ev.NodeTask, tag: ev.GroupTag) -> None:
         """A member of an earlier life's group that ran to its end while nobody was there to hear of it.
 
         Danger: without it the rest of a group that is almost done would count as half a group.
@@ -394,40 +402,40 @@
             found.finished[tag.member] = held
             self._perhaps_whole(found, tag)
 
-    def _foundling(self, tag: ev.GroupTag) -> Foundling:
+    def _foundling(self, tag: ev.GroupTag) -> OrphanGroup:
         key = (tag.incarnation, tag.group)
-        found = self.foundlings.get(key)
+        found = self.orphans.get(key)
         if found is None:
             until = self.context.now + self.context.config.foundling_us
-            found = self.foundlings[key] = Foundling(tag.size, until)
+            found = self.orphans[key] = OrphanGroup(tag.size, until)
             self.context.call_at(until, self._foundling_over, key)
         return found
 
-    def _perhaps_whole(self, found: Foundling, tag: ev.GroupTag) -> None:
-        if found.whole:
-            del self.foundlings[tag.incarnation, tag.group]
+    def _perhaps_whole(self, found: OrphanGroup, tag: ev.GroupTag) -> None:
+        if found.is_complete:
+            del self.orphans[tag.incarnation, tag.group]
             self._go_on(found)
 
-    def _go_on(self, found: Foundling) -> None:
+    def _go_on(self, found: OrphanGroup) -> None:
         """All members of an earlier life's group run: it is ours to keep from now on."""
         number = self.context.next_number()
         held = [found.members[m] for m in sorted(found.members)]
         done = [t for m, t in sorted(found.finished.items()) if m not in found.members]
         owner = held[0][1].task.client
         spec = GroupSpec(owner, tuple(t.task for t in (*(t for _, t in held), *done)), found.size)
-        record = self.records[number] = GroupRecord(self.owners.newest(owner), 0, spec, placed=True)
+        record = self.records[number] = GroupRecord(self.owners.newest(owner), 0, spec, is_placed=True)
         for member, (node, task) in enumerate(held):
             attempt = self.attempts.adopt(node, task.id, task.task, True)
             attempt.placement.group = (number, member)
-            record.placings[member] = attempt.placement
-            self.leases.hold(attempt, self.context.now + self.context.config.groups.lease_us)
+            record.placements[member] = attempt.placement
+            self.leases.extend(attempt, self.context.now + self.context.config.groups.lease_us)
         self.context.count("groups_found")
         nodes = {m: (node, self.list.rack(node)) for m, (node, _) in enumerate(held)}
-        self._carry(self.coordinator.found(self.context.now, number, spec, nodes))
+        self._carry(self.coordinator.recover(self.context.now, number, spec, nodes))
 
     def _foundling_over(self, key: tuple[int, int]) -> None:
         """The rest of the group did not show itself: half a group is released."""
-        found = self.foundlings.pop(key, None)
+        found = self.orphans.pop(key, None)
         if found is not None and found.members:  # else all of it had run to its end
             self.context.count("groups_released")
             self.context.log("half a group found", members=len(found.members), size=found.size)
--- a/stairplank/planner/leases.py
+++ b/stairplank/planner/leases.py
@@ -22,7 +22,7 @@
 from .events import AttemptId
 from .placement import Attempt
 
-KEEPS_MOST = 64  # keeps under way to a node
+MAX_PENDING_RENEWALS = 64  # keeps under way to a node
 
 
 class Attempts(Protocol):
@@ -35,40 +35,40 @@
     def __init__(self, context: CoreContext) -> None:
         self.context = context
         self.attempts: Attempts
-        self.keeps: dict[int, deque[ev.SendLeaseRenewal]] = {}  # by node: said, and not answered
-        self._said: dict[int, int] = {}  # when, by number
+        self.pending_renewals: dict[int, deque[ev.SendLeaseRenewal]] = {}  # by node: said, and not answered
+        self._sent_at: dict[int, int] = {}  # when, by number
 
-    def keep(self, node: int, ids: tuple[AttemptId, ...], lease_us: int) -> None:
-        keep = ev.SendLeaseRenewal(node, ids, lease_us, self.context.next_number())
-        waiting = self.keeps.setdefault(node, deque())
+    def renew(self, node: int, attempt_ids: tuple[AttemptId, ...], lease_us: int) -> None:
+        keep = ev.SendLeaseRenewal(node, attempt_ids, lease_us, self.context.next_number())
+        waiting = self.pending_renewals.setdefault(node, deque())
         waiting.append(keep)
-        self._said[keep.renewal] = self.context.now
-        while len(waiting) > KEEPS_MOST:  # of a node that answers none: leases run out meanwhile
-            del self._said[waiting.popleft().renewal]
+        self._sent_at[keep.renewal] = self.context.now
+        while len(waiting) > MAX_PENDING_RENEWALS:  # of a node that answers none: leases run out meanwhile
+            del self._sent_at[waiting.popleft().renewal]
         self.context.emit(keep)
 
-    def kept(self, event: ev.LeasesRenewed) -> None:
+    def renewal_received(self, event: ev.LeasesRenewed) -> None:
         """A keep has reached its node: its members are kept from when it was said."""
-        waiting = self.keeps.get(event.node)
+        waiting = self.pending_renewals.get(event.node)
         while waiting and waiting[0].renewal <= event.renewal:
             keep = waiting.popleft()
-            until = self._said.pop(keep.renewal) + keep.lease_us
+            until = self._sent_at.pop(keep.renewal) + keep.lease_us
             for id in keep.ids if keep.renewal == event.renewal else ():
                 attempt = self.attempts.known(id)
                 if attempt is not None:
-                    self.hold(attempt, until)
+                    self.extend(attempt, until)
         if not waiting:
-            self.keeps.pop(event.node, None)
+            self.pending_renewals.pop(event.node, None)
 
     def link_lost(self, node: int) -> None:
-        for keep in self.keeps.pop(node, ()):
-            del self._said[keep.renewal]
+        for keep in self.pending_renewals.pop(node, ()):
+            del self._sent_at[keep.renewal]
 
-    def hold(self, attempt: Attempt, until: int) -> None:
+    def extend(self, attempt: Attempt, until: int) -> None:
         """So long the node keeps a member for certain; one timer an attempt looks after it."""
-        if not attempt.kept_until:
+        if not attempt.lease_expires_at:
             self.context.call_at(until, self._over, attempt)
-        attempt.kept_until = max(attempt.kept_until, until)
+        attempt.lease_expires_at = max(attempt.lease_expires_at, until)
 
     def _over(self, attempt: Attempt) -> None:
         """Danger: where keeps are held on their way, a node has released its members and cannot say so.
@@ -77,8 +77,8 @@
         """
         if self.attempts.known(attempt.id) is not attempt or attempt.placement.group is None:
             return
-        if attempt.kept_until > self.context.now:
-            self.context.call_at(attempt.kept_until, self._over, attempt)
+        if attempt.lease_expires_at > self.context.now:
+            self.context.call_at(attempt.lease_expires_at, self._over, attempt)
             return
         self.context.count("leases_over")
         self.attempts.stop(attempt, ev.StopReason.ABANDONED)
--- a/stairplank/planner/node_links.py
+++ b/stairplank/planner/node_links.py
@@ -55,8 +55,8 @@
 
 
 class Groups(Protocol):
-    def held_member(self, node: int, held: ev.NodeTask, tag: ev.GroupTag) -> None: ...
-    def finished_member(self, held: ev.NodeTask, tag: ev.GroupTag) -> None: ...
+    def member_reported(self, node: int, held: ev.NodeTask, tag: ev.GroupTag) -> None: ...
+    def finished_member_reported(self, held: ev.NodeTask, tag: ev.GroupTag) -> None: ...
 
 
 class Leases(Protocol):
@@ -269,7 +269,7 @@
             self.attempts.never_taken(event, set(held))
         for done in event.finished:
             if done.group is not None:
-                self.groups.finished_member(done, done.group)
+                self.groups.finished_member_reported(done, done.group)
         for id, task in held.items():
             attempt = self.attempts.known(id)
             spoken = attempt is not None and attempt.accepted
@@ -296,7 +296,7 @@
             self._unknown_class.add(node)
             return
         if held.group is not None:
-            self.groups.held_member(node, held, held.group)
+            self.groups.member_reported(node, held, held.group)
             return
         known = self.owners.named(held.task.client, held.task.key)
         fate = PlacementState.UNKNOWN if known is None else known.state
--- a/stairplank/planner/nodelist.py
+++ b/stairplank/planner/nodelist.py
@@ -19,8 +19,8 @@
 from typing import Protocol
 
 from .. import interface as api
-from ..groups.spec import Room
-from ..groups.wishes import Place
+from ..groups.constraints import NodeCapacity
+from ..groups.spec import ClusterCapacity
 from . import events as ev
 from .context import CoreContext
 
@@ -57,7 +57,7 @@
         self._unknown_kinds: dict[int, str] = {}  # of nodes whose kind is not in the settings
         self._table_was_full = False  # nodes of the list were left out
         self._fetch_waits = False
-        self._places: tuple[Place, ...] | None = None
+        self._places: tuple[NodeCapacity, ...] | None = None
 
     def _numbered_kinds(self) -> dict[str, int]:
         return {kind.name: number for number, kind in enumerate(self.context.settings.node_types)}
@@ -107,7 +107,7 @@
         entry = self.entries.get(node)
         return f"?{node}" if entry is None else str(entry.group)
 
-    def room(self) -> Room:
+    def room(self) -> ClusterCapacity:
         """The fleet as it is believed to be."""
         s = self.context.settings
         ready = [e for e in self.entries.values() if e.status is api.NodeStatus.READY and e.node_type >= 0]
@@ -119,9 +119,9 @@
             free_cores += max(0.0, kind.cores * (s.cores_limit - 1) + entry.free_cores)
             free_memory += max(0.0, kind.memory * (s.memory_limit - 1) + entry.free_memory)
         racks = len({entry.group for entry in ready})
-        return Room(len(ready), racks, cores, memory, free_cores, free_memory)
+        return ClusterCapacity(len(ready), racks, cores, memory, free_cores, free_memory)
 
-    def places(self) -> tuple[Place, ...]:
+    def places(self) -> tuple[NodeCapacity, ...]:
         """Ready nodes, each by itself; made anew once the list has changed."""
         if self._places is not None:
             return self._places
@@ -132,7 +132,7 @@
                 kind = s.node_types[entry.node_type]
                 cores, memory = kind.cores * s.cores_limit, kind.memory * s.memory_limit
                 free = cores - kind.cores + entry.free_cores, memory - kind.memory + entry.free_memory
-                out.append(Place(entry.id, str(entry.group), entry.node_type, cores, memory, *free))
+                out.append(NodeCapacity(entry.id, str(entry.group), entry.node_type, cores, memory, *free))
         self._places = tuple(out)
         return self._places
 
--- a/stairplank/planner/placement.py
+++ b/stairplank/planner/placement.py
@@ -30,7 +30,7 @@
     """One offer to a node, from the module's bind to the node's last word on it. The attempts' room's."""
 
     __slots__ = (
-        "id", "placement", "number", "node", "sent", "stage", "timeout", "kept_until", "context",
+        "id", "placement", "number", "node", "sent", "stage", "timeout", "lease_expires_at", "context",
         "waiting", "accepted", "running", "reported",
     )  # fmt: skip
 
@@ -51,7 +51,7 @@
         self.sent = context.now
         self._enter(stage)
         self.timeout = 0
-        self.kept_until = 0  # a group's member that was let run: so long its node keeps it for certain
+        self.lease_expires_at = 0  # a group's member that was let run: so long its node keeps it for certain
 
     def step(self, event: str) -> None:
         self._enter(self.context.transition(ATTEMPT, self.stage, event))
--- a/tests/groups/test_wishes.py
+++ b/tests/groups/test_constraints.py
@@ -16,14 +16,14 @@
 from world import SECOND, SETTINGS, World  # noqa: E402
 
 from stairplank import interface as api  # noqa: E402
+from stairplank.groups.constraints import NodeCapacity, excluded_nodes, infeasible_constraint  # noqa: E402
 from stairplank.groups.spec import GroupSpec  # noqa: E402
-from stairplank.groups.wishes import Place, closed, impossible  # noqa: E402
 from stairplank.planner import events as ev  # noqa: E402
 from stairplank.tasks import TaskSpec  # noqa: E402
 
 
-def place(node: int, rack: str, free: float = 8.0, kind: int = 0, size: float = 8.0) -> Place:
-    return Place(node, rack, kind, size, 2 * size, free, 2 * free)
+def place(node: int, rack: str, free: float = 8.0, kind: int = 0, size: float = 8.0) -> NodeCapacity:
+    return NodeCapacity(node, rack, kind, size, 2 * size, free, 2 * free)
 
 
 def member(key: int, cores: float = 1.0, sort: str = "report", service: int = 0) -> TaskSpec:
@@ -40,39 +40,39 @@
 
 def test_what_is_taken_is_closed() -> None:
     nodes = group(1, 1, 1, distinct_nodes=True)
-    assert closed(nodes, 1, {}, FOUR, SETTINGS) == frozenset()
-    assert closed(nodes, 1, {0: 2}, FOUR, SETTINGS) == {2}
+    assert excluded_nodes(nodes, 1, {}, FOUR, SETTINGS) == frozenset()
+    assert excluded_nodes(nodes, 1, {0: 2}, FOUR, SETTINGS) == {2}
     racks = group(1, 1, 1, distinct_racks=True)
-    assert closed(racks, 1, {0: 2}, FOUR, SETTINGS) == {1, 2}
+    assert excluded_nodes(racks, 1, {0: 2}, FOUR, SETTINGS) == {1, 2}
     same = group(1, 1, 1, same_rack=True)
-    assert closed(same, 1, {0: 2}, FOUR, SETTINGS) == {3, 4}
+    assert excluded_nodes(same, 1, {0: 2}, FOUR, SETTINGS) == {3, 4}
 
 
 def test_a_rack_must_hold_the_whole_group() -> None:
     places = [place(1, "a", 3), place(2, "a", 2), place(3, "b", 4), place(4, "b", 4)]
     same = group(4, 3, 1, same_rack=True)
-    assert closed(same, 0, {}, places, SETTINGS) == {1, 2}
-    assert closed(same, 0, {}, places, SETTINGS, avoid=["b"]) == {1, 2}  # no other fits: tried again
+    assert excluded_nodes(same, 0, {}, places, SETTINGS) == {1, 2}
+    assert excluded_nodes(same, 0, {}, places, SETTINGS, avoid=["b"]) == {1, 2}  # no other fits: tried again
     roomy = [replace(p, free_cores=8.0, free_memory=16.0) for p in places]
-    assert closed(same, 0, {}, roomy, SETTINGS, avoid=["b"]) == {3, 4}
+    assert excluded_nodes(same, 0, {}, roomy, SETTINGS, avoid=["b"]) == {3, 4}
 
 
 def test_a_member_does_not_take_the_only_place_of_another() -> None:
     """The large member fits at node 3 alone: it is closed to the small ones, though they would fit."""
     places = [place(1, "a", 1), place(2, "a", 1), place(3, "b", 6)]
     spec = group(1, 6, 1, distinct_nodes=True)
-    assert closed(spec, 0, {}, places, SETTINGS) == {3}
-    assert closed(spec, 1, {}, places, SETTINGS) == frozenset()
+    assert excluded_nodes(spec, 0, {}, places, SETTINGS) == {3}
+    assert excluded_nodes(spec, 1, {}, places, SETTINGS) == frozenset()
 
 
 def test_what_cannot_be_had_by_belief_closes_nothing_more() -> None:
     places = [place(1, "a", 0.5), place(2, "b", 0.5), place(3, "b", 6)]
-    assert closed(group(1, 1, distinct_racks=True), 0, {}, places, SETTINGS) == frozenset()
+    assert excluded_nodes(group(1, 1, distinct_racks=True), 0, {}, places, SETTINGS) == frozenset()
 
 
 def test_wishes_that_can_never_be_met_are_said_so() -> None:
-    def never(spec: GroupSpec, places: list[Place] = FOUR) -> str:
-        return impossible(spec, places, SETTINGS) or ""
+    def never(spec: GroupSpec, places: list[NodeCapacity] = FOUR) -> str:
+        return infeasible_constraint(spec, places, SETTINGS) or ""
 
     assert "no rack can hold" in never(group(8, 8, 8, same_rack=True))
     assert not never(group(8, 8, same_rack=True))
@@ -84,7 +84,7 @@
     assert not never(group(1, 1, same_rack=True), [])  # an unknown fleet rules nothing out
 
 
-def met(spec: GroupSpec, at: tuple[Place, ...]) -> bool:
+def met(spec: GroupSpec, at: tuple[NodeCapacity, ...]) -> bool:
     racks, nodes = {p.rack for p in at}, {p.node for p in at}
     if spec.same_rack and len(racks) > 1 or spec.distinct_nodes and len(nodes) < len(at):
         return False
@@ -118,7 +118,7 @@
     rng = random.Random(seed)
     taken: dict[int, int] = {}
     for i, one in enumerate(spec.members):
-        shut = closed(spec, i, taken, places, SETTINGS)
+        shut = excluded_nodes(spec, i, taken, places, SETTINGS)
         used = {n: sum(spec.members[k].cores for k, at in taken.items() if at == n) for n in taken.values()}
         fitting = [
             p for p in places if p.node not in shut and one.cores <= p.free_cores - used.get(p.node, 0) + 1e-9
--- a/tests/groups/test_coordinator.py
+++ b/tests/groups/test_coordinator.py
@@ -12,8 +12,8 @@
 
 from stairplank import interface as api
 from stairplank.groups import coordinator as gr
-from stairplank.groups.coordinator import Coordinator, GroupConfig, Member, Stand
-from stairplank.groups.spec import GroupSpec, Room, check, never, scarcity
+from stairplank.groups.coordinator import Coordinator, GroupConfig, GroupState, MemberState
+from stairplank.groups.spec import ClusterCapacity, GroupSpec, infeasible_reason, scarcity, validate
 from stairplank.planner.events import TaskSpec
 
 MS, SECOND = 1_000, 1_000_000
@@ -40,7 +40,7 @@
     slow_start_us=SECOND, overload_multiple=2.0, overload_window_us=SECOND, slow_start_offers=10.0,
     polls_node_list=True, poll_within_us=SECOND, tick_us=10 * MS,
 )  # fmt: skip
-ROOM = Room(10, 5, 160.0, 320.0, 160.0, 320.0)
+ROOM = ClusterCapacity(10, 5, 160.0, 320.0, 160.0, 320.0)
 
 
 def task(key: int, sort: str = "worker", cores: float = 1.0, service: int = 5) -> TaskSpec:
@@ -52,7 +52,7 @@
 
 
 class World:
-    def __init__(self, room: Room = ROOM, **config: Any) -> None:
+    def __init__(self, room: ClusterCapacity = ROOM, **config: Any) -> None:
         self.c = Coordinator(SETTINGS, GroupConfig(**config), 5)
         self.now, self.room = 100 * SECOND, room
         self.out: list[gr.Action] = []
@@ -62,19 +62,23 @@
         return actions
 
     def ask(self, group: GroupSpec, wait: int = 9 * SECOND, number: int = 1) -> list[gr.Action]:
-        return self.take(self.c.asked(self.now, number, group, self.now + wait, self.room))
+        return self.take(self.c.request(self.now, number, group, self.now + wait, self.room))
 
     def ready(self, *members: int, number: int = 1, node: int = 0) -> list[gr.Action]:
         out = []
         for m in members:
-            out += self.take(self.c.ready(self.now, number, m, node or m + 1, f"r{(node or m + 1) // 2}"))
+            out += self.take(
+                self.c.member_reserved(self.now, number, m, node or m + 1, f"r{(node or m + 1) // 2}")
+            )
         return out
 
     def running(self, *members: int) -> list[gr.Action]:
-        return [a for m in members for a in self.take(self.c.running(self.now, 1, m))]
+        return [a for m in members for a in self.take(self.c.member_running(self.now, 1, m))]
 
     def over(self, *members: int, finished: bool = False) -> list[gr.Action]:
-        return [a for m in members for a in self.take(self.c.over(self.now, 1, m, finished, "no cores"))]
+        return [
+            a for m in members for a in self.take(self.c.member_over(self.now, 1, m, finished, "no cores"))
+        ]
 
     def wait(self, us: int) -> list[gr.Action]:
         out: list[gr.Action] = []
@@ -91,13 +95,13 @@
 
 def test_all_ready_then_all_run() -> None:
     w = World()
-    assert [a.member for a in w.ask(spec()) if isinstance(a, gr.Try)] == [0, 1, 2]
+    assert [a.member for a in w.ask(spec()) if isinstance(a, gr.PlaceMember)] == [0, 1, 2]
     assert w.ready(0, 1) == []
     (let_run,) = w.ready(2)
-    assert isinstance(let_run, gr.LetRun) and let_run.members == (0, 1, 2)
+    assert isinstance(let_run, gr.Commit) and let_run.members == (0, 1, 2)
     assert w.running(0, 1) == []
     placed, keep = w.running(2)
-    assert placed == gr.Placed(1, (0, 1, 2), True, 1) and isinstance(keep, gr.Keep)
+    assert placed == gr.Placed(1, (0, 1, 2), True, 1) and isinstance(keep, gr.RenewLeases)
     assert w.over(0, 1, finished=True) == []
     assert w.over(2, finished=True) == [gr.Ended(1, True)] and not w.c.groups
 
@@ -109,8 +113,8 @@
     assert w.over(2) == [gr.Release(1, (0, 1))]
     assert w.wait(5 * SECOND) == []  # nothing is tried before every attempt is over
     tried = w.over(0, 1)
-    assert isinstance(tried[-1], gr.Tried) and tried[-1].why == "no cores"
-    assert [a.member for a in w.wait(4 * SECOND) if isinstance(a, gr.Try)] == [0, 1, 2]
+    assert isinstance(tried[-1], gr.Attempted) and tried[-1].reason == "no cores"
+    assert [a.member for a in w.wait(4 * SECOND) if isinstance(a, gr.PlaceMember)] == [0, 1, 2]
 
 
 def test_two_run_and_a_node_vanishes() -> None:
@@ -120,7 +124,7 @@
     w.running(0, 1)
     assert w.over(1) == [gr.Release(1, (0, 2))]
     w.over(0, 2)
-    assert w.all(gr.Tried) and not w.all(gr.Placed)
+    assert w.all(gr.Attempted) and not w.all(gr.Placed)
 
 
 def test_a_once_member_that_was_let_run_is_not_sent_again() -> None:
@@ -139,7 +143,7 @@
     w.ready(0, 1)
     w.over(2)
     w.over(0, 1)
-    assert [a for a in w.wait(4 * SECOND) if isinstance(a, gr.Try)]
+    assert [a for a in w.wait(4 * SECOND) if isinstance(a, gr.PlaceMember)]
 
 
 def test_a_commit_that_is_not_heard_ends_the_group_in_bounded_time() -> None:
@@ -166,9 +170,9 @@
     w.ready(0, 1, 2)
     w.running(0, 1, 2)
     w.wait(20 * SECOND)
-    leases = [a.lease_us for a in w.all(gr.Keep)]
-    assert leases == sorted(leases) and leases[-1] == w.c.config.lease_most_us
-    step = w.c.config.lease_step_us + w.c.config.keep_every_us
+    leases = [a.lease_us for a in w.all(gr.RenewLeases)]
+    assert leases == sorted(leases) and leases[-1] == w.c.config.max_lease_us
+    step = w.c.config.lease_step_us + w.c.config.lease_renewal_interval_us
     assert max(b - a for a, b in zip(leases, leases[1:], strict=False)) <= w.c.config.lease_step_us
     assert step < 2 * SECOND  # two members whose last keepings differ by one end so near each other
 
@@ -178,9 +182,9 @@
     w.ask(spec())
     w.ready(0, 1, 2)
     w.running(0, 1)
-    assert w.take(w.c.withdrawn(w.now, 1)) == [gr.Release(1, (0, 1, 2))]
+    assert w.take(w.c.cancel(w.now, 1)) == [gr.Release(1, (0, 1, 2))]
     w.over(0, 1, 2)
-    assert not w.c.groups and not w.all(gr.Placed) and not w.all(gr.Refused)
+    assert not w.c.groups and not w.all(gr.Placed) and not w.all(gr.Shed)
 
 
 def test_the_deadline_passes_while_it_gathers() -> None:
@@ -189,11 +193,11 @@
     for _ in range(40):
         for release in [a for a in w.wait(100 * MS) if isinstance(a, gr.Release)]:
             w.over(*release.members)
-    (refused,) = w.all(gr.Refused)
-    assert not refused.never and not w.c.groups
+    (refused,) = w.all(gr.Shed)
+    assert not refused.is_permanent and not w.c.groups
 
 
-@pytest.mark.parametrize(("let_run", "kind"), [(False, gr.Refused), (True, gr.Failed)])
+@pytest.mark.parametrize(("let_run", "kind"), [(False, gr.Shed), (True, gr.Failed)])
 def test_the_deadline_passes_while_it_is_released(let_run: bool, kind: type) -> None:
     """The last words of what is released may be lost: the owner is answered in time all the same."""
     w = World()
@@ -212,7 +216,7 @@
     w = World()
     w.ask(spec(4, least=3))
     w.ready(0, 1, 2)
-    assert w.over(3) and [a.members for a in w.all(gr.LetRun)] == [(0, 1, 2)]
+    assert w.over(3) and [a.members for a in w.all(gr.Commit)] == [(0, 1, 2)]
     w.running(0, 1, 2)
     assert w.all(gr.Placed)[0].members == (0, 1, 2)
     assert w.over(0) == [gr.Release(1, (1, 2))]
@@ -224,12 +228,12 @@
     w.ready(0, 1, 2)
     out = w.wait(4 * SECOND)
     assert [a.members for a in out if isinstance(a, gr.Release)][0] == (3,)
-    assert [a.members for a in out if isinstance(a, gr.LetRun)] == [(0, 1, 2)]
+    assert [a.members for a in out if isinstance(a, gr.Commit)] == [(0, 1, 2)]
 
 
 def test_one_member_and_sixty_four() -> None:
     for count in (1, 64):
-        w = World(Room(100, 9, 1e6, 1e6, 1e6, 1e6))
+        w = World(ClusterCapacity(100, 9, 1e6, 1e6, 1e6, 1e6))
         w.ask(spec(count))
         w.ready(*range(count))
         w.running(*range(count))
@@ -252,19 +256,19 @@
     w.ask(spec(**wishes))
     for member, node in enumerate(nodes):
         w.ready(member, node=node)
-    assert bool(w.all(gr.LetRun)) is met
+    assert bool(w.all(gr.Commit)) is met
     if not met:
         w.over(0, 1, 2)
-        assert w.all(gr.Tried)[0].why == "the bindings do not meet the wishes"
+        assert w.all(gr.Attempted)[0].reason == "the bindings do not meet the wishes"
         w.wait(4 * SECOND)
-        while not w.all(gr.LetRun):
+        while not w.all(gr.Commit):
             for member, node in enumerate(nodes):
                 w.ready(member, node=node)
-            if not w.all(gr.LetRun):
+            if not w.all(gr.Commit):
                 w.over(0, 1, 2)
                 w.wait(SECOND)
         w.running(0, 1, 2)
-        assert w.all(gr.Placed)[0].wishes_met is False
+        assert w.all(gr.Placed)[0].constraints_met is False
 
 
 @pytest.mark.parametrize(
@@ -277,10 +281,10 @@
     ],
 )
 def test_groups_that_make_no_sense(group: GroupSpec, field: str) -> None:
-    wrong = check(group, 0)
+    wrong = validate(group, 0)
     assert wrong is not None and wrong.code == "INVALID_ARGUMENT" and wrong.field == field
-    assert check(spec(), 4).field == "least"  # type: ignore[union-attr]
-    assert check(spec(), 3) is None
+    assert validate(spec(), 4).field == "least"  # type: ignore[union-attr]
+    assert validate(spec(), 3) is None
 
 
 @pytest.mark.parametrize(
@@ -295,33 +299,35 @@
 def test_a_group_that_can_never_fit_is_told_at_once(group: GroupSpec, says: str) -> None:
     w = World()
     (refused,) = w.ask(group)
-    assert isinstance(refused, gr.Refused) and refused.never and says in refused.why
-    assert never(group, replace(ROOM, nodes=0), SETTINGS) is None  # an unknown fleet rules nothing out
+    assert isinstance(refused, gr.Shed) and refused.is_permanent and says in refused.reason
+    assert (
+        infeasible_reason(group, replace(ROOM, nodes=0), SETTINGS) is None
+    )  # an unknown fleet rules nothing out
 
 
 def test_the_scarcest_member_goes_first() -> None:
     members = (task(1), task(2, "apart"), task(3, "pinned"), task(4, cores=8.0))
     w = World()
     w.ask(GroupSpec("o", members, 4))
-    assert [a.member for a in w.all(gr.Try)] == [2, 1, 3, 0]
+    assert [a.member for a in w.all(gr.PlaceMember)] == [2, 1, 3, 0]
     assert scarcity(members[2], SETTINGS) < scarcity(members[1], SETTINGS)
 
 
 def test_no_try_without_believed_room_unless_it_is_old() -> None:
     w = World(replace(ROOM, free_cores=2.0))
     w.ask(spec())
-    assert not w.all(gr.Try)
+    assert not w.all(gr.PlaceMember)
     w.wait(4 * SECOND)
-    assert not w.all(gr.Try)
+    assert not w.all(gr.PlaceMember)
     w.wait(2 * SECOND)
-    assert w.all(gr.Try)
+    assert w.all(gr.PlaceMember)
 
 
 def test_gathering_groups_leave_room_to_others() -> None:
     w = World(replace(ROOM, free_cores=10.0))
     w.ask(spec(4), number=1)
     w.ask(spec(4), number=2)
-    assert {a.group for a in w.all(gr.Try)} == {1}
+    assert {a.group for a in w.all(gr.PlaceMember)} == {1}
 
 
 def test_back_off_is_drawn_and_shrinks_with_age() -> None:
@@ -332,23 +338,23 @@
         w.ask(spec(), wait=60 * SECOND)
         for n in range(8):
             w.over(0, 1, 2)
-            waits.setdefault(n, []).append(w.all(gr.Tried)[-1].again_in_us)
+            waits.setdefault(n, []).append(w.all(gr.Attempted)[-1].retry_in_us)
             w.wait(waits[n][-1] + 1)
     assert len(set(waits[3])) > 10  # not in step
-    assert max(waits[7]) <= w.c.config.back_off_most_us
+    assert max(waits[7]) <= w.c.config.max_backoff_us
     old = World()
     old.ask(spec(), wait=10 * SECOND)
     old.now += 8 * SECOND
     old.over(0, 1, 2)
-    assert old.all(gr.Tried)[0].again_in_us < 500 * MS
+    assert old.all(gr.Attempted)[0].retry_in_us < 500 * MS
 
 
 def test_leaving_refuses_what_does_not_run() -> None:
     w = World()
     w.ask(spec())
     w.ready(0)
-    out = w.take(w.c.leave(w.now))
-    assert isinstance(out[0], gr.Refused) and out[1] == gr.Release(1, (0, 1, 2))
+    out = w.take(w.c.shut_down(w.now))
+    assert isinstance(out[0], gr.Shed) and out[1] == gr.Release(1, (0, 1, 2))
     w.over(0, 1, 2)
     assert not w.c.groups
 
@@ -369,13 +375,13 @@
     def take(self, actions: list[gr.Action]) -> None:
         for a in actions:
             match a:
-                case gr.Try(g, m, _):
+                case gr.PlaceMember(g, m, _):
                     assert (g, m) not in self.at_node, "two attempts of a member outstanding"
                     assert not self.outcomes[g], "a member is tried after the outcome"
                     self.at_node[g, m] = "held"
-                case gr.LetRun(g, ms, _):
+                case gr.Commit(g, ms, _):
                     ready = {m for (h, m), s in self.at_node.items() if h == g and s == "ready"}
-                    assert set(ms) == ready and len(ms) >= self.c.groups[g].spec.least
+                    assert set(ms) == ready and len(ms) >= self.c.groups[g].spec.min_members
                     for m in ms:
                         assert (g, m) not in self.released, "let run after its release"
                         self.at_node[g, m] = "let run"
@@ -386,7 +392,7 @@
                 case gr.Placed(g, ms, _, _):
                     self.outcomes[g].append("placed")
                     assert all(self.at_node.get((g, m)) in ("running", None) for m in ms)
-                case gr.Refused(g):
+                case gr.Shed(g):
                     self.outcomes[g].append("refused")
                     out = {k for k in self.at_node if k[0] == g}
                     assert out <= self.released, "refused while attempts are out that were not released"
@@ -410,7 +416,7 @@
         self.outcomes[self.number] = []
         group = spec(count, max(1, count - left), "report" if once else "worker")
         self.deadline[self.number] = self.now + wait * SECOND
-        self.take(self.c.asked(self.now, self.number, group, self.deadline[self.number], ROOM))
+        self.take(self.c.request(self.now, self.number, group, self.deadline[self.number], ROOM))
 
     @precondition(lambda self: self.has("held"))
     @rule(data=st.data())
@@ -418,14 +424,14 @@
         g, m = self.some(data, "held")
         if (g, m) not in self.released:
             self.at_node[g, m] = "ready"
-        self.take(self.c.ready(self.now, g, m, m + 1, "r"))
+        self.take(self.c.member_reserved(self.now, g, m, m + 1, "r"))
 
     @precondition(lambda self: self.has("let run"))
     @rule(data=st.data())
     def runs(self, data: Any) -> None:
         g, m = self.some(data, "let run")
         self.at_node[g, m] = "running"
-        self.take(self.c.running(self.now, g, m))
+        self.take(self.c.member_running(self.now, g, m))
 
     @precondition(lambda self: self.at_node)
     @rule(data=st.data(), finished=st.booleans())
@@ -433,14 +439,14 @@
         g, m = self.some(data, "held", "ready", "let run", "running")
         state = self.at_node.pop((g, m))
         self.released.discard((g, m))
-        self.take(self.c.over(self.now, g, m, finished and state == "running", "gone"))
+        self.take(self.c.member_over(self.now, g, m, finished and state == "running", "gone"))
 
     @precondition(lambda self: self.c.groups)
     @rule(data=st.data())
     def withdraws(self, data: Any) -> None:
         g = data.draw(st.sampled_from(sorted(self.c.groups)))
         self.outcomes[g].append("withdrawn") if not self.outcomes[g] else None
-        self.take(self.c.withdrawn(self.now, g))
+        self.take(self.c.cancel(self.now, g))
 
     @rule(ms=st.sampled_from([1, 50, 400, 1500, 4000]))
     def time_passes(self, ms: int) -> None:
@@ -455,9 +461,9 @@
     @invariant()
     def nothing_partly_running_for_long(self) -> None:
         for g, group in self.c.groups.items():
-            if group.stand is Stand.COMMITTED:
+            if group.state is GroupState.COMMITTED:
                 assert (
-                    self.now <= group.until + GroupConfig().keep_every_us
+                    self.now <= group.state_deadline + GroupConfig().lease_renewal_interval_us
                     or not self.c._due
                     or (
                         self.c.next_due() is not None and self.c.next_due() <= self.now  # type: ignore[operator]
@@ -469,8 +475,13 @@
         """A group that is not over has a timer, or members whose word is awaited."""
         for g, group in self.c.groups.items():
             timers = any(n == g and gen == group.generation for _, n, gen in self.c._due)
-            waits = any(m in (Member.ASKED, Member.READY, Member.RUNNING) for m in group.members)
-            assert timers or (waits and group.stand in (Stand.RELEASING, Stand.WHOLE)), (g, group)
+            waits = any(
+                m in (MemberState.REQUESTED, MemberState.RESERVED, MemberState.RUNNING) for m in group.members
+            )
+            assert timers or (waits and group.state in (GroupState.RELEASING, GroupState.COMPLETE)), (
+                g,
+                group,
+            )
 
     def teardown(self) -> None:
         """Once all words have come and time has passed, nothing is left and every group was answered."""
@@ -478,7 +489,7 @@
             for g, m in sorted(self.at_node):
                 self.at_node.pop((g, m))
                 self.released.discard((g, m))
-                self.take(self.c.over(self.now, g, m, False, "gone"))
+                self.take(self.c.member_over(self.now, g, m, False, "gone"))
             self.now += SECOND
             self.take(self.c.advance(self.now, ROOM))
             if not self.c.groups:
--- a/tests/groups/test_core_groups.py
+++ b/tests/groups/test_core_groups.py
@@ -217,7 +217,7 @@
 
 
 def test_groups_are_bounded() -> None:
-    w = Groups(groups=GroupConfig(groups_most=1))
+    w = Groups(groups=GroupConfig(max_groups=1))
     w.group(n=1)
     w.group(n=2)
     assert w.words(ev.Rejected)[0].rejection.code == "RESOURCE_EXHAUSTED"
@@ -304,7 +304,7 @@
     assert not w.stops()
     w.wait(15 * SECOND)
     assert bool(w.stops()) is not answered and bool(w.core.counts.get("leases_over")) is not answered
-    assert w.now > began and len(w.core.leases.keeps) <= 3
+    assert w.now > began and len(w.core.leases.pending_renewals) <= 3
     if not answered:
         assert [e.finished for e in w.words(ev.GroupEnded)] == [False]
 
@@ -316,20 +316,20 @@
     w.wait(1100 * MS)
     first = w.all(ev.SendLeaseRenewal)[0]
     held = [a for a in w.core.attempts.attempts.values() if a.node == first.node]
-    until = held[0].kept_until
+    until = held[0].lease_expires_at
     w.feed(ev.LeasesRenewed(first.node, first.renewal))  # said a second ago
-    assert held[0].kept_until <= max(until, w.now - 900 * MS + first.lease_us)
+    assert held[0].lease_expires_at <= max(until, w.now - 900 * MS + first.lease_us)
 
 
 def test_keeps_that_are_never_answered_are_bounded() -> None:
-    from stairplank.planner.leases import KEEPS_MOST
+    from stairplank.planner.leases import MAX_PENDING_RENEWALS
 
     w = Groups()
     for _ in range(200):
-        w.core.leases.keep(1, (), SECOND)
-    assert len(w.core.leases.keeps[1]) == KEEPS_MOST == len(w.core.leases._said)
+        w.core.leases.renew(1, (), SECOND)
+    assert len(w.core.leases.pending_renewals[1]) == MAX_PENDING_RENEWALS == len(w.core.leases._sent_at)
     w.feed(ev.LinkDown(1))
-    assert not w.core.leases.keeps and not w.core.leases._said
+    assert not w.core.leases.pending_renewals and not w.core.leases._sent_at
 
 
 def test_members_that_ended_while_the_planner_was_away_are_no_loss() -> None:
--- a/tests/planner/test_leases.py
+++ b/tests/planner/test_leases.py
@@ -33,7 +33,7 @@
 
 def test_a_lease_that_nothing_lengthens_runs_out_once() -> None:
     leases, attempt, others = room()
-    leases.hold(attempt, leases.context.now + SECOND)
+    leases.extend(attempt, leases.context.now + SECOND)
     pass_time(leases.context, 999 * MS)
     assert not over(others)
     pass_time(leases.context, 5 * SECOND)
@@ -42,13 +42,13 @@
 
 def test_an_answered_keep_counts_from_when_it_was_said() -> None:
     leases, attempt, others = room()
-    leases.hold(attempt, leases.context.now + SECOND)
-    leases.keep(4, (attempt.id,), 2 * SECOND)
+    leases.extend(attempt, leases.context.now + SECOND)
+    leases.renew(4, (attempt.id,), 2 * SECOND)
     keep = next(a for a in leases.context.actions if isinstance(a, ev.SendLeaseRenewal))
     said = leases.context.now
     pass_time(leases.context, 900 * MS)
-    leases.kept(ev.LeasesRenewed(4, keep.renewal))
-    assert attempt.kept_until == said + 2 * SECOND and not leases.keeps
+    leases.renewal_received(ev.LeasesRenewed(4, keep.renewal))
+    assert attempt.lease_expires_at == said + 2 * SECOND and not leases.pending_renewals
     pass_time(leases.context, 1099 * MS)
     assert not over(others)
     pass_time(leases.context, 2 * MS)
@@ -58,17 +58,17 @@
 def test_an_answer_to_a_later_keep_answers_for_those_before_but_lends_them_no_time() -> None:
     leases, attempt, _ = room()
     other = AttemptId(7, 99, 0)
-    leases.keep(4, (attempt.id,), 9 * SECOND)
-    leases.keep(4, (other,), SECOND)
+    leases.renew(4, (attempt.id,), 9 * SECOND)
+    leases.renew(4, (other,), SECOND)
     last = [a for a in leases.context.actions if isinstance(a, ev.SendLeaseRenewal)][-1]
-    leases.kept(ev.LeasesRenewed(4, last.renewal))
-    assert not leases.keeps and attempt.kept_until == 0
+    leases.renewal_received(ev.LeasesRenewed(4, last.renewal))
+    assert not leases.pending_renewals and attempt.lease_expires_at == 0
 
 
 def test_keeps_on_a_broken_link_are_forgotten() -> None:
     leases, attempt, _ = room()
-    leases.keep(4, (attempt.id,), SECOND)
-    number = next(iter(leases._said))
+    leases.renew(4, (attempt.id,), SECOND)
+    number = next(iter(leases._sent_at))
     leases.link_lost(4)
-    leases.kept(ev.LeasesRenewed(4, number))
-    assert not leases.keeps and not leases._said and attempt.kept_until == 0
+    leases.renewal_received(ev.LeasesRenewed(4, number))
+    assert not leases.pending_renewals and not leases._sent_at and attempt.lease_expires_at == 0
