--- a/benchmarks/wishes.py
+++ b/benchmarks/wishes.py
@@ -17,8 +17,9 @@
 from typing import Any
 
 from stairplank.emulator.world import World, WorldConfig
-from stairplank.groups.constraints import NodeCapacity, infeasible_constraint
-from stairplank.groups.coordinator import GroupConfig
+from stairplank.groups.capacity import NodeCapacity
+from stairplank.groups.config import GroupConfig
+from stairplank.groups.constraints import infeasible_constraint
 from stairplank.groups.spec import GroupSpec
 from stairplank.planner import events as ev
 from stairplank.rehearsal.scenario import load_scenario
--- a/stairplank/emulator/experiment.py
+++ b/stairplank/emulator/experiment.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..groups.coordinator import GroupConfig
+from ..groups.config import GroupConfig
 from ..settings import values as v
 from ..settings.cluster import CLUSTER, cluster_from
 from ..settings.lines import Problem, SettingsError
--- a/stairplank/emulator/world.py
+++ b/stairplank/emulator/world.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .. import interface as api
-from ..groups.coordinator import GroupConfig
+from ..groups.config import GroupConfig
 from ..planner import events as ev
 from ..planner.admission import Bounds
 from ..planner.core import Core, CoreConfig
--- a/stairplank/groups/__init__.py
+++ b/stairplank/groups/__init__.py
@@ -1,11 +1,12 @@
 """All-or-nothing groups: a coordinator without I/O above the decision module.
 
-Each member is placed by the module; the coordinator decides when a group is tried, in which order its members
-go, when they are let run together, when a try is given up and what is released. docs/design/groups.md has the
-states and invariants.
+Each member is placed by the module; the coordinator decides when a group is attempted, in which order its
+members are placed, when they are committed together, when an attempt is given up and what is released.
+docs/design/groups.md has the states and invariants.
 """
 
-from .coordinator import Coordinator, GroupConfig
-from .spec import GroupProblem, GroupSpec, validate
+from .config import GroupConfig
+from .coordinator import Coordinator
+from .spec import GroupSpec, validate
 
-__all__ = ["Coordinator", "GroupConfig", "GroupProblem", "GroupSpec", "validate"]
+__all__ = ["Coordinator", "GroupConfig", "GroupSpec", "validate"]
--- a/stairplank/groups/spec.py
+++ b/stairplank/groups/spec.py
@@ -1,94 +1,102 @@
-"""What a group is, and whether it makes sense. Decides without I/O, clock or state."""
+"""What a group is, and whether it is valid and could ever start. Decides without I/O, clock or state."""
 
 from __future__ import annotations
 
+from collections import Counter
 from dataclasses import dataclass
 
 from .. import interface as api
 from ..tasks import Rejection, TaskSpec
+from .capacity import ClusterCapacity
 
 MAX_MEMBERS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class GroupSpec:
-    """A group as its owner asks for it."""
+    """A group as its client requests it."""
 
     client: str
     members: tuple[TaskSpec, ...]
-    min_members: int  # members that make it whole
+    min_members: int  # that make it complete
     same_rack: bool = False
     distinct_nodes: bool = False
     distinct_racks: bool = False
 
 
-@dataclass(frozen=True, slots=True)
-class ClusterCapacity:
-    """What the planner believes of the fleet at the moment; amounts as nodes accept them."""
-
-    nodes: int
-    racks: int
-    cores: float  # that all listed nodes together accept
-    memory: float
-    free_cores: float  # of these, not asked for as far as is known
-    free_memory: float
-
-
-GroupProblem = Rejection
-
-
-def validate(spec: GroupSpec, least_asked: int) -> Rejection | None:
-    """The first field at fault; fields of single members are checked like those of single tasks."""
-
-    def bad(field: str, message: str) -> Rejection:
-        return Rejection("INVALID_ARGUMENT", field, message)
+def validate(spec: GroupSpec, requested_min_members: int) -> Rejection | None:
+    """The first invalid field, or None. Fields of a single member are validated as those of a single task.
 
+    ``requested_min_members``: as it came with the request; 0 stands for all members.
+    """
     count = len(spec.members)
     if not 1 <= count <= MAX_MEMBERS:
-        return bad("members", f"{count} members; 1 to {MAX_MEMBERS} make a group")
-    keys: dict[int, int] = {}
-    for i, member in enumerate(spec.members):
-        if member.key in keys:
-            return bad(f"members[{i}].key", f"is the key of members[{keys[member.key]}] too")
-        keys[member.key] = i
-    if not 0 <= least_asked <= count:
-        return bad("least", f"{least_asked} of {count} members")
+        return _invalid("members", f"{count} members; 1 to {MAX_MEMBERS} make a group")
+    index_of_key: dict[int, int] = {}
+    for index, member in enumerate(spec.members):
+        if member.key in index_of_key:
+            message = f"is the key of members[{index_of_key[member.key]}] too"
+            return _invalid(f"members[{index}].key", message)
+        index_of_key[member.key] = index
+    if not 0 <= requested_min_members <= count:
+        return _invalid("least", f"{requested_min_members} of {count} members")
     if spec.same_rack and spec.distinct_racks:
-        return bad("distinct_racks", "contradicts same_rack")
+        return _invalid("distinct_racks", "contradicts same_rack")
     return None
 
 
-def infeasible_reason(spec: GroupSpec, room: ClusterCapacity, settings: api.Settings) -> str | None:
-    """Why the group can never start in this room, or None. An unknown fleet rules nothing out."""
-    if room.nodes == 0:
+def _invalid(field: str, message: str) -> Rejection:
+    return Rejection("INVALID_ARGUMENT", field, message)
+
+
+def infeasible_reason(spec: GroupSpec, capacity: ClusterCapacity, settings: api.Settings) -> str | None:
+    """Why the group can never start in this cluster, or None. An unknown cluster rules nothing out."""
+    if capacity.nodes == 0:
         return None
-    order = sorted(spec.members, key=lambda m: m.cores)[: spec.min_members]
-    cores = sum(m.cores for m in order)
-    memory = sum(sorted(m.memory for m in spec.members)[: spec.min_members])
-    if cores > room.cores:
-        return f"its members ask for {cores:g} cores, all nodes together accept {room.cores:g}"
-    if memory > room.memory:
-        return f"its members ask for {memory:g} of memory, all nodes together accept {room.memory:g}"
-    if spec.distinct_nodes and spec.min_members > room.nodes:
-        return f"{spec.min_members} members on distinct nodes, {room.nodes} nodes are listed"
-    if spec.distinct_racks and spec.min_members > room.racks:
-        return f"{spec.min_members} members in distinct racks, {room.racks} racks are listed"
-    by_class: dict[tuple[str, int], int] = {}
-    for member in spec.members:
-        by_class[member.task_class, member.service] = by_class.get((member.task_class, member.service), 0) + 1
-    left_out = len(spec.members) - spec.min_members
-    places = {api.Scope.NODE: room.nodes, api.Scope.GROUP: room.racks}
-    for (name, service), count in by_class.items():
-        sort = next(c for c in settings.classes if c.name == name)
-        if sort.spread in places and count - left_out > sort.max_per_place * places[sort.spread]:
-            return f"{count} of service {service}, at most {sort.max_per_place} in one {sort.spread.value}"
+    return _insufficient_capacity(spec, capacity) or _insufficient_spread(spec, capacity, settings)
+
+
+def _insufficient_capacity(spec: GroupSpec, capacity: ClusterCapacity) -> str | None:
+    smallest = sorted(spec.members, key=lambda member: member.cores)[: spec.min_members]
+    cores = sum(member.cores for member in smallest)
+    memory = sum(sorted(member.memory for member in spec.members)[: spec.min_members])
+    if cores > capacity.cores:
+        return f"its members ask for {cores:g} cores, all nodes together accept {capacity.cores:g}"
+    if memory > capacity.memory:
+        return f"its members ask for {memory:g} of memory, all nodes together accept {capacity.memory:g}"
+    if spec.distinct_nodes and spec.min_members > capacity.nodes:
+        return f"{spec.min_members} members on distinct nodes, {capacity.nodes} nodes are listed"
+    if spec.distinct_racks and spec.min_members > capacity.racks:
+        return f"{spec.min_members} members in distinct racks, {capacity.racks} racks are listed"
+    return None
+
+
+def _insufficient_spread(spec: GroupSpec, capacity: ClusterCapacity, settings: api.Settings) -> str | None:
+    """Whether some class spreads its tasks over more nodes or racks than there are."""
+    dispensable = len(spec.members) - spec.min_members
+    places = {api.Scope.NODE: capacity.nodes, api.Scope.GROUP: capacity.racks}
+    counts = Counter((member.task_class, member.service) for member in spec.members)
+    for (name, service), count in counts.items():
+        task_class = _class_named(name, settings)
+        if task_class.spread not in places:
+            continue
+        if count - dispensable > task_class.max_per_place * places[task_class.spread]:
+            limit = f"at most {task_class.max_per_place} in one {task_class.spread.value}"
+            return f"{count} of service {service}, {limit}"
     return None
 
 
 def scarcity(member: TaskSpec, settings: api.Settings) -> tuple[float, ...]:
-    """Which member goes first: the one bound to a kind, the tightest spread, the largest share of a node."""
-    sort = next(c for c in settings.classes if c.name == member.task_class)
-    kinds = settings.node_types if sort.node_type is None else (settings.node_types[sort.node_type],)
-    share = min(max(member.cores / k.cores, member.memory / k.memory) for k in kinds)
-    tight = 1.0 / sort.max_per_place if sort.spread is not api.Scope.NONE else 0.0
-    return (-float(sort.node_type is not None), -tight, -share)
+    """Sort key of members, scarcest first: bound to a node type, tightest spread, largest share of a node."""
+    task_class = _class_named(member.task_class, settings)
+    if task_class.node_type is None:
+        node_types = settings.node_types
+    else:
+        node_types = (settings.node_types[task_class.node_type],)
+    share = min(max(member.cores / n.cores, member.memory / n.memory) for n in node_types)
+    tightness = 1.0 / task_class.max_per_place if task_class.spread is not api.Scope.NONE else 0.0
+    return (-float(task_class.node_type is not None), -tightness, -share)
+
+
+def _class_named(name: str, settings: api.Settings) -> api.TaskClass:
+    return next(task_class for task_class in settings.classes if task_class.name == name)
--- a/stairplank/planner/context.py
+++ b/stairplank/planner/context.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from .. import interface as api
-from ..groups.coordinator import GroupConfig
+from ..groups.config import GroupConfig
 from . import admission
 from . import events as ev
 from .event_loop import EventLoop
--- /dev/null
+++ b/stairplank/planner/group_admission.py
@@ -0,0 +1,44 @@
+"""Whether a request for a group is admitted. Decides without I/O or clock."""
+
+from __future__ import annotations
+
+from ..groups.spec import GroupSpec, validate
+from . import admission
+from . import events as ev
+from .group_peers import Owners
+
+
+def check_request(
+    event: ev.GroupRequested, spec: GroupSpec, owners: Owners, groups: int, max_groups: int
+) -> ev.Rejection | None:
+    """Why the request is rejected, or None. ``groups``: those that the planner has already."""
+    rejection = (
+        owners.bad_ask(event.session, event.request)
+        or validate(spec, event.min_members)
+        or admission.too_late(event.wait_us, event.age_us)
+    )
+    if rejection is not None:
+        return rejection
+    for index, member in enumerate(event.members):
+        rejection = _check_member(event, spec, owners, index, member)
+        if rejection is not None:
+            return rejection
+    if groups >= max_groups:
+        message = f"{groups} groups are looked after here"
+        return ev.Rejection("RESOURCE_EXHAUSTED", "", message, admission.BUSY_RETRY_US)
+    return owners.no_room(event.session)
+
+
+def _check_member(
+    event: ev.GroupRequested, spec: GroupSpec, owners: Owners, index: int, member: ev.TaskSpec
+) -> ev.Rejection | None:
+    if member.client != spec.client:
+        return ev.Rejection("INVALID_ARGUMENT", f"members[{index}].owner", "is not the stream's owner")
+    rejection = owners.bad_task(member, event.wait_us)
+    if rejection is not None:
+        field = rejection.field.replace("task.", f"members[{index}].")
+        return ev.Rejection(rejection.code, field, rejection.message)
+    if owners.named(member.client, member.key) is not None:
+        message = "this task waits, runs or may run already"
+        return ev.Rejection("ALREADY_EXISTS", f"members[{index}].key", message, admission.BUSY_RETRY_US)
+    return None
--- a/stairplank/planner/group_requests.py
+++ b/stairplank/planner/group_requests.py
@@ -1,138 +1,87 @@
-"""Groups on the path: between the coordinator, which decides, and owners, attempts and links. No I/O or
+"""Requests for groups: between the coordinator, which decides, and clients, attempts and links. No I/O or
 clock.
 
-Invariants (tests/planner/test_grouping.py, and the stateful test of the coordinator):
+Invariants (tests/groups/test_core_groups.py, and the stateful test of the coordinator):
 
 1. Each group of the coordinator has one record, and a record goes when the coordinator has forgotten its
    group.
-2. A member has one placing in each try; words on placings of earlier tries change nothing.
-3. Members of an earlier life's group are kept while the rest is looked for, and then all go on or all are
-   called off.
-4. Members are let run, kept and called off only over links that stand.
+2. Messages on placements of earlier attempts change nothing.
+3. Members of a group of an earlier incarnation keep running while the rest is looked for, and then all go on
+   or all are released.
 
-Tables: ``records``, ``foundlings``; the coordinator's own.
+State: ``records``, ``messages``; the coordinator's, the orphans' own.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
-from typing import Any, Protocol
 
 from .. import interface as api
-from ..groups import coordinator as gr
-from ..groups.constraints import NodeCapacity, has_constraints
+from ..groups import actions
+from ..groups.constraints import has_constraints
 from ..groups.coordinator import Coordinator
-from ..groups.spec import ClusterCapacity, GroupSpec, validate
-from . import admission
+from ..groups.spec import GroupSpec
+from ..groups.state import Location
 from . import events as ev
-from .abandoned_attempts import PlacementState
 from .context import CoreContext
-from .events import AttemptId
+from .group_admission import check_request
+from .group_members import GroupMembers, GroupRecord
+from .group_messages import MemberMessage, MemberOver, MemberReserved, MemberRunning, PlaceNext
+from .group_peers import GroupPeers
 from .leases import Leases
+from .orphan_groups import OrphanGroup, OrphanGroups
 from .placement import Attempt, Placement
 
 
-@dataclass(slots=True)
-class GroupRecord:
-    """A group as its owner knows it, and the placings of its present try."""
+class GroupRequests(GroupPeers):
+    """All groups of the planner, from their request to their end."""
 
-    session: int
-    request: int
-    spec: GroupSpec
-    deadline: int = 0
-    placements: dict[int, Placement] = field(default_factory=dict)
-    is_placed: bool = False
-
-
-@dataclass(slots=True)
-class OrphanGroup:
-    """Members of an earlier life's group, as nodes tell of them."""
-
-    size: int
-    deadline: int
-    members: dict[int, tuple[int, ev.NodeTask]] = field(default_factory=dict)
-    finished: dict[int, ev.NodeTask] = field(default_factory=dict)  # ran to their end meanwhile
-
-    @property
-    def is_complete(self) -> bool:
-        return bool(self.members) and len({*self.members, *self.finished}) >= self.size
-
-
-class Owners(Protocol):
-    """What groups need of what owners are owed."""
-
-    def bad_ask(self, session: int, ask: int) -> ev.Rejection | None: ...
-    def bad_task(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None: ...
-    def no_room(self, session: int) -> ev.Rejection | None: ...
-    def reject(self, session: int, ask: int, rejection: ev.Rejection) -> None: ...
-    def owner_of(self, session: int) -> str: ...
-    def named(self, owner: str, key: int) -> Placement | None: ...
-    def newest(self, owner: str) -> int: ...
-    def group_asked(self, session: int, ask: int, number: int) -> None: ...
-    def group_over(self, session: int, ask: int) -> None: ...
-    def tell_on(self, session: int, word: ev.ClientMessage) -> None: ...
-    def keep(self, placing: Placement) -> None: ...
-    def task(self, placing: Placement) -> api.Task: ...
-
-
-class Attempts(Protocol):
-    """What groups need of the attempts."""
-
-    def known(self, id: AttemptId) -> Attempt | None: ...
-    def call_back(self, placing: Placement) -> None: ...
-    def adopt(self, node: int, id: AttemptId, spec: ev.TaskSpec, running: bool) -> Attempt: ...
-
-
-class Links(Protocol):
-    def up(self, node: int) -> bool: ...
-
-
-class NodeList(Protocol):
-    def room(self) -> ClusterCapacity: ...
-    def places(self) -> tuple[NodeCapacity, ...]: ...
-    def rack(self, node: int) -> str: ...
-
-
-class GroupRequests:
     def __init__(self, context: CoreContext, leases: Leases, seed: int) -> None:
+        """``seed`` determines the backoff of groups."""
         self.context = context
-        self.leases = leases
-        self.owners: Owners
-        self.attempts: Attempts
-        self.links: Links
-        self.list: NodeList
         self.coordinator = Coordinator(context.settings, context.config.groups, seed)
         self.records: dict[int, GroupRecord] = {}
-        self.orphans: dict[tuple[int, int], OrphanGroup] = {}
-        self.messages: deque[tuple[str, int, int, Any]] = deque()  # of members, not yet taken
-        self._due: int | None = None
+        self.messages: deque[MemberMessage] = deque()
+        self._leases = leases
+        self._members = GroupMembers(context, leases, self.coordinator, self)
+        self._orphans = OrphanGroups(context, leases)
+        self._timer_due: int | None = None
 
-    # Questions
+    # Queries
 
-    def tag(self, placing: Placement) -> ev.GroupTag:
+    def tag(self, placement: Placement) -> ev.GroupTag:
         """What a node is told of a member's group."""
-        assert placing.group is not None
-        number, member = placing.group
+        number, member = _member_of(placement)
         size = self.records[number].spec.min_members
-        # Held at least until the try is over and its members were let run.
-        lease = placing.expires - self.context.now + self.context.config.groups.lease_us
-        return ev.GroupTag(self.context.incarnation, number, size, member, max(1, lease))
+        # Reserved at least until the attempt is over and its members were committed.
+        lease_us = placement.expires - self.context.now + self.context.config.groups.lease_us
+        return ev.GroupTag(self.context.incarnation, number, size, member, max(1, lease_us))
 
     def has_unanswered(self) -> bool:
         """Whether a group has no outcome yet."""
-        return any(not g.is_answered for g in self.coordinator.groups.values())
+        return self.coordinator.has_unanswered()
+
+    def may_place(self, placement: Placement, node: int) -> bool:
+        """Whether a member may go there now: others may have taken nodes since the module was asked."""
+        number, member = _member_of(placement)
+        record = self.records.get(number)
+        return record is None or self._members.may_place(record, number, member, node)
 
-    # Owners
+    # Clients
 
     def request(self, event: ev.GroupRequested) -> None:
-        least = event.min_members or len(event.members)
-        owner = self.owners.owner_of(event.session)
+        """A client requests a group: it is admitted and attempted, or rejected."""
         spec = GroupSpec(
-            owner, event.members, least, event.same_rack, event.distinct_nodes, event.distinct_racks
+            self.owners.owner_of(event.session),
+            event.members,
+            event.min_members or len(event.members),
+            event.same_rack,
+            event.distinct_nodes,
+            event.distinct_racks,
         )
-        rejection = self._rejection(event, spec)
+        max_groups = self.context.config.groups.max_groups
+        rejection = check_request(event, spec, self.owners, len(self.coordinator.groups), max_groups)
         if rejection is not None:
             self.owners.reject(event.session, event.request, rejection)
             return
@@ -142,302 +91,196 @@
         self.owners.group_asked(event.session, event.request, number)
         self.context.count("groups_taken")
         self.owners.tell_on(event.session, ev.Admitted(event.request, number))
-        places = self.list.places() if has_constraints(spec) else ()
-        room = self.list.room()
-        self._carry(self.coordinator.request(self.context.now, number, spec, deadline, room, places))
-
-    def _rejection(self, event: ev.GroupRequested, spec: GroupSpec) -> ev.Rejection | None:
-        wrong = self.owners.bad_ask(event.session, event.request) or validate(spec, event.min_members)
-        wrong = wrong or admission.too_late(event.wait_us, event.age_us)
-        if wrong is not None:
-            return wrong
-        for i, member in enumerate(event.members):
-            if member.client != spec.client:
-                message = "is not the stream's owner"
-                return ev.Rejection("INVALID_ARGUMENT", f"members[{i}].owner", message)
-            wrong = self.owners.bad_task(member, event.wait_us)
-            if wrong is not None:
-                field_ = wrong.field.replace("task.", f"members[{i}].")
-                return ev.Rejection(wrong.code, field_, wrong.message)
-            if self.owners.named(member.client, member.key) is not None:
-                message = "this task waits, runs or may run already"
-                return ev.Rejection("ALREADY_EXISTS", f"members[{i}].key", message, admission.BUSY_RETRY_US)
-        if len(self.coordinator.groups) >= self.context.config.groups.max_groups:
-            message = f"{len(self.coordinator.groups)} groups are looked after here"
-            return ev.Rejection("RESOURCE_EXHAUSTED", "", message, admission.BUSY_RETRY_US)
-        return self.owners.no_room(event.session)
-
-    def client_connected(self, owner: str, session: int, live: Callable[[int], bool]) -> None:
-        """What has no stream to be told on, and members that are still known, is told on this one."""
-        for record in self.records.values():
-            if record.spec.client == owner and not live(record.session) and self._any_known(record):
-                record.session, record.request = session, 0
+        nodes = self.list.places() if has_constraints(spec) else ()
+        capacity = self.list.room()
+        self._perform(self.coordinator.request(self.context.now, number, spec, deadline, capacity, nodes))
 
-    def _any_known(self, record: GroupRecord) -> bool:
-        return any(self.owners.named(*p.name) is p for p in record.placements.values())
-
-    def client_disconnected(self, number: int, other: int) -> None:
+    def client_connected(self, client: str, session: int, is_live: Callable[[int], bool]) -> None:
+        """Groups of this client whose session is gone, and that have members left, move to this session."""
+        for record in self.records.values():
+            if record.spec.client != client or is_live(record.session):
+                continue
+            if any(self.owners.named(*p.name) is p for p in record.placements.values()):
+                record.session = session
+                record.request = 0
+
+    def client_disconnected(self, number: int, other_session: int) -> None:
+        """The session of a group has ended: a placed group moves to the other one (0: none), else it goes."""
         record = self.records.get(number)
-        if record is not None and record.is_placed:
-            record.session, record.request = other, 0
-        elif record is not None:
+        if record is None:
+            return
+        if record.is_placed:
+            record.session = other_session
+            record.request = 0
+        else:
             self.cancel(number)
 
     def cancel(self, number: int) -> None:
-        self._carry(self.coordinator.cancel(self.context.now, number))
+        """The client cancels a group."""
+        self._perform(self.coordinator.cancel(self.context.now, number))
 
     def settings_changed(self) -> None:
-        """Groups in flight are tried by the new settings from their next try on."""
+        """Groups in flight use the new settings from their next attempt on."""
         self.coordinator.set_settings(self.context.settings, self.context.config.groups)
 
     def shut_down(self) -> None:
-        self._carry(self.coordinator.shut_down(self.context.now))
+        """The planner shuts down: groups without an outcome are shed."""
+        self._perform(self.coordinator.shut_down(self.context.now))
 
-    # Words of members, taken in turn with the module
+    # Messages on members, taken in turn with the module's
 
-    def member_reserved(self, placing: Placement, attempt: Attempt) -> None:
-        assert placing.group is not None
-        self.messages.append(("ready", *placing.group, attempt))
+    def member_reserved(self, placement: Placement, attempt: Attempt) -> None:
+        """A node holds a member ready to run."""
+        self.messages.append(MemberReserved(*_member_of(placement), attempt.node))
 
-    def member_running(self, placing: Placement, attempt: Attempt) -> None:
-        assert placing.group is not None
-        self.messages.append(("running", *placing.group, attempt))
+    def member_running(self, placement: Placement, attempt: Attempt) -> None:
+        """A node runs a member."""
+        self.messages.append(MemberRunning(*_member_of(placement)))
 
-    def member_gone(self, placing: Placement) -> None:
-        """Nothing is left of a member's placing."""
-        assert placing.group is not None
-        self.messages.append(("over", *placing.group, placing))
+    def member_gone(self, placement: Placement) -> None:
+        """Nothing is left of a member's placement."""
+        self.messages.append(MemberOver(*_member_of(placement), placement))
 
     def take_message(self) -> None:
-        """The next word of a member."""
-        what, number, member, of = self.messages.popleft()
-        if what == "try":
-            until, tries = of
-            if self.coordinator.is_reserving(number, tries):
-                self._try(self.records[number], number, member, until)
-            return
-        if what == "over":
-            placing: Placement = of
-            record = self.records.get(number)
-            if record is None or record.placements.get(member) is not placing:
-                return  # of a try that is long over
-            why = placing.ended or "no place was found"
-            done = placing.ended == "finished"
-            out = self.coordinator.member_over(self.context.now, number, member, done, why)
-        elif what == "ready":
-            rack = self.list.rack(of.node)
-            out = self.coordinator.member_reserved(self.context.now, number, member, of.node, rack)
-        else:
-            out = self.coordinator.member_running(self.context.now, number, member)
-        self._carry(out)
-        self._drop_if_over(number)
-
-    def member_unplaced(self, placing: Placement) -> None:
-        """The module found no place for a member in this try; attempts that are out are called back."""
-        placing.becomes("failed")
-        self.attempts.call_back(placing)
-
-    def member_over(self, placing: Placement, finished: bool, reason: api.Reason) -> None:
-        """A member that was bound has its node's last word."""
-        assert placing.group is not None
-        record = self.records.get(placing.group[0])
+        """Act on the next message."""
+        message = self.messages.popleft()
+        now = self.context.now
+        number = message.group
+        match message:
+            case PlaceNext(_, member, deadline, attempt):
+                if self.coordinator.is_reserving(number, attempt):
+                    self._members.place(self.records[number], number, member, deadline)
+                return
+            case MemberOver(_, member, placement):
+                record = self.records.get(number)
+                if record is None or record.placements.get(member) is not placement:
+                    return  # of an attempt that is long over
+                reason = placement.ended or "no place was found"
+                finished = placement.ended == "finished"
+                result = self.coordinator.member_over(now, number, member, finished, reason)
+            case MemberReserved(_, member, node):
+                result = self.coordinator.member_reserved(now, number, member, node, self.list.rack(node))
+            case MemberRunning(_, member):
+                result = self.coordinator.member_running(now, number, member)
+        self._perform(result)
+        self._forget_if_over(number)
+
+    def member_unplaced(self, placement: Placement) -> None:
+        """The module found no node for a member in this attempt; attempts in flight are called back."""
+        placement.becomes("failed")
+        self.attempts.call_back(placement)
+
+    def member_over(self, placement: Placement, finished: bool, reason: api.Reason) -> None:
+        """A bound member has ended at its node."""
+        number, member = _member_of(placement)
+        record = self.records.get(number)
         if record is not None and record.is_placed:
-            self._tell(record, ev.MemberEnded(record.request, placing.group[1], finished, reason))
+            self._notify(record, ev.MemberEnded(record.request, member, finished, reason))
 
-    # What the coordinator says
+    # Actions of the coordinator
 
     def _advance(self, due: int) -> None:
-        if due == self._due:
-            self._due = None
-            self._carry(self.coordinator.advance(self.context.now, self.list.room()))
+        if due == self._timer_due:
+            self._timer_due = None
+            self._perform(self.coordinator.advance(self.context.now, self.list.room()))
 
-    def _carry(self, actions: list[gr.Action]) -> None:
-        for action in actions:
+    def _perform(self, decided: list[actions.Action]) -> None:
+        for action in decided:
             record = self.records.get(action.group)
             if record is not None:
-                self._carry_one(action, record)
+                self._perform_on_members(action, record)
+                self._notify_client(action, record)
+                self._forget_if_over(action.group)
         due = self.coordinator.next_due()
-        if due is not None and (self._due is None or due < self._due):
-            # Danger: a timer for each word of a member would each set the next one, and never become fewer.
-            self._due = due
+        if due is not None and (self._timer_due is None or due < self._timer_due):
+            # Danger: timers set for each message would each set the next one, and never become fewer.
+            self._timer_due = due
             self.context.call_at(due, self._advance, due)
 
-    def _carry_one(self, action: gr.Action, record: GroupRecord) -> None:
+    def _perform_on_members(self, action: actions.Action, record: GroupRecord) -> None:
         match action:
-            case gr.PlaceMember(number, member, until):
+            case actions.PlaceMember(number, member, deadline):
                 if self.coordinator.enforces_constraints(number):
-                    # One after the other: what a member takes closes places to the next.
-                    tries = self.coordinator.groups[number].attempts
-                    self.messages.append(("try", number, member, (until, tries)))
+                    # One after the other: the node that a member takes is excluded for the next.
+                    attempt = self.coordinator.groups[number].attempts
+                    self.messages.append(PlaceNext(number, member, deadline, attempt))
                 else:
-                    self._try(record, number, member, until)
-            case gr.Commit(_, members, lease):
-                for node, ids in self._ids(record, members):
-                    self.context.emit(ev.SendCommit(node, ids, lease))
-                    for id in ids:
-                        attempt = self.attempts.known(id)
-                        assert attempt is not None
-                        self.leases.extend(attempt, self.context.now + lease)
-            case gr.RenewLeases(_, members, lease):
-                for node, ids in self._ids(record, members):
-                    self.leases.renew(node, ids, lease)
-            case gr.Release(_, members):
-                for member in members:
-                    self._release(record.placements[member])
-            case gr.Placed(_, members, met, tries):
+                    self._members.place(record, number, member, deadline)
+            case actions.Commit(_, members, lease_us):
+                self._members.commit(record, members, lease_us)
+            case actions.RenewLeases(_, members, lease_us):
+                self._members.renew_leases(record, members, lease_us)
+            case actions.Release(_, members):
+                self._members.release(record, members)
+
+    def _notify_client(self, action: actions.Action, record: GroupRecord) -> None:
+        request = record.request
+        match action:
+            case actions.Placed(_, members, constraints_met, attempts):
                 record.is_placed = True
                 self.context.count("groups_placed")
-                bound = [(m, record.placements[m].bound) for m in members]
-                bindings = tuple((m, a.node) for m, a in bound if a is not None)
-                self._tell(record, ev.GroupPlaced(record.request, bindings, met, tries))
-            case gr.Shed(_, why, never, after):
+                bound = [(member, record.placements[member].bound) for member in members]
+                bindings = tuple((member, at.node) for member, at in bound if at is not None)
+                self._notify(record, ev.GroupPlaced(request, bindings, constraints_met, attempts))
+            case actions.Shed(_, reason, is_permanent, retry_after_us):
                 self.context.count("groups_refused")
-                self._tell(record, ev.GroupShed(record.request, after, why, never))
-            case gr.Failed(_, why):
+                self._notify(record, ev.GroupShed(request, retry_after_us, reason, is_permanent))
+            case actions.Failed(_, reason):
                 self.context.count("groups_failed")
-                self._tell(record, ev.GroupFailed(record.request, why))
-            case gr.Attempted(_, tries, why, again):
+                self._notify(record, ev.GroupFailed(request, reason))
+            case actions.Attempted(_, attempts, reason, retry_in_us):
                 self.context.count("groups_tried_again")
-                self._tell(record, ev.GroupAttempted(record.request, tries, why, again))
-            case gr.Ended(_, finished):
+                self._notify(record, ev.GroupAttempted(request, attempts, reason, retry_in_us))
+            case actions.Ended(_, finished):
                 self.context.count("groups_finished" if finished else "groups_lost")
-                self._tell(record, ev.GroupEnded(record.request, finished))
-        self._drop_if_over(action.group)
-
-    def _try(self, record: GroupRecord, number: int, member: int, until: int) -> None:
-        placing = Placement(self.context, record.session, 0, record.spec.members[member])
-        placing.group = (number, member)
-        placing.expires = until
-        record.placements[member] = placing
-        self.owners.keep(placing)
-        self.context.count("members_tried")
-        # The module is told the group's deadline, not the try's: else it would take every member for one that
-        # comes too late and keep a reserve from it. Whether a group is tried again is the coordinator's
-        # matter, so that a member does not count as one that came back either.
-        closed = (
-            self._closed(record, number, member)
-            if self.coordinator.enforces_constraints(number)
-            else frozenset()
-        )
-        task = self.owners.task(placing)
-        task = replace(task, expires_us=record.deadline, resubmitted=False, excluded_nodes=closed)
-        self.context.notify_module(api.TaskRequested(task))
-
-    def _closed(self, record: GroupRecord, number: int, member: int) -> frozenset[int]:
-        """Nodes closed to a member, by where the others of this try go."""
-        return self.coordinator.excluded_nodes(
-            number, member, self._taken(record, member), self.list.places()
-        )
-
-    def _taken(self, record: GroupRecord, member: int) -> dict[int, int]:
-        """Where the other members of this try go."""
-        taken: dict[int, int] = {}
-        for other, placing in record.placements.items():
-            if other != member and placing.state in (PlacementState.OPEN, PlacementState.PLACED):
-                for attempt in placing.attempts.values():
-                    if not attempt.reported:
-                        taken[other] = attempt.node
-        return taken
-
-    def may_place(self, placing: Placement, node: int) -> bool:
-        """Whether a member may go there now: others may have taken places since the module was asked."""
-        assert placing.group is not None
-        number, member = placing.group
-        record = self.records.get(number)
-        if record is None or not self.coordinator.enforces_constraints(number):
-            return True
-        return not self.coordinator.violates_constraints(
-            number, node, self._taken(record, member), self.list.rack
-        )
+                self._notify(record, ev.GroupEnded(request, finished))
 
-    def _ids(self, record: GroupRecord, members: tuple[int, ...]) -> list[tuple[int, tuple[AttemptId, ...]]]:
-        """The bound attempts of members, by node, over links that are up."""
-        by_node: dict[int, list[AttemptId]] = {}
-        for member in members:
-            attempt = record.placements[member].bound
-            if attempt is not None and self.links.up(attempt.node):
-                by_node.setdefault(attempt.node, []).append(attempt.id)
-        return [(node, tuple(ids)) for node, ids in by_node.items()]
+    def _notify(self, record: GroupRecord, message: ev.GroupMessage) -> None:
+        self.owners.tell_on(record.session, message)
 
-    def _tell(self, record: GroupRecord, word: ev.GroupMessage) -> None:
-        self.owners.tell_on(record.session, word)
-
-    def _drop_if_over(self, number: int) -> None:
+    def _forget_if_over(self, number: int) -> None:
         record = self.records.get(number)
         if record is None or number in self.coordinator.groups:
             return
         del self.records[number]
         self.owners.group_over(record.session, record.request)
 
-    def _release(self, placing: Placement) -> None:
-        if placing.state is PlacementState.OPEN:
-            placing.becomes("withdrawn")
-            self.context.notify_module(api.TaskCancelled(placing.number))
-        placing.withdrawn = True
-        self.attempts.call_back(placing)
+    # Groups of an earlier incarnation
 
-    # Groups of an earlier life
+    def member_reported(self, node: int, task: ev.NodeTask, tag: ev.GroupTag) -> None:
+        """A node has a member that is not known here."""
+        orphan = self._orphans.member_reported(node, task, tag)
+        if orphan is not None:
+            self._recover(orphan)
 
-    def member_reported(self, node: int, held: ev.NodeTask, tag: ev.GroupTag) -> None:
-        """A member of a group of an earlier life, or of a try that was given up.
+    def finished_member_reported(self, task: ev.NodeTask, tag: ev.GroupTag) -> None:
+        """A member finished while no planner was connected to its node."""
+        orphan = self._orphans.finished_member_reported(task, tag)
+        if orphan is not None:
+            self._recover(orphan)
 
-        Of an earlier life's group those that run are kept while the rest is looked for; when all have been
-        found the group goes on, else it is released. Members that were never let run are released at once.
-        """
-        if not held.running or tag.incarnation == self.context.incarnation:
-            self.context.emit(ev.SendStop(node, held.id, ev.StopReason.ABANDONED))
-            return
-        found = self._foundling(tag)
-        found.members[tag.member] = (node, held)
-        self.leases.renew(node, (held.id,), self.context.config.groups.lease_us)
-        self._perhaps_whole(found, tag)
-
-    def finished_member_reported(self, held: ev.NodeTask, tag: ev.GroupTag) -> None:
-        """A member of an earlier life's group that ran to its end while nobody was there to hear of it.
-
-        Danger: without it the rest of a group that is almost done would count as half a group.
-        """
-        if tag.incarnation != self.context.incarnation:
-            found = self._foundling(tag)
-            found.finished[tag.member] = held
-            self._perhaps_whole(found, tag)
-
-    def _foundling(self, tag: ev.GroupTag) -> OrphanGroup:
-        key = (tag.incarnation, tag.group)
-        found = self.orphans.get(key)
-        if found is None:
-            until = self.context.now + self.context.config.foundling_us
-            found = self.orphans[key] = OrphanGroup(tag.size, until)
-            self.context.call_at(until, self._foundling_over, key)
-        return found
-
-    def _perhaps_whole(self, found: OrphanGroup, tag: ev.GroupTag) -> None:
-        if found.is_complete:
-            del self.orphans[tag.incarnation, tag.group]
-            self._go_on(found)
-
-    def _go_on(self, found: OrphanGroup) -> None:
-        """All members of an earlier life's group run: it is ours to keep from now on."""
+    def _recover(self, orphan: OrphanGroup) -> None:
+        """All members of an earlier incarnation's group were found: this planner takes it over."""
         number = self.context.next_number()
-        held = [found.members[m] for m in sorted(found.members)]
-        done = [t for m, t in sorted(found.finished.items()) if m not in found.members]
-        owner = held[0][1].task.client
-        spec = GroupSpec(owner, tuple(t.task for t in (*(t for _, t in held), *done)), found.size)
-        record = self.records[number] = GroupRecord(self.owners.newest(owner), 0, spec, is_placed=True)
-        for member, (node, task) in enumerate(held):
-            attempt = self.attempts.adopt(node, task.id, task.task, True)
+        running = [member for _, member in sorted(orphan.running.items(), key=lambda item: item[0])]
+        finished = [task for member, task in sorted(orphan.finished.items()) if member not in orphan.running]
+        client = running[0].task.task.client
+        tasks = (*(member.task.task for member in running), *(task.task for task in finished))
+        spec = GroupSpec(client, tasks, orphan.size)
+        record = GroupRecord(self.owners.newest(client), 0, spec, is_placed=True)
+        self.records[number] = record
+        locations: dict[int, Location] = {}
+        for member, found in enumerate(running):
+            attempt = self.attempts.adopt(found.node, found.task.id, found.task.task, True)
             attempt.placement.group = (number, member)
             record.placements[member] = attempt.placement
-            self.leases.extend(attempt, self.context.now + self.context.config.groups.lease_us)
+            self._leases.extend(attempt, self.context.now + self.context.config.groups.lease_us)
+            locations[member] = Location(found.node, self.list.rack(found.node))
         self.context.count("groups_found")
-        nodes = {m: (node, self.list.rack(node)) for m, (node, _) in enumerate(held)}
-        self._carry(self.coordinator.recover(self.context.now, number, spec, nodes))
-
-    def _foundling_over(self, key: tuple[int, int]) -> None:
-        """The rest of the group did not show itself: half a group is released."""
-        found = self.orphans.pop(key, None)
-        if found is not None and found.members:  # else all of it had run to its end
-            self.context.count("groups_released")
-            self.context.log("half a group found", members=len(found.members), size=found.size)
-            for node, held in found.members.values():
-                self.context.emit(ev.SendStop(node, held.id, ev.StopReason.ABANDONED))
+        self._perform(self.coordinator.recover(self.context.now, number, spec, locations))
+
+
+def _member_of(placement: Placement) -> tuple[int, int]:
+    """The group's number and the member that this placement is for."""
+    assert placement.group is not None
+    return placement.group
--- a/stairplank/planner/leases.py
+++ b/stairplank/planner/leases.py
@@ -1,19 +1,20 @@
-"""Leases of members that were let run: which keeps have reached their nodes, and what ran out. No I/O or
-clock.
+"""Leases of committed members: which renewals have reached their nodes, and what ran out. No I/O or clock.
 
-Invariants (tests/planner/test_leases.py, with the other rooms played by hand):
+Invariants (tests/planner/test_leases.py, with the other components played by hand):
 
-1. ``kept_until`` of an attempt is never later than its node keeps it: it counts from when the last keep
-   that the node has answered, or the commit, was said.
-2. A member whose lease is over for all that is known is told as lost, once, and called off.
-3. At most ``KEEPS_MOST`` keeps are under way to a node; an answer to one answers for those before it.
+1. ``lease_expires_at`` of an attempt is never later than its node keeps it: it counts from when the commit,
+   or the last renewal that the node has acknowledged, was sent.
+2. A member whose lease has run out for all that is known is reported as lost, once, and stopped.
+3. At most ``MAX_PENDING_RENEWALS`` renewals to a node are unacknowledged; an acknowledgement covers those
+   before it.
 
-Tables: ``keeps``, and when each was said.
+State: ``pending_renewals``.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
 from typing import Protocol
 
 from .. import interface as api
@@ -22,63 +23,77 @@
 from .events import AttemptId
 from .placement import Attempt
 
-MAX_PENDING_RENEWALS = 64  # keeps under way to a node
+MAX_PENDING_RENEWALS = 64  # to one node
 
 
 class Attempts(Protocol):
+    """What leases need of the attempts."""
+
     def known(self, id: AttemptId) -> Attempt | None: ...
     def stop(self, attempt: Attempt, why: ev.StopReason) -> None: ...
     def over(self, attempt: Attempt, result: api.Result) -> None: ...
 
 
+@dataclass(frozen=True, slots=True)
+class PendingRenewal:
+    """A renewal that its node has not acknowledged."""
+
+    sent_at: int
+    sent: ev.SendLeaseRenewal
+
+
 class Leases:
+    """Leases of the members that this planner has committed or taken over."""
+
     def __init__(self, context: CoreContext) -> None:
         self.context = context
         self.attempts: Attempts
-        self.pending_renewals: dict[int, deque[ev.SendLeaseRenewal]] = {}  # by node: said, and not answered
-        self._sent_at: dict[int, int] = {}  # when, by number
+        self.pending_renewals: dict[int, deque[PendingRenewal]] = {}  # by node, oldest first
 
     def renew(self, node: int, attempt_ids: tuple[AttemptId, ...], lease_us: int) -> None:
-        keep = ev.SendLeaseRenewal(node, attempt_ids, lease_us, self.context.next_number())
-        waiting = self.pending_renewals.setdefault(node, deque())
-        waiting.append(keep)
-        self._sent_at[keep.renewal] = self.context.now
-        while len(waiting) > MAX_PENDING_RENEWALS:  # of a node that answers none: leases run out meanwhile
-            del self._sent_at[waiting.popleft().renewal]
-        self.context.emit(keep)
+        """Send a renewal of these leases, which counts once the node has acknowledged it."""
+        renewal = ev.SendLeaseRenewal(node, attempt_ids, lease_us, self.context.next_number())
+        pending = self.pending_renewals.setdefault(node, deque())
+        pending.append(PendingRenewal(self.context.now, renewal))
+        while len(pending) > MAX_PENDING_RENEWALS:  # the node acknowledges none: leases run out meanwhile
+            pending.popleft()
+        self.context.emit(renewal)
 
     def renewal_received(self, event: ev.LeasesRenewed) -> None:
-        """A keep has reached its node: its members are kept from when it was said."""
-        waiting = self.pending_renewals.get(event.node)
-        while waiting and waiting[0].renewal <= event.renewal:
-            keep = waiting.popleft()
-            until = self._sent_at.pop(keep.renewal) + keep.lease_us
-            for id in keep.ids if keep.renewal == event.renewal else ():
-                attempt = self.attempts.known(id)
-                if attempt is not None:
-                    self.extend(attempt, until)
-        if not waiting:
+        """A node acknowledges a renewal: its leases are extended from when it was sent."""
+        pending = self.pending_renewals.get(event.node)
+        while pending and pending[0].sent.renewal <= event.renewal:
+            renewal = pending.popleft()
+            if renewal.sent.renewal == event.renewal:
+                self._extend_all(renewal)
+        if not pending:
             self.pending_renewals.pop(event.node, None)
 
+    def _extend_all(self, renewal: PendingRenewal) -> None:
+        for attempt_id in renewal.sent.ids:
+            attempt = self.attempts.known(attempt_id)
+            if attempt is not None:
+                self.extend(attempt, renewal.sent_at + renewal.sent.lease_us)
+
     def link_lost(self, node: int) -> None:
-        for keep in self.pending_renewals.pop(node, ()):
-            del self._sent_at[keep.renewal]
+        """The link to a node is lost: what it has not acknowledged is forgotten."""
+        self.pending_renewals.pop(node, None)
 
-    def extend(self, attempt: Attempt, until: int) -> None:
-        """So long the node keeps a member for certain; one timer an attempt looks after it."""
+    def extend(self, attempt: Attempt, expires_at: int) -> None:
+        """The node keeps the attempt until then for certain. An attempt has one timer."""
         if not attempt.lease_expires_at:
-            self.context.call_at(until, self._over, attempt)
-        attempt.lease_expires_at = max(attempt.lease_expires_at, until)
+            self.context.call_at(expires_at, self._expire, attempt)
+        attempt.lease_expires_at = max(attempt.lease_expires_at, expires_at)
 
-    def _over(self, attempt: Attempt) -> None:
-        """Danger: where keeps are held on their way, a node has released its members and cannot say so.
+    def _expire(self, attempt: Attempt) -> None:
+        """Danger: where renewals are held up, a node has released its members and cannot say so.
 
         The rest of the group would run on by itself until the link is found to be dead, seconds later.
         """
         if self.attempts.known(attempt.id) is not attempt or attempt.placement.group is None:
             return
         if attempt.lease_expires_at > self.context.now:
-            self.context.call_at(attempt.lease_expires_at, self._over, attempt)
+            self.context.call_at(attempt.lease_expires_at, self._expire, attempt)
             return
         self.context.count("leases_over")
         self.attempts.stop(attempt, ev.StopReason.ABANDONED)
--- a/stairplank/planner/nodelist.py
+++ b/stairplank/planner/nodelist.py
@@ -19,8 +19,7 @@
 from typing import Protocol
 
 from .. import interface as api
-from ..groups.constraints import NodeCapacity
-from ..groups.spec import ClusterCapacity
+from ..groups.capacity import ClusterCapacity, NodeCapacity
 from . import events as ev
 from .context import CoreContext
 
--- a/tests/groups/test_constraints.py
+++ b/tests/groups/test_constraints.py
@@ -16,7 +16,8 @@
 from world import SECOND, SETTINGS, World  # noqa: E402
 
 from stairplank import interface as api  # noqa: E402
-from stairplank.groups.constraints import NodeCapacity, excluded_nodes, infeasible_constraint  # noqa: E402
+from stairplank.groups.capacity import NodeCapacity  # noqa: E402
+from stairplank.groups.constraints import excluded_nodes, infeasible_constraint  # noqa: E402
 from stairplank.groups.spec import GroupSpec  # noqa: E402
 from stairplank.planner import events as ev  # noqa: E402
 from stairplank.tasks import TaskSpec  # noqa: E402
@@ -52,9 +53,12 @@
     places = [place(1, "a", 3), place(2, "a", 2), place(3, "b", 4), place(4, "b", 4)]
     same = group(4, 3, 1, same_rack=True)
     assert excluded_nodes(same, 0, {}, places, SETTINGS) == {1, 2}
-    assert excluded_nodes(same, 0, {}, places, SETTINGS, avoid=["b"]) == {1, 2}  # no other fits: tried again
+    assert excluded_nodes(same, 0, {}, places, SETTINGS, failed_racks=["b"]) == {
+        1,
+        2,
+    }  # no other fits: tried again
     roomy = [replace(p, free_cores=8.0, free_memory=16.0) for p in places]
-    assert excluded_nodes(same, 0, {}, roomy, SETTINGS, avoid=["b"]) == {3, 4}
+    assert excluded_nodes(same, 0, {}, roomy, SETTINGS, failed_racks=["b"]) == {3, 4}
 
 
 def test_a_member_does_not_take_the_only_place_of_another() -> None:
--- a/tests/groups/test_coordinator.py
+++ b/tests/groups/test_coordinator.py
@@ -11,9 +11,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from stairplank import interface as api
-from stairplank.groups import coordinator as gr
-from stairplank.groups.coordinator import Coordinator, GroupConfig, GroupState, MemberState
-from stairplank.groups.spec import ClusterCapacity, GroupSpec, infeasible_reason, scarcity, validate
+from stairplank.groups import actions
+from stairplank.groups.capacity import ClusterCapacity
+from stairplank.groups.config import GroupConfig
+from stairplank.groups.coordinator import Coordinator
+from stairplank.groups.spec import GroupSpec, infeasible_reason, scarcity, validate
+from stairplank.groups.state import GroupState, MemberState
 from stairplank.planner.events import TaskSpec
 
 MS, SECOND = 1_000, 1_000_000
@@ -55,16 +58,16 @@
     def __init__(self, room: ClusterCapacity = ROOM, **config: Any) -> None:
         self.c = Coordinator(SETTINGS, GroupConfig(**config), 5)
         self.now, self.room = 100 * SECOND, room
-        self.out: list[gr.Action] = []
+        self.out: list[actions.Action] = []
 
-    def take(self, actions: list[gr.Action]) -> list[gr.Action]:
-        self.out += actions
-        return actions
+    def take(self, decided: list[actions.Action]) -> list[actions.Action]:
+        self.out += decided
+        return decided
 
-    def ask(self, group: GroupSpec, wait: int = 9 * SECOND, number: int = 1) -> list[gr.Action]:
+    def ask(self, group: GroupSpec, wait: int = 9 * SECOND, number: int = 1) -> list[actions.Action]:
         return self.take(self.c.request(self.now, number, group, self.now + wait, self.room))
 
-    def ready(self, *members: int, number: int = 1, node: int = 0) -> list[gr.Action]:
+    def ready(self, *members: int, number: int = 1, node: int = 0) -> list[actions.Action]:
         out = []
         for m in members:
             out += self.take(
@@ -72,16 +75,16 @@
             )
         return out
 
-    def running(self, *members: int) -> list[gr.Action]:
+    def running(self, *members: int) -> list[actions.Action]:
         return [a for m in members for a in self.take(self.c.member_running(self.now, 1, m))]
 
-    def over(self, *members: int, finished: bool = False) -> list[gr.Action]:
+    def over(self, *members: int, finished: bool = False) -> list[actions.Action]:
         return [
             a for m in members for a in self.take(self.c.member_over(self.now, 1, m, finished, "no cores"))
         ]
 
-    def wait(self, us: int) -> list[gr.Action]:
-        out: list[gr.Action] = []
+    def wait(self, us: int) -> list[actions.Action]:
+        out: list[actions.Action] = []
         until = self.now + us
         while (due := self.c.next_due()) is not None and due <= until:
             self.now = max(self.now, due)
@@ -95,26 +98,26 @@
 
 def test_all_ready_then_all_run() -> None:
     w = World()
-    assert [a.member for a in w.ask(spec()) if isinstance(a, gr.PlaceMember)] == [0, 1, 2]
+    assert [a.member for a in w.ask(spec()) if isinstance(a, actions.PlaceMember)] == [0, 1, 2]
     assert w.ready(0, 1) == []
     (let_run,) = w.ready(2)
-    assert isinstance(let_run, gr.Commit) and let_run.members == (0, 1, 2)
+    assert isinstance(let_run, actions.Commit) and let_run.members == (0, 1, 2)
     assert w.running(0, 1) == []
     placed, keep = w.running(2)
-    assert placed == gr.Placed(1, (0, 1, 2), True, 1) and isinstance(keep, gr.RenewLeases)
+    assert placed == actions.Placed(1, (0, 1, 2), True, 1) and isinstance(keep, actions.RenewLeases)
     assert w.over(0, 1, finished=True) == []
-    assert w.over(2, finished=True) == [gr.Ended(1, True)] and not w.c.groups
+    assert w.over(2, finished=True) == [actions.Ended(1, True)] and not w.c.groups
 
 
 def test_the_last_member_is_refused() -> None:
     w = World()
     w.ask(spec())
     w.ready(0, 1)
-    assert w.over(2) == [gr.Release(1, (0, 1))]
+    assert w.over(2) == [actions.Release(1, (0, 1))]
     assert w.wait(5 * SECOND) == []  # nothing is tried before every attempt is over
     tried = w.over(0, 1)
-    assert isinstance(tried[-1], gr.Attempted) and tried[-1].reason == "no cores"
-    assert [a.member for a in w.wait(4 * SECOND) if isinstance(a, gr.PlaceMember)] == [0, 1, 2]
+    assert isinstance(tried[-1], actions.Attempted) and tried[-1].reason == "no cores"
+    assert [a.member for a in w.wait(4 * SECOND) if isinstance(a, actions.PlaceMember)] == [0, 1, 2]
 
 
 def test_two_run_and_a_node_vanishes() -> None:
@@ -122,9 +125,9 @@
     w.ask(spec())
     w.ready(0, 1, 2)
     w.running(0, 1)
-    assert w.over(1) == [gr.Release(1, (0, 2))]
+    assert w.over(1) == [actions.Release(1, (0, 2))]
     w.over(0, 2)
-    assert w.all(gr.Attempted) and not w.all(gr.Placed)
+    assert w.all(actions.Attempted) and not w.all(actions.Placed)
 
 
 def test_a_once_member_that_was_let_run_is_not_sent_again() -> None:
@@ -133,7 +136,7 @@
     w.ready(0, 1, 2)
     w.running(0)
     w.over(1)
-    assert w.over(0, 2) == [gr.Failed(1, "a member was lost before all ran: no cores")]
+    assert w.over(0, 2) == [actions.Failed(1, "a member was lost before all ran: no cores")]
     assert w.wait(9 * SECOND) == [] and not w.c.groups
 
 
@@ -143,7 +146,7 @@
     w.ready(0, 1)
     w.over(2)
     w.over(0, 1)
-    assert [a for a in w.wait(4 * SECOND) if isinstance(a, gr.PlaceMember)]
+    assert [a for a in w.wait(4 * SECOND) if isinstance(a, actions.PlaceMember)]
 
 
 def test_a_commit_that_is_not_heard_ends_the_group_in_bounded_time() -> None:
@@ -152,7 +155,7 @@
     w.ready(0, 1, 2)
     w.running(0, 1)
     out = w.wait(1100 * MS)
-    assert [a.members for a in out if isinstance(a, gr.Release)] == [(0, 1, 2)]
+    assert [a.members for a in out if isinstance(a, actions.Release)] == [(0, 1, 2)]
 
 
 def test_a_lost_member_of_a_whole_group_releases_the_rest() -> None:
@@ -160,8 +163,8 @@
     w.ask(spec())
     w.ready(0, 1, 2)
     w.running(0, 1, 2)
-    assert w.over(1) == [gr.Release(1, (0, 2))]
-    assert w.over(0, 2) == [gr.Ended(1, False)]
+    assert w.over(1) == [actions.Release(1, (0, 2))]
+    assert w.over(0, 2) == [actions.Ended(1, False)]
 
 
 def test_leases_grow_by_steps_once_whole() -> None:
@@ -170,10 +173,10 @@
     w.ready(0, 1, 2)
     w.running(0, 1, 2)
     w.wait(20 * SECOND)
-    leases = [a.lease_us for a in w.all(gr.RenewLeases)]
-    assert leases == sorted(leases) and leases[-1] == w.c.config.max_lease_us
-    step = w.c.config.lease_step_us + w.c.config.lease_renewal_interval_us
-    assert max(b - a for a, b in zip(leases, leases[1:], strict=False)) <= w.c.config.lease_step_us
+    leases = [a.lease_us for a in w.all(actions.RenewLeases)]
+    assert leases == sorted(leases) and leases[-1] == w.c.context.config.max_lease_us
+    step = w.c.context.config.lease_step_us + w.c.context.config.lease_renewal_interval_us
+    assert max(b - a for a, b in zip(leases, leases[1:], strict=False)) <= w.c.context.config.lease_step_us
     assert step < 2 * SECOND  # two members whose last keepings differ by one end so near each other
 
 
@@ -182,22 +185,22 @@
     w.ask(spec())
     w.ready(0, 1, 2)
     w.running(0, 1)
-    assert w.take(w.c.cancel(w.now, 1)) == [gr.Release(1, (0, 1, 2))]
+    assert w.take(w.c.cancel(w.now, 1)) == [actions.Release(1, (0, 1, 2))]
     w.over(0, 1, 2)
-    assert not w.c.groups and not w.all(gr.Placed) and not w.all(gr.Shed)
+    assert not w.c.groups and not w.all(actions.Placed) and not w.all(actions.Shed)
 
 
 def test_the_deadline_passes_while_it_gathers() -> None:
     w = World()
     w.ask(spec(), wait=2 * SECOND)
     for _ in range(40):
-        for release in [a for a in w.wait(100 * MS) if isinstance(a, gr.Release)]:
+        for release in [a for a in w.wait(100 * MS) if isinstance(a, actions.Release)]:
             w.over(*release.members)
-    (refused,) = w.all(gr.Shed)
+    (refused,) = w.all(actions.Shed)
     assert not refused.is_permanent and not w.c.groups
 
 
-@pytest.mark.parametrize(("let_run", "kind"), [(False, gr.Shed), (True, gr.Failed)])
+@pytest.mark.parametrize(("let_run", "kind"), [(False, actions.Shed), (True, actions.Failed)])
 def test_the_deadline_passes_while_it_is_released(let_run: bool, kind: type) -> None:
     """The last words of what is released may be lost: the owner is answered in time all the same."""
     w = World()
@@ -205,21 +208,21 @@
     w.ready(0, 1, 2) if let_run else w.ready(0)
     w.running(0)
     w.over(1)
-    assert w.all(gr.Release) and not w.all(kind)
+    assert w.all(actions.Release) and not w.all(kind)
     w.wait(1950 * MS)
     assert len(w.all(kind)) == 1 and w.c.groups
     w.over(0, 2)
-    assert not w.c.groups and not w.all(gr.Ended) and len(w.all(kind)) == 1
+    assert not w.c.groups and not w.all(actions.Ended) and len(w.all(kind)) == 1
 
 
 def test_least_members_make_it_whole() -> None:
     w = World()
     w.ask(spec(4, least=3))
     w.ready(0, 1, 2)
-    assert w.over(3) and [a.members for a in w.all(gr.Commit)] == [(0, 1, 2)]
+    assert w.over(3) and [a.members for a in w.all(actions.Commit)] == [(0, 1, 2)]
     w.running(0, 1, 2)
-    assert w.all(gr.Placed)[0].members == (0, 1, 2)
-    assert w.over(0) == [gr.Release(1, (1, 2))]
+    assert w.all(actions.Placed)[0].members == (0, 1, 2)
+    assert w.over(0) == [actions.Release(1, (1, 2))]
 
 
 def test_members_not_ready_in_time_are_left_out() -> None:
@@ -227,8 +230,8 @@
     w.ask(spec(4, least=3))
     w.ready(0, 1, 2)
     out = w.wait(4 * SECOND)
-    assert [a.members for a in out if isinstance(a, gr.Release)][0] == (3,)
-    assert [a.members for a in out if isinstance(a, gr.Commit)] == [(0, 1, 2)]
+    assert [a.members for a in out if isinstance(a, actions.Release)][0] == (3,)
+    assert [a.members for a in out if isinstance(a, actions.Commit)] == [(0, 1, 2)]
 
 
 def test_one_member_and_sixty_four() -> None:
@@ -237,7 +240,7 @@
         w.ask(spec(count))
         w.ready(*range(count))
         w.running(*range(count))
-        assert len(w.all(gr.Placed)[0].members) == count
+        assert len(w.all(actions.Placed)[0].members) == count
 
 
 @pytest.mark.parametrize(
@@ -256,19 +259,19 @@
     w.ask(spec(**wishes))
     for member, node in enumerate(nodes):
         w.ready(member, node=node)
-    assert bool(w.all(gr.Commit)) is met
+    assert bool(w.all(actions.Commit)) is met
     if not met:
         w.over(0, 1, 2)
-        assert w.all(gr.Attempted)[0].reason == "the bindings do not meet the wishes"
+        assert w.all(actions.Attempted)[0].reason == "the bindings do not meet the wishes"
         w.wait(4 * SECOND)
-        while not w.all(gr.Commit):
+        while not w.all(actions.Commit):
             for member, node in enumerate(nodes):
                 w.ready(member, node=node)
-            if not w.all(gr.Commit):
+            if not w.all(actions.Commit):
                 w.over(0, 1, 2)
                 w.wait(SECOND)
         w.running(0, 1, 2)
-        assert w.all(gr.Placed)[0].constraints_met is False
+        assert w.all(actions.Placed)[0].constraints_met is False
 
 
 @pytest.mark.parametrize(
@@ -299,7 +302,7 @@
 def test_a_group_that_can_never_fit_is_told_at_once(group: GroupSpec, says: str) -> None:
     w = World()
     (refused,) = w.ask(group)
-    assert isinstance(refused, gr.Shed) and refused.is_permanent and says in refused.reason
+    assert isinstance(refused, actions.Shed) and refused.is_permanent and says in refused.reason
     assert (
         infeasible_reason(group, replace(ROOM, nodes=0), SETTINGS) is None
     )  # an unknown fleet rules nothing out
@@ -309,44 +312,44 @@
     members = (task(1), task(2, "apart"), task(3, "pinned"), task(4, cores=8.0))
     w = World()
     w.ask(GroupSpec("o", members, 4))
-    assert [a.member for a in w.all(gr.PlaceMember)] == [2, 1, 3, 0]
+    assert [a.member for a in w.all(actions.PlaceMember)] == [2, 1, 3, 0]
     assert scarcity(members[2], SETTINGS) < scarcity(members[1], SETTINGS)
 
 
 def test_no_try_without_believed_room_unless_it_is_old() -> None:
     w = World(replace(ROOM, free_cores=2.0))
     w.ask(spec())
-    assert not w.all(gr.PlaceMember)
+    assert not w.all(actions.PlaceMember)
     w.wait(4 * SECOND)
-    assert not w.all(gr.PlaceMember)
+    assert not w.all(actions.PlaceMember)
     w.wait(2 * SECOND)
-    assert w.all(gr.PlaceMember)
+    assert w.all(actions.PlaceMember)
 
 
 def test_gathering_groups_leave_room_to_others() -> None:
     w = World(replace(ROOM, free_cores=10.0))
     w.ask(spec(4), number=1)
     w.ask(spec(4), number=2)
-    assert {a.group for a in w.all(gr.PlaceMember)} == {1}
+    assert {a.group for a in w.all(actions.PlaceMember)} == {1}
 
 
 def test_back_off_is_drawn_and_shrinks_with_age() -> None:
     waits: dict[int, list[int]] = {}
     for seed in range(20):
         w = World()
-        w.c.rng.seed(seed)
+        w.c.context.rng.seed(seed)
         w.ask(spec(), wait=60 * SECOND)
         for n in range(8):
             w.over(0, 1, 2)
-            waits.setdefault(n, []).append(w.all(gr.Attempted)[-1].retry_in_us)
+            waits.setdefault(n, []).append(w.all(actions.Attempted)[-1].retry_in_us)
             w.wait(waits[n][-1] + 1)
     assert len(set(waits[3])) > 10  # not in step
-    assert max(waits[7]) <= w.c.config.max_backoff_us
+    assert max(waits[7]) <= w.c.context.config.max_backoff_us
     old = World()
     old.ask(spec(), wait=10 * SECOND)
     old.now += 8 * SECOND
     old.over(0, 1, 2)
-    assert old.all(gr.Attempted)[0].retry_in_us < 500 * MS
+    assert old.all(actions.Attempted)[0].retry_in_us < 500 * MS
 
 
 def test_leaving_refuses_what_does_not_run() -> None:
@@ -354,7 +357,7 @@
     w.ask(spec())
     w.ready(0)
     out = w.take(w.c.shut_down(w.now))
-    assert isinstance(out[0], gr.Shed) and out[1] == gr.Release(1, (0, 1, 2))
+    assert isinstance(out[0], actions.Shed) and out[1] == actions.Release(1, (0, 1, 2))
     w.over(0, 1, 2)
     assert not w.c.groups
 
@@ -372,32 +375,32 @@
         self.released: set[tuple[int, int]] = set()
         self.deadline: dict[int, int] = {}
 
-    def take(self, actions: list[gr.Action]) -> None:
-        for a in actions:
+    def take(self, decided: list[actions.Action]) -> None:
+        for a in decided:
             match a:
-                case gr.PlaceMember(g, m, _):
+                case actions.PlaceMember(g, m, _):
                     assert (g, m) not in self.at_node, "two attempts of a member outstanding"
                     assert not self.outcomes[g], "a member is tried after the outcome"
                     self.at_node[g, m] = "held"
-                case gr.Commit(g, ms, _):
+                case actions.Commit(g, ms, _):
                     ready = {m for (h, m), s in self.at_node.items() if h == g and s == "ready"}
                     assert set(ms) == ready and len(ms) >= self.c.groups[g].spec.min_members
                     for m in ms:
                         assert (g, m) not in self.released, "let run after its release"
                         self.at_node[g, m] = "let run"
-                case gr.Release(g, ms):
+                case actions.Release(g, ms):
                     for m in ms:
                         assert (g, m) in self.at_node
                         self.released.add((g, m))
-                case gr.Placed(g, ms, _, _):
+                case actions.Placed(g, ms, _, _):
                     self.outcomes[g].append("placed")
                     assert all(self.at_node.get((g, m)) in ("running", None) for m in ms)
-                case gr.Shed(g):
+                case actions.Shed(g):
                     self.outcomes[g].append("refused")
                     out = {k for k in self.at_node if k[0] == g}
                     assert out <= self.released, "refused while attempts are out that were not released"
                     assert not out or not any(self.at_node[k] in ("let run", "running") for k in out)
-                case gr.Failed(g):
+                case actions.Failed(g):
                     self.outcomes[g].append("failed")
                     out = {k for k in self.at_node if k[0] == g}
                     assert out <= self.released, "failed while attempts are out that were not released"
@@ -464,7 +467,7 @@
             if group.state is GroupState.COMMITTED:
                 assert (
                     self.now <= group.state_deadline + GroupConfig().lease_renewal_interval_us
-                    or not self.c._due
+                    or self.c.next_due() is None
                     or (
                         self.c.next_due() is not None and self.c.next_due() <= self.now  # type: ignore[operator]
                     )
@@ -474,7 +477,7 @@
     def nobody_waits_for_nothing(self) -> None:
         """A group that is not over has a timer, or members whose word is awaited."""
         for g, group in self.c.groups.items():
-            timers = any(n == g and gen == group.generation for _, n, gen in self.c._due)
+            timers = self.c.context.timers.is_set(group)
             waits = any(
                 m in (MemberState.REQUESTED, MemberState.RESERVED, MemberState.RUNNING) for m in group.members
             )
--- a/tests/groups/test_core_groups.py
+++ b/tests/groups/test_core_groups.py
@@ -13,7 +13,7 @@
 from world import MS, SECOND, World  # noqa: E402
 
 from stairplank import interface as api  # noqa: E402
-from stairplank.groups.coordinator import GroupConfig  # noqa: E402
+from stairplank.groups.config import GroupConfig  # noqa: E402
 from stairplank.planner import events as ev  # noqa: E402
 
 
@@ -327,9 +327,9 @@
     w = Groups()
     for _ in range(200):
         w.core.leases.renew(1, (), SECOND)
-    assert len(w.core.leases.pending_renewals[1]) == MAX_PENDING_RENEWALS == len(w.core.leases._sent_at)
+    assert len(w.core.leases.pending_renewals[1]) == MAX_PENDING_RENEWALS
     w.feed(ev.LinkDown(1))
-    assert not w.core.leases.pending_renewals and not w.core.leases._sent_at
+    assert not w.core.leases.pending_renewals
 
 
 def test_members_that_ended_while_the_planner_was_away_are_no_loss() -> None:
--- a/tests/planner/test_leases.py
+++ b/tests/planner/test_leases.py
@@ -68,7 +68,7 @@
 def test_keeps_on_a_broken_link_are_forgotten() -> None:
     leases, attempt, _ = room()
     leases.renew(4, (attempt.id,), SECOND)
-    number = next(iter(leases._sent_at))
+    number = leases.pending_renewals[4][0].sent.renewal
     leases.link_lost(4)
     leases.renewal_received(ev.LeasesRenewed(4, number))
-    assert not leases.pending_renewals and not leases._sent_at and attempt.lease_expires_at == 0
+    assert not leases.pending_renewals and attempt.lease_expires_at == 0
