--- a/stairplank/groups/capacity.py
+++ b/stairplank/groups/capacity.py
@@ -112,6 +112,7 @@
     """Packs members into one rack: the largest first, each on the node with the most free cores."""
 
     def __init__(self, rack: Sequence[NodeCapacity], distinct_nodes: bool) -> None:
+        """Start with the free capacity of the rack; ``distinct_nodes``: at most one member on a node."""
         self._node_types = {node.node: node.node_type for node in rack}
         self._free_cores = {node.node: node.free_cores for node in rack}
         self._free_memory = {node.node: node.free_memory for node in rack}
--- a/stairplank/groups/lifecycle.py
+++ b/stairplank/groups/lifecycle.py
@@ -55,6 +55,7 @@
     """Transitions of groups. Each method takes the group that it changes."""
 
     def __init__(self, context: CoordinatorContext) -> None:
+        """Work on the groups of this context."""
         self.context = context
 
     # Attempts
--- a/stairplank/groups/matching.py
+++ b/stairplank/groups/matching.py
@@ -12,6 +12,7 @@
     """Which member has which place; ``edges`` lists the places that each member could have."""
 
     def __init__(self, edges: Sequence[Sequence[Place]], holders: dict[Place, int] | None = None) -> None:
+        """Start with these holders of places, by place; without any by default."""
         self._edges = edges
         self.holders: dict[Place, int] = holders if holders is not None else {}
 
--- a/stairplank/groups/timers.py
+++ b/stairplank/groups/timers.py
@@ -20,6 +20,7 @@
     """A heap of timers. Setting a timer invalidates the group's earlier one, which stays until it is due."""
 
     def __init__(self) -> None:
+        """Start without timers."""
         self._heap: list[_Timer] = []
 
     def next_due(self) -> int | None:
--- a/stairplank/planner/group_members.py
+++ b/stairplank/planner/group_members.py
@@ -40,6 +40,7 @@
     def __init__(
         self, context: CoreContext, leases: Leases, coordinator: Coordinator, peers: GroupPeers
     ) -> None:
+        """``peers`` are used once the core has connected them."""
         self.context = context
         self._leases = leases
         self._coordinator = coordinator
--- a/stairplank/planner/group_peers.py
+++ b/stairplank/planner/group_peers.py
@@ -14,40 +14,74 @@
 class Owners(Protocol):
     """What groups need of the clients' requests."""
 
-    def bad_ask(self, session: int, ask: int) -> ev.Rejection | None: ...
-    def bad_task(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None: ...
-    def no_room(self, session: int) -> ev.Rejection | None: ...
-    def reject(self, session: int, ask: int, rejection: ev.Rejection) -> None: ...
-    def owner_of(self, session: int) -> str: ...
-    def named(self, owner: str, key: int) -> Placement | None: ...
-    def newest(self, owner: str) -> int: ...
-    def group_asked(self, session: int, ask: int, number: int) -> None: ...
-    def group_over(self, session: int, ask: int) -> None: ...
-    def tell_on(self, session: int, word: ev.ClientMessage) -> None: ...
-    def keep(self, placing: Placement) -> None: ...
-    def task(self, placing: Placement) -> api.Task: ...
+    def bad_ask(self, session: int, ask: int) -> ev.Rejection | None:
+        """Why this request id is rejected, or None."""
+
+    def bad_task(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None:
+        """Why this task is rejected, or None."""
+
+    def no_room(self, session: int) -> ev.Rejection | None:
+        """Why the planner admits no more of this session, or None."""
+
+    def reject(self, session: int, ask: int, rejection: ev.Rejection) -> None:
+        """Notify the client that its request is rejected."""
+
+    def owner_of(self, session: int) -> str:
+        """The client's name."""
+
+    def named(self, owner: str, key: int) -> Placement | None:
+        """The placement of this task, if there is one."""
+
+    def newest(self, owner: str) -> int:
+        """The client's newest session; 0: none."""
+
+    def group_asked(self, session: int, ask: int, number: int) -> None:
+        """A request of this session was admitted as this group."""
+
+    def group_over(self, session: int, ask: int) -> None:
+        """The group of this request is over."""
+
+    def tell_on(self, session: int, word: ev.ClientMessage) -> None:
+        """Send a message on this session."""
+
+    def keep(self, placing: Placement) -> None:
+        """Add a placement to those that are known."""
+
+    def task(self, placing: Placement) -> api.Task:
+        """The task as the decision module takes it."""
 
 
 class Attempts(Protocol):
     """What groups need of the attempts."""
 
-    def known(self, id: AttemptId) -> Attempt | None: ...
-    def call_back(self, placing: Placement) -> None: ...
-    def adopt(self, node: int, id: AttemptId, spec: ev.TaskSpec, running: bool) -> Attempt: ...
+    def known(self, id: AttemptId) -> Attempt | None:
+        """The attempt, unless its end is known."""
+
+    def call_back(self, placing: Placement) -> None:
+        """Abandon all attempts of this placement."""
+
+    def adopt(self, node: int, id: AttemptId, spec: ev.TaskSpec, running: bool) -> Attempt:
+        """Take over an attempt of an earlier incarnation."""
 
 
 class Links(Protocol):
     """What groups need of the links to nodes."""
 
-    def up(self, node: int) -> bool: ...
+    def up(self, node: int) -> bool:
+        """Whether the link to this node is up."""
 
 
 class NodeList(Protocol):
     """What groups need of the node list."""
 
-    def room(self) -> ClusterCapacity: ...
-    def places(self) -> tuple[NodeCapacity, ...]: ...
-    def rack(self, node: int) -> str: ...
+    def room(self) -> ClusterCapacity:
+        """Capacity of all listed nodes together."""
+
+    def places(self) -> tuple[NodeCapacity, ...]:
+        """Capacity of each ready node."""
+
+    def rack(self, node: int) -> str:
+        """The rack of this node."""
 
 
 class GroupPeers:
--- a/stairplank/planner/group_requests.py
+++ b/stairplank/planner/group_requests.py
@@ -1,5 +1,4 @@
-"""Requests for groups: between the coordinator, which decides, and clients, attempts and links. No I/O or
-clock.
+"""Requests for groups: between the coordinator, which decides, and clients and nodes. No I/O or clock.
 
 Invariants (tests/groups/test_core_groups.py, and the stateful test of the coordinator):
 
@@ -133,7 +132,7 @@
         """A node holds a member ready to run."""
         self.messages.append(MemberReserved(*_member_of(placement), attempt.node))
 
-    def member_running(self, placement: Placement, attempt: Attempt) -> None:
+    def member_running(self, placement: Placement) -> None:
         """A node runs a member."""
         self.messages.append(MemberRunning(*_member_of(placement)))
 
--- a/stairplank/planner/leases.py
+++ b/stairplank/planner/leases.py
@@ -29,9 +29,14 @@
 class Attempts(Protocol):
     """What leases need of the attempts."""
 
-    def known(self, id: AttemptId) -> Attempt | None: ...
-    def stop(self, attempt: Attempt, why: ev.StopReason) -> None: ...
-    def over(self, attempt: Attempt, result: api.Result) -> None: ...
+    def known(self, id: AttemptId) -> Attempt | None:
+        """The attempt, unless its end is known."""
+
+    def stop(self, attempt: Attempt, why: ev.StopReason) -> None:
+        """Tell the node to stop the attempt."""
+
+    def over(self, attempt: Attempt, result: api.Result) -> None:
+        """The attempt has ended with this result."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,6 +51,7 @@
     """Leases of the members that this planner has committed or taken over."""
 
     def __init__(self, context: CoreContext) -> None:
+        """Start without leases; the core sets ``attempts``."""
         self.context = context
         self.attempts: Attempts
         self.pending_renewals: dict[int, deque[PendingRenewal]] = {}  # by node, oldest first
--- a/stairplank/planner/orphan_groups.py
+++ b/stairplank/planner/orphan_groups.py
@@ -49,6 +49,7 @@
     """Orphan groups of which members are still looked for."""
 
     def __init__(self, context: CoreContext, leases: Leases) -> None:
+        """Start without orphans."""
         self.context = context
         self._leases = leases
         self._groups: dict[GroupId, OrphanGroup] = {}
--- a/tests/groups/test_constraints.py
+++ b/tests/groups/test_constraints.py
@@ -1,4 +1,4 @@
-"""Which nodes wishes close: nothing that breaks one, no dead ends, and no more than that."""
+"""Which nodes constraints exclude: what violates one and dead ends, and no more than that."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 FOUR = [place(1, "a"), place(2, "a"), place(3, "b"), place(4, "c")]
 
 
-def test_what_is_taken_is_closed() -> None:
+def test_taken_places_are_excluded() -> None:
     nodes = group(1, 1, 1, distinct_nodes=True)
     assert excluded_nodes(nodes, 1, {}, FOUR, SETTINGS) == frozenset()
     assert excluded_nodes(nodes, 1, {0: 2}, FOUR, SETTINGS) == {2}
@@ -62,30 +62,32 @@
 
 
 def test_a_member_does_not_take_the_only_place_of_another() -> None:
-    """The large member fits at node 3 alone: it is closed to the small ones, though they would fit."""
+    """The large member fits at node 3 alone: it is excluded for the small ones, though they would fit."""
     places = [place(1, "a", 1), place(2, "a", 1), place(3, "b", 6)]
     spec = group(1, 6, 1, distinct_nodes=True)
     assert excluded_nodes(spec, 0, {}, places, SETTINGS) == {3}
     assert excluded_nodes(spec, 1, {}, places, SETTINGS) == frozenset()
 
 
-def test_what_cannot_be_had_by_belief_closes_nothing_more() -> None:
+def test_constraints_that_seem_infeasible_exclude_nothing_more() -> None:
     places = [place(1, "a", 0.5), place(2, "b", 0.5), place(3, "b", 6)]
     assert excluded_nodes(group(1, 1, distinct_racks=True), 0, {}, places, SETTINGS) == frozenset()
 
 
-def test_wishes_that_can_never_be_met_are_said_so() -> None:
-    def never(spec: GroupSpec, places: list[NodeCapacity] = FOUR) -> str:
+def test_infeasible_constraints_are_named() -> None:
+    def infeasible(spec: GroupSpec, places: list[NodeCapacity] = FOUR) -> str:
         return infeasible_constraint(spec, places, SETTINGS) or ""
 
-    assert "no rack can hold" in never(group(8, 8, 8, same_rack=True))
-    assert not never(group(8, 8, same_rack=True))
-    assert not never(group(8, 8, same_rack=True), [place(n, "a", 0.0) for n in (1, 2)])  # full is not never
-    assert "4 racks apart" in never(group(1, 1, 1, 1, distinct_racks=True))
-    assert "2 nodes apart" in never(
+    assert "no rack can hold" in infeasible(group(8, 8, 8, same_rack=True))
+    assert not infeasible(group(8, 8, same_rack=True))
+    assert not infeasible(
+        group(8, 8, same_rack=True), [place(n, "a", 0.0) for n in (1, 2)]
+    )  # full is not never
+    assert "4 racks apart" in infeasible(group(1, 1, 1, 1, distinct_racks=True))
+    assert "2 nodes apart" in infeasible(
         group(6, 6, distinct_nodes=True), [place(1, "a"), place(2, "b", 3, size=4)]
     )
-    assert not never(group(1, 1, same_rack=True), [])  # an unknown fleet rules nothing out
+    assert not infeasible(group(1, 1, same_rack=True), [])  # an unknown fleet rules nothing out
 
 
 def met(spec: GroupSpec, at: tuple[NodeCapacity, ...]) -> bool:
@@ -109,23 +111,25 @@
     free=st.lists(st.sampled_from([0.5, 1.0, 2.0, 4.0]), min_size=2, max_size=6),
     racks=st.integers(1, 4),
     cores=st.lists(st.sampled_from([1.0, 2.0, 4.0]), min_size=2, max_size=4),
-    wish=st.sampled_from(["distinct_nodes", "distinct_racks", "same_rack"]),
+    constraint=st.sampled_from(["distinct_nodes", "distinct_racks", "same_rack"]),
     seed=st.integers(0, 99),
 )
 def test_members_placed_one_after_the_other_meet_what_an_exact_search_can(
-    free: list[float], racks: int, cores: list[float], wish: str, seed: int
+    free: list[float], racks: int, cores: list[float], constraint: str, seed: int
 ) -> None:
     """Whatever open node each member takes: always for places apart; one rack may be packed too tightly."""
     places = [place(n, f"r{n % racks}", f) for n, f in enumerate(free, 1)]
-    spec = group(*sorted(cores, reverse=True), **{wish: True})
+    spec = group(*sorted(cores, reverse=True), **{constraint: True})
     possible = any(met(spec, at) for at in itertools.product(places, repeat=len(cores)))
     rng = random.Random(seed)
     taken: dict[int, int] = {}
     for i, one in enumerate(spec.members):
-        shut = excluded_nodes(spec, i, taken, places, SETTINGS)
+        excluded = excluded_nodes(spec, i, taken, places, SETTINGS)
         used = {n: sum(spec.members[k].cores for k, at in taken.items() if at == n) for n in taken.values()}
         fitting = [
-            p for p in places if p.node not in shut and one.cores <= p.free_cores - used.get(p.node, 0) + 1e-9
+            p
+            for p in places
+            if p.node not in excluded and one.cores <= p.free_cores - used.get(p.node, 0) + 1e-9
         ]
         if not fitting:
             break
@@ -137,25 +141,25 @@
     by_node = {p.node: p for p in places}
     if done:
         assert met(spec, tuple(by_node[taken[i]] for i in range(len(cores))))
-    if possible and wish != "same_rack":
+    if possible and constraint != "same_rack":
         assert done
     if not possible:
         assert not done
 
 
-@pytest.mark.parametrize("wish", ["distinct_racks", "distinct_nodes", "same_rack"])
-def test_a_wish_that_the_room_can_meet_is_met_at_the_first_try(wish: str) -> None:
-    """Five members on an empty room: all four tries used to bind them to one node."""
+@pytest.mark.parametrize("constraint", ["distinct_racks", "distinct_nodes", "same_rack"])
+def test_a_feasible_constraint_is_met_at_the_first_attempt(constraint: str) -> None:
+    """Five members in an empty cluster: all four attempts used to bind them to one node."""
     w = World(nodes=10)
     w.said.clear()
     members = tuple(w.spec(100 + i, "report", service=50) for i in range(5))
-    w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, **{wish: True}))
+    w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, **{constraint: True}))
     offers = w.all(ev.SendOffer)
     assert len(offers) == 5
     nodes = [o.node for o in offers]
     racks = [(n - 1) // 2 for n in nodes]
-    assert len(set(nodes)) == 5 or wish == "same_rack"
-    assert len(set(racks)) == {"distinct_racks": 5, "same_rack": 1}.get(wish, len(set(racks)))
+    assert len(set(nodes)) == 5 or constraint == "same_rack"
+    assert len(set(racks)) == {"distinct_racks": 5, "same_rack": 1}.get(constraint, len(set(racks)))
     for offer in offers:
         w.feed(ev.NodeAccepted(offer.node, offer.id))
         w.feed(ev.NodeReady(offer.node, offer.id))
@@ -165,7 +169,7 @@
     assert placed.constraints_met and placed.attempts == 1
 
 
-def test_a_refused_member_goes_where_the_wish_still_holds() -> None:
+def test_a_rejected_member_goes_where_the_constraint_still_holds() -> None:
     w = World(nodes=6)
     w.said.clear()
     members = tuple(w.spec(100 + i, "report", service=50 + i) for i in range(2))
@@ -179,14 +183,14 @@
     )
 
 
-def test_a_wish_that_can_never_be_met_is_said_in_the_first_word() -> None:
+def test_an_infeasible_constraint_is_named_in_the_first_message() -> None:
     w = World(nodes=4)
     w.said.clear()
     members = tuple(w.spec(100 + i, "report", service=50 + i, cores=12.0) for i in range(3))
     w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, same_rack=True))
-    tried = w.words(ev.GroupAttempted)
-    if tried:
-        assert tried[0].attempts == 0 and "can never be met" in tried[0].reason
+    attempted = w.words(ev.GroupAttempted)
+    if attempted:
+        assert attempted[0].attempts == 0 and "can never be met" in attempted[0].reason
         assert len(w.all(ev.SendOffer)) == 3  # and it is placed as it can be, without waiting
     else:
         assert w.words(ev.GroupShed)
--- a/tests/groups/test_coordinator.py
+++ b/tests/groups/test_coordinator.py
@@ -50,8 +50,8 @@
     return TaskSpec("o", key, sort, "", service, cores, 2.0, 0, False)
 
 
-def spec(count: int = 3, least: int = 0, sort: str = "worker", **wishes: bool) -> GroupSpec:
-    return GroupSpec("o", tuple(task(i + 1, sort) for i in range(count)), least or count, **wishes)
+def spec(count: int = 3, least: int = 0, sort: str = "worker", **constraints: bool) -> GroupSpec:
+    return GroupSpec("o", tuple(task(i + 1, sort) for i in range(count)), least or count, **constraints)
 
 
 class World:
@@ -96,7 +96,7 @@
         return [a for a in self.out if isinstance(a, kind)]
 
 
-def test_all_ready_then_all_run() -> None:
+def test_members_run_once_all_are_reserved() -> None:
     w = World()
     assert [a.member for a in w.ask(spec()) if isinstance(a, actions.PlaceMember)] == [0, 1, 2]
     assert w.ready(0, 1) == []
@@ -109,7 +109,7 @@
     assert w.over(2, finished=True) == [actions.Ended(1, True)] and not w.c.groups
 
 
-def test_the_last_member_is_refused() -> None:
+def test_a_rejection_of_the_last_member_releases_the_others() -> None:
     w = World()
     w.ask(spec())
     w.ready(0, 1)
@@ -120,7 +120,7 @@
     assert [a.member for a in w.wait(4 * SECOND) if isinstance(a, actions.PlaceMember)] == [0, 1, 2]
 
 
-def test_two_run_and_a_node_vanishes() -> None:
+def test_a_lost_node_after_two_members_run_releases_the_group() -> None:
     w = World()
     w.ask(spec())
     w.ready(0, 1, 2)
@@ -130,7 +130,7 @@
     assert w.all(actions.Attempted) and not w.all(actions.Placed)
 
 
-def test_a_once_member_that_was_let_run_is_not_sent_again() -> None:
+def test_a_committed_at_most_once_member_is_not_sent_again() -> None:
     w = World()
     w.ask(spec(sort="report"))
     w.ready(0, 1, 2)
@@ -140,7 +140,7 @@
     assert w.wait(9 * SECOND) == [] and not w.c.groups
 
 
-def test_a_once_member_that_was_only_held_is_tried_again() -> None:
+def test_an_at_most_once_member_that_was_only_reserved_is_retried() -> None:
     w = World()
     w.ask(spec(sort="report"))
     w.ready(0, 1)
@@ -149,7 +149,7 @@
     assert [a for a in w.wait(4 * SECOND) if isinstance(a, actions.PlaceMember)]
 
 
-def test_a_commit_that_is_not_heard_ends_the_group_in_bounded_time() -> None:
+def test_a_commit_that_is_not_received_ends_the_group_in_bounded_time() -> None:
     w = World()
     w.ask(spec())
     w.ready(0, 1, 2)
@@ -158,7 +158,7 @@
     assert [a.members for a in out if isinstance(a, actions.Release)] == [(0, 1, 2)]
 
 
-def test_a_lost_member_of_a_whole_group_releases_the_rest() -> None:
+def test_a_lost_member_of_a_complete_group_releases_the_rest() -> None:
     w = World()
     w.ask(spec())
     w.ready(0, 1, 2)
@@ -167,7 +167,7 @@
     assert w.over(0, 2) == [actions.Ended(1, False)]
 
 
-def test_leases_grow_by_steps_once_whole() -> None:
+def test_leases_grow_by_steps_once_the_group_is_complete() -> None:
     w = World()
     w.ask(spec())
     w.ready(0, 1, 2)
@@ -177,10 +177,10 @@
     assert leases == sorted(leases) and leases[-1] == w.c.context.config.max_lease_us
     step = w.c.context.config.lease_step_us + w.c.context.config.lease_renewal_interval_us
     assert max(b - a for a, b in zip(leases, leases[1:], strict=False)) <= w.c.context.config.lease_step_us
-    assert step < 2 * SECOND  # two members whose last keepings differ by one end so near each other
+    assert step < 2 * SECOND  # two members whose last renewals differ by one end so near each other
 
 
-def test_the_owner_withdraws_when_all_but_one_run() -> None:
+def test_the_client_cancels_when_all_but_one_run() -> None:
     w = World()
     w.ask(spec())
     w.ready(0, 1, 2)
@@ -190,7 +190,7 @@
     assert not w.c.groups and not w.all(actions.Placed) and not w.all(actions.Shed)
 
 
-def test_the_deadline_passes_while_it_gathers() -> None:
+def test_the_deadline_passes_while_members_are_reserved() -> None:
     w = World()
     w.ask(spec(), wait=2 * SECOND)
     for _ in range(40):
@@ -201,8 +201,8 @@
 
 
 @pytest.mark.parametrize(("let_run", "kind"), [(False, actions.Shed), (True, actions.Failed)])
-def test_the_deadline_passes_while_it_is_released(let_run: bool, kind: type) -> None:
-    """The last words of what is released may be lost: the owner is answered in time all the same."""
+def test_the_deadline_passes_while_the_group_is_released(let_run: bool, kind: type) -> None:
+    """Reports on released members may be lost: the client is answered in time all the same."""
     w = World()
     w.ask(spec(), wait=2 * SECOND)
     w.ready(0, 1, 2) if let_run else w.ready(0)
@@ -215,7 +215,7 @@
     assert not w.c.groups and not w.all(actions.Ended) and len(w.all(kind)) == 1
 
 
-def test_least_members_make_it_whole() -> None:
+def test_min_members_make_a_group_complete() -> None:
     w = World()
     w.ask(spec(4, least=3))
     w.ready(0, 1, 2)
@@ -225,7 +225,7 @@
     assert w.over(0) == [actions.Release(1, (1, 2))]
 
 
-def test_members_not_ready_in_time_are_left_out() -> None:
+def test_members_not_reserved_in_time_are_left_out() -> None:
     w = World()
     w.ask(spec(4, least=3))
     w.ready(0, 1, 2)
@@ -234,7 +234,7 @@
     assert [a.members for a in out if isinstance(a, actions.Commit)] == [(0, 1, 2)]
 
 
-def test_one_member_and_sixty_four() -> None:
+def test_groups_of_one_and_of_the_most_members() -> None:
     for count in (1, 64):
         w = World(ClusterCapacity(100, 9, 1e6, 1e6, 1e6, 1e6))
         w.ask(spec(count))
@@ -244,7 +244,7 @@
 
 
 @pytest.mark.parametrize(
-    ("wishes", "nodes", "met"),
+    ("constraints", "nodes", "met"),
     [
         ({"same_rack": True}, (2, 3, 3), True),
         ({"same_rack": True}, (2, 3, 4), False),
@@ -254,9 +254,11 @@
         ({"distinct_racks": True}, (2, 3, 4), False),
     ],
 )
-def test_wishes_are_tried_for_a_third_of_the_time(wishes: dict, nodes: tuple[int, ...], met: bool) -> None:
+def test_constraints_are_retried_for_a_third_of_the_time(
+    constraints: dict, nodes: tuple[int, ...], met: bool
+) -> None:
     w = World()
-    w.ask(spec(**wishes))
+    w.ask(spec(**constraints))
     for member, node in enumerate(nodes):
         w.ready(member, node=node)
     assert bool(w.all(actions.Commit)) is met
@@ -283,7 +285,7 @@
         (spec(same_rack=True, distinct_racks=True), "distinct_racks"),
     ],
 )
-def test_groups_that_make_no_sense(group: GroupSpec, field: str) -> None:
+def test_invalid_groups_name_the_field(group: GroupSpec, field: str) -> None:
     wrong = validate(group, 0)
     assert wrong is not None and wrong.code == "INVALID_ARGUMENT" and wrong.field == field
     assert validate(spec(), 4).field == "least"  # type: ignore[union-attr]
@@ -299,7 +301,7 @@
         (spec(11, sort="apart"), "at most 1 in one node"),
     ],
 )
-def test_a_group_that_can_never_fit_is_told_at_once(group: GroupSpec, says: str) -> None:
+def test_an_infeasible_group_is_shed_at_once(group: GroupSpec, says: str) -> None:
     w = World()
     (refused,) = w.ask(group)
     assert isinstance(refused, actions.Shed) and refused.is_permanent and says in refused.reason
@@ -316,7 +318,7 @@
     assert scarcity(members[2], SETTINGS) < scarcity(members[1], SETTINGS)
 
 
-def test_no_try_without_believed_room_unless_it_is_old() -> None:
+def test_no_attempt_without_free_capacity_unless_the_group_is_old() -> None:
     w = World(replace(ROOM, free_cores=2.0))
     w.ask(spec())
     assert not w.all(actions.PlaceMember)
@@ -326,14 +328,14 @@
     assert w.all(actions.PlaceMember)
 
 
-def test_gathering_groups_leave_room_to_others() -> None:
+def test_reserving_groups_leave_capacity_to_others() -> None:
     w = World(replace(ROOM, free_cores=10.0))
     w.ask(spec(4), number=1)
     w.ask(spec(4), number=2)
     assert {a.group for a in w.all(actions.PlaceMember)} == {1}
 
 
-def test_back_off_is_drawn_and_shrinks_with_age() -> None:
+def test_backoff_has_jitter_and_shrinks_with_age() -> None:
     waits: dict[int, list[int]] = {}
     for seed in range(20):
         w = World()
@@ -352,7 +354,7 @@
     assert old.all(actions.Attempted)[0].retry_in_us < 500 * MS
 
 
-def test_leaving_refuses_what_does_not_run() -> None:
+def test_shutdown_sheds_groups_that_do_not_run() -> None:
     w = World()
     w.ask(spec())
     w.ready(0)
--- a/tests/groups/test_core_groups.py
+++ b/tests/groups/test_core_groups.py
@@ -1,4 +1,4 @@
-"""Groups through the core: what nodes and owners hear, cuts, restarts, withdrawals."""
+"""Groups through the core: messages to nodes and clients, broken links, restarts, cancellations."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class Groups(World):
-    answers_keeps = True
+    acknowledges_renewals = True
 
     def feed(self, event: ev.Event) -> list[Any]:
-        """Nodes answer keeps at once, unless ``answers_keeps`` says otherwise."""
+        """Nodes acknowledge renewals at once, unless ``acknowledges_renewals`` says otherwise."""
         out = super().feed(event)
-        for keep in [a for a in out if isinstance(a, ev.SendLeaseRenewal)]:
-            if self.answers_keeps:
-                super().feed(ev.LeasesRenewed(keep.node, keep.renewal))
+        for renewal in [a for a in out if isinstance(a, ev.SendLeaseRenewal)]:
+            if self.acknowledges_renewals:
+                super().feed(ev.LeasesRenewed(renewal.node, renewal.renewal))
         return out
 
     def group(
@@ -46,7 +46,7 @@
         for offer in offers:
             self.feed(ev.NodeRunning(offer.node, offer.id))
 
-    def whole(self, **more: Any) -> list[ev.SendOffer]:
+    def complete(self, **more: Any) -> list[ev.SendOffer]:
         self.group(**more)
         offers = self.offers()
         self.ready(*offers)
@@ -61,7 +61,7 @@
         return self.empty() and not core.groups.records and not core.groups.coordinator.groups
 
 
-def test_a_group_from_ask_to_end() -> None:
+def test_a_group_from_request_to_end() -> None:
     w = Groups()
     w.group()
     offers = w.offers()
@@ -82,7 +82,7 @@
     assert w.words()[-1].finished and w.quiet()
 
 
-def test_one_node_refuses_the_last_member_and_all_is_released_before_the_next_try() -> None:
+def test_a_rejected_member_releases_all_before_the_next_attempt() -> None:
     w = Groups()
     w.group()
     offers = w.offers()
@@ -102,8 +102,8 @@
 
 
 @pytest.mark.parametrize("sort", ["worker", "report", "ingest"])
-def test_no_answer_from_one_member(sort: str) -> None:
-    """It was never let run, so whatever its class it may be tried again; its late word is turned away."""
+def test_one_member_is_unresponsive(sort: str) -> None:
+    """It was never committed, so whatever its class it may be retried; its late message is rejected."""
     w = Groups(nodes=5)
     w.group(sort=sort)
     offers = w.offers()
@@ -119,7 +119,7 @@
     assert w.all(ev.SendCommit) == [] and (w.all(ev.SendStop) or w.all(ev.RequestNodeTasks))
 
 
-def test_a_node_vanishes_after_two_members_started() -> None:
+def test_a_node_is_lost_after_two_members_started() -> None:
     w = Groups(nodes=4)
     w.group(sort="report")
     offers = w.offers()
@@ -134,7 +134,7 @@
     assert [type(x) for x in w.words()] == [ev.GroupFailed]  # once-only members were let run
 
 
-def test_a_drain_in_the_middle() -> None:
+def test_a_node_drains_while_a_group_starts() -> None:
     w = Groups(nodes=4)
     w.group()
     offers = w.offers()
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("steps", range(8))
-def test_withdrawal_at_every_step(steps: int) -> None:
+def test_cancellation_at_every_step(steps: int) -> None:
     w = Groups()
     w.group()
     offers = w.offers()
@@ -172,7 +172,7 @@
     assert [x for x in w.words() if isinstance(x, (ev.GroupShed, ev.GroupFailed))] == []
 
 
-def test_a_release_whose_word_is_lost_ends_in_bounded_time() -> None:
+def test_a_release_that_is_not_reported_ends_in_bounded_time() -> None:
     w = Groups()
     w.group(wait=3 * SECOND)
     offers = w.offers()
@@ -182,19 +182,19 @@
     assert w.quiet()
 
 
-def test_an_owner_that_leaves_releases_what_gathers_and_keeps_what_runs() -> None:
+def test_a_disconnected_client_loses_reserving_groups_and_keeps_running_ones() -> None:
     w = Groups()
-    whole = w.whole(n=1, count=2)
+    complete = w.complete(n=1, count=2)
     w.said.clear()
     w.group(n=2, count=2)
-    gathering = w.offers()
+    reserving = w.offers()
     w.feed(ev.ClientDisconnected(1))
-    assert w.stops() == {o.id for o in gathering}
+    assert w.stops() == {o.id for o in reserving}
     w.wait(5 * SECOND)
-    assert w.all(ev.SendLeaseRenewal) and {o.id for o in whole} <= set(w.core.attempts.attempts)
+    assert w.all(ev.SendLeaseRenewal) and {o.id for o in complete} <= set(w.core.attempts.attempts)
 
 
-def test_a_group_that_can_never_fit_is_told_at_once() -> None:
+def test_an_infeasible_group_is_shed_at_once() -> None:
     w = Groups(nodes=2)
     big = tuple(w.spec(i, cores=12.0) for i in (1, 2, 3))
     w.group(members=big)
@@ -223,7 +223,7 @@
     assert w.words(ev.Rejected)[0].rejection.code == "RESOURCE_EXHAUSTED"
 
 
-def test_a_member_of_every_class() -> None:
+def test_a_group_with_a_member_of_every_class() -> None:
     w = Groups(nodes=4)
     sorts = ("worker", "ingest", "report", "apart")
     w.group(members=tuple(w.spec(i + 1, sort, service=9 + i) for i, sort in enumerate(sorts)))
@@ -237,8 +237,8 @@
 # A planner that was killed
 
 
-def told(offers: list[ev.SendOffer], running: set[int], life: int = 3) -> dict[int, list[ev.NodeTask]]:
-    """What nodes hold of a group of an earlier life."""
+def reported(offers: list[ev.SendOffer], running: set[int], life: int = 3) -> dict[int, list[ev.NodeTask]]:
+    """What nodes report of a group of an earlier incarnation."""
     out: dict[int, list[ev.NodeTask]] = {}
     for m, o in enumerate(offers):
         assert o.group is not None
@@ -249,14 +249,14 @@
 
 
 @pytest.mark.parametrize("running", [set(), {0}, {0, 1}, {0, 1, 2}])
-def test_after_a_restart_a_group_goes_on_whole_or_is_released(running: set[int]) -> None:
+def test_after_a_restart_a_group_goes_on_complete_or_is_released(running: set[int]) -> None:
     earlier = Groups(nodes=4)
     earlier.group()
     w = Groups(nodes=4, life=8)
-    for node, held in told(earlier.offers(), running).items():
+    for node, held in reported(earlier.offers(), running).items():
         w.feed(ev.LinkDown(node))
         w.up(node, held=held)
-    ids = {h.id for held in told(earlier.offers(), running).values() for h in held}
+    ids = {h.id for held in reported(earlier.offers(), running).values() for h in held}
     if len(running) == 3:
         w.wait(30 * SECOND)
         assert w.stops() == set() and set(w.core.attempts.attempts) == ids
@@ -270,7 +270,7 @@
         assert w.stops() == ids and not w.core.attempts.attempts
 
 
-def test_leaving_refuses_gathering_groups() -> None:
+def test_shutdown_sheds_reserving_groups() -> None:
     w = Groups(stop_grace_us=SECOND)
     w.group()
     offers = w.offers()
@@ -281,24 +281,24 @@
     assert w.core.finished and w.quiet()
 
 
-def test_timers_of_groups_do_not_grow() -> None:
+def test_the_number_of_timers_stays_bounded() -> None:
     w = Groups(nodes=4)
-    w.whole()
+    w.complete()
     before = len(w.core.context._timers)
     for _ in range(200):
         for o in w.offers():
             w.feed(ev.NodeUsage(o.node, o.id, 0.5, 0.5, 0.0, 0.0))
         w.wait(100 * MS)
     assert len(w.core.context._timers) <= before + 3
-    assert len(w.all(ev.SendLeaseRenewal)) < 200  # once in 0.4 s to each node, not once a word
+    assert len(w.all(ev.SendLeaseRenewal)) < 200  # once in 0.4 s to each node, not once a message
 
 
 @pytest.mark.parametrize("answered", [True, False])
-def test_members_whose_keeps_are_not_answered_are_released_with_their_group(answered: bool) -> None:
-    """Danger: keeps are held on the way to one node; its members end there, the others would run on alone."""
+def test_members_whose_renewals_are_not_acknowledged_are_released_with_their_group(answered: bool) -> None:
+    """Danger: renewals are held on the way to one node; its members end there, the others run on alone."""
     w = Groups()
-    w.whole()
-    w.answers_keeps = answered
+    w.complete()
+    w.acknowledges_renewals = answered
     began = w.now
     w.wait(900 * MS)
     assert not w.stops()
@@ -309,19 +309,19 @@
         assert [e.finished for e in w.words(ev.GroupEnded)] == [False]
 
 
-def test_a_late_answer_lengthens_a_lease_only_from_when_its_keep_was_said() -> None:
+def test_a_late_acknowledgement_extends_a_lease_from_when_its_renewal_was_sent() -> None:
     w = Groups()
-    w.whole()
-    w.answers_keeps = False
+    w.complete()
+    w.acknowledges_renewals = False
     w.wait(1100 * MS)
     first = w.all(ev.SendLeaseRenewal)[0]
     held = [a for a in w.core.attempts.attempts.values() if a.node == first.node]
     until = held[0].lease_expires_at
-    w.feed(ev.LeasesRenewed(first.node, first.renewal))  # said a second ago
+    w.feed(ev.LeasesRenewed(first.node, first.renewal))  # sent a second ago
     assert held[0].lease_expires_at <= max(until, w.now - 900 * MS + first.lease_us)
 
 
-def test_keeps_that_are_never_answered_are_bounded() -> None:
+def test_unacknowledged_renewals_are_bounded() -> None:
     from stairplank.planner.leases import MAX_PENDING_RENEWALS
 
     w = Groups()
@@ -332,20 +332,20 @@
     assert not w.core.leases.pending_renewals
 
 
-def test_members_that_ended_while_the_planner_was_away_are_no_loss() -> None:
+def test_members_that_finished_while_no_planner_was_connected_are_not_lost() -> None:
     """Danger: the rest of a group that is almost done would be released as half a group."""
-    for told_so in (True, False):
+    for is_reported in (True, False):
         earlier = Groups(nodes=4)
         earlier.group()
         w = Groups(nodes=4, life=8)
-        held = told(earlier.offers(), {1, 2})
+        held = reported(earlier.offers(), {1, 2})
         for node, tasks in held.items():
-            done = tuple(h for h in tasks if h.group is not None and h.group.member == 0 and told_so)
+            done = tuple(h for h in tasks if h.group is not None and h.group.member == 0 and is_reported)
             running = tuple(h for h in tasks if h.running)
             w.feed(ev.NodeTasksReported(node, 0, running, True, w.now, done))
         w.wait(3 * SECOND)
-        assert bool(w.stops()) is not told_so
-        if told_so:
+        assert bool(w.stops()) is not is_reported
+        if is_reported:
             assert w.core.counts["groups_found"] == 1
             for node, tasks in held.items():
                 for h in tasks:
--- a/tests/planner/test_leases.py
+++ b/tests/planner/test_leases.py
@@ -1,4 +1,4 @@
-"""The leases' room by itself."""
+"""Leases by themselves, with the other components played by hand."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return [a for a in others.asked if a[0] == "over"]
 
 
-def test_a_lease_that_nothing_lengthens_runs_out_once() -> None:
+def test_a_lease_that_is_not_renewed_expires_once() -> None:
     leases, attempt, others = room()
     leases.extend(attempt, leases.context.now + SECOND)
     pass_time(leases.context, 999 * MS)
@@ -40,22 +40,22 @@
     assert len(over(others)) == 1
 
 
-def test_an_answered_keep_counts_from_when_it_was_said() -> None:
+def test_an_acknowledged_renewal_counts_from_when_it_was_sent() -> None:
     leases, attempt, others = room()
     leases.extend(attempt, leases.context.now + SECOND)
     leases.renew(4, (attempt.id,), 2 * SECOND)
-    keep = next(a for a in leases.context.actions if isinstance(a, ev.SendLeaseRenewal))
-    said = leases.context.now
+    renewal = next(a for a in leases.context.actions if isinstance(a, ev.SendLeaseRenewal))
+    sent_at = leases.context.now
     pass_time(leases.context, 900 * MS)
-    leases.renewal_received(ev.LeasesRenewed(4, keep.renewal))
-    assert attempt.lease_expires_at == said + 2 * SECOND and not leases.pending_renewals
+    leases.renewal_received(ev.LeasesRenewed(4, renewal.renewal))
+    assert attempt.lease_expires_at == sent_at + 2 * SECOND and not leases.pending_renewals
     pass_time(leases.context, 1099 * MS)
     assert not over(others)
     pass_time(leases.context, 2 * MS)
     assert len(over(others)) == 1
 
 
-def test_an_answer_to_a_later_keep_answers_for_those_before_but_lends_them_no_time() -> None:
+def test_an_acknowledgement_covers_earlier_renewals_but_does_not_extend_their_leases() -> None:
     leases, attempt, _ = room()
     other = AttemptId(7, 99, 0)
     leases.renew(4, (attempt.id,), 9 * SECOND)
@@ -65,7 +65,7 @@
     assert not leases.pending_renewals and attempt.lease_expires_at == 0
 
 
-def test_keeps_on_a_broken_link_are_forgotten() -> None:
+def test_renewals_on_a_lost_link_are_forgotten() -> None:
     leases, attempt, _ = room()
     leases.renew(4, (attempt.id,), SECOND)
     number = leases.pending_renewals[4][0].sent.renewal
