--- a/benchmarks/fence/run.py
+++ b/benchmarks/fence/run.py
@@ -147,7 +147,7 @@
     def said(node: int, word: Any) -> None:
         assert inner_word is not None
         task = watch.task_of(word.id)
-        if word.what == "running" and task is not None:
+        if word.kind == "running" and task is not None:
             runs.setdefault((task.client, task.key), world.now)
         inner_word(node, word)
 
--- a/stairplank/emulator/watch.py
+++ b/stairplank/emulator/watch.py
@@ -11,7 +11,7 @@
 from .. import interface as api
 from ..planner import events as ev
 from ..planner.events import AttemptId
-from ..standin.node_events import Said
+from ..standin.node_events import Reported
 from .world import World
 
 FRESH_US = 50_000  # an offer that came with less of its wait left than this is no loss
@@ -63,14 +63,14 @@
             self._tag[offer.id] = offer.group
             self._node_of[offer.id] = offer.node
 
-    def _said(self, node: int, word: Said) -> None:
+    def _said(self, node: int, word: Reported) -> None:
         now, seen, id = self._world.now, self.seen, word.id
-        if word.what == "accepted" and now > self._until[id]:
+        if word.kind == "accepted" and now > self._until[id]:
             seen.stale_taken.append((now, node, id))
-        elif word.what == "refused" and word.late:
+        elif word.kind == "refused" and word.is_late:
             seen.stale_refused += 1
             seen.fresh_refused += now < self._until[id] - FRESH_US
-        elif word.what == "running" and self._task[id].task_class in self._strict:
+        elif word.kind == "running" and self._task[id].task_class in self._strict:
             task = self._task[id]
             others = self._running[task.client, task.key]
             if any(
@@ -82,7 +82,7 @@
             others[node, id] = now
         if id in self._tag:
             self._member(word)
-        if word.what in ("refused", "error", "ended"):
+        if word.kind in ("refused", "error", "ended"):
             task = self._task[id]
             self._running[task.client, task.key].pop((node, id), None)
 
@@ -95,12 +95,12 @@
                 ids.discard(id)
                 self._weigh(group, self._tag[id].size)
 
-    def _member(self, word: Said) -> None:
+    def _member(self, word: Reported) -> None:
         tag = self._tag[word.id]
         key = (tag.incarnation, tag.group)
-        if word.what == "running":
+        if word.kind == "running":
             self._members[key].add(word.id)
-        elif word.what in ("refused", "error", "ended"):
+        elif word.kind in ("refused", "error", "ended"):
             self._finished[key] += word.result is api.Result.FINISHED
             self._members[key].discard(word.id)
         self._weigh(key, tag.size)
--- a/stairplank/emulator/wires.py
+++ b/stairplank/emulator/wires.py
@@ -16,7 +16,7 @@
 
 from ..fence import Stamp, Stamps
 from ..planner.link_state import Heard
-from ..standin.door import Door
+from ..standin.planner_session import PlannerSession
 
 THERE, BACK = "there", "back"
 KEEPALIVE_US = 2_000_000  # a planner that hears nothing for so long gives a connection up
@@ -69,7 +69,7 @@
         self._after = after
         self._paths: dict[tuple[int, int], Path] = {}
         self._wires: dict[tuple[int, int], Wire] = {}
-        self._doors: dict[tuple[int, int], Door] = {}
+        self._doors: dict[tuple[int, int], PlannerSession] = {}
         self._heard: dict[tuple[int, int], tuple[int, Heard]] = {}  # planner's life and node: node's life
         self._epoch = 0
 
@@ -79,8 +79,8 @@
     def wire(self, planner: int, node: int) -> Wire | None:
         return self._wires.get((planner, node))
 
-    def door(self, planner: int, node: int) -> Door:
-        return self._doors.setdefault((planner, node), Door(self.rng))
+    def door(self, planner: int, node: int) -> PlannerSession:
+        return self._doors.setdefault((planner, node), PlannerSession(self.rng))
 
     # Opening and ending
 
@@ -94,7 +94,7 @@
         wire = self._wires[planner, node] = Wire(planner, node, self._epoch, life, heard)
         heard.opened()
         door = self.door(planner, node)
-        unheard = door.opened(self.now, life, self._epoch, heard.number)
+        unheard = door.open(self.now, life, self._epoch, heard.number)
         assert unheard is not None and door.grants is not None
         wire.stamps.heard(self.now, door.grants.give(self.now))
         return wire
@@ -102,7 +102,7 @@
     def replay(self, wire: Wire, feed: Callable[[Any], None]) -> None:
         """Say again what was not heard."""
         door = self.door(wire.planner, wire.node)
-        for number, event in door.box.after(wire.heard.number):
+        for number, event in door.outbox.unacknowledged_after(wire.heard.number):
             self.back(wire, event, feed, number)
 
     def give_up(self, planner: int, node: int) -> Wire | None:
@@ -130,15 +130,15 @@
 
     # Saying
 
-    def there(self, wire: Wire, call: Callable[[Door], None]) -> None:
+    def there(self, wire: Wire, call: Callable[[PlannerSession], None]) -> None:
         """From the planner; ``call`` is what the node does where it still looks at this connection."""
         self._put(THERE, wire, lambda: self._reach(wire, call))
 
-    def _reach(self, wire: Wire, call: Callable[[Door], None]) -> None:
+    def _reach(self, wire: Wire, call: Callable[[PlannerSession], None]) -> None:
         door = self._doors.get((wire.planner, wire.node))
         if door is None:
             return
-        if (door.life, door.epoch) != (wire.life, wire.epoch):
+        if (door.incarnation, door.epoch) != (wire.life, wire.epoch):
             self.stale += 1
             return
         call(door)
@@ -146,16 +146,16 @@
     def stamp(self, wire: Wire) -> Stamp | None:
         return wire.stamps.stamp(self.now)
 
-    def said_at(self, door: Door, stamp: Stamp | None) -> int | None:
+    def said_at(self, door: PlannerSession, stamp: Stamp | None) -> int | None:
         """By the fence; without it, everything is said when it comes."""
-        return door.said_at(self.now, stamp) if self.fenced else self.now
+        return door.earliest_sent_at(self.now, stamp) if self.fenced else self.now
 
     def say(self, planner: int, node: int, event: Any, last: bool, feed: Callable[[Any], None]) -> None:
         """A node's word to a planner, kept until heard where it is the last on an attempt."""
         door = self.door(planner, node)
-        number = door.box.add(event) if last else 0
+        number = door.outbox.add(event) if last else 0
         wire = self._wires.get((planner, node))
-        if wire is not None and (door.life, door.epoch) == (wire.life, wire.epoch):
+        if wire is not None and (door.incarnation, door.epoch) == (wire.life, wire.epoch):
             self.back(wire, event, feed, number)
 
     def back(self, wire: Wire, event: Any, feed: Callable[[Any], None], number: int = 0) -> None:
@@ -171,7 +171,7 @@
             if again:
                 self.there(wire, lambda door: self.replay(wire, feed))
             if take and number % ACK_EVERY == 0:
-                self.there(wire, lambda door: door.box.heard(number))
+                self.there(wire, lambda door: door.outbox.acknowledge(number))
             if not take:
                 return
         feed(event)
--- a/stairplank/emulator/world.py
+++ b/stairplank/emulator/world.py
@@ -16,17 +16,18 @@
 from ..settings.cluster import Cluster
 from ..standin.copies import CopyBook
 from ..standin.directory import Directory, DirectoryModel
-from ..standin.door import Door
 from ..standin.node import Node
-from ..standin.node_events import Fell, Probed, Said, SaidDraining, Word
+from ..standin.node_events import Crashed, DrainingReported, HealthChecked, NodeEvent, Reported
 from ..standin.node_model import NodeModel
 from ..standin.owner import Ask, AskGroup, Do, Owner, OwnerModel
+from ..standin.planner_session import PlannerSession
 from .meter import Meter
 from .wires import DIAL_US, KEEPALIVE_US, Wire, Wires
 
 CLOCK_UNIX_US = 1_700_000_000_000_000  # of the simulated list's clock, when simulated time is 0
 DIRECTORY_STEP_US = 100_000
-Reached = Callable[[Node, int | None], list[Word]]  # what a message does; when it was said at the earliest
+# What a message does; when it was said at the earliest.
+Reached = Callable[[Node, int | None], list[NodeEvent]]
 
 
 @dataclass(frozen=True)
@@ -79,7 +80,7 @@
         self.wires.fenced = config.fenced
         self.wires.now = self.now
         # For a watcher of the room: what nodes say, offers as they are sent, deaths of nodes.
-        self.on_word: Callable[[int, Said], None] | None = None
+        self.on_word: Callable[[int, Reported], None] | None = None
         self.on_offer: Callable[[ev.SendOffer], None] | None = None
         self.on_death: Callable[[int], None] | None = None
         self._task_of: dict[ev.AttemptId, ev.TaskSpec] = {}
@@ -277,7 +278,7 @@
             return  # the planner hears of the broken link
         stamp = self.wires.stamp(wire)
 
-        def reached(door: Door) -> None:
+        def reached(door: PlannerSession) -> None:
             here = self.nodes.get(node)
             if here is not None:
                 self._say(node, call(here, self.wires.said_at(door, stamp)))
@@ -291,7 +292,7 @@
         return lambda node, at: node.commit(self.now, list(ids), lease, said_at=at)
 
     def _keep(self, planner: int, core: Core, keep: ev.SendLeaseRenewal) -> Reached:
-        def reached(node: Node, at: int | None) -> list[Word]:
+        def reached(node: Node, at: int | None) -> list[NodeEvent]:
             words = node.keep(self.now, list(keep.ids), keep.lease_us, said_at=at)
             if keep.renewal and at is not None:
                 self._word(planner, core, keep.node, ev.LeasesRenewed(keep.node, keep.renewal))
@@ -304,7 +305,7 @@
         if self.on_offer is not None:
             self.on_offer(offer)
 
-        def reached(here: Node, at: int | None) -> list[Word]:
+        def reached(here: Node, at: int | None) -> list[NodeEvent]:
             return here.offer(
                 self.now, planner, offer.id, offer.task, offer.wait_us, sort.priority, sort.dedup_window_us,
                 offer.group, said_at=at,
@@ -351,23 +352,23 @@
         if wire is not None and core is not None:
             self._feed(planner, core, ev.LinkDown(node))
 
-    def _say(self, node: int, words: list[Word]) -> None:
+    def _say(self, node: int, words: list[NodeEvent]) -> None:
         here = self.nodes[node]
         for word in words:
             match word:
-                case Said():
+                case Reported():
                     self._said(node, word)
-                case SaidDraining():
+                case DrainingReported():
                     self._announce(node)
                     for planner, core in list(self.cores.items()):
                         self._word(planner, core, node, ev.NodeDraining(node))
-                case Probed(token):
+                case HealthChecked(token):
                     planner, core, began = self._probes.pop(token)
-                    report = (word.free_cores, word.free_memory, word.util)
+                    report = (word.free_cores, word.free_memory, word.utilization)
                     self._word(
                         planner, core, node, ev.HealthCheckCompleted(node, True, self.now - began, report)
                     )
-                case Fell():
+                case Crashed():
                     self.kill_node(node, 10**12)
                     return
         if here is not None:
@@ -380,35 +381,35 @@
     def _word(self, planner: int, core: Core, node: int, event: ev.Event, last: bool = False) -> None:
         self.wires.say(planner, node, event, last, self._feeder(planner, core))
 
-    def _said(self, node: int, word: Said) -> None:
+    def _said(self, node: int, word: Reported) -> None:
         if self.on_word is not None:
             self.on_word(node, word)
         task = self._task_of.get(word.id)
         name = (task.client, task.key) if task is not None else ("", 0)
-        if word.what == "accepted":
+        if word.kind == "accepted":
             here = self.nodes[node]
             assert here is not None
             task = here.held[word.id].task
             self._task_of[word.id] = task
             self.meter.accepted((task.client, task.key), task.cores, self.now)
-        elif word.what == "running":
+        elif word.kind == "running":
             self.meter.runs(name, self.now)
-        elif word.what in ("refused", "error", "ended"):
+        elif word.kind in ("refused", "error", "ended"):
             self.meter.over(name, word.result is api.Result.FINISHED, self.now)
             self._task_of.pop(word.id, None)
         core = self.cores.get(word.planner)
         if core is not None:
-            last = word.what in ("refused", "error", "ended")
+            last = word.kind in ("refused", "error", "ended")
             self._word(word.planner, core, node, _event(node, word), last)
-        elif word.what in ("refused", "error", "ended"):
-            self.wires.door(word.planner, node).box.add(_event(node, word))
+        elif word.kind in ("refused", "error", "ended"):
+            self.wires.door(word.planner, node).outbox.add(_event(node, word))
 
     def _ask_held(self, planner: int, core: Core, node: int) -> None:
         wire, asked_at = self.wires.wire(planner, node), self.now
         if wire is None:
             return
 
-        def reached(door: Door) -> None:
+        def reached(door: PlannerSession) -> None:
             here = self.nodes.get(node)
             if here is None:
                 return
@@ -418,7 +419,7 @@
             finished = tuple(
                 ev.NodeTask(o.id, o.task, False, o.group) for o in here.finished_of(planner, self.now)
             )
-            complete = door.complete_for(core.incarnation)
+            complete = door.is_complete_for(core.incarnation)
             told = ev.NodeTasksReported(node, self.started[node], tasks, complete, asked_at, finished)
             self.wires.back(wire, told, self._feeder(planner, core))
 
@@ -431,7 +432,7 @@
             return
         began = self.now
 
-        def reached(door: Door) -> None:
+        def reached(door: PlannerSession) -> None:
             here = self.nodes.get(node)
             if here is not None and not here.down:
                 self._order += 1
@@ -514,8 +515,8 @@
         self._wake_owner(i)
 
 
-def _event(node: int, word: Said) -> ev.Event:
-    match word.what:
+def _event(node: int, word: Reported) -> ev.Event:
+    match word.kind:
         case "accepted":
             return ev.NodeAccepted(node, word.id)
         case "ready":
@@ -523,7 +524,7 @@
         case "running":
             return ev.NodeRunning(node, word.id)
         case "refused":
-            return ev.NodeRejected(node, word.id, word.reason, word.late)
+            return ev.NodeRejected(node, word.id, word.reason, word.is_late)
         case "error":
             return ev.NodeError(node, word.id)
         case "usage":
--- a/stairplank/standin/farm.py
+++ b/stairplank/standin/farm.py
@@ -17,9 +17,9 @@
 from ..rpc import Channel, Code, RpcError, Server, ServerCall
 from .config import FarmConfig, NodeConfig, begun
 from .copies import CopyBook
-from .door import Door
 from .node import Node
-from .node_events import Fell, Probed, Said, SaidDraining, Word
+from .node_events import Crashed, DrainingReported, HealthChecked, NodeEvent, Reported
+from .planner_session import PlannerSession
 from .script import Fault
 
 ANNOUNCE_S = 0.1
@@ -36,10 +36,10 @@
 }
 
 
-def message(word: Said) -> Any:
+def message(word: Reported) -> Any:
     id = convert.id_to(word.id)
     reason: Any = int(word.reason)
-    match word.what:
+    match word.kind:
         case "accepted":
             return _EVENT(accepted=_EVENT.Accepted(id=id))
         case "ready":
@@ -47,7 +47,7 @@
         case "running":
             return _EVENT(running=_EVENT.Running(id=id))
         case "refused":
-            reason = common_pb2.REASON_TOO_LATE if word.late else reason
+            reason = common_pb2.REASON_TOO_LATE if word.is_late else reason
             return _EVENT(refused=_EVENT.Refused(id=id, reason=reason))
         case "error":
             return _EVENT(error=_EVENT.Error(id=id))
@@ -68,7 +68,7 @@
         self.node: Node | None = None
         self.server: Server | None = None
         self.started_unix_us = 0
-        self.doors: dict[int, Door] = {}
+        self.doors: dict[int, PlannerSession] = {}
         self.calls: dict[int, ServerCall] = {}  # the newest stream of each planner
         self.probes: dict[int, Any] = {}
         self.next_probe = 0
@@ -116,15 +116,15 @@
             if self.node is node:
                 self.say(node.advance(now_us()))
 
-    def say(self, words: list[Word]) -> None:
+    def say(self, words: list[NodeEvent]) -> None:
         for word in words:
             match word:
-                case Said():
+                case Reported():
                     self.tell(word)
-                case SaidDraining():
+                case DrainingReported():
                     for planner, call in list(self.calls.items()):
                         self.put(call, _EVENT(draining=_EVENT.Draining()), planner)
-                case Probed():
+                case HealthChecked():
                     waiting = self.probes.pop(word.token, None)
                     if isinstance(waiting, tuple):
                         call, planner, number = waiting
@@ -132,20 +132,20 @@
                         self.put(call, _EVENT(sampled=sampled), planner)
                     elif waiting is not None:
                         waiting.set(word)
-                case Fell():
+                case Crashed():
                     self.farm.log.warning(
-                        "node fell over", node=self.id, offers=word.offers, borne=word.borne
+                        "node fell over", node=self.id, offers=word.offers, borne=word.max_offers
                     )
                     gevent.spawn(self.kill)
         self.wake.set()
 
-    def tell(self, word: Said) -> None:
+    def tell(self, word: Reported) -> None:
         call = self.calls.get(word.planner)
         event = message(word)
-        if word.what in LAST_WORDS:
+        if word.kind in LAST_WORDS:
             door = self.doors.get(word.planner)
             if door is not None:
-                event.number = door.box.add(event)
+                event.number = door.outbox.add(event)
         if call is None or self.silent:
             return
         share, how = self.losing
@@ -176,8 +176,8 @@
         node = self.living()
         hello = first.hello
         planner = hello.planner
-        door = self.doors.setdefault(planner, Door(self.rng))
-        unheard = door.opened(now_us(), hello.life, hello.epoch, hello.heard)
+        door = self.doors.setdefault(planner, PlannerSession(self.rng))
+        unheard = door.open(now_us(), hello.life, hello.epoch, hello.heard)
         if unheard is None:
             raise RpcError(Code.ABORTED, "a newer stream of this planner has been here")
         assert door.grants is not None
@@ -203,7 +203,7 @@
             if self.calls.get(planner) is call:
                 del self.calls[planner]
 
-    def renew(self, call: ServerCall, planner: int, door: Door) -> None:
+    def renew(self, call: ServerCall, planner: int, door: PlannerSession) -> None:
         """A stream on which nothing is said is given a grant all the same, now and then."""
         while (grants := door.grants) is not None and call.stream.error is None:
             gevent.sleep(max(0.01, (grants.next_due() - now_us()) / 1e6))
@@ -212,8 +212,10 @@
                 self.put(call, _EVENT(renewed=_EVENT.Grant()), planner)
 
     @staticmethod
-    def report(told: Probed) -> Any:
-        return common_pb2.Report(free_cores=told.free_cores, free_memory=told.free_memory, util=told.util)
+    def report(told: HealthChecked) -> Any:
+        return common_pb2.Report(
+            free_cores=told.free_cores, free_memory=told.free_memory, util=told.utilization
+        )
 
     def take(self, node: Node, call: ServerCall, planner: int, request: Any) -> None:
         door = self.doors[planner]
@@ -230,20 +232,22 @@
                         offer.priority,
                         offer.window_us,
                         convert.tag_from(offer.group) if offer.HasField("group") else None,
-                        said_at=door.said_at(now_us(), convert.stamp_from(offer)),
+                        said_at=door.earliest_sent_at(now_us(), convert.stamp_from(offer)),
                     )
                 )
             case "ack":
-                door.box.heard(request.ack.number)
-                for _, event in door.box.after(request.ack.number) if request.ack.again else ():
+                door.outbox.acknowledge(request.ack.number)
+                for _, event in (
+                    door.outbox.unacknowledged_after(request.ack.number) if request.ack.again else ()
+                ):
                     self.put(call, event, planner)
             case "commit":
                 ids = [convert.id_from(i) for i in request.commit.ids]
-                said_at = door.said_at(now_us(), convert.stamp_from(request.commit))
+                said_at = door.earliest_sent_at(now_us(), convert.stamp_from(request.commit))
                 self.say(node.commit(now_us(), ids, request.commit.lease_us, said_at=said_at))
             case "keep":
                 ids = [convert.id_from(i) for i in request.keep.ids]
-                said_at = door.said_at(now_us(), convert.stamp_from(request.keep))
+                said_at = door.earliest_sent_at(now_us(), convert.stamp_from(request.keep))
                 self.say(node.keep(now_us(), ids, request.keep.lease_us, said_at=said_at))
                 if request.keep.keep and said_at is not None:
                     self.put(call, _EVENT(kept=_EVENT.Kept(keep=request.keep.keep)), planner)
@@ -280,8 +284,8 @@
         self.hung.wait()
         node = self.living()
         door = self.doors.get(request.planner)
-        complete = door is not None and door.complete_for(request.life)
-        words = door.box.said if door is not None and door.life == request.life else 0
+        complete = door is not None and door.is_complete_for(request.life)
+        words = door.outbox.last_number if door is not None and door.incarnation == request.life else 0
         answer = node_pb2.HeldResponse(
             node=self.id, started_unix_us=self.started_unix_us, complete=complete, words=words
         )
--- a/stairplank/standin/node.py
+++ b/stairplank/standin/node.py
@@ -14,7 +14,7 @@
 from .. import interface as api
 from ..planner.events import AttemptId, GroupTag, TaskSpec
 from .copies import Copies, CopyBook
-from .node_events import Probed, Said, SaidDraining, Word
+from .node_events import DrainingReported, HealthChecked, NodeEvent, Reported
 from .node_faults import NodeFaults
 from .node_model import NodeModel, Offer, Stage, due_of
 from .node_pace import NodePace
@@ -44,7 +44,7 @@
         self.finished: deque[tuple[int, Offer]] = deque(maxlen=FINISHED_MOST)  # members of groups
         self.changed = True  # something that the list shows
         self.clock = started  # the latest time that was told
-        self.out: list[Word] = []
+        self.out: list[NodeEvent] = []
 
     # Driving
 
@@ -60,7 +60,7 @@
         group: GroupTag | None = None,
         *,
         said_at: int | None,
-    ) -> list[Word]:
+    ) -> list[NodeEvent]:
         """``said_at``: the earliest moment at which the offer can have been said; None: nobody can tell."""
         self.out = []
         self._advance(now)
@@ -86,7 +86,7 @@
             self._look(now)
         return self.out
 
-    def stop(self, now: int, id: AttemptId) -> list[Word]:
+    def stop(self, now: int, id: AttemptId) -> list[NodeEvent]:
         """End a task or an offer. What had not begun is handed back: it never ran."""
         self.out = []
         self._advance(now)
@@ -103,7 +103,9 @@
         else:
             self._say(offer, "refused", reason=api.Reason.NOT_HERE)
 
-    def commit(self, now: int, ids: list[AttemptId], lease_us: int, *, said_at: int | None) -> list[Word]:
+    def commit(
+        self, now: int, ids: list[AttemptId], lease_us: int, *, said_at: int | None
+    ) -> list[NodeEvent]:
         """Let members run. Those that are not held any more are passed over: their word is on its way.
 
         Danger: a commit that the network has kept lets members run of a group that was released meanwhile.
@@ -120,7 +122,7 @@
                 self._run(offer, now)
         return self.out
 
-    def keep(self, now: int, ids: list[AttemptId], lease_us: int, *, said_at: int | None) -> list[Word]:
+    def keep(self, now: int, ids: list[AttemptId], lease_us: int, *, said_at: int | None) -> list[NodeEvent]:
         """Renew leases, from when it was said: a keep that was kept on the way lengthens nothing."""
         self.out = []
         self._advance(now)
@@ -131,7 +133,7 @@
                 offer.kept_until = max(offer.kept_until, until)
         return self.out
 
-    def probe(self, now: int, token: int) -> list[Word]:
+    def probe(self, now: int, token: int) -> list[NodeEvent]:
         self.out = []
         self._advance(now)
         if not self.down:
@@ -139,18 +141,18 @@
             self._look(now)
         return self.out
 
-    def drain(self, now: int) -> list[Word]:
+    def drain(self, now: int) -> list[NodeEvent]:
         """Send every task away at once, and take nothing more."""
         self.out = []
         self._advance(now)
         if not self.draining and not self.down:
             self.draining = self.changed = True
-            self.out.append(SaidDraining())
+            self.out.append(DrainingReported())
             for offer in list(self.held.values()):
                 self._send_away(offer, api.Reason.SENT_AWAY)
         return self.out
 
-    def advance(self, now: int) -> list[Word]:
+    def advance(self, now: int) -> list[NodeEvent]:
         self.out = []
         self._advance(now)
         return self.out
@@ -175,7 +177,7 @@
 
     def free(self) -> tuple[float, float]:
         """Cores and memory that no accepted task asks for."""
-        return self.reserved.free()
+        return self.reserved.free_resources()
 
     def util(self) -> float:
         running = sum(o.task.cores for o in self.held.values() if o.stage is Stage.RUNNING)
@@ -219,7 +221,7 @@
             if first.id in self.held:
                 self._judge(first, now)
         else:
-            self.out.append(Probed(first, *self.free(), self.util()))
+            self.out.append(HealthChecked(first, *self.free(), self.util()))
         self._look(now)
 
     def _judge(self, offer: Offer, now: int) -> None:
@@ -250,7 +252,7 @@
 
     def _make_room_for(self, offer: Offer) -> api.Reason | None:
         """None where it fits, if need be after tasks of lower priority were pushed out."""
-        reason, victims = self.reserved.room_for(offer, self.held.values())
+        reason, victims = self.reserved.check(offer, self.held.values())
         for victim in victims:
             self._send_away(victim, api.Reason.PUSHED_OUT)
         return reason
@@ -295,7 +297,7 @@
         self._say(offer, "running")
         task, model = offer.task, self.model
         cores, memory = task.cores * model.cores_use, task.memory * model.memory_use
-        self.out.append(Said(offer.planner, "usage", offer.id, cores=cores, memory=memory))
+        self.out.append(Reported(offer.planner, "usage", offer.id, cores=cores, memory=memory))
 
     def _send_away(self, offer: Offer, reason: api.Reason) -> None:
         self._release(offer)
@@ -338,4 +340,4 @@
         reason: api.Reason = api.Reason.UNTOLD,
         late: bool = False,
     ) -> None:
-        self.out.append(Said(offer.planner, what, offer.id, result, reason, late=late))
+        self.out.append(Reported(offer.planner, what, offer.id, result, reason, is_late=late))
--- a/stairplank/standin/node_events.py
+++ b/stairplank/standin/node_events.py
@@ -9,43 +9,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """A word to a planner about an attempt.
+class Reported:
+    """A message to a planner about an attempt.
 
-    ``what`` is one of accepted, ready, running, refused, error, ended, usage.
+    ``kind`` is one of accepted, ready, running, refused, error, ended, usage; ``cores`` and ``memory`` are
+    the usage.
     """
 
     planner: int
-    what: str
+    kind: str
     id: AttemptId
     result: api.Result | None = None
     reason: api.Reason = api.Reason.UNTOLD
     cores: float = 0.0
     memory: float = 0.0
-    late: bool = False  # refused since the offer was too old when it came
+    is_late: bool = False  # rejected because the offer was too old when it came
 
 
 @dataclass(frozen=True, slots=True)
-class SaidDraining:
-    pass
+class DrainingReported:
+    """The node drains: a message to every planner."""
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
-    """The answer to a probe."""
+class HealthChecked:
+    """The result of a health check; ``utilization`` is between 0 and 1."""
 
     token: int
     free_cores: float
     free_memory: float
-    util: float
+    utilization: float
 
 
 @dataclass(frozen=True, slots=True)
-class Fell:
-    """It was pushed over and is down from now on."""
+class Crashed:
+    """A cold node was overloaded and is down: it got ``offers`` in its window and bears ``max_offers``."""
 
     offers: int
-    borne: float
+    max_offers: float
 
 
-Word = Said | SaidDraining | Probed | Fell
+NodeEvent = Reported | DrainingReported | HealthChecked | Crashed
--- a/stairplank/standin/node_pace.py
+++ b/stairplank/standin/node_pace.py
@@ -6,7 +6,7 @@
 
 from collections import Counter, deque
 
-from .node_events import Fell
+from .node_events import Crashed
 from .node_model import NodeModel
 
 
@@ -28,7 +28,7 @@
         done = min(1.0, (now - self.started) / max(1, self.model.slow_start_us))
         return self.model.slow_start_share + (1 - self.model.slow_start_share) * done
 
-    def push(self, now: int) -> Fell | None:
+    def push(self, now: int) -> Crashed | None:
         """Rule 4's model: offers push a cold node, refused ones too. Its fall, if this one was too many."""
         model = self.model
         if not self.cold or now - self.started >= model.slow_start_us:
@@ -38,7 +38,7 @@
             self.pushed.popleft()
         rate = model.starts_at_once * self.share(now) / (model.start_us / 1e6)
         borne = max(model.slow_start_offers, model.overload_multiple * rate * model.overload_window_us / 1e6)
-        return Fell(len(self.pushed), borne) if len(self.pushed) > borne else None
+        return Crashed(len(self.pushed), borne) if len(self.pushed) > borne else None
 
     def begin_start(self, service: int, now: int) -> float:
         """The work of a start, in microseconds: several times as much where the program is not there."""
--- a/stairplank/standin/reservations.py
+++ b/stairplank/standin/reservations.py
@@ -1,8 +1,9 @@
-"""What the accepted tasks of a node ask for, and which would have to go for another. No I/O and no clock."""
+"""Capacity that the accepted tasks of a node reserve, and which would be preempted. No I/O and no clock."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 from .. import interface as api
 from ..planner.events import TaskSpec
@@ -11,10 +12,30 @@
 ROUNDING = 1e-6  # sums of shares are not exact
 
 
+class Resources(NamedTuple):
+    """Cores and units of memory; both may be negative in a difference."""
+
+    cores: float
+    memory: float
+
+    @property
+    def is_none(self) -> bool:
+        """Whether nothing is there, rounding apart."""
+        return self.cores <= ROUNDING and self.memory <= ROUNDING
+
+
+class Admission(NamedTuple):
+    """``rejection``: None where the offer fits once ``preempted`` have gone, the latest offers first."""
+
+    rejection: api.Reason | None
+    preempted: list[Offer]
+
+
 class Reservations:
-    """Cores and memory of the accepted tasks."""
+    """Cores and memory that the accepted tasks of a node reserve."""
 
     def __init__(self, model: NodeModel) -> None:
+        """Start without reservations, with the limits of this model."""
         self.model = model
         self.cores = 0.0
         self.memory = 0.0
@@ -29,38 +50,39 @@
         self.cores -= task.cores
         self.memory -= task.memory
 
-    def free(self) -> tuple[float, float]:
-        """Cores and memory that no accepted task asks for."""
-        return self.model.cores - self.cores, self.model.memory - self.memory
+    def free_resources(self) -> Resources:
+        """What no accepted task reserves."""
+        return Resources(self.model.cores - self.cores, self.model.memory - self.memory)
+
+    def check(self, offer: Offer, held: Iterable[Offer]) -> Admission:
+        """Whether an offer fits, if need be after tasks of lower priority were preempted.
 
-    def room_for(self, offer: Offer, held: Iterable[Offer]) -> tuple[api.Reason | None, list[Offer]]:
-        """None where it fits, and the tasks of lower priority that must go for it, the latest first; else
-        what there is too little of even without them."""
-        cores, memory = self._missing(offer.task)
-        victims: list[Offer] = []
+        Where it does not, nothing is preempted, and the reason names what is missing even then.
+        """
+        missing = self._missing(offer.task)
+        preempted: list[Offer] = []
         for other in self._preemptible(offer, held):
-            if _fits(cores, memory):
+            if missing.is_none:
                 break
-            victims.append(other)
-            cores -= other.task.cores
-            memory -= other.task.memory
-        if _fits(cores, memory):
-            return None, victims
-        return (api.Reason.NO_CORES if cores > ROUNDING else api.Reason.NO_MEMORY), []
+            preempted.append(other)
+            missing = Resources(missing.cores - other.task.cores, missing.memory - other.task.memory)
+        if missing.is_none:
+            return Admission(None, preempted)
+        reason = api.Reason.NO_CORES if missing.cores > ROUNDING else api.Reason.NO_MEMORY
+        return Admission(reason, [])
 
     def _preemptible(self, offer: Offer, held: Iterable[Offer]) -> list[Offer]:
         if not self.model.preempts:
             return []
-        lower = [o for o in held if o.stage is not Stage.WAITING and o.priority < offer.priority]
-        return sorted(lower, key=lambda o: (o.priority, -o.came))
+        lower = [
+            other for other in held if other.stage is not Stage.WAITING and other.priority < offer.priority
+        ]
+        return sorted(lower, key=lambda other: (other.priority, -other.came))
 
-    def _missing(self, task: TaskSpec) -> tuple[float, float]:
-        """Cores and memory above the limits, were it accepted."""
+    def _missing(self, task: TaskSpec) -> Resources:
+        """How far the reservations would exceed the limits, were the task accepted."""
         model = self.model
-        cores = self.cores + task.cores - model.cores * model.cores_limit
-        memory = self.memory + task.memory - model.memory * model.memory_limit
-        return cores, memory
-
-
-def _fits(missing_cores: float, missing_memory: float) -> bool:
-    return missing_cores <= ROUNDING and missing_memory <= ROUNDING
+        return Resources(
+            self.cores + task.cores - model.cores * model.cores_limit,
+            self.memory + task.memory - model.memory * model.memory_limit,
+        )
--- a/tests/planner/test_heard.py
+++ b/tests/planner/test_heard.py
@@ -23,13 +23,13 @@
 
 
 def test_the_box_keeps_what_was_not_heard() -> None:
-    box = Outbox(7, most=3)
+    box = Outbox(7, max_messages=3)
     assert [box.add(w) for w in "abc"] == [1, 2, 3]
-    box.heard(1)
-    assert box.after(1) == [(2, "b"), (3, "c")] and box.complete
+    box.acknowledge(1)
+    assert box.unacknowledged_after(1) == [(2, "b"), (3, "c")] and box.complete
     box.add("d")
     box.add("e")
-    assert box.after(0) == [(3, "c"), (4, "d"), (5, "e")] and not box.complete
+    assert box.unacknowledged_after(0) == [(3, "c"), (4, "d"), (5, "e")] and not box.complete
 
 
 def test_over_any_losses_each_word_is_taken_once() -> None:
@@ -49,15 +49,15 @@
                 take, again = heard.take(number)
                 if take:
                     taken.append(word_)
-                    box.heard(heard.number)
+                    box.acknowledge(heard.number)
                 if again:
-                    send(box.after(heard.number))
+                    send(box.unacknowledged_after(heard.number))
             if rng.random() < 0.1:  # the link is cut and opened again
                 wire.clear()
                 heard.opened()
-                send(box.after(heard.number))
+                send(box.unacknowledged_after(heard.number))
         heard.opened()
-        for number, word in box.after(heard.number):
+        for number, word in box.unacknowledged_after(heard.number):
             if heard.take(number)[0]:
                 taken.append(word)
         assert taken == list(range(30)), seed
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -66,8 +66,8 @@
         1,
     ),
     "fence": (
-        "import stairplank.standin.door as d\n"
-        "d.Door.said_at = lambda self, now, stamp: now\n"
+        "import stairplank.standin.planner_session as d\n"
+        "d.PlannerSession.earliest_sent_at = lambda self, now, stamp: now\n"
         "import stairplank.planner.daemon as p\n"
         "p.Daemon._age = lambda self, session, message: 0\n",
         2,
--- a/tests/standin/test_node_fenced.py
+++ b/tests/standin/test_node_fenced.py
@@ -9,8 +9,8 @@
 
 from stairplank.fence import Stamp
 from stairplank.planner.events import AttemptId, GroupTag, TaskSpec
-from stairplank.standin.door import Door
-from stairplank.standin.node_events import Said
+from stairplank.standin.node_events import Reported
+from stairplank.standin.planner_session import PlannerSession
 
 
 def say(
@@ -23,7 +23,7 @@
 
 
 def late(h: Host, id: AttemptId) -> bool:
-    return [s for s in h.said if isinstance(s, Said) and s.id == id][-1].late
+    return [s for s in h.said if isinstance(s, Reported) and s.id == id][-1].is_late
 
 
 def member(h: Host, key: int = 1, lease: int = SECOND) -> AttemptId:
@@ -119,24 +119,26 @@
     assert h.words(id)[-1] == "ended"
 
 
-def test_an_old_connection_s_hello_does_not_open_the_door() -> None:
-    door = Door(random.Random(1))
-    assert door.opened(SECOND, 7, 2, 0) == []
-    grant = door.grant(SECOND)
-    assert door.opened(2 * SECOND, 7, 1, 0) is None  # it lay on the way while a newer one came
-    assert door.said_at(2 * SECOND, Stamp(grant, 10 * MS)) is not None  # the newer one goes on
-    assert door.opened(3 * SECOND, 8, 1, 0) == []  # another life counts anew
-    assert door.said_at(3 * SECOND, Stamp(grant, 10 * MS)) is None and door.too_old == 1
-
-
-def test_a_door_keeps_last_words_until_they_are_heard() -> None:
-    door = Door(random.Random(1), most=3)
-    door.opened(SECOND, 7, 1, 0)
-    for word in "abc":
-        door.box.add(word)
-    assert door.opened(SECOND, 7, 2, 1) == [(2, "b"), (3, "c")]
-    assert door.complete_for(7) and not door.complete_for(8)
-    for word in "def":
-        door.box.add(word)
-    assert not door.complete_for(7)  # at the bound a word was dropped unheard: nothing is proven any more
-    assert door.opened(SECOND, 9, 1, 0) == [] and door.complete_for(9)
+def test_an_old_stream_s_hello_does_not_open_the_session() -> None:
+    session = PlannerSession(random.Random(1))
+    assert session.open(SECOND, 7, 2, 0) == []
+    grant = session.grant(SECOND)
+    assert session.open(2 * SECOND, 7, 1, 0) is None  # it was delayed while a newer one came
+    assert session.earliest_sent_at(2 * SECOND, Stamp(grant, 10 * MS)) is not None  # the newer one goes on
+    assert session.open(3 * SECOND, 8, 1, 0) == []  # another incarnation starts anew
+    assert (
+        session.earliest_sent_at(3 * SECOND, Stamp(grant, 10 * MS)) is None and session.expired_messages == 1
+    )
+
+
+def test_a_session_keeps_final_messages_until_they_are_acknowledged() -> None:
+    session = PlannerSession(random.Random(1), max_messages=3)
+    session.open(SECOND, 7, 1, 0)
+    for message in "abc":
+        session.outbox.add(message)
+    assert session.open(SECOND, 7, 2, 1) == [(2, "b"), (3, "c")]
+    assert session.is_complete_for(7) and not session.is_complete_for(8)
+    for message in "def":
+        session.outbox.add(message)
+    assert not session.is_complete_for(7)  # at the bound a message was dropped: nothing is proven any more
+    assert session.open(SECOND, 9, 1, 0) == [] and session.is_complete_for(9)
--- a/tests/standin/test_standins.py
+++ b/tests/standin/test_standins.py
@@ -12,7 +12,7 @@
 from stairplank.standin.copies import CopyBook
 from stairplank.standin.directory import Directory, DirectoryModel
 from stairplank.standin.node import Node
-from stairplank.standin.node_events import Fell, Probed, Said, SaidDraining
+from stairplank.standin.node_events import Crashed, DrainingReported, HealthChecked, Reported
 from stairplank.standin.node_model import NodeModel
 from stairplank.standin.owner import Ask, Demand, Owner, OwnerModel, Stand, Withdraw
 from stairplank.standin.script import parse
@@ -44,10 +44,10 @@
         self.said += self.node.advance(self.now)
 
     def words(self, id: AttemptId) -> list[str]:
-        return [s.what for s in self.said if isinstance(s, Said) and s.id == id and s.what != "usage"]
+        return [s.kind for s in self.said if isinstance(s, Reported) and s.id == id and s.kind != "usage"]
 
     def reason(self, id: AttemptId) -> api.Reason:
-        return [s for s in self.said if isinstance(s, Said) and s.id == id][-1].reason
+        return [s for s in self.said if isinstance(s, Reported) and s.id == id][-1].reason
 
 
 def test_a_task_s_life_at_a_node() -> None:
@@ -101,7 +101,7 @@
     h.wait(10 * MS)
     waits = h.offer(4)
     h.said += h.node.drain(h.now)
-    assert SaidDraining() in h.said
+    assert DrainingReported() in h.said
     assert h.words(runs)[-1] == "ended" and h.reason(runs) is api.Reason.SENT_AWAY
     assert h.words(starts)[-1] == "ended" and h.words(accepted)[-1] == "refused"
     assert h.words(waits)[-1] == "refused" and h.node.free() == (4.0, 8.0)
@@ -171,7 +171,7 @@
     assert "running" not in h.words(id)
     for n in range(2, 30):  # 17 are borne: twice what it can start within 1.5 s at a third of its pace
         h.offer(n)
-    assert any(isinstance(w, Fell) for w in h.said) and h.node.down
+    assert any(isinstance(w, Crashed) for w in h.said) and h.node.down
     assert h.words(h.offer(20)) == [] and h.node.next_due() is None
     warm = Host(cold=False, slow_start_offers=5)
     for n in range(1, 30):
@@ -195,9 +195,9 @@
     h = Host(look_us=(50 * MS, 50 * MS))
     h.offer(1, expected_duration_us=0)
     h.said += h.node.probe(h.now, 9)
-    assert not [w for w in h.said if isinstance(w, Probed)]
+    assert not [w for w in h.said if isinstance(w, HealthChecked)]
     h.wait(101 * MS)
-    assert [w for w in h.said if isinstance(w, Probed)] == [Probed(9, 3.0, 7.0, 0.25)]
+    assert [w for w in h.said if isinstance(w, HealthChecked)] == [HealthChecked(9, 3.0, 7.0, 0.25)]
 
 
 # The node list
