--- a/tests/groups/test_constraints.py
+++ b/tests/groups/test_constraints.py
@@ -27,12 +27,12 @@
     return NodeCapacity(node, rack, kind, size, 2 * size, free, 2 * free)
 
 
-def member(key: int, cores: float = 1.0, sort: str = "report", service: int = 0) -> TaskSpec:
-    return TaskSpec("o", key, sort, "", service or 50 + key, cores, 1.0, 0, False)
+def member(key: int, cores: float = 1.0, task_class: str = "report", service: int = 0) -> TaskSpec:
+    return TaskSpec("o", key, task_class, "", service or 50 + key, cores, 1.0, 0, False)
 
 
-def group(*cores: float, sort: str = "report", **more: bool) -> GroupSpec:
-    members = tuple(member(n, c, sort) for n, c in enumerate(cores, 1))
+def group(*cores: float, task_class: str = "report", **more: bool) -> GroupSpec:
+    members = tuple(member(n, c, task_class) for n, c in enumerate(cores, 1))
     return GroupSpec("o", members, len(members), **more)
 
 
--- a/tests/groups/test_coordinator.py
+++ b/tests/groups/test_coordinator.py
@@ -46,17 +46,19 @@
 ROOM = ClusterCapacity(10, 5, 160.0, 320.0, 160.0, 320.0)
 
 
-def task(key: int, sort: str = "worker", cores: float = 1.0, service: int = 5) -> TaskSpec:
-    return TaskSpec("o", key, sort, "", service, cores, 2.0, 0, False)
+def task(key: int, task_class: str = "worker", cores: float = 1.0, service: int = 5) -> TaskSpec:
+    return TaskSpec("o", key, task_class, "", service, cores, 2.0, 0, False)
 
 
-def spec(count: int = 3, least: int = 0, sort: str = "worker", **constraints: bool) -> GroupSpec:
-    return GroupSpec("o", tuple(task(i + 1, sort) for i in range(count)), least or count, **constraints)
+def spec(count: int = 3, min_members: int = 0, task_class: str = "worker", **constraints: bool) -> GroupSpec:
+    return GroupSpec(
+        "o", tuple(task(i + 1, task_class) for i in range(count)), min_members or count, **constraints
+    )
 
 
 class World:
     def __init__(self, room: ClusterCapacity = ROOM, **config: Any) -> None:
-        self.c = Coordinator(SETTINGS, GroupConfig(**config), 5)
+        self.coordinator = Coordinator(SETTINGS, GroupConfig(**config), 5)
         self.now, self.room = 100 * SECOND, room
         self.out: list[actions.Action] = []
 
@@ -65,30 +67,34 @@
         return decided
 
     def ask(self, group: GroupSpec, wait: int = 9 * SECOND, number: int = 1) -> list[actions.Action]:
-        return self.take(self.c.request(self.now, number, group, self.now + wait, self.room))
+        return self.take(self.coordinator.request(self.now, number, group, self.now + wait, self.room))
 
     def ready(self, *members: int, number: int = 1, node: int = 0) -> list[actions.Action]:
         out = []
         for m in members:
             out += self.take(
-                self.c.member_reserved(self.now, number, m, node or m + 1, f"r{(node or m + 1) // 2}")
+                self.coordinator.member_reserved(
+                    self.now, number, m, node or m + 1, f"r{(node or m + 1) // 2}"
+                )
             )
         return out
 
     def running(self, *members: int) -> list[actions.Action]:
-        return [a for m in members for a in self.take(self.c.member_running(self.now, 1, m))]
+        return [a for m in members for a in self.take(self.coordinator.member_running(self.now, 1, m))]
 
     def over(self, *members: int, finished: bool = False) -> list[actions.Action]:
         return [
-            a for m in members for a in self.take(self.c.member_over(self.now, 1, m, finished, "no cores"))
+            a
+            for m in members
+            for a in self.take(self.coordinator.member_over(self.now, 1, m, finished, "no cores"))
         ]
 
     def wait(self, us: int) -> list[actions.Action]:
         out: list[actions.Action] = []
         until = self.now + us
-        while (due := self.c.next_due()) is not None and due <= until:
+        while (due := self.coordinator.next_due()) is not None and due <= until:
             self.now = max(self.now, due)
-            out += self.take(self.c.advance(self.now, self.room))
+            out += self.take(self.coordinator.advance(self.now, self.room))
         self.now = until
         return out
 
@@ -100,13 +106,13 @@
     w = World()
     assert [a.member for a in w.ask(spec()) if isinstance(a, actions.PlaceMember)] == [0, 1, 2]
     assert w.ready(0, 1) == []
-    (let_run,) = w.ready(2)
-    assert isinstance(let_run, actions.Commit) and let_run.members == (0, 1, 2)
+    (commit,) = w.ready(2)
+    assert isinstance(commit, actions.Commit) and commit.members == (0, 1, 2)
     assert w.running(0, 1) == []
-    placed, keep = w.running(2)
-    assert placed == actions.Placed(1, (0, 1, 2), True, 1) and isinstance(keep, actions.RenewLeases)
+    placed, renewal = w.running(2)
+    assert placed == actions.Placed(1, (0, 1, 2), True, 1) and isinstance(renewal, actions.RenewLeases)
     assert w.over(0, 1, finished=True) == []
-    assert w.over(2, finished=True) == [actions.Ended(1, True)] and not w.c.groups
+    assert w.over(2, finished=True) == [actions.Ended(1, True)] and not w.coordinator.groups
 
 
 def test_a_rejection_of_the_last_member_releases_the_others() -> None:
@@ -114,9 +120,9 @@
     w.ask(spec())
     w.ready(0, 1)
     assert w.over(2) == [actions.Release(1, (0, 1))]
-    assert w.wait(5 * SECOND) == []  # nothing is tried before every attempt is over
-    tried = w.over(0, 1)
-    assert isinstance(tried[-1], actions.Attempted) and tried[-1].reason == "no cores"
+    assert w.wait(5 * SECOND) == []  # nothing is attempted before every attempt is over
+    attempted = w.over(0, 1)
+    assert isinstance(attempted[-1], actions.Attempted) and attempted[-1].reason == "no cores"
     assert [a.member for a in w.wait(4 * SECOND) if isinstance(a, actions.PlaceMember)] == [0, 1, 2]
 
 
@@ -132,17 +138,17 @@
 
 def test_a_committed_at_most_once_member_is_not_sent_again() -> None:
     w = World()
-    w.ask(spec(sort="report"))
+    w.ask(spec(task_class="report"))
     w.ready(0, 1, 2)
     w.running(0)
     w.over(1)
     assert w.over(0, 2) == [actions.Failed(1, "a member was lost before all ran: no cores")]
-    assert w.wait(9 * SECOND) == [] and not w.c.groups
+    assert w.wait(9 * SECOND) == [] and not w.coordinator.groups
 
 
 def test_an_at_most_once_member_that_was_only_reserved_is_retried() -> None:
     w = World()
-    w.ask(spec(sort="report"))
+    w.ask(spec(task_class="report"))
     w.ready(0, 1)
     w.over(2)
     w.over(0, 1)
@@ -174,9 +180,12 @@
     w.running(0, 1, 2)
     w.wait(20 * SECOND)
     leases = [a.lease_us for a in w.all(actions.RenewLeases)]
-    assert leases == sorted(leases) and leases[-1] == w.c.context.config.max_lease_us
-    step = w.c.context.config.lease_step_us + w.c.context.config.lease_renewal_interval_us
-    assert max(b - a for a, b in zip(leases, leases[1:], strict=False)) <= w.c.context.config.lease_step_us
+    assert leases == sorted(leases) and leases[-1] == w.coordinator.context.config.max_lease_us
+    step = w.coordinator.context.config.lease_step_us + w.coordinator.context.config.lease_renewal_interval_us
+    assert (
+        max(b - a for a, b in zip(leases, leases[1:], strict=False))
+        <= w.coordinator.context.config.lease_step_us
+    )
     assert step < 2 * SECOND  # two members whose last renewals differ by one end so near each other
 
 
@@ -185,9 +194,9 @@
     w.ask(spec())
     w.ready(0, 1, 2)
     w.running(0, 1)
-    assert w.take(w.c.cancel(w.now, 1)) == [actions.Release(1, (0, 1, 2))]
+    assert w.take(w.coordinator.cancel(w.now, 1)) == [actions.Release(1, (0, 1, 2))]
     w.over(0, 1, 2)
-    assert not w.c.groups and not w.all(actions.Placed) and not w.all(actions.Shed)
+    assert not w.coordinator.groups and not w.all(actions.Placed) and not w.all(actions.Shed)
 
 
 def test_the_deadline_passes_while_members_are_reserved() -> None:
@@ -196,28 +205,28 @@
     for _ in range(40):
         for release in [a for a in w.wait(100 * MS) if isinstance(a, actions.Release)]:
             w.over(*release.members)
-    (refused,) = w.all(actions.Shed)
-    assert not refused.is_permanent and not w.c.groups
+    (shed,) = w.all(actions.Shed)
+    assert not shed.is_permanent and not w.coordinator.groups
 
 
-@pytest.mark.parametrize(("let_run", "kind"), [(False, actions.Shed), (True, actions.Failed)])
-def test_the_deadline_passes_while_the_group_is_released(let_run: bool, kind: type) -> None:
+@pytest.mark.parametrize(("is_committed", "kind"), [(False, actions.Shed), (True, actions.Failed)])
+def test_the_deadline_passes_while_the_group_is_released(is_committed: bool, kind: type) -> None:
     """Reports on released members may be lost: the client is answered in time all the same."""
     w = World()
     w.ask(spec(), wait=2 * SECOND)
-    w.ready(0, 1, 2) if let_run else w.ready(0)
+    w.ready(0, 1, 2) if is_committed else w.ready(0)
     w.running(0)
     w.over(1)
     assert w.all(actions.Release) and not w.all(kind)
     w.wait(1950 * MS)
-    assert len(w.all(kind)) == 1 and w.c.groups
+    assert len(w.all(kind)) == 1 and w.coordinator.groups
     w.over(0, 2)
-    assert not w.c.groups and not w.all(actions.Ended) and len(w.all(kind)) == 1
+    assert not w.coordinator.groups and not w.all(actions.Ended) and len(w.all(kind)) == 1
 
 
 def test_min_members_make_a_group_complete() -> None:
     w = World()
-    w.ask(spec(4, least=3))
+    w.ask(spec(4, min_members=3))
     w.ready(0, 1, 2)
     assert w.over(3) and [a.members for a in w.all(actions.Commit)] == [(0, 1, 2)]
     w.running(0, 1, 2)
@@ -227,7 +236,7 @@
 
 def test_members_not_reserved_in_time_are_left_out() -> None:
     w = World()
-    w.ask(spec(4, least=3))
+    w.ask(spec(4, min_members=3))
     w.ready(0, 1, 2)
     out = w.wait(4 * SECOND)
     assert [a.members for a in out if isinstance(a, actions.Release)][0] == (3,)
@@ -298,13 +307,13 @@
         (GroupSpec("o", (task(1, cores=90.0), task(2, cores=90.0)), 2), "180 cores"),
         (spec(11, distinct_nodes=True), "10 nodes"),
         (spec(6, distinct_racks=True), "5 racks"),
-        (spec(11, sort="apart"), "at most 1 in one node"),
+        (spec(11, task_class="apart"), "at most 1 in one node"),
     ],
 )
 def test_an_infeasible_group_is_shed_at_once(group: GroupSpec, says: str) -> None:
     w = World()
-    (refused,) = w.ask(group)
-    assert isinstance(refused, actions.Shed) and refused.is_permanent and says in refused.reason
+    (shed,) = w.ask(group)
+    assert isinstance(shed, actions.Shed) and shed.is_permanent and says in shed.reason
     assert (
         infeasible_reason(group, replace(ROOM, nodes=0), SETTINGS) is None
     )  # an unknown fleet rules nothing out
@@ -339,14 +348,14 @@
     waits: dict[int, list[int]] = {}
     for seed in range(20):
         w = World()
-        w.c.context.rng.seed(seed)
+        w.coordinator.context.rng.seed(seed)
         w.ask(spec(), wait=60 * SECOND)
         for n in range(8):
             w.over(0, 1, 2)
             waits.setdefault(n, []).append(w.all(actions.Attempted)[-1].retry_in_us)
             w.wait(waits[n][-1] + 1)
     assert len(set(waits[3])) > 10  # not in step
-    assert max(waits[7]) <= w.c.context.config.max_backoff_us
+    assert max(waits[7]) <= w.coordinator.context.config.max_backoff_us
     old = World()
     old.ask(spec(), wait=10 * SECOND)
     old.now += 8 * SECOND
@@ -358,21 +367,23 @@
     w = World()
     w.ask(spec())
     w.ready(0)
-    out = w.take(w.c.shut_down(w.now))
+    out = w.take(w.coordinator.shut_down(w.now))
     assert isinstance(out[0], actions.Shed) and out[1] == actions.Release(1, (0, 1, 2))
     w.over(0, 1, 2)
-    assert not w.c.groups
+    assert not w.coordinator.groups
 
 
 class Walk(RuleBasedStateMachine):
-    """Coordinator and nodes that answer, refuse, lose and forget as they please, in any order."""
+    """Coordinator and nodes that answer, reject, lose and forget as they please, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.c = Coordinator(SETTINGS, GroupConfig(), 1)
+        self.coordinator = Coordinator(SETTINGS, GroupConfig(), 1)
         self.now = SECOND
         self.number = 0
-        self.at_node: dict[tuple[int, int], str] = {}  # group, member: held, ready, let run, running
+        self.at_node: dict[
+            tuple[int, int], str
+        ] = {}  # group, member: requested, reserved, committed, running
         self.outcomes: dict[int, list[str]] = {}
         self.released: set[tuple[int, int]] = set()
         self.deadline: dict[int, int] = {}
@@ -382,14 +393,14 @@
             match a:
                 case actions.PlaceMember(g, m, _):
                     assert (g, m) not in self.at_node, "two attempts of a member outstanding"
-                    assert not self.outcomes[g], "a member is tried after the outcome"
-                    self.at_node[g, m] = "held"
+                    assert not self.outcomes[g], "a member is placed after the outcome"
+                    self.at_node[g, m] = "requested"
                 case actions.Commit(g, ms, _):
-                    ready = {m for (h, m), s in self.at_node.items() if h == g and s == "ready"}
-                    assert set(ms) == ready and len(ms) >= self.c.groups[g].spec.min_members
+                    reserved = {m for (h, m), s in self.at_node.items() if h == g and s == "reserved"}
+                    assert set(ms) == reserved and len(ms) >= self.coordinator.groups[g].spec.min_members
                     for m in ms:
-                        assert (g, m) not in self.released, "let run after its release"
-                        self.at_node[g, m] = "let run"
+                        assert (g, m) not in self.released, "committed after its release"
+                        self.at_node[g, m] = "committed"
                 case actions.Release(g, ms):
                     for m in ms:
                         assert (g, m) in self.at_node
@@ -398,10 +409,10 @@
                     self.outcomes[g].append("placed")
                     assert all(self.at_node.get((g, m)) in ("running", None) for m in ms)
                 case actions.Shed(g):
-                    self.outcomes[g].append("refused")
+                    self.outcomes[g].append("shed")
                     out = {k for k in self.at_node if k[0] == g}
-                    assert out <= self.released, "refused while attempts are out that were not released"
-                    assert not out or not any(self.at_node[k] in ("let run", "running") for k in out)
+                    assert out <= self.released, "shed while attempts are out that were not released"
+                    assert not out or not any(self.at_node[k] in ("committed", "running") for k in out)
                 case actions.Failed(g):
                     self.outcomes[g].append("failed")
                     out = {k for k in self.at_node if k[0] == g}
@@ -413,73 +424,73 @@
     def has(self, *states: str) -> bool:
         return any(s in states for s in self.at_node.values())
 
-    @rule(count=st.integers(1, 4), left=st.integers(0, 1), once=st.booleans(), wait=st.integers(1, 8))
-    def asks(self, count: int, left: int, once: bool, wait: int) -> None:
-        if len(self.c.groups) >= 3:
+    @rule(count=st.integers(1, 4), left=st.integers(0, 1), at_most_once=st.booleans(), wait=st.integers(1, 8))
+    def client_requests(self, count: int, left: int, at_most_once: bool, wait: int) -> None:
+        if len(self.coordinator.groups) >= 3:
             return
         self.number += 1
         self.outcomes[self.number] = []
-        group = spec(count, max(1, count - left), "report" if once else "worker")
+        group = spec(count, max(1, count - left), "report" if at_most_once else "worker")
         self.deadline[self.number] = self.now + wait * SECOND
-        self.take(self.c.request(self.now, self.number, group, self.deadline[self.number], ROOM))
+        self.take(self.coordinator.request(self.now, self.number, group, self.deadline[self.number], ROOM))
 
-    @precondition(lambda self: self.has("held"))
+    @precondition(lambda self: self.has("requested"))
     @rule(data=st.data())
-    def is_ready(self, data: Any) -> None:
-        g, m = self.some(data, "held")
+    def member_reserved(self, data: Any) -> None:
+        g, m = self.some(data, "requested")
         if (g, m) not in self.released:
-            self.at_node[g, m] = "ready"
-        self.take(self.c.member_reserved(self.now, g, m, m + 1, "r"))
+            self.at_node[g, m] = "reserved"
+        self.take(self.coordinator.member_reserved(self.now, g, m, m + 1, "r"))
 
-    @precondition(lambda self: self.has("let run"))
+    @precondition(lambda self: self.has("committed"))
     @rule(data=st.data())
-    def runs(self, data: Any) -> None:
-        g, m = self.some(data, "let run")
+    def member_running(self, data: Any) -> None:
+        g, m = self.some(data, "committed")
         self.at_node[g, m] = "running"
-        self.take(self.c.member_running(self.now, g, m))
+        self.take(self.coordinator.member_running(self.now, g, m))
 
     @precondition(lambda self: self.at_node)
     @rule(data=st.data(), finished=st.booleans())
-    def is_over(self, data: Any, finished: bool) -> None:
-        g, m = self.some(data, "held", "ready", "let run", "running")
+    def member_over(self, data: Any, finished: bool) -> None:
+        g, m = self.some(data, "requested", "reserved", "committed", "running")
         state = self.at_node.pop((g, m))
         self.released.discard((g, m))
-        self.take(self.c.member_over(self.now, g, m, finished and state == "running", "gone"))
+        self.take(self.coordinator.member_over(self.now, g, m, finished and state == "running", "gone"))
 
-    @precondition(lambda self: self.c.groups)
+    @precondition(lambda self: self.coordinator.groups)
     @rule(data=st.data())
-    def withdraws(self, data: Any) -> None:
-        g = data.draw(st.sampled_from(sorted(self.c.groups)))
-        self.outcomes[g].append("withdrawn") if not self.outcomes[g] else None
-        self.take(self.c.cancel(self.now, g))
+    def client_cancels(self, data: Any) -> None:
+        g = data.draw(st.sampled_from(sorted(self.coordinator.groups)))
+        self.outcomes[g].append("cancelled") if not self.outcomes[g] else None
+        self.take(self.coordinator.cancel(self.now, g))
 
     @rule(ms=st.sampled_from([1, 50, 400, 1500, 4000]))
     def time_passes(self, ms: int) -> None:
         self.now += ms * MS
-        self.take(self.c.advance(self.now, ROOM))
+        self.take(self.coordinator.advance(self.now, ROOM))
 
     @invariant()
     def one_outcome(self) -> None:
-        for g, told in self.outcomes.items():
-            assert len(told) <= 1, f"group {g}: {told}"
+        for g, outcomes in self.outcomes.items():
+            assert len(outcomes) <= 1, f"group {g}: {outcomes}"
 
     @invariant()
     def nothing_partly_running_for_long(self) -> None:
-        for g, group in self.c.groups.items():
+        for g, group in self.coordinator.groups.items():
             if group.state is GroupState.COMMITTED:
                 assert (
                     self.now <= group.state_deadline + GroupConfig().lease_renewal_interval_us
-                    or self.c.next_due() is None
+                    or self.coordinator.next_due() is None
                     or (
-                        self.c.next_due() is not None and self.c.next_due() <= self.now  # type: ignore[operator]
+                        self.coordinator.next_due() is not None and self.coordinator.next_due() <= self.now  # type: ignore[operator]
                     )
                 ), g
 
     @invariant()
-    def nobody_waits_for_nothing(self) -> None:
-        """A group that is not over has a timer, or members whose word is awaited."""
-        for g, group in self.c.groups.items():
-            timers = self.c.context.timers.is_set(group)
+    def every_group_has_a_timer_or_awaits_a_member(self) -> None:
+        """A group that is not over has a timer, or members that are awaited."""
+        for g, group in self.coordinator.groups.items():
+            timers = self.coordinator.context.timers.is_set(group)
             waits = any(
                 m in (MemberState.REQUESTED, MemberState.RESERVED, MemberState.RUNNING) for m in group.members
             )
@@ -494,13 +505,13 @@
             for g, m in sorted(self.at_node):
                 self.at_node.pop((g, m))
                 self.released.discard((g, m))
-                self.take(self.c.member_over(self.now, g, m, False, "gone"))
+                self.take(self.coordinator.member_over(self.now, g, m, False, "gone"))
             self.now += SECOND
-            self.take(self.c.advance(self.now, ROOM))
-            if not self.c.groups:
+            self.take(self.coordinator.advance(self.now, ROOM))
+            if not self.coordinator.groups:
                 break
-        assert not self.c.groups and not self.at_node
-        assert all(len(told) == 1 for told in self.outcomes.values()), self.outcomes
+        assert not self.coordinator.groups and not self.at_node
+        assert all(len(outcomes) == 1 for outcomes in self.outcomes.values()), self.outcomes
 
 
 Walk.TestCase.settings = settings(
--- a/tests/groups/test_core_groups.py
+++ b/tests/groups/test_core_groups.py
@@ -29,9 +29,9 @@
         return out
 
     def group(
-        self, n: int = 1, count: int = 3, sort: str = "worker", wait: int = 9 * SECOND, **more: Any
+        self, n: int = 1, count: int = 3, task_class: str = "worker", wait: int = 9 * SECOND, **more: Any
     ) -> list[Any]:
-        members = tuple(self.spec(100 * n + i, sort, service=50 + n) for i in range(count))
+        members = tuple(self.spec(100 * n + i, task_class, service=50 + n) for i in range(count))
         return self.feed(ev.GroupRequested(1, n, more.pop("members", members), wait, **more))
 
     def offers(self) -> list[ev.SendOffer]:
@@ -101,11 +101,11 @@
     assert w.words(ev.GroupAttempted) and w.all(ev.SendCommit) == []
 
 
-@pytest.mark.parametrize("sort", ["worker", "report", "ingest"])
-def test_one_member_is_unresponsive(sort: str) -> None:
+@pytest.mark.parametrize("task_class", ["worker", "report", "ingest"])
+def test_one_member_is_unresponsive(task_class: str) -> None:
     """It was never committed, so whatever its class it may be retried; its late message is rejected."""
     w = Groups(nodes=5)
-    w.group(sort=sort)
+    w.group(task_class=task_class)
     offers = w.offers()
     w.ready(*offers[:2])
     w.wait(4 * SECOND)
@@ -121,7 +121,7 @@
 
 def test_a_node_is_lost_after_two_members_started() -> None:
     w = Groups(nodes=4)
-    w.group(sort="report")
+    w.group(task_class="report")
     offers = w.offers()
     w.ready(*offers)
     w.run(*offers[:2])
@@ -225,8 +225,10 @@
 
 def test_a_group_with_a_member_of_every_class() -> None:
     w = Groups(nodes=4)
-    sorts = ("worker", "ingest", "report", "apart")
-    w.group(members=tuple(w.spec(i + 1, sort, service=9 + i) for i, sort in enumerate(sorts)))
+    task_classes = ("worker", "ingest", "report", "apart")
+    w.group(
+        members=tuple(w.spec(i + 1, task_class, service=9 + i) for i, task_class in enumerate(task_classes))
+    )
     offers = w.offers()
     assert len(offers) == 4
     w.ready(*offers)
