--- /dev/null
+++ b/stairplank/planner/group_requests.py
@@ -0,0 +1,285 @@
+"""Requests for groups: between the coordinator, which decides, and clients and nodes. No I/O or clock.
+
+Invariants (tests/groups/test_core_groups.py, and the stateful test of the coordinator):
+
+1. Each group of the coordinator has one record, and a record goes when the coordinator has forgotten its
+   group.
+2. Messages on placements of earlier attempts change nothing.
+3. Members of a group of an earlier incarnation keep running while the rest is looked for, and then all go on
+   or all are released.
+
+State: ``records``, ``messages``; the coordinator's, the orphans' own.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+
+from .. import interface as api
+from ..groups import actions
+from ..groups.constraints import has_constraints
+from ..groups.coordinator import Coordinator
+from ..groups.spec import GroupSpec
+from ..groups.state import Location
+from . import events as ev
+from .context import CoreContext
+from .group_admission import check_request
+from .group_members import GroupMembers, GroupRecord
+from .group_messages import MemberMessage, MemberOver, MemberReserved, MemberRunning, PlaceNext
+from .group_peers import GroupPeers
+from .leases import Leases
+from .orphan_groups import OrphanGroup, OrphanGroups
+from .placement import Attempt, Placement
+
+
+class GroupRequests(GroupPeers):
+    """All groups of the planner, from their request to their end."""
+
+    def __init__(self, context: CoreContext, leases: Leases, seed: int) -> None:
+        """``seed`` determines the backoff of groups."""
+        self.context = context
+        self.coordinator = Coordinator(context.settings, context.config.groups, seed)
+        self.records: dict[int, GroupRecord] = {}
+        self.messages: deque[MemberMessage] = deque()
+        self._leases = leases
+        self._members = GroupMembers(context, leases, self.coordinator, self)
+        self._orphans = OrphanGroups(context, leases)
+        self._timer_due: int | None = None
+
+    # Queries
+
+    def tag(self, placement: Placement) -> ev.GroupTag:
+        """What a node is told of a member's group."""
+        number, member = _member_of(placement)
+        size = self.records[number].spec.min_members
+        # Reserved at least until the attempt is over and its members were committed.
+        lease_us = placement.expires - self.context.now + self.context.config.groups.lease_us
+        return ev.GroupTag(self.context.incarnation, number, size, member, max(1, lease_us))
+
+    def has_unanswered(self) -> bool:
+        """Whether a group has no outcome yet."""
+        return self.coordinator.has_unanswered()
+
+    def may_place(self, placement: Placement, node: int) -> bool:
+        """Whether a member may go there now: others may have taken nodes since the module was asked."""
+        number, member = _member_of(placement)
+        record = self.records.get(number)
+        return record is None or self._members.may_place(record, number, member, node)
+
+    # Clients
+
+    def request(self, event: ev.GroupRequested) -> None:
+        """A client requests a group: it is admitted and attempted, or rejected."""
+        spec = GroupSpec(
+            self.owners.owner_of(event.session),
+            event.members,
+            event.min_members or len(event.members),
+            event.same_rack,
+            event.distinct_nodes,
+            event.distinct_racks,
+        )
+        max_groups = self.context.config.groups.max_groups
+        rejection = check_request(event, spec, self.owners, len(self.coordinator.groups), max_groups)
+        if rejection is not None:
+            self.owners.reject(event.session, event.request, rejection)
+            return
+        number = self.context.next_number()
+        deadline = self.context.now + event.wait_us - event.age_us
+        self.records[number] = GroupRecord(event.session, event.request, spec, deadline)
+        self.owners.group_asked(event.session, event.request, number)
+        self.context.count("groups_taken")
+        self.owners.tell_on(event.session, ev.Admitted(event.request, number))
+        nodes = self.list.places() if has_constraints(spec) else ()
+        capacity = self.list.room()
+        self._perform(self.coordinator.request(self.context.now, number, spec, deadline, capacity, nodes))
+
+    def client_connected(self, client: str, session: int, is_live: Callable[[int], bool]) -> None:
+        """Groups of this client whose session is gone, and that have members left, move to this session."""
+        for record in self.records.values():
+            if record.spec.client != client or is_live(record.session):
+                continue
+            if any(self.owners.named(*p.name) is p for p in record.placements.values()):
+                record.session = session
+                record.request = 0
+
+    def client_disconnected(self, number: int, other_session: int) -> None:
+        """The session of a group has ended: a placed group moves to the other one (0: none), else it goes."""
+        record = self.records.get(number)
+        if record is None:
+            return
+        if record.is_placed:
+            record.session = other_session
+            record.request = 0
+        else:
+            self.cancel(number)
+
+    def cancel(self, number: int) -> None:
+        """The client cancels a group."""
+        self._perform(self.coordinator.cancel(self.context.now, number))
+
+    def settings_changed(self) -> None:
+        """Groups in flight use the new settings from their next attempt on."""
+        self.coordinator.set_settings(self.context.settings, self.context.config.groups)
+
+    def shut_down(self) -> None:
+        """The planner shuts down: groups without an outcome are shed."""
+        self._perform(self.coordinator.shut_down(self.context.now))
+
+    # Messages on members, taken in turn with the module's
+
+    def member_reserved(self, placement: Placement, attempt: Attempt) -> None:
+        """A node holds a member ready to run."""
+        self.messages.append(MemberReserved(*_member_of(placement), attempt.node))
+
+    def member_running(self, placement: Placement) -> None:
+        """A node runs a member."""
+        self.messages.append(MemberRunning(*_member_of(placement)))
+
+    def member_gone(self, placement: Placement) -> None:
+        """Nothing is left of a member's placement."""
+        self.messages.append(MemberOver(*_member_of(placement), placement))
+
+    def take_message(self) -> None:
+        """Act on the next message."""
+        message = self.messages.popleft()
+        now = self.context.now
+        number = message.group
+        match message:
+            case PlaceNext(_, member, deadline, attempt):
+                if self.coordinator.is_reserving(number, attempt):
+                    self._members.place(self.records[number], number, member, deadline)
+                return
+            case MemberOver(_, member, placement):
+                record = self.records.get(number)
+                if record is None or record.placements.get(member) is not placement:
+                    return  # of an attempt that is long over
+                reason = placement.ended or "no place was found"
+                finished = placement.ended == "finished"
+                result = self.coordinator.member_over(now, number, member, finished, reason)
+            case MemberReserved(_, member, node):
+                result = self.coordinator.member_reserved(now, number, member, node, self.list.rack(node))
+            case MemberRunning(_, member):
+                result = self.coordinator.member_running(now, number, member)
+        self._perform(result)
+        self._forget_if_over(number)
+
+    def member_unplaced(self, placement: Placement) -> None:
+        """The module found no node for a member in this attempt; attempts in flight are called back."""
+        placement.becomes("failed")
+        self.attempts.call_back(placement)
+
+    def member_over(self, placement: Placement, finished: bool, reason: api.Reason) -> None:
+        """A bound member has ended at its node."""
+        number, member = _member_of(placement)
+        record = self.records.get(number)
+        if record is not None and record.is_placed:
+            self._notify(record, ev.MemberEnded(record.request, member, finished, reason))
+
+    # Actions of the coordinator
+
+    def _advance(self, due: int) -> None:
+        if due == self._timer_due:
+            self._timer_due = None
+            self._perform(self.coordinator.advance(self.context.now, self.list.room()))
+
+    def _perform(self, decided: list[actions.Action]) -> None:
+        for action in decided:
+            record = self.records.get(action.group)
+            if record is not None:
+                self._perform_on_members(action, record)
+                self._notify_client(action, record)
+                self._forget_if_over(action.group)
+        due = self.coordinator.next_due()
+        if due is not None and (self._timer_due is None or due < self._timer_due):
+            # Danger: timers set for each message would each set the next one, and never become fewer.
+            self._timer_due = due
+            self.context.call_at(due, self._advance, due)
+
+    def _perform_on_members(self, action: actions.Action, record: GroupRecord) -> None:
+        match action:
+            case actions.PlaceMember(number, member, deadline):
+                if self.coordinator.enforces_constraints(number):
+                    # One after the other: the node that a member takes is excluded for the next.
+                    attempt = self.coordinator.groups[number].attempts
+                    self.messages.append(PlaceNext(number, member, deadline, attempt))
+                else:
+                    self._members.place(record, number, member, deadline)
+            case actions.Commit(_, members, lease_us):
+                self._members.commit(record, members, lease_us)
+            case actions.RenewLeases(_, members, lease_us):
+                self._members.renew_leases(record, members, lease_us)
+            case actions.Release(_, members):
+                self._members.release(record, members)
+
+    def _notify_client(self, action: actions.Action, record: GroupRecord) -> None:
+        request = record.request
+        match action:
+            case actions.Placed(_, members, constraints_met, attempts):
+                record.is_placed = True
+                self.context.count("groups_placed")
+                bound = [(member, record.placements[member].bound) for member in members]
+                bindings = tuple((member, at.node) for member, at in bound if at is not None)
+                self._notify(record, ev.GroupPlaced(request, bindings, constraints_met, attempts))
+            case actions.Shed(_, reason, is_permanent, retry_after_us):
+                self.context.count("groups_refused")
+                self._notify(record, ev.GroupShed(request, retry_after_us, reason, is_permanent))
+            case actions.Failed(_, reason):
+                self.context.count("groups_failed")
+                self._notify(record, ev.GroupFailed(request, reason))
+            case actions.Attempted(_, attempts, reason, retry_in_us):
+                self.context.count("groups_tried_again")
+                self._notify(record, ev.GroupAttempted(request, attempts, reason, retry_in_us))
+            case actions.Ended(_, finished):
+                self.context.count("groups_finished" if finished else "groups_lost")
+                self._notify(record, ev.GroupEnded(request, finished))
+
+    def _notify(self, record: GroupRecord, message: ev.GroupMessage) -> None:
+        self.owners.tell_on(record.session, message)
+
+    def _forget_if_over(self, number: int) -> None:
+        record = self.records.get(number)
+        if record is None or number in self.coordinator.groups:
+            return
+        del self.records[number]
+        self.owners.group_over(record.session, record.request)
+
+    # Groups of an earlier incarnation
+
+    def member_reported(self, node: int, task: ev.NodeTask, tag: ev.GroupTag) -> None:
+        """A node has a member that is not known here."""
+        orphan = self._orphans.member_reported(node, task, tag)
+        if orphan is not None:
+            self._recover(orphan)
+
+    def finished_member_reported(self, task: ev.NodeTask, tag: ev.GroupTag) -> None:
+        """A member finished while no planner was connected to its node."""
+        orphan = self._orphans.finished_member_reported(task, tag)
+        if orphan is not None:
+            self._recover(orphan)
+
+    def _recover(self, orphan: OrphanGroup) -> None:
+        """All members of an earlier incarnation's group were found: this planner takes it over."""
+        number = self.context.next_number()
+        running = [member for _, member in sorted(orphan.running.items(), key=lambda item: item[0])]
+        finished = [task for member, task in sorted(orphan.finished.items()) if member not in orphan.running]
+        client = running[0].task.task.client
+        tasks = (*(member.task.task for member in running), *(task.task for task in finished))
+        spec = GroupSpec(client, tasks, orphan.size)
+        record = GroupRecord(self.owners.newest(client), 0, spec, is_placed=True)
+        self.records[number] = record
+        locations: dict[int, Location] = {}
+        for member, found in enumerate(running):
+            attempt = self.attempts.adopt(found.node, found.task.id, found.task.task, True)
+            attempt.placement.group = (number, member)
+            record.placements[member] = attempt.placement
+            self._leases.extend(attempt, self.context.now + self.context.config.groups.lease_us)
+            locations[member] = Location(found.node, self.list.rack(found.node))
+        self.context.count("groups_found")
+        self._perform(self.coordinator.recover(self.context.now, number, spec, locations))
+
+
+def _member_of(placement: Placement) -> tuple[int, int]:
+    """The group's number and the member that this placement is for."""
+    assert placement.group is not None
+    return placement.group
--- a/stairplank/standin/node.py
+++ b/stairplank/standin/node.py
@@ -14,7 +14,7 @@
 from .. import interface as api
 from ..planner.events import AttemptId, GroupTag, TaskSpec
 from .dedup_memory import DedupMemories, DedupMemory
-from .node_events import Probed, Said, SaidDraining, Word
+from .node_events import DrainingReported, HealthChecked, NodeEvent, Reported
 from .node_faults import NodeFaults
 from .node_model import NodeModel, Offer, OfferState, next_event_of
 from .node_pace import NodePace
@@ -44,7 +44,7 @@
         self.finished: deque[tuple[int, Offer]] = deque(maxlen=MAX_FINISHED)  # members of groups
         self.changed = True  # something that the list shows
         self.clock = started  # the latest time that was told
-        self.reports: list[Word] = []
+        self.reports: list[NodeEvent] = []
 
     # Driving
 
@@ -60,7 +60,7 @@
         group: GroupTag | None = None,
         *,
         said_at: int | None,
-    ) -> list[Word]:
+    ) -> list[NodeEvent]:
         """``said_at``: the earliest moment at which the offer can have been said; None: nobody can tell."""
         self.reports = []
         self._advance(now)
@@ -86,7 +86,7 @@
             self._start_admission(now)
         return self.reports
 
-    def stop(self, now: int, id: AttemptId) -> list[Word]:
+    def stop(self, now: int, id: AttemptId) -> list[NodeEvent]:
         """End a task or an offer. What had not begun is handed back: it never ran."""
         self.reports = []
         self._advance(now)
@@ -103,7 +103,9 @@
         else:
             self._report(offer, "refused", reason=api.Reason.NOT_HERE)
 
-    def commit(self, now: int, ids: list[AttemptId], lease_us: int, *, said_at: int | None) -> list[Word]:
+    def commit(
+        self, now: int, ids: list[AttemptId], lease_us: int, *, said_at: int | None
+    ) -> list[NodeEvent]:
         """Let members run. Those that are not held any more are passed over: their word is on its way.
 
         Danger: a commit that the network has kept lets members run of a group that was released meanwhile.
@@ -120,7 +122,7 @@
                 self._run(offer, now)
         return self.reports
 
-    def keep(self, now: int, ids: list[AttemptId], lease_us: int, *, said_at: int | None) -> list[Word]:
+    def keep(self, now: int, ids: list[AttemptId], lease_us: int, *, said_at: int | None) -> list[NodeEvent]:
         """Renew leases, from when it was said: a keep that was kept on the way lengthens nothing."""
         self.reports = []
         self._advance(now)
@@ -131,7 +133,7 @@
                 offer.leased_until = max(offer.leased_until, until)
         return self.reports
 
-    def probe(self, now: int, token: int) -> list[Word]:
+    def probe(self, now: int, token: int) -> list[NodeEvent]:
         """Queue a health check behind the offers; ``token`` names its answer."""
         self.reports = []
         self._advance(now)
@@ -140,18 +142,18 @@
             self._start_admission(now)
         return self.reports
 
-    def drain(self, now: int) -> list[Word]:
+    def drain(self, now: int) -> list[NodeEvent]:
         """Send every task away at once, and take nothing more."""
         self.reports = []
         self._advance(now)
         if not self.draining and not self.crashed:
             self.draining = self.changed = True
-            self.reports.append(SaidDraining())
+            self.reports.append(DrainingReported())
             for offer in list(self.offers.values()):
                 self._evict(offer, api.Reason.SENT_AWAY)
         return self.reports
 
-    def advance(self, now: int) -> list[Word]:
+    def advance(self, now: int) -> list[NodeEvent]:
         """Do what has come due."""
         self.reports = []
         self._advance(now)
@@ -178,7 +180,7 @@
 
     def free(self) -> tuple[float, float]:
         """Cores and memory that no accepted task asks for."""
-        return self.reservations.free()
+        return self.reservations.free_resources()
 
     def utilization(self) -> float:
         """Busy share of the cores, starts included."""
@@ -225,7 +227,7 @@
             if first.id in self.offers:
                 self._admit(first, now)
         else:
-            self.reports.append(Probed(first, *self.free(), self.utilization()))
+            self.reports.append(HealthChecked(first, *self.free(), self.utilization()))
         self._start_admission(now)
 
     def _admit(self, offer: Offer, now: int) -> None:
@@ -258,7 +260,7 @@
 
     def _make_capacity_for(self, offer: Offer) -> api.Reason | None:
         """None where it fits, if need be after tasks of lower priority were pushed out."""
-        reason, victims = self.reservations.capacity_for(offer, self.offers.values())
+        reason, victims = self.reservations.check(offer, self.offers.values())
         for victim in victims:
             self._evict(victim, api.Reason.PUSHED_OUT)
         return reason
@@ -305,7 +307,7 @@
         self._report(offer, "running")
         task, model = offer.task, self.model
         cores, memory = task.cores * model.cores_use, task.memory * model.memory_use
-        self.reports.append(Said(offer.planner, "usage", offer.id, cores=cores, memory=memory))
+        self.reports.append(Reported(offer.planner, "usage", offer.id, cores=cores, memory=memory))
 
     def _evict(self, offer: Offer, reason: api.Reason) -> None:
         self._release(offer)
@@ -348,4 +350,4 @@
         reason: api.Reason = api.Reason.UNTOLD,
         late: bool = False,
     ) -> None:
-        self.reports.append(Said(offer.planner, what, offer.id, result, reason, late=late))
+        self.reports.append(Reported(offer.planner, what, offer.id, result, reason, is_late=late))
--- a/stairplank/standin/node_pace.py
+++ b/stairplank/standin/node_pace.py
@@ -7,7 +7,7 @@
 
 from collections import Counter, deque
 
-from .node_events import Fell
+from .node_events import Crashed
 from .node_model import NodeModel
 
 
@@ -29,7 +29,7 @@
         done = min(1.0, (now - self.started) / max(1, self.model.slow_start_us))
         return self.model.slow_start_share + (1 - self.model.slow_start_share) * done
 
-    def record_offer(self, now: int) -> Fell | None:
+    def record_offer(self, now: int) -> Crashed | None:
         """Count an offer to a node that warms up, rejected ones too. Its crash, if this one was too many."""
         model = self.model
         if not self.cold or now - self.started >= model.slow_start_us:
@@ -39,7 +39,7 @@
             self.recent_offers.popleft()
         rate = model.starts_at_once * self.share(now) / (model.start_us / 1e6)
         borne = max(model.slow_start_offers, model.overload_multiple * rate * model.overload_window_us / 1e6)
-        return Fell(len(self.recent_offers), borne) if len(self.recent_offers) > borne else None
+        return Crashed(len(self.recent_offers), borne) if len(self.recent_offers) > borne else None
 
     def begin_start(self, service: int, now: int) -> float:
         """The work of a start, in microseconds: several times as much where the program is not there."""
--- a/stairplank/standin/node_pool.py
+++ b/stairplank/standin/node_pool.py
@@ -17,9 +17,9 @@
 from ..rpc import Channel, Code, RpcError, Server, ServerCall
 from .config import NodeConfig, NodePoolConfig, wait_for_begin
 from .dedup_memory import DedupMemories
-from .door import Door
 from .node import Node
-from .node_events import Fell, Probed, Said, SaidDraining, Word
+from .node_events import Crashed, DrainingReported, HealthChecked, NodeEvent, Reported
+from .planner_session import PlannerSession
 from .script import Fault
 
 ANNOUNCE_S = 0.1
@@ -36,11 +36,11 @@
 }
 
 
-def message(word: Said) -> Any:
+def message(word: Reported) -> Any:
     """The message of a report about an attempt."""
     id = convert.id_to(word.id)
     reason: Any = int(word.reason)
-    match word.what:
+    match word.kind:
         case "accepted":
             return _EVENT(accepted=_EVENT.Accepted(id=id))
         case "ready":
@@ -48,7 +48,7 @@
         case "running":
             return _EVENT(running=_EVENT.Running(id=id))
         case "refused":
-            reason = common_pb2.REASON_TOO_LATE if word.late else reason
+            reason = common_pb2.REASON_TOO_LATE if word.is_late else reason
             return _EVENT(refused=_EVENT.Refused(id=id, reason=reason))
         case "error":
             return _EVENT(error=_EVENT.Error(id=id))
@@ -69,7 +69,7 @@
         self.node: Node | None = None
         self.server: Server | None = None
         self.started_unix_us = 0
-        self.doors: dict[int, Door] = {}
+        self.doors: dict[int, PlannerSession] = {}
         self.calls: dict[int, ServerCall] = {}  # the newest stream of each planner
         self.probes: dict[int, Any] = {}
         self.next_probe = 0
@@ -120,16 +120,16 @@
             if self.node is node:
                 self.report_all(node.advance(now_us()))
 
-    def report_all(self, words: list[Word]) -> None:
+    def report_all(self, words: list[NodeEvent]) -> None:
         """Send what the node reports to its planners, and carry out its crash."""
         for word in words:
             match word:
-                case Said():
+                case Reported():
                     self.report_status(word)
-                case SaidDraining():
+                case DrainingReported():
                     for planner, call in list(self.calls.items()):
                         self.send(call, _EVENT(draining=_EVENT.Draining()), planner)
-                case Probed():
+                case HealthChecked():
                     waiting = self.probes.pop(word.token, None)
                     if isinstance(waiting, tuple):
                         call, planner, number = waiting
@@ -137,21 +137,21 @@
                         self.send(call, _EVENT(sampled=sampled), planner)
                     elif waiting is not None:
                         waiting.set(word)
-                case Fell():
+                case Crashed():
                     self.pool.log.warning(
-                        "node fell over", node=self.id, offers=word.offers, borne=word.borne
+                        "node fell over", node=self.id, offers=word.offers, borne=word.max_offers
                     )
                     gevent.spawn(self.kill)
         self.wake.set()
 
-    def report_status(self, word: Said) -> None:
+    def report_status(self, word: Reported) -> None:
         """Send an attempt's status to its planner; final ones are kept until acknowledged."""
         call = self.calls.get(word.planner)
         event = message(word)
-        if word.what in FINAL_STATUSES:
+        if word.kind in FINAL_STATUSES:
             door = self.doors.get(word.planner)
             if door is not None:
-                event.number = door.box.add(event)
+                event.number = door.outbox.add(event)
         if call is None or self.unresponsive:
             return
         share, how = self.answer_loss
@@ -183,8 +183,8 @@
         node = self.running_node()
         hello = first.hello
         planner = hello.planner
-        door = self.doors.setdefault(planner, Door(self.rng))
-        unheard = door.opened(now_us(), hello.life, hello.epoch, hello.heard)
+        door = self.doors.setdefault(planner, PlannerSession(self.rng))
+        unheard = door.open(now_us(), hello.life, hello.epoch, hello.heard)
         if unheard is None:
             raise RpcError(Code.ABORTED, "a newer stream of this planner has been here")
         assert door.grants is not None
@@ -210,7 +210,7 @@
             if self.calls.get(planner) is call:
                 del self.calls[planner]
 
-    def renew(self, call: ServerCall, planner: int, door: Door) -> None:
+    def renew(self, call: ServerCall, planner: int, door: PlannerSession) -> None:
         """A stream on which nothing is said is given a grant all the same, now and then."""
         while (grants := door.grants) is not None and call.stream.error is None:
             gevent.sleep(max(0.01, (grants.next_due() - now_us()) / 1e6))
@@ -219,9 +219,11 @@
                 self.send(call, _EVENT(renewed=_EVENT.Grant()), planner)
 
     @staticmethod
-    def report(told: Probed) -> Any:
+    def report(told: HealthChecked) -> Any:
         """The load report of a health check."""
-        return common_pb2.Report(free_cores=told.free_cores, free_memory=told.free_memory, util=told.util)
+        return common_pb2.Report(
+            free_cores=told.free_cores, free_memory=told.free_memory, util=told.utilization
+        )
 
     def take(self, node: Node, call: ServerCall, planner: int, request: Any) -> None:
         """Carry out a planner's message."""
@@ -239,20 +241,22 @@
                         offer.priority,
                         offer.window_us,
                         convert.tag_from(offer.group) if offer.HasField("group") else None,
-                        said_at=door.said_at(now_us(), convert.stamp_from(offer)),
+                        said_at=door.earliest_sent_at(now_us(), convert.stamp_from(offer)),
                     )
                 )
             case "ack":
-                door.box.heard(request.ack.number)
-                for _, event in door.box.after(request.ack.number) if request.ack.again else ():
+                door.outbox.acknowledge(request.ack.number)
+                for _, event in (
+                    door.outbox.unacknowledged_after(request.ack.number) if request.ack.again else ()
+                ):
                     self.send(call, event, planner)
             case "commit":
                 ids = [convert.id_from(i) for i in request.commit.ids]
-                said_at = door.said_at(now_us(), convert.stamp_from(request.commit))
+                said_at = door.earliest_sent_at(now_us(), convert.stamp_from(request.commit))
                 self.report_all(node.commit(now_us(), ids, request.commit.lease_us, said_at=said_at))
             case "keep":
                 ids = [convert.id_from(i) for i in request.keep.ids]
-                said_at = door.said_at(now_us(), convert.stamp_from(request.keep))
+                said_at = door.earliest_sent_at(now_us(), convert.stamp_from(request.keep))
                 self.report_all(node.keep(now_us(), ids, request.keep.lease_us, said_at=said_at))
                 if request.keep.keep and said_at is not None:
                     self.send(call, _EVENT(kept=_EVENT.Kept(keep=request.keep.keep)), planner)
@@ -292,8 +296,8 @@
         self.not_hanging.wait()
         node = self.running_node()
         door = self.doors.get(request.planner)
-        complete = door is not None and door.complete_for(request.life)
-        words = door.box.said if door is not None and door.life == request.life else 0
+        complete = door is not None and door.is_complete_for(request.life)
+        words = door.outbox.last_number if door is not None and door.incarnation == request.life else 0
         answer = node_pb2.HeldResponse(
             node=self.id, started_unix_us=self.started_unix_us, complete=complete, words=words
         )
