--- a/benchmarks/path/counted_planner.py
+++ b/benchmarks/path/counted_planner.py
@@ -109,7 +109,7 @@
 
     module.handle = handle_by_kind  # type: ignore[method-assign]
     core.handle = counts.timed("core_and_module", core.handle)  # type: ignore[method-assign]
-    core.woke = counts.timed("core_and_module", core.woke)  # type: ignore[method-assign]
+    core.handle_after_stall = counts.timed("core_and_module", core.handle_after_stall)  # type: ignore[method-assign]
     for name in ("_probe_one", "_choose", "_stays", "_draw"):
         setattr(module, name, counts.timed(f"decide{name}", getattr(module, name)))
 
@@ -122,7 +122,7 @@
     def counted() -> Any:
         due = pop_due()
         if due is not None:
-            counts.add(f"timer_{due.call.__qualname__}")
+            counts.add(f"timer_{due.callback.__qualname__}")
         return due
 
     context.pop_due = counted  # type: ignore[method-assign]
--- a/stairplank/emulator/world.py
+++ b/stairplank/emulator/world.py
@@ -156,7 +156,7 @@
             tenants=tuple(t for t, _ in room.tenants),
             zones=room.zones,
             groups=self.config.groups,
-            proofs=self.config.proofs,
+            settles_abandoned_offers=self.config.proofs,
         )
         settings = room.settings(self.config.planners, planner, planner % len(room.zones))
         core = Core(settings, config, self.lives, self.config.seed * 1_000_003 + self.lives)
--- a/stairplank/planner/abandoned_attempts.py
+++ b/stairplank/planner/abandoned_attempts.py
@@ -1,7 +1,7 @@
-"""What becomes of a copy at a node after its attempt was given up. Decides without I/O, clock or state.
+"""What to do with a task at a node after its attempt was abandoned. Decides without I/O, clock or state.
 
-An attempt is given up when its time-out passes, its link breaks for good or its owner leaves. The node may
-still start it. What is known by then of the placing, and what the class allows, decide.
+An attempt is abandoned when it times out, its link is lost for good or its client leaves. The node may still
+start the task. The placement's state by then and the effect of the task's class decide.
 """
 
 from __future__ import annotations
@@ -12,41 +12,44 @@
 
 
 class PlacementState(Enum):
-    """How a placing stands."""
+    """How a placement stands."""
 
-    __hash__ = object.__hash__  # see transitions.Stage
+    __hash__ = object.__hash__  # see transitions.AttemptState
 
-    OPEN = "open"  # owed an outcome; further attempts may be under way
-    PLACED = "placed"  # bound, by another attempt than the copy's
-    REFUSED = "refused"  # the owner was told that asking again does no harm
-    FAILED = "failed"  # the owner was told that it may run; it waits before it asks again
-    WITHDRAWN = "withdrawn"
-    UNKNOWN = "unknown"  # of an earlier life: nobody here waits for it
+    OPEN = "open"  # no outcome yet; further attempts may be in flight
+    PLACED = "placed"  # bound, by another attempt than the duplicate's
+    SHED = "shed"  # the client was told that a retry does no harm
+    FAILED = "failed"  # the client was told that the task may run; it waits before it retries
+    CANCELLED = "cancelled"
+    UNKNOWN = "unknown"  # of an earlier incarnation: nobody here waits for it
 
 
-class Copy(Enum):
-    WAIT = "wait"  # let it be until the placing is decided
+class DuplicateAction(Enum):
+    """What to do with a task that a node accepted or runs though its attempt was abandoned."""
+
+    WAIT = "wait"  # let it be until the placement has its outcome
     STOP = "stop"
-    ADOPT = "adopt"  # look after it, and tell its owner
+    ADOPT = "adopt"  # track it, and notify its client
 
 
-def on_giving_up(effect: api.Effect) -> bool:
-    """Whether to call the attempt back at once.
+def stops_when_abandoned(effect: api.Effect) -> bool:
+    """Whether to stop the attempt as soon as it is abandoned.
 
-    A copy that may be repeated is only waste once it is given up. One that must not run twice is left alone:
-    if it runs after all, that is the one run it may have.
+    A duplicate run of an idempotent task is only waste. One that must not run twice is left alone: if it runs
+    after all, that is the one run it may have.
     """
     return effect is api.Effect.IDEMPOTENT
 
 
-def on_word(effect: api.Effect, fate: PlacementState) -> Copy:
-    """The node says that it holds or runs the copy."""
-    if fate is PlacementState.UNKNOWN:
-        return Copy.ADOPT  # whatever the class: it was placed, and its owner may come back for it
-    if effect is api.Effect.IDEMPOTENT or fate in (
+def duplicate_action(effect: api.Effect, state: PlacementState) -> DuplicateAction:
+    """What to do when the node reports that it has accepted or runs the duplicate."""
+    if state is PlacementState.UNKNOWN:
+        # Whatever the class: it was placed, and its client may come back for it.
+        return DuplicateAction.ADOPT
+    if effect is api.Effect.IDEMPOTENT or state in (
         PlacementState.PLACED,
-        PlacementState.REFUSED,
-        PlacementState.WITHDRAWN,
+        PlacementState.SHED,
+        PlacementState.CANCELLED,
     ):
-        return Copy.STOP
-    return Copy.ADOPT if fate is PlacementState.FAILED else Copy.WAIT
+        return DuplicateAction.STOP
+    return DuplicateAction.ADOPT if state is PlacementState.FAILED else DuplicateAction.WAIT
--- a/stairplank/planner/client_requests.py
+++ b/stairplank/planner/client_requests.py
@@ -1,17 +1,18 @@
-"""What owners are owed: their streams, what they asked for, and the one outcome of each ask. No I/O or clock.
+"""Client sessions, their placement requests and the one outcome of each request. No I/O or clock.
 
-Invariants (tests/planner/test_client_requests.py, with the other rooms played by hand):
+Invariants (tests/planner/test_client_requests.py, with the other components played by stand-ins):
 
-1. A task is taken or rejected, never both; what is taken has one outcome, told once, on the stream that
-   asked.
-2. ``by_name`` has at most one placing of a name; while one is open, or may still run where a second run does
-   harm, the name is not taken again.
-3. ``open_tasks`` is the number of single tasks taken and without outcome, and so is each session's ``open``.
-4. An owner that leaves leaves nothing open: its asks are withdrawn, what runs is told to its other streams,
-   or to the next one.
-5. A placing is forgotten once it has an outcome and nothing of it is at a node.
+1. A task is admitted or rejected, never both; an admitted task has one outcome, sent once, to the session
+   that requested it.
+2. ``by_client_key`` has at most one placement of a client's key. While it is open, or may still run where a
+   second run does harm, no other task with that key is admitted.
+3. ``open_tasks`` is the number of single tasks admitted and without outcome; so is each session's
+   ``open_tasks``.
+4. A client that disconnects leaves nothing open: its requests are cancelled, and what runs is reported to
+   another session of the client, or to its next one.
+5. A placement is forgotten once it has an outcome and nothing of it is at a node.
 
-Tables: ``sessions``, ``by_owner``, ``placings``, ``by_name``.
+Tables: ``sessions``, ``by_client``, ``placements``, ``by_client_key``.
 """
 
 from __future__ import annotations
@@ -26,6 +27,7 @@
 from .abandoned_attempts import PlacementState
 from .context import CoreContext
 from .placement import Placement
+from .transitions import PlacementEvent
 
 REPEATABLE = api.Effect.IDEMPOTENT
 
@@ -34,19 +36,19 @@
 class Session:
     """An owner's stream."""
 
-    owner: str
-    asks: dict[int, Placement] = field(default_factory=dict)
+    client: str
+    placements: dict[int, Placement] = field(default_factory=dict)
     groups: dict[int, int] = field(default_factory=dict)  # ask: number
-    open: int = 0
+    open_tasks: int = 0
 
 
 class Attempts(Protocol):
     """What owners' matters need done at nodes."""
 
-    def under_way(self) -> int: ...
-    def call_off(self, placing: Placement) -> None: ...
-    def stop_bound(self, placing: Placement, why: ev.StopReason) -> None: ...
-    def after_answer(self, placing: Placement) -> None: ...
+    def in_flight(self) -> int: ...
+    def cancel(self, placement: Placement) -> None: ...
+    def stop_bound(self, placement: Placement, why: ev.StopReason) -> None: ...
+    def placement_concluded(self, placement: Placement) -> None: ...
 
 
 class Groups(Protocol):
@@ -55,8 +57,8 @@
     def owner_came(self, owner: str, session: int, live: Callable[[int], bool]) -> None: ...
     def owner_left(self, number: int, other: int) -> None: ...
     def withdrawn(self, number: int) -> None: ...
-    def member_unplaced(self, placing: Placement) -> None: ...
-    def member_gone(self, placing: Placement) -> None: ...
+    def member_unplaced(self, placement: Placement) -> None: ...
+    def member_gone(self, placement: Placement) -> None: ...
 
 
 class ClientRequests:
@@ -65,148 +67,152 @@
         self.attempts: Attempts
         self.groups: Groups
         self.sessions: dict[int, Session] = {}
-        self.by_owner: dict[str, list[int]] = {}
-        self.placings: dict[int, Placement] = {}
-        self.by_name: dict[tuple[str, int], Placement] = {}
+        self.by_client: dict[str, list[int]] = {}
+        self.placements: dict[int, Placement] = {}
+        self.by_client_key: dict[tuple[str, int], Placement] = {}
         self.open_tasks = 0
-        self.leaving = False
+        self.draining = False
 
     # Questions
 
-    def live(self, session: int) -> bool:
+    def is_connected(self, session: int) -> bool:
         """Whether a stream is there to be told on."""
         return session in self.sessions
 
-    def named(self, owner: str, key: int) -> Placement | None:
-        return self.by_name.get((owner, key))
+    def find_by_key(self, owner: str, key: int) -> Placement | None:
+        return self.by_client_key.get((owner, key))
 
-    def placing(self, number: int) -> Placement | None:
-        return self.placings.get(number)
+    def find(self, number: int) -> Placement | None:
+        return self.placements.get(number)
 
-    def all(self) -> list[Placement]:
-        return list(self.placings.values())
+    def all_placements(self) -> list[Placement]:
+        return list(self.placements.values())
 
-    def owner_of(self, session: int) -> str:
-        return self.sessions[session].owner
+    def client_of(self, session: int) -> str:
+        return self.sessions[session].client
 
-    def newest(self, owner: str) -> int:
+    def newest_session(self, owner: str) -> int:
         """The owner's newest stream, or 0."""
-        return (self.by_owner.get(owner) or [0])[-1]
+        return (self.by_client.get(owner) or [0])[-1]
 
     # Streams
 
-    def came(self, event: ev.ClientConnected) -> None:
+    def client_connected(self, event: ev.ClientConnected) -> None:
         self.sessions[event.session] = Session(event.client)
-        self.by_owner.setdefault(event.client, []).append(event.session)
-        self.groups.owner_came(event.client, event.session, self.live)
-        for placing in list(self.by_name.values()):
+        self.by_client.setdefault(event.client, []).append(event.session)
+        self.groups.owner_came(event.client, event.session, self.is_connected)
+        for placement in list(self.by_client_key.values()):
             # What runs for this owner and has no stream to be told on is this stream's from now on.
-            if placing.spec.client == event.client and placing.bound and placing.session not in self.sessions:
-                placing.session, placing.request = event.session, 0
-                self.tell(placing, ev.TaskRecovered(0, placing.spec.key, placing.bound.node))
-
-    def left(self, event: ev.ClientDisconnected) -> None:
+            if (
+                placement.task.client == event.client
+                and placement.bound_attempt
+                and placement.session not in self.sessions
+            ):
+                placement.session, placement.request = event.session, 0
+                self.notify(placement, ev.TaskRecovered(0, placement.task.key, placement.bound_attempt.node))
+
+    def client_disconnected(self, event: ev.ClientDisconnected) -> None:
         """Danger: an owner gone in the middle must leave neither open tasks nor attempts behind."""
         session = self.sessions.pop(event.session, None)
         if session is None:
             return
-        others = self.by_owner.get(session.owner, [])
+        others = self.by_client.get(session.client, [])
         if event.session in others:
             others.remove(event.session)
         if not others:
-            self.by_owner.pop(session.owner, None)
-        for placing in list(session.asks.values()):
-            if placing.state is PlacementState.OPEN:
-                self._withdraw_open(placing)
+            self.by_client.pop(session.client, None)
+        for placement in list(session.placements.values()):
+            if placement.state is PlacementState.OPEN:
+                self._cancel_open(placement)
             elif others:
-                placing.session, placing.request = others[-1], 0
+                placement.session, placement.request = others[-1], 0
         for number in list(session.groups.values()):
             self.groups.owner_left(number, others[-1] if others else 0)
 
     # Asks
 
-    def asked(self, event: ev.PlacementRequested) -> None:
+    def placement_requested(self, event: ev.PlacementRequested) -> None:
         session = self.sessions[event.session]
         rejection = self._rejection(session, event)
         if rejection is not None:
             self.reject(event.session, event.request, rejection)
             return
-        known = self.named(event.task.client, event.task.key)
-        if known is not None and known.bound is not None:
+        known = self.find_by_key(event.task.client, event.task.key)
+        if known is not None and known.bound_attempt is not None:
             # It runs already. Danger: placed anew it would run twice.
             old = self.sessions.get(known.session)
             if old is not None:
-                old.asks.pop(known.request, None)
+                old.placements.pop(known.request, None)
             known.session, known.request = event.session, event.request
-            session.asks[event.request] = known
-            self.tell(known, ev.TaskRecovered(event.request, event.task.key, known.bound.node))
+            session.placements[event.request] = known
+            self.notify(known, ev.TaskRecovered(event.request, event.task.key, known.bound_attempt.node))
             return
-        placing = Placement(self.context, event.session, event.request, event.task)
-        placing.expires = self.context.now + event.wait_us - event.age_us
-        self.keep(placing)
-        session.asks[event.request] = placing
-        session.open += 1
+        placement = Placement(self.context, event.session, event.request, event.task)
+        placement.deadline = self.context.now + event.wait_us - event.age_us
+        self.register(placement)
+        session.placements[event.request] = placement
+        session.open_tasks += 1
         self.open_tasks += 1
         self.context.count("taken")
-        self.tell(placing, ev.Admitted(event.request, placing.number))
-        self.context.notify_module(api.TaskRequested(self.task(placing)))
+        self.notify(placement, ev.Admitted(event.request, placement.number))
+        self.context.notify_module(api.TaskRequested(self.module_task(placement)))
 
-    def reject(self, session: int, ask: int, rejection: ev.Rejection) -> None:
+    def reject(self, session: int, request: int, rejection: ev.Rejection) -> None:
         self.context.count("rejected")
-        self.context.emit(ev.SendToClient(session, ev.Rejected(ask, rejection)))
+        self.context.emit(ev.SendToClient(session, ev.Rejected(request, rejection)))
 
-    def bad_ask(self, session: int, ask: int) -> ev.Rejection | None:
+    def request_error(self, session: int, ask: int) -> ev.Rejection | None:
         """What is wrong with an ask of either kind before its tasks are looked at."""
-        if self.leaving:
-            return ev.Rejection("UNAVAILABLE", "", "this planner is leaving", admission.LEAVING_RETRY_US)
+        if self.draining:
+            return ev.Rejection("UNAVAILABLE", "", "this planner is leaving", admission.DRAINING_RETRY_US)
         known = self.sessions[session]
-        if ask <= 0 or ask in known.asks or ask in known.groups:
+        if ask <= 0 or ask in known.placements or ask in known.groups:
             message = "a number above 0 that no live ask of this stream has is needed"
             return ev.Rejection("INVALID_ARGUMENT", "ask", message)
         return None
 
-    def bad_task(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None:
+    def task_error(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None:
         context = self.context
-        return admission.invalid(
+        return admission.task_error(
             task, wait_us, context.config.bounds, context.settings, context.config.tenants
         )
 
-    def no_room(self, session: int) -> ev.Rejection | None:
+    def capacity_error(self, session: int) -> ev.Rejection | None:
         """Bounds of tables: how many tasks are open, an owner's, and attempts at nodes."""
-        open_here = self.sessions[session].open
-        return admission.no_room(
-            self.open_tasks, open_here, self.attempts.under_way(), self.context.config.bounds
+        open_here = self.sessions[session].open_tasks
+        return admission.capacity_error(
+            self.open_tasks, open_here, self.attempts.in_flight(), self.context.config.bounds
         )
 
     def _rejection(self, session: Session, event: ev.PlacementRequested) -> ev.Rejection | None:
-        wrong = self.bad_ask(event.session, event.request) or self.bad_task(event.task, event.wait_us)
+        wrong = self.request_error(event.session, event.request) or self.task_error(event.task, event.wait_us)
         if wrong is None:
-            wrong = admission.too_late(event.wait_us, event.age_us)
+            wrong = admission.deadline_error(event.wait_us, event.age_us)
         if wrong is not None:
             return wrong
-        known = self.named(event.task.client, event.task.key)
+        known = self.find_by_key(event.task.client, event.task.key)
         if known is not None and known.state is PlacementState.OPEN:
             return ev.Rejection("ALREADY_EXISTS", "task.key", "this task waits for its outcome already")
         effect = self.context.effect(self.context.classes[event.task.task_class])
-        if known is not None and known.bound is None and effect is not REPEATABLE:
+        if known is not None and known.bound_attempt is None and effect is not REPEATABLE:
             # Danger: an attempt that was given up may still run; asked again too soon it would run twice.
             message = "an earlier attempt of this task may still run"
             return ev.Rejection("ABORTED", "task.key", message, admission.UNSETTLED_RETRY_US)
-        return self.no_room(event.session)
+        return self.capacity_error(event.session)
 
-    def keep(self, placing: Placement) -> None:
-        """Know a placing by number and name from now on."""
-        self.placings[placing.number] = self.by_name[placing.name] = placing
+    def register(self, placement: Placement) -> None:
+        """Know a placement by number and name from now on."""
+        self.placements[placement.number] = self.by_client_key[placement.client_key] = placement
 
-    def task(self, placing: Placement) -> api.Task:
+    def module_task(self, placement: Placement) -> api.Task:
         """As the module is told of it."""
-        spec = placing.spec
+        spec = placement.task
         return api.Task(
-            placing.number,
-            placing.class_index,
+            placement.number,
+            placement.class_index,
             self.context.tenants.get(spec.tenant, 0),
             spec.key,
-            placing.expires,
+            placement.deadline,
             spec.service,
             spec.cores,
             spec.memory,
@@ -214,133 +220,133 @@
             spec.resubmitted,
         )
 
-    def withdrawn(self, event: ev.PlacementCancelled) -> None:
+    def placement_cancelled(self, event: ev.PlacementCancelled) -> None:
         session = self.sessions[event.session]
         if event.request in session.groups:
             self.context.count("groups_withdrawn")
             self.groups.withdrawn(session.groups[event.request])
             return
-        by_key = self.named(session.owner, event.key)
-        placing = session.asks.get(event.request) if event.request else by_key
-        if placing is None:
+        by_key = self.find_by_key(session.client, event.key)
+        placement = session.placements.get(event.request) if event.request else by_key
+        if placement is None:
             return  # it is over: the words have crossed
-        if placing.state is PlacementState.OPEN:
-            self._withdraw_open(placing)
-        elif placing.bound is not None and not placing.withdrawn:
-            placing.withdrawn = True
-            self.attempts.stop_bound(placing, ev.StopReason.CANCELLED)
+        if placement.state is PlacementState.OPEN:
+            self._cancel_open(placement)
+        elif placement.bound_attempt is not None and not placement.cancelled:
+            placement.cancelled = True
+            self.attempts.stop_bound(placement, ev.StopReason.CANCELLED)
 
-    def _withdraw_open(self, placing: Placement) -> None:
+    def _cancel_open(self, placement: Placement) -> None:
         """Nothing is owed any more; attempts that are out are called back."""
-        self.context.count("withdrawn")
-        self.answered(placing, "withdrawn")
-        self.context.notify_module(api.TaskCancelled(placing.number))
-        self.attempts.call_off(placing)
-        self.forget_if_over(placing)
+        self.context.count(PlacementEvent.CANCELLED)
+        self.conclude(placement, PlacementEvent.CANCELLED)
+        self.context.notify_module(api.TaskCancelled(placement.number))
+        self.attempts.cancel(placement)
+        self.forget_if_done(placement)
 
     # Groups of this stream, by the groups' room's numbers
 
-    def group_asked(self, session: int, ask: int, number: int) -> None:
+    def register_group(self, session: int, ask: int, number: int) -> None:
         self.sessions[session].groups[ask] = number
 
-    def group_over(self, session: int, ask: int) -> None:
+    def forget_group(self, session: int, ask: int) -> None:
         if session in self.sessions:
             self.sessions[session].groups.pop(ask, None)
 
     # Outcomes
 
-    def tell(self, placing: Placement, word: ev.ClientMessage) -> None:
-        self.tell_on(placing.session, word)
+    def notify(self, placement: Placement, word: ev.ClientMessage) -> None:
+        self.notify_session(placement.session, word)
 
-    def tell_on(self, session: int, word: ev.ClientMessage) -> None:
+    def notify_session(self, session: int, word: ev.ClientMessage) -> None:
         if session in self.sessions:
             self.context.emit(ev.SendToClient(session, word))
 
-    def answered(self, placing: Placement, event: str) -> None:
-        """The placing's one outcome is decided."""
-        placing.becomes(event)
-        if placing.group is not None:
+    def conclude(self, placement: Placement, event: PlacementEvent) -> None:
+        """The placement's one outcome is decided."""
+        placement.transition(event)
+        if placement.group is not None:
             return
         self.open_tasks -= 1
-        session = self.sessions.get(placing.session)
+        session = self.sessions.get(placement.session)
         if session is not None:
-            session.open -= 1
+            session.open_tasks -= 1
 
-    def refuse(self, action: api.Shed) -> None:
-        placing = self.placings.get(action.task)
-        if placing is None or placing.state is not PlacementState.OPEN:
+    def shed(self, action: api.Shed) -> None:
+        placement = self.placements.get(action.task)
+        if placement is None or placement.state is not PlacementState.OPEN:
             return
-        if placing.group is not None:
-            self.groups.member_unplaced(placing)
+        if placement.group is not None:
+            self.groups.member_unplaced(placement)
             return
         self.context.count("refused")
-        self.answered(placing, "refused")
-        self.tell(placing, ev.TaskShed(placing.request, action.retry_after_us, placing.last_reason))
-        self._after_answer(placing)
+        self.conclude(placement, PlacementEvent.SHED)
+        self.notify(placement, ev.TaskShed(placement.request, action.retry_after_us, placement.last_reason))
+        self._release(placement)
 
     def fail(self, action: api.Fail) -> None:
-        placing = self.placings.get(action.task)
-        if placing is None or placing.state is not PlacementState.OPEN:
+        placement = self.placements.get(action.task)
+        if placement is None or placement.state is not PlacementState.OPEN:
             return
-        if placing.group is not None:
-            self.groups.member_unplaced(placing)
+        if placement.group is not None:
+            self.groups.member_unplaced(placement)
             return
         self.context.count("failed")
-        may_run = bool(placing.attempts) or not placing.proven
-        self.answered(placing, "failed")
-        self.tell(placing, ev.TaskFailed(placing.request, may_run))
-        self._after_answer(placing)
+        may_run = bool(placement.attempts) or not placement.known_not_run
+        self.conclude(placement, PlacementEvent.FAILED)
+        self.notify(placement, ev.TaskFailed(placement.request, may_run))
+        self._release(placement)
 
-    def _after_answer(self, placing: Placement) -> None:
+    def _release(self, placement: Placement) -> None:
         """The ask is done with; copies that nodes have spoken of meanwhile are not."""
-        session = self.sessions.get(placing.session)
+        session = self.sessions.get(placement.session)
         if session is not None:
-            session.asks.pop(placing.request, None)
-        self.attempts.after_answer(placing)
-        self.forget_if_over(placing)
+            session.placements.pop(placement.request, None)
+        self.attempts.placement_concluded(placement)
+        self.forget_if_done(placement)
 
-    def place(self, placing: Placement, node: int, shot: int, latency: int) -> None:
+    def task_placed(self, placement: Placement, node: int, number: int, latency: int) -> None:
         """It is bound; ``latency`` since the offer."""
         self.context.count("placed")
-        self.answered(placing, "placed")
-        self.context.notify_module(api.Placed(placing.number, shot, node, latency))
-        self.tell(placing, ev.TaskPlaced(placing.request, node, shot, latency))
+        self.conclude(placement, PlacementEvent.PLACED)
+        self.context.notify_module(api.Placed(placement.number, number, node, latency))
+        self.notify(placement, ev.TaskPlaced(placement.request, node, number, latency))
 
     def adopt(self, spec: ev.TaskSpec, former: Placement | None) -> Placement:
         """A task that is at a node though nothing here waits for it: it is told on its owner's stream."""
-        placing = Placement(self.context, 0, 0, spec, PlacementState.PLACED)
+        placement = Placement(self.context, 0, 0, spec, PlacementState.PLACED)
         if former is not None and former.session in self.sessions:
-            placing.session, placing.request = former.session, former.request
-            self.sessions[former.session].asks[former.request] = placing
+            placement.session, placement.request = former.session, former.request
+            self.sessions[former.session].placements[former.request] = placement
         else:
-            placing.session = self.newest(spec.client)
-        self.keep(placing)
-        return placing
+            placement.session = self.newest_session(spec.client)
+        self.register(placement)
+        return placement
 
-    def forget_if_over(self, placing: Placement) -> None:
-        """Drop a placing of which nothing is left."""
-        if placing.state is PlacementState.OPEN or placing.attempts:
+    def forget_if_done(self, placement: Placement) -> None:
+        """Drop a placement of which nothing is left."""
+        if placement.state is PlacementState.OPEN or placement.attempts:
             return
-        if self.placings.pop(placing.number, None) is not None and placing.group is not None:
-            self.groups.member_gone(placing)
-        if self.by_name.get(placing.name) is placing:
-            del self.by_name[placing.name]
-        session = self.sessions.get(placing.session)
-        if session is not None and session.asks.get(placing.request) is placing:
-            del session.asks[placing.request]
+        if self.placements.pop(placement.number, None) is not None and placement.group is not None:
+            self.groups.member_gone(placement)
+        if self.by_client_key.get(placement.client_key) is placement:
+            del self.by_client_key[placement.client_key]
+        session = self.sessions.get(placement.session)
+        if session is not None and session.placements.get(placement.request) is placement:
+            del session.placements[placement.request]
 
     # Leaving
 
-    def answer_all(self) -> None:
+    def conclude_all(self) -> None:
         """What is still owed is answered now: refused where a retry is proven harmless, else failed."""
         owed: Iterable[Placement] = [
-            p for p in self.all() if p.state is PlacementState.OPEN and p.group is None
+            p for p in self.all_placements() if p.state is PlacementState.OPEN and p.group is None
         ]
-        for placing in owed:
-            out = any(not a.waiting for a in placing.attempts.values())
-            harmless = placing.effect is REPEATABLE or (placing.proven and not out)
-            self.context.notify_module(api.TaskCancelled(placing.number))
+        for placement in owed:
+            out = any(not a.waiting for a in placement.attempts.values())
+            harmless = placement.effect is REPEATABLE or (placement.known_not_run and not out)
+            self.context.notify_module(api.TaskCancelled(placement.number))
             if harmless:
-                self.refuse(api.Shed(placing.number, admission.LEAVING_RETRY_US))
+                self.shed(api.Shed(placement.number, admission.DRAINING_RETRY_US))
             else:
-                self.fail(api.Fail(placing.number))
+                self.fail(api.Fail(placement.number))
--- a/stairplank/planner/context.py
+++ b/stairplank/planner/context.py
@@ -26,15 +26,19 @@
     zones: tuple[str, ...]
     dial_timeout_us: int = 250_000
     dial_retry_us: int = 100_000
-    dial_retry_most_us: int = 2_000_000
+    max_dial_retry_us: int = 2_000_000
     link_grace_us: int = 1_000_000
     stop_grace_us: int = 10_000_000
-    leftover_us: int = 30_000_000  # so long a node's word on a given-up attempt is waited for
-    nodes_most: int = 10_000
-    dials_most: int = 16  # under way at once
+    abandoned_attempt_us: int = 30_000_000  # so long a node's word on a given-up attempt is waited for
+    max_nodes: int = 10_000
+    max_dials: int = 16  # under way at once
     groups: GroupConfig = GroupConfig()
-    proofs: bool = True  # baseline for experiments: a given-up offer's void wait proves nothing
-    foundling_us: int = 1_000_000  # so long a restarted planner looks for the rest of a group that it finds
+    settles_abandoned_offers: bool = (
+        True  # baseline for experiments: a given-up offer's void wait proves nothing
+    )
+    orphan_search_us: int = (
+        1_000_000  # so long a restarted planner looks for the rest of a group that it finds
+    )
 
 
 class CoreContext(EventLoop):
@@ -53,7 +57,7 @@
         self.tenants = {name: i for i, name in enumerate(config.tenants)}
 
     def log(self, event: str, **fields: object) -> None:
-        self.emit(ev.Report(event, fields))
+        self.emit(ev.LogEvent(event, fields))
 
     def effect(self, class_index: int) -> api.Effect:
         return self.settings.classes[class_index].effect
--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -36,8 +36,6 @@
 from .node_links import Links
 from .nodelist import NodeList
 
-MODULE_IDS = 2**52  # ids of tasks stay below
-
 
 class Core:
     """One life of a planner. ``life`` must be a number that no other life has."""
@@ -46,31 +44,31 @@
         self.context = CoreContext(settings, config, incarnation)
         self.incarnation = incarnation
         self.module = Planner(settings, seed)
-        self.owners = ClientRequests(self.context)
+        self.requests = ClientRequests(self.context)
         self.attempts = Attempts(self.context)
         self.links = Links(self.context, random.Random(seed ^ 0x11))
-        self.list = NodeList(self.context)
+        self.node_list = NodeList(self.context)
         self.leases = Leases(self.context)
         self.groups = Groups(self.context, self.leases, seed ^ 0x6709)
-        self.owners.attempts, self.owners.groups = self.attempts, self.groups
-        self.attempts.owners, self.attempts.links = self.owners, self.links
+        self.requests.attempts, self.requests.groups = self.attempts, self.groups
+        self.attempts.requests, self.attempts.links = self.requests, self.links
         self.attempts.groups = self.groups
-        self.links.attempts, self.links.owners = self.attempts, self.owners
-        self.links.groups, self.links.list = self.groups, self.list
+        self.links.attempts, self.links.requests = self.attempts, self.requests
+        self.links.groups, self.links.list = self.groups, self.node_list
         self.links.leases = self.leases
-        self.list.links, self.list.attempts = self.links, self.attempts
+        self.node_list.links, self.node_list.attempts = self.links, self.attempts
         self.leases.attempts = self.attempts
-        self.groups.owners, self.groups.attempts = self.owners, self.attempts
-        self.groups.links, self.groups.list = self.links, self.list
+        self.groups.requests, self.groups.attempts = self.requests, self.attempts
+        self.groups.links, self.groups.list = self.links, self.node_list
         self.stopping = False
-        self._handlers: dict[type, Callable[[Any], None]] = {
-            ev.ClientConnected: self.owners.came,
-            ev.ClientDisconnected: self.owners.left,
-            ev.PlacementRequested: self.owners.asked,
-            ev.PlacementCancelled: self.owners.withdrawn,
+        self._event_handlers: dict[type, Callable[[Any], None]] = {
+            ev.ClientConnected: self.requests.client_connected,
+            ev.ClientDisconnected: self.requests.client_disconnected,
+            ev.PlacementRequested: self.requests.placement_requested,
+            ev.PlacementCancelled: self.requests.placement_cancelled,
             ev.GroupRequested: self.groups.asked,
-            ev.NodeListReceived: self.list.told,
-            ev.NodeListFailed: self.list.failed,
+            ev.NodeListReceived: self.node_list.told,
+            ev.NodeListFailed: self.node_list.failed,
             ev.LinkUp: self.links.came_up,
             ev.DialFailed: self.links.failed,
             ev.LinkDown: self.links.lost,
@@ -80,26 +78,26 @@
             ev.NodeAccepted: self.attempts.node_accepted,
             ev.NodeReady: self.attempts.node_ready,
             ev.NodeRunning: self.attempts.node_running,
-            ev.NodeRejected: self.attempts.node_refused,
+            ev.NodeRejected: self.attempts.node_rejected,
             ev.NodeError: self.attempts.node_error,
             ev.NodeEnded: self.attempts.node_ended,
             ev.NodeUsage: self.attempts.node_usage,
             ev.LeasesRenewed: self.leases.kept,
-            ev.HealthCheckCompleted: self._probe_told,
-            ev.ShutdownRequested: self._stop_asked,
+            ev.HealthCheckCompleted: self._health_checked,
+            ev.ShutdownRequested: self._shutdown_requested,
             ev.SettingsChanged: self._settings_changed,
-            ev.TimerDue: self._due,
+            ev.TimerDue: self._timer_due,
         }
-        self._carriers: dict[type, Callable[[Any], None]] = {
+        self._action_handlers: dict[type, Callable[[Any], None]] = {
             api.Bind: self.attempts.bind,
             api.StopAttempt: self.attempts.stop_attempt,
             api.Evict: self.attempts.evict,
-            api.Shed: self.owners.refuse,
-            api.Fail: self.owners.fail,
+            api.Shed: self.requests.shed,
+            api.Fail: self.requests.fail,
             api.SetTimer: self._set_timer,
-            api.HealthCheck: self._probe,
-            api.WatchNodeList: self._watch,
-            api.FetchNodeList: self._fetch,
+            api.HealthCheck: self._check_health,
+            api.WatchNodeList: self._watch_node_list,
+            api.FetchNodeList: self._fetch_node_list,
             api.Log: self._module_log,
         }
 
@@ -115,27 +113,27 @@
     def handle(self, now: int, event: ev.Event) -> list[ev.Action]:
         """Take an event, and whatever has come due; return what is to be done, in order."""
         self._begin(now)
-        self._pass_time()
-        self._handlers[type(event)](event)
+        self._run_timers()
+        self._event_handlers[type(event)](event)
         self._run()
         return self.context.actions
 
-    def woke(self, now: int, events: list[ev.Event]) -> list[ev.Action]:
+    def handle_after_stall(self, now: int, events: list[ev.Event]) -> list[ev.Action]:
         """Take what came while the process stood still, before the time that has passed is felt.
 
         Danger: timers that fell due meanwhile would send offers to nodes whose word of a drain lies unread in
         the planner's own socket. What nodes and the list said comes first, then time, then owners.
         """
         self._begin(now)
-        told = [e for e in events if not isinstance(e, _OWNERS)]
+        told = [e for e in events if not isinstance(e, _CLIENT_EVENTS)]
         told.sort(key=lambda e: not isinstance(e, (ev.NodeDraining, ev.NodeListReceived)))
         for word in told:
-            self._handlers[type(word)](word)
+            self._event_handlers[type(word)](word)
             self._run()
-        self._pass_time()
+        self._run_timers()
         for event in events:
-            if isinstance(event, _OWNERS):
-                self._handlers[type(event)](event)
+            if isinstance(event, _CLIENT_EVENTS):
+                self._event_handlers[type(event)](event)
                 self._run()
         return self.context.actions
 
@@ -146,7 +144,7 @@
     @property
     def finished(self) -> bool:
         """Whether a stopping planner owes nothing more."""
-        return self.stopping and self.owners.open_tasks == 0 and not self.groups.owed()
+        return self.stopping and self.requests.open_tasks == 0 and not self.groups.owed()
 
     @property
     def counts(self) -> dict[str, int]:
@@ -161,40 +159,40 @@
         while told or words:
             while told:
                 for action in self.module.handle(self.context.now, told.popleft()):
-                    self._carriers[type(action)](action)
+                    self._action_handlers[type(action)](action)
             if words:
                 self.groups.take_word()
 
-    def _pass_time(self) -> None:
+    def _run_timers(self) -> None:
         while (due := self.context.pop_due()) is not None:
-            due.call(due.what)
+            due.callback(due.argument)
             self._run()
 
-    def _due(self, event: ev.TimerDue) -> None:
+    def _timer_due(self, event: ev.TimerDue) -> None:
         pass
 
     # The module's own
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        self.context.call_at(action.at_us, self._timer, action.token)
+        self.context.call_at(action.at_us, self._module_timer_fired, action.token)
 
-    def _timer(self, token: int) -> None:
+    def _module_timer_fired(self, token: int) -> None:
         self.context.notify_module(api.TimerFired(token))
 
-    def _probe(self, action: api.HealthCheck) -> None:
+    def _check_health(self, action: api.HealthCheck) -> None:
         if self.links.up(action.node):
             self.context.count("probes")
             self.context.emit(ev.CheckHealth(action.node))
         else:
             self.context.notify_module(api.HealthChecked(action.node, False, 0))
 
-    def _probe_told(self, event: ev.HealthCheckCompleted) -> None:
+    def _health_checked(self, event: ev.HealthCheckCompleted) -> None:
         self.context.notify_module(api.HealthChecked(event.node, event.ok, event.latency_us, event.report))
 
-    def _watch(self, action: api.WatchNodeList) -> None:
-        self.context.emit(ev.WatchNodeList(action.active, self.list.revision))
+    def _watch_node_list(self, action: api.WatchNodeList) -> None:
+        self.context.emit(ev.WatchNodeList(action.active, self.node_list.revision))
 
-    def _fetch(self, action: api.FetchNodeList) -> None:
+    def _fetch_node_list(self, action: api.FetchNodeList) -> None:
         self.context.emit(ev.FetchNodeList())
 
     def _module_log(self, action: api.Log) -> None:
@@ -212,22 +210,24 @@
         self.module.s = event.settings
         self.groups.settings_changed()
         self.links.settings_changed()
-        self.list.settings_changed()
+        self.node_list.settings_changed()
         self.context.count("settings_changed")
 
     # Leaving
 
-    def _stop_asked(self, event: ev.ShutdownRequested) -> None:
+    def _shutdown_requested(self, event: ev.ShutdownRequested) -> None:
         if not self.stopping:
-            self.stopping = self.owners.leaving = True
+            self.stopping = self.requests.draining = True
             self.groups.leave()
-            self.context.call_at(self.context.now + self.context.config.stop_grace_us, self._stop_over)
+            self.context.call_at(
+                self.context.now + self.context.config.stop_grace_us, self._shutdown_timed_out
+            )
 
-    def _stop_over(self, _: None) -> None:
-        self.owners.answer_all()
+    def _shutdown_timed_out(self, _: None) -> None:
+        self.requests.conclude_all()
 
 
-_OWNERS = (
+_CLIENT_EVENTS = (
     ev.ClientConnected,
     ev.ClientDisconnected,
     ev.PlacementRequested,
--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -139,7 +139,7 @@
 
     def _leave(self) -> bool:
         """Take nothing new, answer what is owed, close. Bounded by stop-grace and two seconds."""
-        self.log.info("planner leaves", owed=self.core.owners.open_tasks)
+        self.log.info("planner leaves", owed=self.core.requests.open_tasks)
         self.health.set(False)
         self.configuration.stop()
         self.server.leave()
@@ -152,7 +152,7 @@
         clean = self.server.stop(1.0)
         for link in list(self.links.values()):
             link.hang_up()
-        self.log.info("planner has left", owed=self.core.owners.open_tasks, **self.core.counts)
+        self.log.info("planner has left", owed=self.core.requests.open_tasks, **self.core.counts)
         return self.core.finished and clean
 
     # Settings
@@ -205,7 +205,7 @@
         self.log.info("stood still", ms=stood // 1000, came=len(events))
         self._working = True
         try:
-            self._carry_out(self.core.woke(now_us(), events))
+            self._carry_out(self.core.handle_after_stall(now_us(), events))
         finally:
             self._working = False
         self.feed(ev.TimerDue())
@@ -256,7 +256,7 @@
                         self._watch = gevent.spawn(self._watch_list, action.revision)
                 case ev.FetchNodeList():
                     gevent.spawn(self._fetch_list)
-                case ev.Report():
+                case ev.LogEvent():
                     self.log.info(action.event, **action.fields)
 
     # Owners
@@ -301,8 +301,8 @@
 
     def _owes(self, session: int) -> bool:
         """Whether words of an owner's stream are still to come, or what it said has not been looked at."""
-        known = self.core.owners.sessions.get(session)
-        return known is None or bool(known.asks or known.groups)
+        known = self.core.requests.sessions.get(session)
+        return known is None or bool(known.placements or known.groups)
 
     def _end_older(self, peer: tuple[str, int]) -> None:
         """Danger: an ask that an old connection kept could come after its withdrawal on the new one."""
--- a/stairplank/planner/event_loop.py
+++ b/stairplank/planner/event_loop.py
@@ -12,14 +12,14 @@
 from typing import Any, NamedTuple
 
 from .. import interface as api
-from .state_table import Table
+from .state_table import TransitionTable
 
 
 class _Timer(NamedTuple):
-    at: int
+    due_at: int
     order: int
-    call: Callable[[Any], None]
-    what: Any
+    callback: Callable[[Any], None]
+    argument: Any
 
 
 class EventLoop:
@@ -48,33 +48,33 @@
         """Queue an event for the decision module; it is handled after the current event."""
         self.module_events.append(event)
 
-    def count(self, what: str) -> None:
+    def count(self, name: str) -> None:
         """Increment a named counter."""
-        self.counts[what] = self.counts.get(what, 0) + 1
+        self.counts[name] = self.counts.get(name, 0) + 1
 
     def next_number(self) -> int:
         """A number that is unique within this process life."""
         self._last_number += 1
         return self._last_number
 
-    def transition(self, table: Table, state: Any, event: str) -> Any:
-        """The state that follows. Raises IllegalTransition."""
+    def transition(self, table: TransitionTable, state: Any, event: str) -> Any:
+        """The state that follows. Raises IllegalTransitionError."""
         self.transition_counts[table.name, state, event] += 1
         return table.after(state, event)
 
     # Timers
 
-    def call_at(self, at: int, call: Callable[[Any], None], what: Any = None) -> None:
+    def call_at(self, at: int, callback: Callable[[Any], None], argument: Any = None) -> None:
         """Schedule ``call(what)`` for that time; timers of the same time keep their order."""
         self._last_order += 1
-        heapq.heappush(self._timers, _Timer(at, self._last_order, call, what))
+        heapq.heappush(self._timers, _Timer(at, self._last_order, callback, argument))
 
     def next_due(self) -> int | None:
         """When the first timer is due, or None."""
-        return self._timers[0].at if self._timers else None
+        return self._timers[0].due_at if self._timers else None
 
     def pop_due(self) -> _Timer | None:
         """Remove and return the first timer that is due, or None."""
-        if self._timers and self._timers[0].at <= self.now:
+        if self._timers and self._timers[0].due_at <= self.now:
             return heapq.heappop(self._timers)
         return None
--- a/stairplank/planner/events.py
+++ b/stairplank/planner/events.py
@@ -456,7 +456,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LogEvent:
     """For the log."""
 
     event: str
@@ -475,5 +475,5 @@
     | WatchNodeList
     | FetchNodeList
     | SendToClient
-    | Report
+    | LogEvent
 )
--- a/stairplank/planner/grouping.py
+++ b/stairplank/planner/grouping.py
@@ -32,6 +32,7 @@
 from .events import AttemptId
 from .leases import Leases
 from .placement import Attempt, Placement
+from .transitions import PlacementEvent
 
 
 @dataclass(slots=True)
@@ -60,28 +61,28 @@
         return bool(self.members) and len({*self.members, *self.finished}) >= self.size
 
 
-class Owners(Protocol):
+class ClientRequests(Protocol):
     """What groups need of what owners are owed."""
 
-    def bad_ask(self, session: int, ask: int) -> ev.Rejection | None: ...
-    def bad_task(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None: ...
-    def no_room(self, session: int) -> ev.Rejection | None: ...
+    def request_error(self, session: int, ask: int) -> ev.Rejection | None: ...
+    def task_error(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None: ...
+    def capacity_error(self, session: int) -> ev.Rejection | None: ...
     def reject(self, session: int, ask: int, rejection: ev.Rejection) -> None: ...
-    def owner_of(self, session: int) -> str: ...
-    def named(self, owner: str, key: int) -> Placement | None: ...
-    def newest(self, owner: str) -> int: ...
-    def group_asked(self, session: int, ask: int, number: int) -> None: ...
-    def group_over(self, session: int, ask: int) -> None: ...
-    def tell_on(self, session: int, word: ev.ClientMessage) -> None: ...
-    def keep(self, placing: Placement) -> None: ...
-    def task(self, placing: Placement) -> api.Task: ...
+    def client_of(self, session: int) -> str: ...
+    def find_by_key(self, owner: str, key: int) -> Placement | None: ...
+    def newest_session(self, owner: str) -> int: ...
+    def register_group(self, session: int, ask: int, number: int) -> None: ...
+    def forget_group(self, session: int, ask: int) -> None: ...
+    def notify_session(self, session: int, word: ev.ClientMessage) -> None: ...
+    def register(self, placing: Placement) -> None: ...
+    def module_task(self, placing: Placement) -> api.Task: ...
 
 
 class Attempts(Protocol):
     """What groups need of the attempts."""
 
-    def known(self, id: AttemptId) -> Attempt | None: ...
-    def call_back(self, placing: Placement) -> None: ...
+    def find(self, id: AttemptId) -> Attempt | None: ...
+    def abandon_member(self, placing: Placement) -> None: ...
     def adopt(self, node: int, id: AttemptId, spec: ev.TaskSpec, running: bool) -> Attempt: ...
 
 
@@ -99,7 +100,7 @@
     def __init__(self, context: CoreContext, leases: Leases, seed: int) -> None:
         self.context = context
         self.leases = leases
-        self.owners: Owners
+        self.requests: ClientRequests
         self.attempts: Attempts
         self.links: Links
         self.list: NodeList
@@ -117,7 +118,7 @@
         number, member = placing.group
         size = self.records[number].spec.least
         # Held at least until the try is over and its members were let run.
-        lease = placing.expires - self.context.now + self.context.config.groups.lease_us
+        lease = placing.deadline - self.context.now + self.context.config.groups.lease_us
         return ev.GroupTag(self.context.incarnation, number, size, member, max(1, lease))
 
     def owed(self) -> bool:
@@ -128,44 +129,44 @@
 
     def asked(self, event: ev.GroupRequested) -> None:
         least = event.min_members or len(event.members)
-        owner = self.owners.owner_of(event.session)
+        owner = self.requests.client_of(event.session)
         spec = GroupSpec(
             owner, event.members, least, event.same_rack, event.distinct_nodes, event.distinct_racks
         )
         rejection = self._rejection(event, spec)
         if rejection is not None:
-            self.owners.reject(event.session, event.request, rejection)
+            self.requests.reject(event.session, event.request, rejection)
             return
         number = self.context.next_number()
         deadline = self.context.now + event.wait_us - event.age_us
         self.records[number] = GroupRecord(event.session, event.request, spec, deadline)
-        self.owners.group_asked(event.session, event.request, number)
+        self.requests.register_group(event.session, event.request, number)
         self.context.count("groups_taken")
-        self.owners.tell_on(event.session, ev.Admitted(event.request, number))
+        self.requests.notify_session(event.session, ev.Admitted(event.request, number))
         places = self.list.places() if wishes(spec) else ()
         room = self.list.room()
         self._carry(self.coordinator.asked(self.context.now, number, spec, deadline, room, places))
 
     def _rejection(self, event: ev.GroupRequested, spec: GroupSpec) -> ev.Rejection | None:
-        wrong = self.owners.bad_ask(event.session, event.request) or check(spec, event.min_members)
-        wrong = wrong or admission.too_late(event.wait_us, event.age_us)
+        wrong = self.requests.request_error(event.session, event.request) or check(spec, event.min_members)
+        wrong = wrong or admission.deadline_error(event.wait_us, event.age_us)
         if wrong is not None:
             return wrong
         for i, member in enumerate(event.members):
             if member.client != spec.owner:
                 message = "is not the stream's owner"
                 return ev.Rejection("INVALID_ARGUMENT", f"members[{i}].owner", message)
-            wrong = self.owners.bad_task(member, event.wait_us)
+            wrong = self.requests.task_error(member, event.wait_us)
             if wrong is not None:
                 field_ = wrong.field.replace("task.", f"members[{i}].")
                 return ev.Rejection(wrong.code, field_, wrong.message)
-            if self.owners.named(member.client, member.key) is not None:
+            if self.requests.find_by_key(member.client, member.key) is not None:
                 message = "this task waits, runs or may run already"
                 return ev.Rejection("ALREADY_EXISTS", f"members[{i}].key", message, admission.BUSY_RETRY_US)
         if len(self.coordinator.groups) >= self.context.config.groups.groups_most:
             message = f"{len(self.coordinator.groups)} groups are looked after here"
             return ev.Rejection("RESOURCE_EXHAUSTED", "", message, admission.BUSY_RETRY_US)
-        return self.owners.no_room(event.session)
+        return self.requests.capacity_error(event.session)
 
     def owner_came(self, owner: str, session: int, live: Callable[[int], bool]) -> None:
         """What has no stream to be told on, and members that are still known, is told on this one."""
@@ -174,7 +175,7 @@
                 record.session, record.ask = session, 0
 
     def _any_known(self, record: GroupRecord) -> bool:
-        return any(self.owners.named(*p.name) is p for p in record.placings.values())
+        return any(self.requests.find_by_key(*p.client_key) is p for p in record.placings.values())
 
     def owner_left(self, number: int, other: int) -> None:
         record = self.records.get(number)
@@ -221,8 +222,8 @@
             record = self.records.get(number)
             if record is None or record.placings.get(member) is not placing:
                 return  # of a try that is long over
-            why = placing.ended or "no place was found"
-            done = placing.ended == "finished"
+            why = placing.end_reason or "no place was found"
+            done = placing.end_reason == "finished"
             out = self.coordinator.over(self.context.now, number, member, done, why)
         elif what == "ready":
             rack = self.list.rack(of.node)
@@ -234,8 +235,8 @@
 
     def member_unplaced(self, placing: Placement) -> None:
         """The module found no place for a member in this try; attempts that are out are called back."""
-        placing.becomes("failed")
-        self.attempts.call_back(placing)
+        placing.transition(PlacementEvent.FAILED)
+        self.attempts.abandon_member(placing)
 
     def member_over(self, placing: Placement, finished: bool, reason: api.Reason) -> None:
         """A member that was bound has its node's last word."""
@@ -275,7 +276,7 @@
                 for node, ids in self._ids(record, members):
                     self.context.emit(ev.SendCommit(node, ids, lease))
                     for id in ids:
-                        attempt = self.attempts.known(id)
+                        attempt = self.attempts.find(id)
                         assert attempt is not None
                         self.leases.hold(attempt, self.context.now + lease)
             case gr.Keep(_, members, lease):
@@ -287,7 +288,7 @@
             case gr.Placed(_, members, met, tries):
                 record.placed = True
                 self.context.count("groups_placed")
-                bound = [(m, record.placings[m].bound) for m in members]
+                bound = [(m, record.placings[m].bound_attempt) for m in members]
                 bindings = tuple((m, a.node) for m, a in bound if a is not None)
                 self._tell(record, ev.GroupPlaced(record.ask, bindings, met, tries))
             case gr.Refused(_, why, never, after):
@@ -307,15 +308,15 @@
     def _try(self, record: GroupRecord, number: int, member: int, until: int) -> None:
         placing = Placement(self.context, record.session, 0, record.spec.members[member])
         placing.group = (number, member)
-        placing.expires = until
+        placing.deadline = until
         record.placings[member] = placing
-        self.owners.keep(placing)
+        self.requests.register(placing)
         self.context.count("members_tried")
         # The module is told the group's deadline, not the try's: else it would take every member for one that
         # comes too late and keep a reserve from it. Whether a group is tried again is the coordinator's
         # matter, so that a member does not count as one that came back either.
         closed = self._closed(record, number, member) if self.coordinator.steered(number) else frozenset()
-        task = self.owners.task(placing)
+        task = self.requests.module_task(placing)
         task = replace(task, expires_us=record.deadline, resubmitted=False, excluded_nodes=closed)
         self.context.notify_module(api.TaskRequested(task))
 
@@ -329,7 +330,7 @@
         for other, placing in record.placings.items():
             if other != member and placing.state in (PlacementState.OPEN, PlacementState.PLACED):
                 for attempt in placing.attempts.values():
-                    if not attempt.reported:
+                    if not attempt.outcome_reported:
                         taken[other] = attempt.node
         return taken
 
@@ -346,27 +347,27 @@
         """The bound attempts of members, by node, over links that are up."""
         by_node: dict[int, list[AttemptId]] = {}
         for member in members:
-            attempt = record.placings[member].bound
+            attempt = record.placings[member].bound_attempt
             if attempt is not None and self.links.up(attempt.node):
                 by_node.setdefault(attempt.node, []).append(attempt.id)
         return [(node, tuple(ids)) for node, ids in by_node.items()]
 
     def _tell(self, record: GroupRecord, word: ev.GroupMessage) -> None:
-        self.owners.tell_on(record.session, word)
+        self.requests.notify_session(record.session, word)
 
     def _drop_if_over(self, number: int) -> None:
         record = self.records.get(number)
         if record is None or number in self.coordinator.groups:
             return
         del self.records[number]
-        self.owners.group_over(record.session, record.ask)
+        self.requests.forget_group(record.session, record.ask)
 
     def _release(self, placing: Placement) -> None:
         if placing.state is PlacementState.OPEN:
-            placing.becomes("withdrawn")
+            placing.transition(PlacementEvent.CANCELLED)
             self.context.notify_module(api.TaskCancelled(placing.number))
-        placing.withdrawn = True
-        self.attempts.call_back(placing)
+        placing.cancelled = True
+        self.attempts.abandon_member(placing)
 
     # Groups of an earlier life
 
@@ -398,7 +399,7 @@
         key = (tag.incarnation, tag.group)
         found = self.foundlings.get(key)
         if found is None:
-            until = self.context.now + self.context.config.foundling_us
+            until = self.context.now + self.context.config.orphan_search_us
             found = self.foundlings[key] = Foundling(tag.size, until)
             self.context.call_at(until, self._foundling_over, key)
         return found
@@ -415,7 +416,7 @@
         done = [t for m, t in sorted(found.finished.items()) if m not in found.members]
         owner = held[0][1].task.client
         spec = GroupSpec(owner, tuple(t.task for t in (*(t for _, t in held), *done)), found.size)
-        record = self.records[number] = GroupRecord(self.owners.newest(owner), 0, spec, placed=True)
+        record = self.records[number] = GroupRecord(self.requests.newest_session(owner), 0, spec, placed=True)
         for member, (node, task) in enumerate(held):
             attempt = self.attempts.adopt(node, task.id, task.task, True)
             attempt.placement.group = (number, member)
--- a/stairplank/planner/leases.py
+++ b/stairplank/planner/leases.py
@@ -3,7 +3,7 @@
 
 Invariants (tests/planner/test_leases.py, with the other rooms played by hand):
 
-1. ``kept_until`` of an attempt is never later than its node keeps it: it counts from when the last keep
+1. ``leased_until`` of an attempt is never later than its node keeps it: it counts from when the last keep
    that the node has answered, or the commit, was said.
 2. A member whose lease is over for all that is known is told as lost, once, and called off.
 3. At most ``KEEPS_MOST`` keeps are under way to a node; an answer to one answers for those before it.
@@ -26,9 +26,9 @@
 
 
 class Attempts(Protocol):
-    def known(self, id: AttemptId) -> Attempt | None: ...
+    def find(self, id: AttemptId) -> Attempt | None: ...
     def stop(self, attempt: Attempt, why: ev.StopReason) -> None: ...
-    def over(self, attempt: Attempt, result: api.Result) -> None: ...
+    def end(self, attempt: Attempt, result: api.Result) -> None: ...
 
 
 class Leases:
@@ -54,7 +54,7 @@
             keep = waiting.popleft()
             until = self._said.pop(keep.renewal) + keep.lease_us
             for id in keep.ids if keep.renewal == event.renewal else ():
-                attempt = self.attempts.known(id)
+                attempt = self.attempts.find(id)
                 if attempt is not None:
                     self.hold(attempt, until)
         if not waiting:
@@ -66,20 +66,20 @@
 
     def hold(self, attempt: Attempt, until: int) -> None:
         """So long the node keeps a member for certain; one timer an attempt looks after it."""
-        if not attempt.kept_until:
+        if not attempt.leased_until:
             self.context.call_at(until, self._over, attempt)
-        attempt.kept_until = max(attempt.kept_until, until)
+        attempt.leased_until = max(attempt.leased_until, until)
 
     def _over(self, attempt: Attempt) -> None:
         """Danger: where keeps are held on their way, a node has released its members and cannot say so.
 
         The rest of the group would run on by itself until the link is found to be dead, seconds later.
         """
-        if self.attempts.known(attempt.id) is not attempt or attempt.placement.group is None:
+        if self.attempts.find(attempt.id) is not attempt or attempt.placement.group is None:
             return
-        if attempt.kept_until > self.context.now:
-            self.context.call_at(attempt.kept_until, self._over, attempt)
+        if attempt.leased_until > self.context.now:
+            self.context.call_at(attempt.leased_until, self._over, attempt)
             return
         self.context.count("leases_over")
         self.attempts.stop(attempt, ev.StopReason.ABANDONED)
-        self.attempts.over(attempt, api.Result.LOST)
+        self.attempts.end(attempt, api.Result.LOST)
--- a/stairplank/planner/live_settings.py
+++ b/stairplank/planner/live_settings.py
@@ -21,11 +21,11 @@
         zones=config.cluster.zones,
         dial_timeout_us=config.dial_timeout_us,
         dial_retry_us=config.dial_retry_us,
-        dial_retry_most_us=config.dial_retry_most_us,
+        max_dial_retry_us=config.dial_retry_most_us,
         link_grace_us=config.link_grace_us,
         stop_grace_us=config.stop_grace_us,
-        nodes_most=config.nodes_most,
-        dials_most=config.dials_most,
+        max_nodes=config.nodes_most,
+        max_dials=config.dials_most,
     )
 
 
--- a/stairplank/planner/node_links.py
+++ b/stairplank/planner/node_links.py
@@ -3,7 +3,7 @@
 
 Invariants (tests/planner/test_node_links.py, with the other rooms played by hand):
 
-1. One link a node, in one state of the table LINK; at most ``dials_most`` are being dialled.
+1. One link a node, in one state of the table LINK; at most ``max_dials`` are being dialled.
 2. Of a link that broke, every attempt that had left is unsettled until the node's next word on it, until what
    the node holds is told, or until the grace is over; then each is settled, once.
 3. A node is asked what it holds at each new link, and not oftener than once a second besides.
@@ -33,25 +33,25 @@
 class Attempts(Protocol):
     """What links need of the attempts."""
 
-    def known(self, id: AttemptId) -> Attempt | None: ...
-    def at(self, node: int) -> list[Attempt]: ...
-    def any_at(self, node: int) -> bool: ...
-    def over_unsent(self, node: int, unsent: frozenset[AttemptId]) -> list[AttemptId]: ...
-    def send_waiting(self, node: int) -> None: ...
-    def drop_waiting(self, node: int) -> None: ...
-    def lost_with_its_life(self, node: int) -> None: ...
-    def lose(self, ids: list[AttemptId]) -> None: ...
-    def not_held(self, ids: list[AttemptId], complete: bool) -> None: ...
-    def never_taken(self, event: ev.NodeTasksReported, held: set[AttemptId]) -> None: ...
+    def find(self, id: AttemptId) -> Attempt | None: ...
+    def at_node(self, node: int) -> list[Attempt]: ...
+    def any_at_node(self, node: int) -> bool: ...
+    def link_lost(self, node: int, unsent: frozenset[AttemptId]) -> list[AttemptId]: ...
+    def send_waiting_offers(self, node: int) -> None: ...
+    def fail_waiting_offers(self, node: int) -> None: ...
+    def node_restarted(self, node: int) -> None: ...
+    def link_expired(self, ids: list[AttemptId]) -> None: ...
+    def not_at_node(self, ids: list[AttemptId], complete: bool) -> None: ...
+    def settle_never_received(self, event: ev.NodeTasksReported, held: set[AttemptId]) -> None: ...
     def node_accepted(self, event: ev.NodeAccepted) -> None: ...
     def node_running(self, event: ev.NodeRunning) -> None: ...
     def stop(self, attempt: Attempt, why: ev.StopReason) -> None: ...
-    def copy(self, attempt: Attempt) -> None: ...
+    def handle_duplicate(self, attempt: Attempt) -> None: ...
     def adopt(self, node: int, id: AttemptId, spec: ev.TaskSpec, running: bool) -> Attempt: ...
 
 
-class Owners(Protocol):
-    def named(self, owner: str, key: int) -> Placement | None: ...
+class ClientRequests(Protocol):
+    def find_by_key(self, owner: str, key: int) -> Placement | None: ...
 
 
 class Groups(Protocol):
@@ -72,19 +72,19 @@
         config = context.config
         self.context = context
         self.attempts: Attempts
-        self.owners: Owners
+        self.requests: ClientRequests
         self.groups: Groups
         self.leases: Leases
         self.list: NodeList
         self.links: dict[int, Link] = {}
-        self.redial = Redial(config.dial_retry_us, config.dial_retry_most_us, rng)
-        self.dials = Dials(config.dials_most)
+        self.redial = Redial(config.dial_retry_us, config.max_dial_retry_us, rng)
+        self.dials = Dials(config.max_dials)
         self._unknown_class: set[int] = set()  # nodes that hold a task of a class that is not known
 
     def settings_changed(self) -> None:
         config = self.context.config
-        self.redial.set_waits(config.dial_retry_us, config.dial_retry_most_us)
-        self._dial_these(self.dials.set_most(config.dials_most))
+        self.redial.set_waits(config.dial_retry_us, config.max_dial_retry_us)
+        self._dial_these(self.dials.set_most(config.max_dials))
         # Danger: a task of a class that was not known would never be adopted, nor its client notified.
         nodes, self._unknown_class = self._unknown_class, set()
         for node in sorted(nodes):
@@ -161,7 +161,7 @@
         self._step(link, "failed")
         self.redial.after_failure(link, self.context.now)
         self.context.call_at(link.dial_at, self._redial, link.node)
-        self.attempts.drop_waiting(event.node)
+        self.attempts.fail_waiting_offers(event.node)
 
     # A link's life
 
@@ -177,7 +177,7 @@
             # The node's process is another one: what was there is gone, and its own 'draining' with it.
             link.draining = False
             link.unsettled.clear()
-            self.attempts.lost_with_its_life(link.node)
+            self.attempts.node_restarted(link.node)
         link.started_unix_us = event.started_unix_us
         # What the node holds is asked for at each new link: it settles what a cut left open, and after a
         # restart of this planner it is how its tasks come back.
@@ -186,9 +186,9 @@
         if event.draining:
             self.drained(ev.NodeDraining(event.node))
         if event.draining:
-            self.attempts.drop_waiting(event.node)
+            self.attempts.fail_waiting_offers(event.node)
         else:
-            self.attempts.send_waiting(event.node)
+            self.attempts.send_waiting_offers(event.node)
 
     def drained(self, event: ev.NodeDraining) -> None:
         """The node's own word."""
@@ -196,7 +196,7 @@
         if link is None or link.draining:
             return
         link.draining = True
-        self.attempts.drop_waiting(event.node)
+        self.attempts.fail_waiting_offers(event.node)
         self.list.drains(event.node)
 
     def lost(self, event: ev.LinkDown) -> None:
@@ -208,7 +208,7 @@
         link.lost_at = self.context.now
         self.redial.after_loss(link, self.context.now)
         self.context.call_at(link.dial_at, self._redial, link.node)
-        link.unsettled.update(self.attempts.over_unsent(event.node, event.unsent))
+        link.unsettled.update(self.attempts.link_lost(event.node, event.unsent))
         grace = self.context.now + self.context.config.link_grace_us
         self.context.call_at(grace, self._grace_over, (event.node, self.context.now))
 
@@ -218,7 +218,7 @@
         link = self.links.get(node)
         if link is not None and link.lost_at == lost_at and link.state is not State.UP:
             self.context.log("node lost", node=node, under_way=len(link.unsettled))
-            self.attempts.lose(sorted(link.unsettled))
+            self.attempts.link_expired(sorted(link.unsettled))
             link.unsettled.clear()
 
     def unsettled(self, node: int, id: AttemptId) -> None:
@@ -264,14 +264,14 @@
             return
         unsettled, link.unsettled = link.unsettled, set()
         held = {task.id: task for task in event.tasks}
-        self.attempts.not_held([id for id in sorted(unsettled) if id not in held], event.complete)
+        self.attempts.not_at_node([id for id in sorted(unsettled) if id not in held], event.complete)
         if event.complete:
-            self.attempts.never_taken(event, set(held))
+            self.attempts.settle_never_received(event, set(held))
         for done in event.finished:
             if done.group is not None:
                 self.groups.finished_member(done, done.group)
         for id, task in held.items():
-            attempt = self.attempts.known(id)
+            attempt = self.attempts.find(id)
             spoken = attempt is not None and attempt.accepted
             if attempt is None:
                 self._held_unknown(event.node, task)
@@ -279,14 +279,19 @@
                 self.attempts.node_running(ev.NodeRunning(event.node, id))
             else:
                 self.attempts.node_accepted(ev.NodeAccepted(event.node, id))
-            if attempt is None or self.attempts.known(id) is not attempt:
+            if attempt is None or self.attempts.find(id) is not attempt:
                 continue
             placing = attempt.placement
-            if placing.withdrawn or placing.state is PlacementState.WITHDRAWN:
+            if placing.cancelled or placing.state is PlacementState.CANCELLED:
                 self.attempts.stop(attempt, ev.StopReason.CANCELLED)
-            elif spoken and id in unsettled and attempt.reported and attempt is not placing.bound:
+            elif (
+                spoken
+                and id in unsettled
+                and attempt.outcome_reported
+                and attempt is not placing.bound_attempt
+            ):
                 # Danger: the stop of a given-up copy was lost with its link: said once, the copy runs on.
-                self.attempts.copy(attempt)
+                self.attempts.handle_duplicate(attempt)
 
     def _held_unknown(self, node: int, held: ev.NodeTask) -> None:
         """A task of an earlier life, or one that was given up as lost."""
@@ -298,9 +303,12 @@
         if held.group is not None:
             self.groups.held_member(node, held, held.group)
             return
-        known = self.owners.named(held.task.client, held.task.key)
+        known = self.requests.find_by_key(held.task.client, held.task.key)
         fate = PlacementState.UNKNOWN if known is None else known.state
-        if abandoned_attempts.on_word(self.context.effect(index), fate) is abandoned_attempts.Copy.STOP:
+        if (
+            abandoned_attempts.duplicate_action(self.context.effect(index), fate)
+            is abandoned_attempts.DuplicateAction.STOP
+        ):
             self.context.count("copies_stopped")
             self.context.emit(ev.SendStop(node, held.id, ev.StopReason.ABANDONED))
         else:
@@ -316,7 +324,7 @@
         """The list names a node that is not gone: keep a link to it. False where the table is full."""
         link = self.links.get(node)
         if link is None:
-            most = self.context.config.nodes_most
+            most = self.context.config.max_nodes
             if len(self.links) >= most:
                 self.context.log("node not taken: the table is full", node=node, most=most)
                 return False
@@ -337,8 +345,8 @@
         """The list names it no longer: the link stays while something is at the node."""
         link = self.links[node]
         link.listed = False
-        self.attempts.drop_waiting(node)
-        if not self.attempts.any_at(node):
+        self.attempts.fail_waiting_offers(node)
+        if not self.attempts.any_at_node(node):
             self._drop(link)
 
     def nothing_at(self, node: int) -> None:
--- a/stairplank/planner/nodelist.py
+++ b/stairplank/planner/nodelist.py
@@ -39,7 +39,7 @@
 
 
 class Attempts(Protocol):
-    def drop_waiting(self, node: int) -> None: ...
+    def fail_waiting_offers(self, node: int) -> None: ...
 
 
 class NodeList:
@@ -91,7 +91,7 @@
         """
         if any(name in self.kinds for name in self._unknown_kinds.values()):
             return True
-        return self._table_was_full and len(self.links.nodes()) < self.context.config.nodes_most
+        return self._table_was_full and len(self.links.nodes()) < self.context.config.max_nodes
 
     def _fetch_whole(self) -> None:
         """Changes of the list do not name what was left out of it."""
@@ -188,7 +188,7 @@
         self.context.notify_module(api.NodeList(kind, tuple(entries), self.revision))
         for entry in entries:
             if entry.status is not api.NodeStatus.READY:
-                self.attempts.drop_waiting(entry.id)
+                self.attempts.fail_waiting_offers(entry.id)
 
     def _entry(self, node: ev.ListedNode, list_now: int) -> api.NodeEntry:
         launched = 0
--- a/stairplank/planner/placement.py
+++ b/stairplank/planner/placement.py
@@ -1,111 +1,157 @@
-"""One task on its way, and one offer of it to a node. Which room may touch what is said at each field."""
+"""The records of one task's placement and of one attempt to place it; each field names who sets it."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from .. import interface as api
 from . import events as ev
 from .abandoned_attempts import PlacementState
 from .context import CoreContext
 from .events import AttemptId
-from .transitions import ATTEMPT, PLACEMENT, AttemptState
-
-_ACCEPTED = (
-    AttemptState.ACCEPTED,
-    AttemptState.RUNNING,
-    AttemptState.ABANDONED_ACCEPTED,
-    AttemptState.ABANDONED_RUNNING,
-)
-_RUNS = (AttemptState.RUNNING, AttemptState.ABANDONED_RUNNING)
-_REPORTED = (
-    AttemptState.ABANDONED_SENT,
-    AttemptState.ABANDONED_ACCEPTED,
-    AttemptState.ABANDONED_RUNNING,
-    AttemptState.OVER,
-)
-# What a stage means, looked at far more often than it changes: waiting, accepted, running, reported.
-_MEANS = {s: (s is AttemptState.WAITING, s in _ACCEPTED, s in _RUNS, s in _REPORTED) for s in AttemptState}
+from .transitions import ATTEMPT, PLACEMENT, AttemptEvent, AttemptState, PlacementEvent
+
+
+class _StateFlags(NamedTuple):
+    """What a state implies. Computed once: flags are read far more often than states change."""
+
+    waiting: bool
+    accepted: bool
+    running: bool
+    outcome_reported: bool
+
+
+def _flags(state: AttemptState) -> _StateFlags:
+    running = state in (AttemptState.RUNNING, AttemptState.ABANDONED_RUNNING)
+    accepted = running or state in (AttemptState.ACCEPTED, AttemptState.ABANDONED_ACCEPTED)
+    abandoned = state in (
+        AttemptState.ABANDONED_SENT,
+        AttemptState.ABANDONED_ACCEPTED,
+        AttemptState.ABANDONED_RUNNING,
+    )
+    return _StateFlags(
+        waiting=state is AttemptState.WAITING,
+        accepted=accepted,
+        running=running,
+        outcome_reported=abandoned or state is AttemptState.OVER,
+    )
+
+
+_FLAGS = {state: _flags(state) for state in AttemptState}
 
 
 class Attempt:
-    """One offer to a node, from the module's bind to the node's last word on it. The attempts' room's."""
+    """One offer to a node, from the decision module's bind to the node's last message on it.
+
+    Owned by ``attempts``. ``id`` names it on links; placement and ``number`` name it to the decision module.
+    """
 
     __slots__ = (
-        "id", "placement", "number", "node", "sent", "stage", "timeout", "kept_until", "context",
-        "waiting", "accepted", "running", "reported",
-    )  # fmt: skip
+        "accepted",
+        "context",
+        "created_at",
+        "deadline",
+        "id",
+        "leased_until",
+        "node",
+        "number",
+        "outcome_reported",
+        "placement",
+        "running",
+        "state",
+        "waiting",
+    )
 
     def __init__(
         self,
         context: CoreContext,
         id: AttemptId,
-        placing: Placement,
-        shot: int,
+        placement: Placement,
+        number: int,
         node: int,
-        stage: AttemptState = AttemptState.SENT,
+        state: AttemptState = AttemptState.SENT,
     ) -> None:
+        """An attempt that is created now."""
         self.context = context
-        self.id = id  # on the links
-        self.placement = placing  # with shot: the module's name for it
-        self.number = shot
+        self.id = id
+        self.placement = placement
+        self.number = number
         self.node = node
-        self.sent = context.now
-        self._enter(stage)
-        self.timeout = 0
-        self.kept_until = 0  # a group's member that was let run: so long its node keeps it for certain
+        self.created_at = context.now
+        self._enter(state)
+        self.deadline = 0  # it is abandoned then, unless it is bound
+        self.leased_until = 0  # a committed member of a group: its node holds it for certain until then
 
-    def step(self, event: str) -> None:
-        self._enter(self.context.transition(ATTEMPT, self.stage, event))
+    def transition(self, event: AttemptEvent) -> None:
+        """Change the state. Raises IllegalTransitionError."""
+        self._enter(self.context.transition(ATTEMPT, self.state, event))
 
-    def _enter(self, stage: AttemptState) -> None:
-        """``waiting``: for a link, nothing has left; ``reported``: the module was told its outcome."""
-        self.stage = stage
-        self.waiting, self.accepted, self.running, self.reported = _MEANS[stage]
+    def _enter(self, state: AttemptState) -> None:
+        self.state = state
+        self.waiting, self.accepted, self.running, self.outcome_reported = _FLAGS[state]
 
 
 class Placement:
-    """One task as it was asked for, adopted or found, until nothing of it is left."""
+    """One task that was requested, adopted or found, until nothing of it is left."""
 
     __slots__ = (
-        "context", "number", "session", "request", "spec", "class_index", "expires", "state", "attempts",
-        "bound", "attempts_made", "withdrawn", "group", "ended", "last_reason", "proven",
-    )  # fmt: skip
+        "attempts",
+        "attempts_made",
+        "bound_attempt",
+        "cancelled",
+        "class_index",
+        "context",
+        "deadline",
+        "end_reason",
+        "group",
+        "known_not_run",
+        "last_reason",
+        "number",
+        "request",
+        "session",
+        "state",
+        "task",
+    )
 
     def __init__(
         self,
         context: CoreContext,
         session: int,
-        ask: int,
-        spec: ev.TaskSpec,
-        fate: PlacementState = PlacementState.OPEN,
+        request: int,
+        task: ev.TaskSpec,
+        state: PlacementState = PlacementState.OPEN,
     ) -> None:
+        """A placement with a new number, requested by ``request`` of ``session`` (0: by none)."""
         self.context = context
         self.number = context.next_number()
-        self.spec = spec
-        self.class_index = context.classes[spec.task_class]
-        self.state = fate
-        self.expires = 0
-        # The owners' room's: on which stream it is told, and under which ask.
+        self.task = task
+        self.class_index = context.classes[task.task_class]
+        self.state = state
+        self.deadline = 0
+        # Set by client_requests: the session that is notified, and the request it is notified on.
         self.session = session
-        self.request = ask
-        self.withdrawn = False
-        # The groups' room's: number and member, where it is one of a group.
+        self.request = request
+        self.cancelled = False
+        # Set by grouping: group number and member, if it is a member of a group.
         self.group: tuple[int, int] | None = None
-        self.ended = ""  # how the last attempt went: "finished" or why not
-        # The attempts' room's.
-        self.attempts: dict[AttemptId, Attempt] = {}  # without the node's last word
-        self.bound: Attempt | None = None  # the one that runs, or was accepted where that binds
+        # Set by attempts.
+        self.end_reason = ""  # of a member's last attempt: "finished" or why it did not finish
+        self.attempts: dict[AttemptId, Attempt] = {}  # those that have not ended
+        self.bound_attempt: Attempt | None = None  # it runs, or was accepted where accepting binds
         self.attempts_made = 0
         self.last_reason = api.Reason.UNTOLD
-        self.proven = True  # every attempt that ended is proven not to have run
+        self.known_not_run = True  # every attempt that ended is proven not to have run
 
     @property
-    def name(self) -> tuple[str, int]:
-        return self.spec.client, self.spec.key
+    def client_key(self) -> tuple[str, int]:
+        """Client and task key, by which the client names it."""
+        return self.task.client, self.task.key
 
     @property
     def effect(self) -> api.Effect:
+        """What a second run of the task would do."""
         return self.context.effect(self.class_index)
 
-    def becomes(self, event: str) -> None:
-        """Its one outcome: placed, refused, failed or withdrawn."""
+    def transition(self, event: PlacementEvent) -> None:
+        """Decide its one outcome. Raises IllegalTransitionError."""
         self.state = self.context.transition(PLACEMENT, self.state, event)
--- a/stairplank/planner/trace.py
+++ b/stairplank/planner/trace.py
@@ -13,14 +13,14 @@
 
 from .core import Core
 
-METHODS = ("start", "handle", "woke")
+METHODS = ("start", "handle", "handle_after_stall")
 
 
 @dataclass
 class Trace:
     """One core's life. ``made``: the arguments of its making."""
 
-    made: tuple[Any, ...]
+    core_arguments: tuple[Any, ...]
     steps: list[tuple[str, tuple[Any, ...]]] = field(default_factory=list)
     digests: list[str] = field(default_factory=list)  # of the actions after each step
 
@@ -46,7 +46,7 @@
 
 def replay(trace: Trace) -> tuple[int, list[Any]] | None:
     """Feed a trace to a new core: None where all is equal, else the first other step and its actions."""
-    core = Core(*trace.made)
+    core = Core(*trace.core_arguments)
     for number, (name, args) in enumerate(trace.steps):
         actions = getattr(core, name)(*args)
         if trace.digest(actions) != trace.digests[number]:
--- a/stairplank/planner/transitions.py
+++ b/stairplank/planner/transitions.py
@@ -1,75 +1,101 @@
-"""How an attempt, a placing and a link may change, as tables. What is not in a table is an error.
+"""How an attempt, a placement and a link may change, as tables. What is not in a table is an error.
 
-docs/design/running-planner.md shows them; a test holds the page against this file, and another sees every row
+docs/design/running-planner.md shows them; a test compares the page with this file, and another sees every row
 taken on simulated days.
 """
 
 from __future__ import annotations
 
-from enum import Enum
+from enum import Enum, StrEnum
 
 from .abandoned_attempts import PlacementState
-from .link_state import State
-from .state_table import IllegalTransition as IllegalTransition
-from .state_table import Table
+from .link_state import State as LinkState
+from .state_table import TransitionTable
 
 
 class AttemptState(Enum):
-    """An attempt's."""
+    """How an attempt stands at its node. Abandoned: the decision module has its outcome."""
 
-    __hash__ = object.__hash__  # the enum's own is computed anew from the name at each look-up
+    __hash__ = object.__hash__  # Enum's own hashes the member's name anew at each look-up
 
-    WAITING = "waiting"  # for a link: nothing has left
-    SENT = "out"  # offered; the node has said nothing
-    ACCEPTED = "held"  # accepted
+    WAITING = "waiting"  # for a link: nothing was sent
+    SENT = "sent"  # offered; the node has not replied
+    ACCEPTED = "accepted"
     RUNNING = "running"
-    ABANDONED_SENT = "given up, out"  # the module was told its outcome; the node may still take it
-    ABANDONED_ACCEPTED = "given up, held"
-    ABANDONED_RUNNING = "given up, running"
-    OVER = "over"  # the last word on it
+    ABANDONED_SENT = "abandoned, sent"  # the node may still accept it
+    ABANDONED_ACCEPTED = "abandoned, accepted"
+    ABANDONED_RUNNING = "abandoned, running"
+    OVER = "ended"  # nothing more is expected of the node
 
 
-S, F, L = AttemptState, PlacementState, State
+class AttemptEvent(StrEnum):
+    """What happens to an attempt."""
 
-ATTEMPT = Table(
+    SENT = "sent"
+    ACCEPTED = "accepted"
+    RUNNING = "running"
+    ABANDONED = "abandoned"
+    ADOPTED = "adopted"  # another attempt with the same id continues in its place
+    ENDED = "ended"
+
+
+class PlacementEvent(StrEnum):
+    """The one outcome of a placement."""
+
+    PLACED = "placed"
+    SHED = "shed"
+    FAILED = "failed"
+    CANCELLED = "cancelled"
+
+
+class LinkEvent(StrEnum):
+    """What happens to a link."""
+
+    DIAL = "dial"
+    UP = "up"
+    FAILED = "failed"
+    LOST = "lost"
+
+
+ATTEMPT = TransitionTable(
     "attempt",
     {
-        (S.WAITING, "sent"): S.SENT,
-        (S.WAITING, "over"): S.OVER,
-        (S.SENT, "accepted"): S.ACCEPTED,
-        (S.SENT, "running"): S.RUNNING,
-        (S.SENT, "given up"): S.ABANDONED_SENT,
-        (S.SENT, "over"): S.OVER,
-        (S.ACCEPTED, "running"): S.RUNNING,
-        (S.ACCEPTED, "given up"): S.ABANDONED_ACCEPTED,
-        (S.ACCEPTED, "over"): S.OVER,
-        (S.RUNNING, "given up"): S.ABANDONED_RUNNING,
-        (S.RUNNING, "over"): S.OVER,
-        (S.ABANDONED_SENT, "accepted"): S.ABANDONED_ACCEPTED,
-        (S.ABANDONED_SENT, "running"): S.ABANDONED_RUNNING,
-        (S.ABANDONED_SENT, "over"): S.OVER,
-        (S.ABANDONED_ACCEPTED, "running"): S.ABANDONED_RUNNING,
-        (S.ABANDONED_ACCEPTED, "adopted"): S.OVER,  # another attempt of the same name goes on in its place
-        (S.ABANDONED_ACCEPTED, "over"): S.OVER,
-        (S.ABANDONED_RUNNING, "adopted"): S.OVER,
-        (S.ABANDONED_RUNNING, "over"): S.OVER,
+        (AttemptState.WAITING, AttemptEvent.SENT): AttemptState.SENT,
+        (AttemptState.WAITING, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.SENT, AttemptEvent.ACCEPTED): AttemptState.ACCEPTED,
+        (AttemptState.SENT, AttemptEvent.RUNNING): AttemptState.RUNNING,
+        (AttemptState.SENT, AttemptEvent.ABANDONED): AttemptState.ABANDONED_SENT,
+        (AttemptState.SENT, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.ACCEPTED, AttemptEvent.RUNNING): AttemptState.RUNNING,
+        (AttemptState.ACCEPTED, AttemptEvent.ABANDONED): AttemptState.ABANDONED_ACCEPTED,
+        (AttemptState.ACCEPTED, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.RUNNING, AttemptEvent.ABANDONED): AttemptState.ABANDONED_RUNNING,
+        (AttemptState.RUNNING, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.ABANDONED_SENT, AttemptEvent.ACCEPTED): AttemptState.ABANDONED_ACCEPTED,
+        (AttemptState.ABANDONED_SENT, AttemptEvent.RUNNING): AttemptState.ABANDONED_RUNNING,
+        (AttemptState.ABANDONED_SENT, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.ABANDONED_ACCEPTED, AttemptEvent.RUNNING): AttemptState.ABANDONED_RUNNING,
+        (AttemptState.ABANDONED_ACCEPTED, AttemptEvent.ADOPTED): AttemptState.OVER,
+        (AttemptState.ABANDONED_ACCEPTED, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.ABANDONED_RUNNING, AttemptEvent.ADOPTED): AttemptState.OVER,
+        (AttemptState.ABANDONED_RUNNING, AttemptEvent.ENDED): AttemptState.OVER,
     },
 )
-PLACEMENT = Table(
+PLACEMENT = TransitionTable(
     "placement",
     {
-        (F.OPEN, "placed"): F.PLACED,
-        (F.OPEN, "refused"): F.REFUSED,
-        (F.OPEN, "failed"): F.FAILED,
-        (F.OPEN, "withdrawn"): F.WITHDRAWN,
+        (PlacementState.OPEN, PlacementEvent.PLACED): PlacementState.PLACED,
+        (PlacementState.OPEN, PlacementEvent.SHED): PlacementState.SHED,
+        (PlacementState.OPEN, PlacementEvent.FAILED): PlacementState.FAILED,
+        (PlacementState.OPEN, PlacementEvent.CANCELLED): PlacementState.CANCELLED,
     },
 )
-LINK = Table(
+LINK = TransitionTable(
     "link",
     {
-        (L.DOWN, "dial"): L.DIALLING,
-        (L.DIALLING, "up"): L.UP,
-        (L.DIALLING, "failed"): L.DOWN,
-        (L.UP, "lost"): L.DOWN,
+        (LinkState.DOWN, LinkEvent.DIAL): LinkState.DIALLING,
+        (LinkState.DIALLING, LinkEvent.UP): LinkState.UP,
+        (LinkState.DIALLING, LinkEvent.FAILED): LinkState.DOWN,
+        (LinkState.UP, LinkEvent.LOST): LinkState.DOWN,
     },
 )
--- a/stairplank/platform/attempts.py
+++ b/stairplank/platform/attempts.py
@@ -23,7 +23,7 @@
 
 from .. import interface as api
 from ..planner import abandoned_attempts
-from ..planner.abandoned_attempts import Copy, PlacementState
+from ..planner.abandoned_attempts import DuplicateAction, PlacementState
 from ..planner.event_loop import EventLoop
 from . import events as ev
 from . import validation
@@ -286,9 +286,9 @@
             self.loop.notify_module(api.Placed(task.number, attempt.shot, attempt.machine, took))
         elif attempt.stage is AttemptState.GIVEN_UP:
             effect = self.settings.classes[attempt.task.request.class_index].effect
-            verdict = abandoned_attempts.on_word(effect, attempt.task.fate)
+            verdict = abandoned_attempts.duplicate_action(effect, attempt.task.fate)
             self.loop.count("leftover_" + verdict.value)
-            if verdict is Copy.STOP:
+            if verdict is DuplicateAction.STOP:
                 self._order_release(attempt, Cause.CANCELLED, link)
 
     def _released(self, attempt: Attempt, message: Message) -> None:
--- a/stairplank/platform/client_requests.py
+++ b/stairplank/platform/client_requests.py
@@ -287,9 +287,7 @@
         task = self.tasks.by_number.get(action.task)
         if task is not None and task.state is TaskState.OPEN:
             fields = {"wait": str(action.retry_after_us // 1000)} if action.retry_after_us else {}
-            self._answer(
-                task, PlacementState.REFUSED, Message(Kind.RELEASE, task.id, fields, int(Cause.BUSY))
-            )
+            self._answer(task, PlacementState.SHED, Message(Kind.RELEASE, task.id, fields, int(Cause.BUSY)))
 
     def fail(self, action: api.Fail) -> None:
         """The decision module fails a task: it may have run."""
--- a/stairplank/platform/core.py
+++ b/stairplank/platform/core.py
@@ -195,7 +195,7 @@
 
     def _pass_time(self) -> None:
         while (due := self.loop.pop_due()) is not None:
-            self._take(due.call, due.what)
+            self._take(due.callback, due.argument)
 
     def _settings_changed(self, event: ev.SettingsChanged) -> None:
         """Every place that holds settings takes the new ones in this turn.
--- a/stairplank/platform/shutdown.py
+++ b/stairplank/platform/shutdown.py
@@ -61,7 +61,7 @@
         for task in self.tasks.open_tasks():
             self.loop.notify_module(api.TaskCancelled(task.number))
             if self._may_be_retried(task):
-                self.requests.refuse(api.Shed(task.number, admission.LEAVING_RETRY_US))
+                self.requests.refuse(api.Shed(task.number, admission.DRAINING_RETRY_US))
             else:
                 self.requests.fail(api.Fail(task.number))
 
--- a/stairplank/platform/tables.py
+++ b/stairplank/platform/tables.py
@@ -8,7 +8,7 @@
 
 from .. import interface as api
 from ..planner.abandoned_attempts import PlacementState
-from ..planner.state_table import Table
+from ..planner.state_table import TransitionTable
 from .messages import Message
 from .validation import PlacementRequest
 
@@ -36,7 +36,7 @@
 
 S, T = AttemptState, TaskState
 
-ATTEMPT = Table(
+ATTEMPT = TransitionTable(
     "platform attempt",
     {
         (S.WAITING, "written"): S.SENT,
@@ -53,7 +53,7 @@
         (S.RELEASED, "over"): S.OVER,
     },
 )
-TASK = Table(
+TASK = TransitionTable(
     "platform task",
     {
         (T.OPEN, "stands"): T.STANDING,
--- a/stairplank/platform/task_table.py
+++ b/stairplank/platform/task_table.py
@@ -65,7 +65,7 @@
     def has_room(self, client: str, size: int) -> bool:
         """Whether one more task of that client may be open, with a description of that size."""
         open_here = self.open_by_client.get(client, 0)
-        full = admission.no_room(self.open_count, open_here, len(self.by_id), validation.BOUNDS)
+        full = admission.capacity_error(self.open_count, open_here, len(self.by_id), validation.BOUNDS)
         return full is None and self.open_bytes + size <= OPEN_BYTES_MOST
 
     def is_full(self) -> bool:
--- a/stairplank/platform/validation.py
+++ b/stairplank/platform/validation.py
@@ -17,7 +17,9 @@
 WAIT_MOST_US = 2**32 * 1000  # a client's longest wait: what the form of set-ups with ``at`` has
 KEY_FORM = re.compile(r"[0-9a-f]{32}", re.ASCII)
 NUMBER_FORM = re.compile(r"[0-9]{1,7}(\.[0-9]{1,6})?", re.ASCII)
-BOUNDS = admission.Bounds(open_tasks=4096, owner_open=1024, attempts=32_768, wait_us=WAIT_MOST_US)
+BOUNDS = admission.Bounds(
+    open_tasks=4096, open_tasks_per_client=1024, attempts=32_768, max_wait_us=WAIT_MOST_US
+)
 
 
 class InvalidRequest(Exception):
@@ -74,7 +76,7 @@
         expected_duration_us=0,
         resubmitted=fields.get("retry", "") not in ("", "0"),
     )
-    fault = admission.invalid(spec, wait_us, BOUNDS, settings, tenants)
+    fault = admission.task_error(spec, wait_us, BOUNDS, settings, tenants)
     if fault is not None:
         raise InvalidRequest(f"{fault.field}: {fault.message}")
     if settings.classes[index].effect is api.Effect.IDEMPOTENT_BY_KEY and not idem:
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -70,7 +70,7 @@
     world.run(20 * SECOND)
     total = counts(world)
     assert total["wanted"] > 40 and total["finished"] == total["wanted"]
-    assert all(not core.attempts.attempts and not core.owners.placings for core in world.cores.values())
+    assert all(not core.attempts.attempts and not core.requests.placements for core in world.cores.values())
 
 
 def test_one_seed_gives_one_day() -> None:
--- a/tests/emulator/test_held.py
+++ b/tests/emulator/test_held.py
@@ -33,9 +33,9 @@
     for core in world.cores.values():
         assert (
             not core.attempts.attempts
-            and not core.owners.placings
-            and not core.attempts.at_node
-            and core.owners.open_tasks == 0
+            and not core.requests.placements
+            and not core.attempts.by_node
+            and core.requests.open_tasks == 0
         )
 
 
--- a/tests/golden/golden_grpc_days.py
+++ b/tests/golden/golden_grpc_days.py
@@ -59,7 +59,7 @@
                 self.trace.add(*head, "watch", active, revision)
             case ev.FetchNodeList():
                 self.trace.add(*head, "fetch")
-            case ev.Report():
+            case ev.LogEvent():
                 pass  # a log line
             case _:
                 raise TypeError(f"an action that no trace has: {action!r}")
--- a/tests/groups/test_core_groups.py
+++ b/tests/groups/test_core_groups.py
@@ -316,9 +316,9 @@
     w.wait(1100 * MS)
     first = w.all(ev.SendLeaseRenewal)[0]
     held = [a for a in w.core.attempts.attempts.values() if a.node == first.node]
-    until = held[0].kept_until
+    until = held[0].leased_until
     w.feed(ev.LeasesRenewed(first.node, first.renewal))  # said a second ago
-    assert held[0].kept_until <= max(until, w.now - 900 * MS + first.lease_us)
+    assert held[0].leased_until <= max(until, w.now - 900 * MS + first.lease_us)
 
 
 def test_keeps_that_are_never_answered_are_bounded() -> None:
--- a/tests/planner/recorded_days.py
+++ b/tests/planner/recorded_days.py
@@ -64,4 +64,4 @@
             core.handle(world.now, ev.ShutdownRequested())
     finally:
         emulated.Core = real  # type: ignore[misc]
-    return [(t.made, t.steps, t.digests) for t in traces]
+    return [(t.core_arguments, t.steps, t.digests) for t in traces]
--- a/tests/planner/room.py
+++ b/tests/planner/room.py
@@ -47,7 +47,7 @@
 
 def placing(on: CoreContext, key: int = 1, sort: str = "worker", wait: int = 6 * SECOND) -> Placement:
     made = Placement(on, 1, key, spec(key, sort))
-    made.expires = on.now + wait
+    made.deadline = on.now + wait
     return made
 
 
@@ -58,5 +58,5 @@
         on.now = max(on.now, due)
         one = on.pop_due()
         assert one is not None
-        one.call(one.what)
+        one.callback(one.argument)
     on.now = until
--- a/tests/planner/test_attempts.py
+++ b/tests/planner/test_attempts.py
@@ -10,9 +10,10 @@
 
 from stairplank import interface as api
 from stairplank.planner import events as ev
-from stairplank.planner.attempts import ANSWER_TICKS, Attempts
+from stairplank.planner.attempts import REPLY_RESERVE_TICKS, Attempts
+from stairplank.planner.errors import ConcludedTaskError, IllegalTransitionError
 from stairplank.planner.placement import Attempt, Placement
-from stairplank.planner.transitions import AttemptState, IllegalTransition
+from stairplank.planner.transitions import AttemptEvent, AttemptState, PlacementEvent
 
 
 class Room:
@@ -20,9 +21,9 @@
         self.context = core_context()
         self.attempts = Attempts(self.context)
         self.one = placing(self.context, 1, sort)
-        self.owners = Others(placing=lambda n: self.one if n == self.one.number else None)
+        self.owners = Others(find=lambda n: self.one if n == self.one.number else None)
         self.links = Others(up=up, reach=True, dial_now=True, **links)
-        self.attempts.owners = self.owners  # type: ignore[assignment]
+        self.attempts.requests = self.owners  # type: ignore[assignment]
         self.attempts.links = self.links  # type: ignore[assignment]
         self.attempts.groups = Others()  # type: ignore[assignment]
 
@@ -45,13 +46,13 @@
     r.bind()
     (offer,) = r.sent()
     tick = r.context.settings.tick_us
-    assert offer.wait_us == 6 * SECOND - ANSWER_TICKS * tick and r.attempt.stage is AttemptState.SENT
+    assert offer.wait_us == 6 * SECOND - REPLY_RESERVE_TICKS * tick and r.attempt.state is AttemptState.SENT
 
 
 def test_one_that_waits_for_a_link_is_given_up_with_the_dial() -> None:
     r = Room(up=False)
     r.bind()
-    assert r.attempt.stage is AttemptState.WAITING and not r.sent()
+    assert r.attempt.state is AttemptState.WAITING and not r.sent()
     pass_time(r.context, r.context.config.dial_timeout_us)
     assert r.outcomes() == [api.Result.UNREACHABLE] and not r.attempts.attempts
 
@@ -69,7 +70,7 @@
     r = Room(sort=sort)
     r.bind(timeout=SECOND)
     pass_time(r.context, 2 * SECOND)
-    assert r.outcomes() == [api.Result.TIMEOUT] and r.attempt.stage is AttemptState.ABANDONED_SENT
+    assert r.outcomes() == [api.Result.TIMEOUT] and r.attempt.state is AttemptState.ABANDONED_SENT
     stops = [a for a in r.context.actions if isinstance(a, ev.SendStop)]
     assert bool(stops) is (sort == "worker")
     r.attempts.node_error(ev.NodeError(1, r.attempt.id))
@@ -80,46 +81,46 @@
     r = Room()
     r.bind()
     r.attempts.node_running(ev.NodeRunning(1, r.attempt.id))
-    assert r.one.bound is r.attempt and ("place", r.one, 1, 0, 0) in r.owners.asked
+    assert r.one.bound_attempt is r.attempt and ("task_placed", r.one, 1, 0, 0) in r.owners.asked
     late = Room()
     late.bind()
-    late.one.becomes("withdrawn")
+    late.one.transition(PlacementEvent.CANCELLED)
     late.attempts.node_running(ev.NodeRunning(1, late.attempt.id))
-    assert late.one.bound is None and "place" not in late.owners.names()
+    assert late.one.bound_attempt is None and "task_placed" not in late.owners.names()
 
 
 def test_a_copy_is_adopted_in_place_of_its_attempt() -> None:
     r = Room(sort="report")
-    heir = Placement(r.context, 1, 0, r.one.spec)
+    heir = Placement(r.context, 1, 0, r.one.task)
     r.owners.answers["adopt"] = heir
     r.bind(timeout=SECOND)
     old = r.attempt
     pass_time(r.context, 2 * SECOND)
-    r.one.becomes("failed")
+    r.one.transition(PlacementEvent.FAILED)
     r.attempts.node_running(ev.NodeRunning(1, old.id))
-    assert old.stage is AttemptState.OVER and r.attempt is not old and r.attempt.id == old.id
-    assert heir.bound is r.attempt and not r.one.attempts
+    assert old.state is AttemptState.OVER and r.attempt is not old and r.attempt.id == old.id
+    assert heir.bound_attempt is r.attempt and not r.one.attempts
 
 
 def test_words_on_what_is_not_known_are_left_to_the_links() -> None:
     r = Room()
     r.bind()
     r.attempts.node_running(ev.NodeRunning(2, r.attempt.id))  # another node's
-    assert r.one.bound is None and r.links.names()[-1] == "unplaced_word"
+    assert r.one.bound_attempt is None and r.links.names()[-1] == "unplaced_word"
 
 
 def test_an_illegal_step_names_state_and_event() -> None:
     r = Room()
     r.bind()
-    with pytest.raises(IllegalTransition, match="attempt: 'sent' while 'out'"):
-        r.attempt.step("sent")
-    with pytest.raises(RuntimeError, match="which is over"):
+    with pytest.raises(IllegalTransitionError, match="attempt: 'sent' while 'sent'"):
+        r.attempt.transition(AttemptEvent.SENT)
+    with pytest.raises(ConcludedTaskError, match="which is over"):
         r.attempts.bind(api.Bind(99, 1, 0))
 
 
 def test_a_broken_link_tells_what_had_left() -> None:
     r = Room()
     r.bind()
-    assert r.attempts.over_unsent(1, frozenset()) == [r.attempt.id]
-    assert r.attempts.over_unsent(1, frozenset([r.attempt.id])) == []
+    assert r.attempts.link_lost(1, frozenset()) == [r.attempt.id]
+    assert r.attempts.link_lost(1, frozenset([r.attempt.id])) == []
     assert r.outcomes() == [api.Result.UNREACHABLE]
--- a/tests/planner/test_core.py
+++ b/tests/planner/test_core.py
@@ -10,7 +10,7 @@
 from stairplank import interface as api
 from stairplank.planner import events as ev
 from stairplank.planner.admission import Bounds
-from stairplank.planner.attempts import ANSWER_TICKS
+from stairplank.planner.attempts import REPLY_RESERVE_TICKS
 
 TICK = 10 * MS
 
@@ -73,7 +73,7 @@
 def test_no_word_in_time_fails_a_once_task_and_leaves_it_alone() -> None:
     w = World()
     offer = w.offer(1, "report")
-    w.wait(6 * SECOND - ANSWER_TICKS * TICK + MS)
+    w.wait(6 * SECOND - REPLY_RESERVE_TICKS * TICK + MS)
     assert w.words() == [ev.TaskFailed(1, True)]
     assert w.all(ev.SendStop) == []  # if it runs after all, that is its one run
     w.feed(ev.NodeRunning(offer.node, offer.id))
@@ -107,7 +107,7 @@
 
 
 def test_a_hung_node_s_leftover_is_forgotten_in_bounded_time() -> None:
-    w = World(leftover_us=10 * SECOND)
+    w = World(abandoned_attempt_us=10 * SECOND)
     w.offer(1, "report")
     w.wait(17 * SECOND)
     assert w.empty()
@@ -264,7 +264,7 @@
     out = w.feed(ev.NodeListReceived(9, 5, False, (w.listed(9),), 10**15))
     assert ev.WatchNodeList(True, 0) in out and 9 not in w.core.links.links
     w.list(1, 9, revision=9)
-    assert set(w.core.links.links) == set(w.core.list.entries) == {1, 9}
+    assert set(w.core.links.links) == set(w.core.node_list.entries) == {1, 9}
 
 
 def test_an_older_word_of_the_list_is_passed_over() -> None:
@@ -282,15 +282,15 @@
             ev.NodeListReceived(revision, revision - 1, False, (w.listed(1, started=10**15 - 500),), 10**15)
         )
         w.now += 7
-    launched = w.core.list.entries[1].started_us
+    launched = w.core.node_list.entries[1].started_us
     assert launched == w.now - 14 - 500
 
 
 def test_a_table_of_nodes_is_bounded() -> None:
-    w = World(nodes=1, nodes_most=2)
+    w = World(nodes=1, max_nodes=2)
     w.list(1, 2, 3, revision=2)
     assert set(w.core.links.links) == {1, 2}
-    assert any(r.event.startswith("node not taken") for r in w.all(ev.Report))
+    assert any(r.event.startswith("node not taken") for r in w.all(ev.LogEvent))
 
 
 def test_a_failed_list_is_asked_for_again() -> None:
@@ -309,7 +309,7 @@
     w.said.clear()
     w.feed(ev.ClientDisconnected(1))
     assert [(s.id, s.reason) for s in w.all(ev.SendStop)] == [(open_one.id, ev.StopReason.CANCELLED)]
-    assert w.core.owners.open_tasks == 0 and w.all(ev.SendToClient) == []
+    assert w.core.requests.open_tasks == 0 and w.all(ev.SendToClient) == []
     w.feed(ev.NodeRejected(open_one.node, open_one.id, api.Reason.NOT_HERE))
     assert list(w.core.attempts.attempts) == [running.id]  # what was placed runs on
     w.feed(ev.ClientConnected(2, "o"))
@@ -499,14 +499,14 @@
     w.said.clear()
     for n in range(10, 10_010):
         w.ask(n, service=n, cores=4.0, memory=4.0, wait=3 * SECOND)
-    assert w.core.owners.open_tasks == 10_000
+    assert w.core.requests.open_tasks == 10_000
     w.wait(4 * SECOND)
-    assert len(w.words(ev.TaskShed)) == 10_000 and w.core.owners.open_tasks == 0
-    assert len(w.core.owners.placings) == 3
+    assert len(w.words(ev.TaskShed)) == 10_000 and w.core.requests.open_tasks == 0
+    assert len(w.core.requests.placements) == 3
 
 
 def test_a_whole_new_fleet_is_dialled_a_few_at_a_time() -> None:
-    w = World(nodes=0, dials_most=4)
+    w = World(nodes=0, max_dials=4)
     w.list(*range(1, 31), revision=2)
     assert [d.node for d in w.all(ev.Dial)] == [1, 2, 3, 4]
     w.link_up(1, 0, False)
--- a/tests/planner/test_core_fenced.py
+++ b/tests/planner/test_core_fenced.py
@@ -7,7 +7,7 @@
 
 from stairplank import interface as api
 from stairplank.planner import events as ev
-from stairplank.planner.attempts import SETTLE_US
+from stairplank.planner.attempts import OFFER_EXPIRY_SLACK_US
 
 MS = 1_000
 
@@ -88,7 +88,7 @@
     tasks = ()
     if why == "held":
         tasks = (ev.NodeTask(offer.id, offer.task, False),)
-    early = offer.wait_us + SETTLE_US - 100 * MS if why == "asked too early" else 0
+    early = offer.wait_us + OFFER_EXPIRY_SLACK_US - 100 * MS if why == "asked too early" else 0
     asked_at = 1000 * SECOND + early if early else w.now
     answer(w, offer, *tasks, complete=why != "not complete", asked_at=asked_at)
     assert not w.empty()
@@ -130,7 +130,7 @@
         offer = w.offer(1, wait=60 * SECOND)
         w.now += offer.wait_us + SECOND  # no answer came; a timer tries the other node
         event = ev.NodeDraining(3 - offer.node)
-        out = w.core.woke(w.now, [event]) if woken else w.core.handle(w.now, event)
+        out = w.core.handle_after_stall(w.now, [event]) if woken else w.core.handle(w.now, event)
         offers = [a for a in out if isinstance(a, ev.SendOffer)]
         assert bool(offers) is not woken
 
@@ -142,7 +142,7 @@
         ev.NodeDraining(1),
         ev.PlacementRequested(1, 2, w.spec(2, service=9), SECOND),
     ]
-    out = w.core.woke(w.now + 5 * SECOND, events)
+    out = w.core.handle_after_stall(w.now + 5 * SECOND, events)
     offers = [a.node for a in out if isinstance(a, ev.SendOffer)]
     assert offers == [2, 2]
 
--- a/tests/planner/test_daemon.py
+++ b/tests/planner/test_daemon.py
@@ -287,7 +287,7 @@
         call.send(ask(n, service=n))
     rejected = [word(call, "rejected") for _ in range(150)]
     assert all(r.code == Code.RESOURCE_EXHAUSTED and r.retry_after_us > 0 for r in rejected)
-    assert world.daemon.core.owners.open_tasks == 50
+    assert world.daemon.core.requests.open_tasks == 50
 
 
 def test_an_owner_that_does_not_read_is_ended_and_others_are_unharmed(world: World) -> None:
@@ -300,7 +300,7 @@
             gevent.sleep(0)
     good.send(ask(1))
     assert word(good, "placed").ask == 1
-    assert all(s.owner == "good" for s in world.daemon.core.owners.sessions.values())
+    assert all(s.client == "good" for s in world.daemon.core.requests.sessions.values())
 
 
 def test_an_owner_that_vanishes_leaves_no_attempt_behind(world: World) -> None:
@@ -311,7 +311,7 @@
     world.until(lambda: world.offers())
     call.stream.connection.close()
     world.until(lambda: any(n.stops for n in world.nodes))
-    assert world.daemon.core.owners.open_tasks == 0
+    assert world.daemon.core.requests.open_tasks == 0
 
 
 def test_a_half_closed_owner_still_hears_the_end(world: World) -> None:
@@ -335,7 +335,9 @@
         while True:
             call.recv(WAIT)
     assert caught.value.code is Code.DEADLINE_EXCEEDED
-    world.until(lambda: not world.daemon.core.owners.sessions and world.daemon.core.owners.open_tasks == 0)
+    world.until(
+        lambda: not world.daemon.core.requests.sessions and world.daemon.core.requests.open_tasks == 0
+    )
 
 
 def test_a_cut_between_offer_and_answer_is_settled_by_what_the_node_holds(world: World) -> None:
--- a/tests/planner/test_daemon_fence.py
+++ b/tests/planner/test_daemon_fence.py
@@ -80,10 +80,10 @@
     old.send(ask(1))
     new, _ = stream(world, session=9, epoch=2)
     new.send(_REQUEST(withdraw=_REQUEST.Withdraw(key=1)))
-    world.until(lambda: len(world.daemon.core.owners.sessions) == 1)
+    world.until(lambda: len(world.daemon.core.requests.sessions) == 1)
     held()
     gevent.sleep(0.2)
-    assert not world.offers() and not world.daemon.core.owners.placings
+    assert not world.offers() and not world.daemon.core.requests.placements
     new.send(ask(2))
     assert word(new, "taken").placing  # and the newer one goes on
 
--- a/tests/planner/test_leases.py
+++ b/tests/planner/test_leases.py
@@ -22,13 +22,13 @@
     one = placing(on)
     one.group = (3, 0)
     attempt = Attempt(on, AttemptId(7, one.number, 0), one, 0, 4, AttemptState.RUNNING)
-    others = Others(known=lambda id: attempt if id == attempt.id else None)
+    others = Others(find=lambda id: attempt if id == attempt.id else None)
     leases.attempts = others  # type: ignore[assignment]
     return leases, attempt, others
 
 
 def over(others: Others) -> list[Any]:
-    return [a for a in others.asked if a[0] == "over"]
+    return [a for a in others.asked if a[0] == "end"]
 
 
 def test_a_lease_that_nothing_lengthens_runs_out_once() -> None:
@@ -48,7 +48,7 @@
     said = leases.context.now
     pass_time(leases.context, 900 * MS)
     leases.kept(ev.LeasesRenewed(4, keep.renewal))
-    assert attempt.kept_until == said + 2 * SECOND and not leases.keeps
+    assert attempt.leased_until == said + 2 * SECOND and not leases.keeps
     pass_time(leases.context, 1099 * MS)
     assert not over(others)
     pass_time(leases.context, 2 * MS)
@@ -62,7 +62,7 @@
     leases.keep(4, (other,), SECOND)
     last = [a for a in leases.context.actions if isinstance(a, ev.SendLeaseRenewal)][-1]
     leases.kept(ev.LeasesRenewed(4, last.renewal))
-    assert not leases.keeps and attempt.kept_until == 0
+    assert not leases.keeps and attempt.leased_until == 0
 
 
 def test_keeps_on_a_broken_link_are_forgotten() -> None:
@@ -71,4 +71,4 @@
     number = next(iter(leases._said))
     leases.link_lost(4)
     leases.kept(ev.LeasesRenewed(4, number))
-    assert not leases.keeps and not leases._said and attempt.kept_until == 0
+    assert not leases.keeps and not leases._said and attempt.leased_until == 0
--- a/tests/planner/test_node_links.py
+++ b/tests/planner/test_node_links.py
@@ -10,10 +10,10 @@
 from world import SECOND
 
 from stairplank.planner import events as ev
+from stairplank.planner.errors import IllegalTransitionError
 from stairplank.planner.events import AttemptId
 from stairplank.planner.link_state import State
 from stairplank.planner.node_links import HELD_GAP_US, Links
-from stairplank.planner.transitions import IllegalTransition
 
 ID = AttemptId(7, 1, 0)
 
@@ -22,9 +22,9 @@
     def __init__(self, nodes: int = 1, **config: Any) -> None:
         self.context = core_context(**config)
         self.links = Links(self.context, random.Random(1))
-        self.attempts = Others(any_at=False, over_unsent=lambda node, unsent: [ID], at=[])
+        self.attempts = Others(any_at_node=False, link_lost=lambda node, unsent: [ID], at_node=[])
         self.links.attempts = self.attempts  # type: ignore[assignment]
-        for name in ("owners", "groups", "leases", "list"):
+        for name in ("requests", "groups", "leases", "list"):
             setattr(self.links, name, Others())
         for node in range(1, nodes + 1):
             self.links.listed(node, ("a",))
@@ -40,18 +40,18 @@
 def test_a_link_that_stands_asks_what_its_node_holds_and_sends_what_waits() -> None:
     r = Room()
     r.up()
-    assert r.links.up(1) and r.emitted(ev.RequestNodeTasks) and r.attempts.names() == ["send_waiting"]
+    assert r.links.up(1) and r.emitted(ev.RequestNodeTasks) and r.attempts.names() == ["send_waiting_offers"]
 
 
 def test_a_draining_node_gets_nothing_that_waits() -> None:
     r = Room()
     r.up(draining=True)
-    assert "send_waiting" not in r.attempts.names() and "drop_waiting" in r.attempts.names()
+    assert "send_waiting_offers" not in r.attempts.names() and "fail_waiting_offers" in r.attempts.names()
     assert r.links.drains(1, 0) and not r.links.drains(1, 5)  # a newer life, by the list's word
 
 
 def test_only_so_many_are_dialled_at_once() -> None:
-    r = Room(nodes=5, dials_most=2)
+    r = Room(nodes=5, max_dials=2)
     assert len(r.emitted(ev.Dial)) == 2
     r.up(1)
     assert len(r.emitted(ev.Dial)) == 3
@@ -68,8 +68,8 @@
         r.up()
         r.links.held_told(ev.NodeTasksReported(1, 0, (), True))
     pass_time(r.context, 5 * SECOND)
-    settled = [a for a in r.attempts.asked if a[0] in ("not_held", "lose") and a[1]]
-    assert settled == ([("not_held", [ID], True)] if back else [("lose", [ID])])
+    settled = [a for a in r.attempts.asked if a[0] in ("not_at_node", "link_expired") and a[1]]
+    assert settled == ([("not_at_node", [ID], True)] if back else [("link_expired", [ID])])
     assert not r.links.links[1].unsettled
 
 
@@ -89,7 +89,7 @@
 def test_a_link_is_kept_while_something_is_at_its_node() -> None:
     r = Room()
     r.up()
-    r.attempts.answers["any_at"] = True
+    r.attempts.answers["any_at_node"] = True
     r.links.unlisted(1)
     assert r.links.is_linked(1)
     r.links.nothing_at(1)
@@ -98,6 +98,6 @@
 
 def test_steps_that_cannot_be_are_errors() -> None:
     r = Room()
-    with pytest.raises(IllegalTransition, match="link: 'lost' while 'dialling'"):
+    with pytest.raises(IllegalTransitionError, match="link: 'lost' while 'dialling'"):
         r.links.lost(ev.LinkDown(1, frozenset()))
     assert r.links.links[1].state is State.DIALLING
--- a/tests/planner/test_nodelist.py
+++ b/tests/planner/test_nodelist.py
@@ -46,7 +46,10 @@
     r.tell(1, revision=1, since=0, full=False, status=api.NodeStatus.DRAINING)  # an older word
     kinds = [(h.kind, [e.id for e in h.nodes]) for h in r.heard()]
     assert kinds == [(api.ListKind.FULL, [1, 2]), (api.ListKind.CHANGES, [2])]
-    assert ("drop_waiting", 2) in r.attempts.asked and ("drop_waiting", 1) not in r.attempts.asked
+    assert ("fail_waiting_offers", 2) in r.attempts.asked and (
+        "fail_waiting_offers",
+        1,
+    ) not in r.attempts.asked
 
 
 def test_a_gap_is_asked_for_anew_but_not_faster_than_stated() -> None:
--- a/tests/planner/test_settings_changed.py
+++ b/tests/planner/test_settings_changed.py
@@ -137,11 +137,11 @@
 
 
 def test_a_higher_bound_lets_new_tasks_in_at_once() -> None:
-    w = World(bounds=replace(World().core.context.config.bounds, owner_open=1))
+    w = World(bounds=replace(World().core.context.config.bounds, open_tasks_per_client=1))
     w.offer(1)
     w.ask(2)
     assert rejections(w) == ["RESOURCE_EXHAUSTED"]
-    change(w, **with_bounds(w, owner_open=2))
+    change(w, **with_bounds(w, open_tasks_per_client=2))
     assert offers(w.ask(3))
 
 
@@ -169,9 +169,9 @@
     w = World(nodes=2)
     apart = {"distinct_nodes": True}
     large = tuple(w.spec(100 + i, cores=20.0) for i in range(2))
-    w.core.list.places()
+    w.core.node_list.places()
     change(w, {"cores_limit": 2.0})
-    assert [p.cores for p in w.core.list.places()] == [32.0, 32.0]
+    assert [p.cores for p in w.core.node_list.places()] == [32.0, 32.0]
     w.feed(ev.GroupRequested(1, 1, large, 9 * SECOND, **apart))
     assert w.words(ev.GroupAttempted) == []
     assert len(w.all(ev.SendOffer)) >= 1
@@ -197,7 +197,9 @@
     whole = ev.NodeListReceived(2, 0, True, (of_kind(w, 1, "std"), of_kind(w, 2, "huge")), 10**15)
     both: list[ev.Event] = [whole, changed(w.core, {"node_types": (*SETTINGS.node_types, HUGE)})]
     events = both if list_first else both[::-1]
-    actions = w.core.woke(w.now, events) if after_a_stall else [a for e in events for a in w.feed(e)]
+    actions = (
+        w.core.handle_after_stall(w.now, events) if after_a_stall else [a for e in events for a in w.feed(e)]
+    )
     if watches(actions):
         w.feed(whole)
     assert sorted(w.core.module.nodes) == [1, 2]
@@ -224,19 +226,19 @@
 
 
 def test_nodes_above_a_table_that_grows_are_taken() -> None:
-    w = World(nodes=1, nodes_most=1)
+    w = World(nodes=1, max_nodes=1)
     tell_list(w, 2, w.listed(1), w.listed(2))
     assert w.core.links.nodes() == [1]
-    assert watches(change(w, nodes_most=2)) == [ev.WatchNodeList(True, 0)]
+    assert watches(change(w, max_nodes=2)) == [ev.WatchNodeList(True, 0)]
     tell_list(w, 2, w.listed(1), w.listed(2))
     assert w.core.links.nodes() == [1, 2]
 
 
 @pytest.mark.parametrize(
-    "more", [{"settings": {"node_types": (*SETTINGS.node_types, HUGE)}}, {"nodes_most": 3}]
+    "more", [{"settings": {"node_types": (*SETTINGS.node_types, HUGE)}}, {"max_nodes": 3}]
 )
 def test_the_whole_list_is_fetched_once_for_what_is_left_out(more: dict[str, Any]) -> None:
-    w = World(nodes=1, nodes_most=2)
+    w = World(nodes=1, max_nodes=2)
     tell_list(w, 2, w.listed(1), of_kind(w, 2, "huge"), w.listed(3))
     assert len(watches(change(w, **more))) == 1
     w.wait(2 * LIST_RETRY_US)
@@ -252,7 +254,7 @@
 
 def test_a_smaller_table_keeps_the_nodes_it_has() -> None:
     w = World(nodes=3)
-    assert watches(change(w, nodes_most=1)) == []
+    assert watches(change(w, max_nodes=1)) == []
     w.feed(ev.NodeListReceived(2, 1, False, (w.listed(4),), 10**15))
     assert sorted(w.core.links.nodes()) == [1, 2, 3]
 
@@ -273,10 +275,10 @@
 
 
 def test_more_dials_begin_at_once() -> None:
-    w = World(nodes=0, dials_most=1)
+    w = World(nodes=0, max_dials=1)
     listed = w.list(1, 2, 3)
     assert [a.node for a in listed if isinstance(a, ev.Dial)] == [1]
-    dials = [a.node for a in change(w, dials_most=2) if isinstance(a, ev.Dial)]
+    dials = [a.node for a in change(w, max_dials=2) if isinstance(a, ev.Dial)]
     assert dials == [2]
 
 
@@ -284,7 +286,7 @@
     w = World(nodes=1)
     w.feed(ev.LinkDown(1))
     w.wait(SECOND)
-    change(w, dial_retry_us=20 * SECOND, dial_retry_most_us=20 * SECOND)
+    change(w, dial_retry_us=20 * SECOND, max_dial_retry_us=20 * SECOND)
     failed = w.now
     w.feed(ev.DialFailed(1))
     assert w.core.links.links[1].dial_at >= failed + 10 * SECOND
@@ -331,7 +333,7 @@
 
 def test_hundreds_of_changes_in_a_row_leave_nothing_behind() -> None:
     """A node of a kind that never comes, a full table and a held task of an unknown class stand by."""
-    w = World(nodes=2, nodes_most=3)
+    w = World(nodes=2, max_nodes=3)
     task = held(w, 9)
     unknown = replace(task, task=replace(task.task, task_class="never"))
     w.feed(ev.NodeTasksReported(1, 0, (unknown,)))
@@ -343,33 +345,33 @@
     for n in range(400):
         classes = (*classes, replace(FRESH, name=f"fresh-{n}")) if n % 100 == 0 else classes
         settings = {"classes": classes, "max_attempts": 2 + n % 5, "cores_limit": 1.0 + n % 3}
-        actions += change(w, settings, nodes_most=3 - n % 2, dials_most=1 + n % 4)
+        actions += change(w, settings, max_nodes=3 - n % 2, max_dials=1 + n % 4)
     assert watches(actions) == []
     assert len([a for a in actions if isinstance(a, ev.RequestNodeTasks)]) <= 1
     assert len(w.core.context._timers) <= before + 2
     assert len(w.core.context.classes) == len(SETTINGS.classes) + 4
-    assert len(w.core.list.zones) == 2
+    assert len(w.core.node_list.zones) == 2
     assert w.core.counts["settings_changed"] == 400
 
 
 def test_tables_that_grow_again_and_again_fetch_the_list_at_a_bounded_pace() -> None:
-    w = World(nodes=1, nodes_most=1)
+    w = World(nodes=1, max_nodes=1)
     nodes = [w.listed(n) for n in range(1, 50)]
     tell_list(w, 2, *nodes)
     fetches = 0
     began = w.now
     for n in range(2, 40):
-        found = watches(change(w, nodes_most=n)) + watches(w.wait(50 * MS))
+        found = watches(change(w, max_nodes=n)) + watches(w.wait(50 * MS))
         fetches += len(found)
         if found:
             tell_list(w, 2, *nodes)
     assert 1 <= fetches <= 2 + (w.now - began) // LIST_RETRY_US
     timers = len(w.core.context._timers)
     for _ in range(100):
-        change(w, nodes_most=39)
-        change(w, nodes_most=1)
+        change(w, max_nodes=39)
+        change(w, max_nodes=1)
     assert len(w.core.context._timers) <= timers + 1
-    change(w, nodes_most=39)
+    change(w, max_nodes=39)
     for _ in range(3):
         if watches(w.wait(LIST_RETRY_US)):
             tell_list(w, 2, *nodes)
@@ -425,7 +427,7 @@
 def test_a_changed_core_decides_as_one_that_was_started_so(seed: int) -> None:
     start = 1000 * SECOND
     old_config = CoreConfig(World().core.context.config.bounds, ("t1", "t2"), ("z1", "z2"))
-    new_config = replace(old_config, tenants=("t1", "t2", "t3"), zones=("z1", "z2", "z0"), dials_most=3)
+    new_config = replace(old_config, tenants=("t1", "t2", "t3"), zones=("z1", "z2", "z0"), max_dials=3)
     new = replace(
         SETTINGS,
         classes=(
--- a/tests/planner/world.py
+++ b/tests/planner/world.py
@@ -57,7 +57,7 @@
     price_health_check=1.0,  # no probe with each task: the tests name what is to be sent
     report_fields=("free_cores", "free_memory", "util"),
 )
-BOUNDS = Bounds(open_tasks=100, owner_open=60, attempts=200, wait_us=60 * SECOND)
+BOUNDS = Bounds(open_tasks=100, open_tasks_per_client=60, attempts=200, max_wait_us=60 * SECOND)
 
 
 class World:
@@ -158,15 +158,15 @@
     def empty(self) -> bool:
         """Nothing is left of any task."""
         core = self.core
-        sessions = [s for s in core.owners.sessions.values() if s.asks or s.open]
+        sessions = [s for s in core.requests.sessions.values() if s.placements or s.open_tasks]
         tables = (
-            core.owners.placings,
-            core.owners.by_name,
+            core.requests.placements,
+            core.requests.by_client_key,
             core.attempts.attempts,
-            core.attempts.at_node,
+            core.attempts.by_node,
             sessions,
         )
-        return not any(tables) and core.owners.open_tasks == 0
+        return not any(tables) and core.requests.open_tasks == 0
 
 
 def held(
