--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -29,8 +29,8 @@
 from . import events as ev
 from .attempts import Attempts
 from .client_requests import ClientRequests
-from .context import CoreConfig as CoreConfig
 from .context import CoreContext
+from .core_config import CoreConfig as CoreConfig
 from .grouping import Groups
 from .leases import Leases
 from .node_links import Links
--- a/stairplank/planner/events.py
+++ b/stairplank/planner/events.py
@@ -1,53 +1,80 @@
-"""What the core is fed and what it asks for. Times are microseconds on the planner's own clock."""
+"""What the core is fed: events. Times are microseconds on the planner's own clock.
+
+``actions`` has what the core asks its driver to do, ``client_messages`` what clients are sent. Both can be
+imported from here too, so that a component needs one import for the core's vocabulary.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from enum import Enum
-from typing import TYPE_CHECKING
 
 from .. import interface as api
 from ..tasks import AttemptId as AttemptId
 from ..tasks import GroupTag as GroupTag
 from ..tasks import Rejection as Rejection
 from ..tasks import TaskSpec as TaskSpec
-
-if TYPE_CHECKING:
-    from .context import CoreConfig
-
-
-class StopReason(Enum):
-    CANCELLED = "withdrawn"
-    MIGRATED = "moved"
-    ABANDONED = "left over"
-
-
-# Events
+from .actions import Action as Action
+from .actions import CheckHealth as CheckHealth
+from .actions import CloseLink as CloseLink
+from .actions import Dial as Dial
+from .actions import FetchNodeList as FetchNodeList
+from .actions import LogEvent as LogEvent
+from .actions import RequestNodeTasks as RequestNodeTasks
+from .actions import SendCommit as SendCommit
+from .actions import SendLeaseRenewal as SendLeaseRenewal
+from .actions import SendOffer as SendOffer
+from .actions import SendStop as SendStop
+from .actions import SendToClient as SendToClient
+from .actions import StopReason as StopReason
+from .actions import WatchNodeList as WatchNodeList
+from .client_messages import Admitted as Admitted
+from .client_messages import ClientMessage as ClientMessage
+from .client_messages import GroupAttempted as GroupAttempted
+from .client_messages import GroupEnded as GroupEnded
+from .client_messages import GroupFailed as GroupFailed
+from .client_messages import GroupMessage as GroupMessage
+from .client_messages import GroupPlaced as GroupPlaced
+from .client_messages import GroupShed as GroupShed
+from .client_messages import MemberEnded as MemberEnded
+from .client_messages import Offered as Offered
+from .client_messages import Rejected as Rejected
+from .client_messages import TaskEnded as TaskEnded
+from .client_messages import TaskFailed as TaskFailed
+from .client_messages import TaskPlaced as TaskPlaced
+from .client_messages import TaskRecovered as TaskRecovered
+from .client_messages import TaskShed as TaskShed
+from .core_config import CoreConfig
 
 
 @dataclass(frozen=True, slots=True)
 class ClientConnected:
+    """A client opened a session."""
+
     session: int
     client: str
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
+    """A session of a client is closed."""
+
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequested:
+    """A client requests a node for a task, within ``wait_us``."""
+
     session: int
     request: int
     task: TaskSpec
     wait_us: int
-    age_us: int = 0  # so long ago, at most, it was said: the wait counts from then
+    age_us: int = 0  # sent at most so long ago: the wait counts from then
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementCancelled:
-    """The owner wants the task no longer; by its ask, or, where that is 0, by its key."""
+    """The client cancels a request, named by its number or, where that is 0, by the task's key."""
 
     session: int
     request: int
@@ -56,6 +83,8 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupRequested:
+    """A client requests nodes for a group of tasks that start together, within ``wait_us``."""
+
     session: int
     request: int
     members: tuple[TaskSpec, ...]
@@ -69,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedNode:
-    """A line of the node list as the directory sends it."""
+    """An entry of the node list as the directory sends it."""
 
     id: int
     name: str
@@ -85,6 +114,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeListReceived:
+    """The node list, or changes to it."""
+
     revision: int
     since: int  # the revision that changes build on
     full: bool
@@ -99,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkUp:
-    """A node has said who it is."""
+    """A link is established: the node has identified itself."""
 
     node: int
     started_unix_us: int
@@ -108,14 +139,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DialFailed:
-    """No link came about: nothing was sent."""
+    """No link was established: nothing was sent."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class LinkDown:
-    """A link broke; ``unsent`` names the attempts whose offers provably never left."""
+    """A link was lost; the offers of the attempts in ``unsent`` are proven not to have left."""
 
     node: int
     unsent: frozenset[AttemptId] = frozenset()
@@ -123,13 +154,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeAccepted:
+    """A node accepted an offer."""
+
     node: int
     id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class NodeReady:
-    """A member of a group is held ready."""
+    """A node holds a member of a group ready to start."""
 
     node: int
     id: AttemptId
@@ -137,12 +170,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRunning:
+    """A node started a task."""
+
     node: int
     id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class NodeRejected:
+    """A node rejected an offer, or handed back a task that it had accepted."""
+
     node: int
     id: AttemptId
     reason: api.Reason
@@ -151,12 +188,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeError:
+    """A node failed to handle an offer."""
+
     node: int
     id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class NodeEnded:
+    """A task that a node had accepted has ended there."""
+
     node: int
     id: AttemptId
     result: api.Result  # FINISHED, CANCELLED or LOST
@@ -165,6 +206,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeUsage:
+    """What a running task uses; 0 for what the node does not measure."""
+
     node: int
     id: AttemptId
     cores: float
@@ -175,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasesRenewed:
-    """The node has taken a keep."""
+    """A node has received a lease renewal."""
 
     node: int
     renewal: int
@@ -183,11 +226,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeDraining:
+    """A node reports that it accepts nothing new."""
+
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class NodeTask:
+    """One task in the report of a node on its tasks."""
+
     id: AttemptId
     task: TaskSpec
     running: bool
@@ -196,21 +243,27 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeTasksReported:
+    """Reply to ``RequestNodeTasks``: what the node holds and runs."""
+
     node: int
     started_unix_us: int
     tasks: tuple[NodeTask, ...]
-    complete: bool = False  # what is neither held nor was told as over was never seen there
-    requested_at: int = 0  # when it was asked; 0: not known
+    complete: bool = False  # an attempt neither held nor reported as ended was never received
+    requested_at: int = 0  # when it was requested; 0: not known
     finished: tuple[NodeTask, ...] = ()  # members of groups that ran to their end lately
 
 
 @dataclass(frozen=True, slots=True)
 class NodeTasksFailed:
+    """``RequestNodeTasks`` failed."""
+
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckCompleted:
+    """Reply to ``CheckHealth``, or its failure; ``report`` is the node's load report."""
+
     node: int
     ok: bool
     latency_us: int
@@ -219,12 +272,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The planner is to leave: nothing new is taken, what is owed is answered."""
+    """Graceful shutdown: nothing new is admitted, and every open request gets its outcome."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Settings that may change while the planner runs (``configuration.live``) are others from now on."""
+    """New values of the settings that may change while the planner runs (``configuration.live``)."""
 
     settings: api.Settings
     config: CoreConfig
@@ -232,7 +285,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """Time has passed; what is due is done."""
+    """Time has passed: timers that are due fire."""
 
 
 Event = (
@@ -262,218 +315,3 @@
     | SettingsChanged
     | TimerDue
 )
-
-
-# What is told to owners
-
-
-@dataclass(frozen=True, slots=True)
-class Rejected:
-    request: int
-    rejection: Rejection
-
-
-@dataclass(frozen=True, slots=True)
-class Admitted:
-    request: int
-    placement: int
-
-
-@dataclass(frozen=True, slots=True)
-class Offered:
-    request: int
-    node: int
-    attempt: int
-
-
-@dataclass(frozen=True, slots=True)
-class TaskPlaced:
-    request: int
-    node: int
-    attempt: int
-    latency_us: int
-
-
-@dataclass(frozen=True, slots=True)
-class TaskShed:
-    request: int
-    retry_after_us: int
-    reason: api.Reason
-
-
-@dataclass(frozen=True, slots=True)
-class TaskFailed:
-    request: int
-    may_run: bool
-
-
-@dataclass(frozen=True, slots=True)
-class TaskEnded:
-    request: int
-    key: int
-    finished: bool
-    reason: api.Reason
-
-
-@dataclass(frozen=True, slots=True)
-class TaskRecovered:
-    request: int
-    key: int
-    node: int
-
-
-@dataclass(frozen=True, slots=True)
-class GroupPlaced:
-    request: int
-    bindings: tuple[tuple[int, int], ...]  # member, node
-    constraints_met: bool
-    attempts: int
-
-
-@dataclass(frozen=True, slots=True)
-class GroupShed:
-    request: int
-    retry_after_us: int
-    reason: str
-    never: bool
-
-
-@dataclass(frozen=True, slots=True)
-class GroupFailed:
-    request: int
-    reason: str
-
-
-@dataclass(frozen=True, slots=True)
-class GroupAttempted:
-    request: int
-    attempts: int
-    reason: str
-    retry_in_us: int
-
-
-@dataclass(frozen=True, slots=True)
-class MemberEnded:
-    request: int
-    member: int
-    finished: bool
-    reason: api.Reason
-
-
-@dataclass(frozen=True, slots=True)
-class GroupEnded:
-    request: int
-    finished: bool
-
-
-GroupMessage = GroupPlaced | GroupShed | GroupFailed | GroupAttempted | MemberEnded | GroupEnded
-ClientMessage = (
-    Rejected
-    | Admitted
-    | Offered
-    | TaskPlaced
-    | TaskShed
-    | TaskFailed
-    | TaskEnded
-    | TaskRecovered
-    | GroupMessage
-)
-
-
-# Actions
-
-
-@dataclass(frozen=True, slots=True)
-class SendOffer:
-    node: int
-    id: AttemptId
-    task: TaskSpec
-    wait_us: int
-    class_index: int
-    group: GroupTag | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class SendCommit:
-    """Let these members run."""
-
-    node: int
-    ids: tuple[AttemptId, ...]
-    lease_us: int
-
-
-@dataclass(frozen=True, slots=True)
-class SendLeaseRenewal:
-    node: int
-    ids: tuple[AttemptId, ...]
-    lease_us: int
-    renewal: int = 0  # the core's number for it
-
-
-@dataclass(frozen=True, slots=True)
-class SendStop:
-    node: int
-    id: AttemptId
-    reason: StopReason
-
-
-@dataclass(frozen=True, slots=True)
-class Dial:
-    node: int
-    addresses: tuple[str, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class CloseLink:
-    node: int
-
-
-@dataclass(frozen=True, slots=True)
-class RequestNodeTasks:
-    node: int
-
-
-@dataclass(frozen=True, slots=True)
-class CheckHealth:
-    node: int
-
-
-@dataclass(frozen=True, slots=True)
-class WatchNodeList:
-    active: bool
-    revision: int
-
-
-@dataclass(frozen=True, slots=True)
-class FetchNodeList:
-    pass
-
-
-@dataclass(frozen=True, slots=True)
-class SendToClient:
-    session: int
-    message: ClientMessage
-
-
-@dataclass(frozen=True, slots=True)
-class LogEvent:
-    """For the log."""
-
-    event: str
-    fields: dict[str, object]
-
-
-Action = (
-    SendOffer
-    | SendCommit
-    | SendLeaseRenewal
-    | SendStop
-    | Dial
-    | CloseLink
-    | RequestNodeTasks
-    | CheckHealth
-    | WatchNodeList
-    | FetchNodeList
-    | SendToClient
-    | LogEvent
-)
--- a/stairplank/planner/live_settings.py
+++ b/stairplank/planner/live_settings.py
@@ -7,7 +7,7 @@
 from ..settings import PlannerConfig
 from ..settings.site import load_site_text, with_site
 from .admission import Bounds
-from .context import CoreConfig
+from .core_config import CoreConfig
 
 CONNECTIONS_PER_CLIENT = 2  # a client that comes back may be there twice until its old connection is closed
 EPOCHS_PER_CLIENT = 4  # sessions that are remembered
--- a/tests/planner/room.py
+++ b/tests/planner/room.py
@@ -8,7 +8,8 @@
 from world import BOUNDS, SECOND, SETTINGS
 
 from stairplank.planner import events as ev
-from stairplank.planner.context import CoreConfig, CoreContext
+from stairplank.planner.context import CoreContext
+from stairplank.planner.core_config import CoreConfig
 from stairplank.planner.placement import Placement
 
 
