--- a/benchmarks/fence/run.py
+++ b/benchmarks/fence/run.py
@@ -120,7 +120,7 @@
 
     freed: list[int] = []  # how long a given-up attempt of a once task kept its task's name
     given_up: dict[Any, int] = {}
-    real_give_up, real_over = Attempts._abandon, Attempts.end
+    real_give_up, real_over = Attempts.abandon, Attempts.end
 
     def give_up(room: Attempts, attempt: Any, result: Any) -> None:
         if attempt.placement.task.task_class == "report":
@@ -132,7 +132,7 @@
             freed.append(world.now - given_up.pop(attempt.id))
         real_over(room, attempt, *args)
 
-    Attempts._abandon, Attempts.end = give_up, over  # type: ignore[method-assign]
+    Attempts.abandon, Attempts.end = give_up, over  # type: ignore[method-assign]
     inner_offer, inner_word = world.on_offer, world.on_word
 
     def offered(sent: Any) -> None:
@@ -164,7 +164,7 @@
         world._after(int(hold_s * SECOND), held.difference_update, paths)
         at += hold_s + 1.5
     world.run((DAY_S + 60) * SECOND)
-    Attempts._abandon, Attempts.end = real_give_up, real_over  # type: ignore[method-assign]
+    Attempts.abandon, Attempts.end = real_give_up, real_over  # type: ignore[method-assign]
     took = [runs[name] - touched[name] for name in touched if name in runs]
     seen = watch.seen
     return {
--- /dev/null
+++ b/stairplank/planner/attempt_lifecycle.py
@@ -0,0 +1,312 @@
+"""The life of an attempt from its creation to its end: stopping, abandoning, adopting, reporting.
+
+No I/O or clock.
+
+An attempt is abandoned when the decision module gets its outcome although the node may still accept the offer
+or run the task. ``abandoned_attempts`` decides what becomes of it.
+"""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from .. import interface as api
+from . import abandoned_attempts
+from . import events as ev
+from .abandoned_attempts import DuplicateAction, PlacementState
+from .context import CoreContext
+from .events import AttemptId
+from .placement import Attempt, Placement
+from .transitions import AttemptEvent, AttemptState
+
+OFFER_EXPIRY_SLACK_US = 50_000  # an offer has surely expired at its node so long after it has expired here
+
+
+def offer_expired_at(attempt: Attempt) -> int:
+    """From when on the node cannot accept the offer any more, by this planner's clock."""
+    return attempt.deadline + OFFER_EXPIRY_SLACK_US
+
+
+class ClientRequests(Protocol):
+    """What attempts need of the clients' requests."""
+
+    def find(self, number: int) -> Placement | None: ...
+    def notify(self, placement: Placement, message: ev.ClientMessage) -> None: ...
+    def task_placed(self, placement: Placement, node: int, number: int, latency: int) -> None: ...
+    def adopt(self, task: ev.TaskSpec, former: Placement | None) -> Placement: ...
+    def module_task(self, placement: Placement) -> api.Task: ...
+    def forget_if_done(self, placement: Placement) -> None: ...
+
+
+class Links(Protocol):
+    """What attempts need of the links to nodes."""
+
+    def up(self, node: int) -> bool: ...
+    def reach(self, node: int) -> bool: ...
+    def dial_now(self, node: int) -> bool: ...
+    def heard(self, node: int, id: AttemptId) -> None: ...
+    def unplaced_word(self, node: int) -> None: ...
+    def unsettled(self, node: int, id: AttemptId) -> None: ...
+    def question(self, node: int, since: int) -> int | None: ...
+    def nothing_at(self, node: int) -> None: ...
+
+
+class Groups(Protocol):
+    """What attempts to place members need of their groups."""
+
+    def tag(self, placement: Placement) -> ev.GroupTag: ...
+    def allows(self, placement: Placement, node: int) -> bool: ...
+    def ready(self, placement: Placement, attempt: Attempt) -> None: ...
+    def runs(self, placement: Placement, attempt: Attempt) -> None: ...
+    def member_over(self, placement: Placement, finished: bool, reason: api.Reason) -> None: ...
+
+
+class AttemptLifecycle:
+    """The table of attempts, and the steps that end one or start one that a node reports."""
+
+    def __init__(self, context: CoreContext) -> None:
+        """Other components are set before the first event."""
+        self.context = context
+        self.requests: ClientRequests
+        self.links: Links
+        self.groups: Groups
+        self.attempts: dict[AttemptId, Attempt] = {}
+        self.by_node: dict[int, dict[AttemptId, Attempt]] = {}
+
+    # Table
+
+    def in_flight(self) -> int:
+        """The number of attempts that have not ended."""
+        return len(self.attempts)
+
+    def find(self, id: AttemptId) -> Attempt | None:
+        """The attempt of that id, unless it has ended."""
+        return self.attempts.get(id)
+
+    def is_current(self, attempt: Attempt) -> bool:
+        """Whether it has not ended, nor was replaced by an adopted one of the same id."""
+        return self.attempts.get(attempt.id) is attempt
+
+    def at_node(self, node: int) -> list[Attempt]:
+        """What is at a node or on its way there, in order of creation."""
+        return list(self.by_node.get(node, {}).values())
+
+    def any_at_node(self, node: int) -> bool:
+        """Whether anything is at a node or on its way there."""
+        return node in self.by_node
+
+    def track(self, attempt: Attempt) -> None:
+        """Add an attempt to the tables."""
+        self.attempts[attempt.id] = attempt
+        attempt.placement.attempts[attempt.id] = attempt
+        self.by_node.setdefault(attempt.node, {})[attempt.id] = attempt
+
+    def _untrack(self, attempt: Attempt) -> bool:
+        """Remove an attempt from the tables; False if it was not there."""
+        if self.attempts.pop(attempt.id, None) is None:
+            return False
+        attempt.placement.attempts.pop(attempt.id, None)
+        at_node = self.by_node.get(attempt.node)
+        if at_node is not None:
+            at_node.pop(attempt.id, None)
+            if not at_node:
+                del self.by_node[attempt.node]
+        return True
+
+    # Stopping
+
+    def stop(self, attempt: Attempt, reason: ev.StopReason) -> None:
+        """Stop an attempt at its node, now or when its link is back."""
+        if self.links.up(attempt.node):
+            self.context.emit(ev.SendStop(attempt.node, attempt.id, reason))
+        elif reason is not ev.StopReason.ABANDONED:
+            self.links.unsettled(attempt.node, attempt.id)
+
+    def stop_bound(self, placement: Placement, reason: ev.StopReason) -> None:
+        """Stop the attempt that runs the task, if one does."""
+        if placement.bound_attempt is not None:
+            self.stop(placement.bound_attempt, reason)
+
+    def stop_attempt(self, action: api.StopAttempt) -> None:
+        """The decision module does not want this attempt any more."""
+        placement = self.requests.find(action.task)
+        for attempt in placement.attempts.values() if placement else ():
+            if attempt.number == action.attempt:
+                if not attempt.outcome_reported and attempt is not attempt.placement.bound_attempt:
+                    self.abandon(attempt, api.Result.CANCELLED)
+                return
+
+    def evict(self, action: api.Evict) -> None:
+        """The decision module migrates a running task."""
+        placement = self.requests.find(action.task)
+        if placement is not None and placement.bound_attempt is not None:
+            self.context.count("moved")
+            self.stop(placement.bound_attempt, ev.StopReason.MIGRATED)
+
+    def cancel(self, placement: Placement) -> None:
+        """The client cancelled the request: stop every attempt."""
+        for attempt in list(placement.attempts.values()):
+            if attempt.waiting:
+                self.end(attempt, api.Result.NOT_SENT)
+            else:
+                self.stop(attempt, ev.StopReason.CANCELLED)
+
+    def abandon_member(self, placement: Placement) -> None:
+        """An attempt to place a group is over: stop every attempt of this member."""
+        groups = self.context.config.groups
+        for attempt in list(placement.attempts.values()):
+            if attempt.waiting:
+                self.end(attempt, api.Result.NOT_SENT)
+                continue
+            self.stop(attempt, ev.StopReason.ABANDONED)
+            # The node's last message may be lost; the lease bounds how long it can hold the member.
+            expiry = self.context.now + groups.lease_us + groups.gather_most_us
+            self.context.call_at(expiry, self._member_lease_expired, attempt)
+        self.requests.forget_if_done(placement)
+
+    def placement_concluded(self, placement: Placement) -> None:
+        """The placement has its outcome: take care of the attempts that nobody waits for any more."""
+        for attempt in list(placement.attempts.values()):
+            if attempt.waiting:
+                self.end(attempt, api.Result.NOT_SENT)
+            elif attempt.outcome_reported and attempt.accepted:
+                self.handle_duplicate(attempt)
+
+    # Abandoning
+
+    def abandon(self, attempt: Attempt, result: api.Result) -> None:
+        """Report an outcome that proves nothing; the node may still accept the offer."""
+        attempt.transition(AttemptEvent.ABANDONED)
+        if attempt.placement.group is not None:
+            self._abandon_unstarted_member(attempt)
+            return
+        context, placement = self.context, attempt.placement
+        placement.known_not_run = False
+        self._report_outcome(attempt, result, api.Reason.UNTOLD)
+        if abandoned_attempts.stops_when_abandoned(placement.effect):
+            self.stop(attempt, ev.StopReason.ABANDONED)
+        if attempt.accepted:
+            self.handle_duplicate(attempt)
+        elif context.config.settles_abandoned_offers:
+            context.call_at(max(context.now, offer_expired_at(attempt)), self._request_settlement, attempt)
+        context.call_at(context.now + context.config.abandoned_attempt_us, self._abandoned_timed_out, attempt)
+
+    def _abandon_unstarted_member(self, attempt: Attempt) -> None:
+        """A member of a group that was not committed, and will not be: it is proven not to run."""
+        self._report_outcome(attempt, api.Result.UNREACHABLE, api.Reason.UNTOLD)
+        self.stop(attempt, ev.StopReason.ABANDONED)
+        expiry = self.context.now + self.context.config.groups.lease_us
+        self.context.call_at(expiry, self._member_lease_expired, attempt)
+
+    def _request_settlement(self, attempt: Attempt) -> None:
+        """The node cannot accept an abandoned offer any more, and has not replied: ask what it holds.
+
+        Danger: else a task that must not run twice waits ``abandoned_attempt_us`` for an offer long expired.
+        """
+        if not self.is_current(attempt) or attempt.accepted:
+            return
+        retry_at = self.links.question(attempt.node, offer_expired_at(attempt))
+        if retry_at is not None:
+            self.context.call_at(retry_at, self._request_settlement, attempt)
+
+    def _abandoned_timed_out(self, attempt: Attempt) -> None:
+        """Danger: an unresponsive node would hold its abandoned attempts, and their tasks' keys, for ever."""
+        if self.is_current(attempt) and attempt is not attempt.placement.bound_attempt:
+            self.end(attempt, api.Result.LOST)
+
+    def _member_lease_expired(self, attempt: Attempt) -> None:
+        """The node did not confirm that it stopped a member; its lease has expired by now."""
+        if self.is_current(attempt) and attempt.placement.group is not None:
+            self.end(attempt, api.Result.CANCELLED)
+
+    # Ending
+
+    def end(self, attempt: Attempt, result: api.Result, reason: api.Reason = api.Reason.UNTOLD) -> None:
+        """Nothing more is expected of an attempt: drop it, and report its outcome unless that was done."""
+        placement = attempt.placement
+        if not self._untrack(attempt):
+            return
+        if reason is not api.Reason.UNTOLD:
+            placement.last_reason = reason
+        was_bound = placement.bound_attempt is attempt
+        if placement.group is not None:
+            result = self._end_member(attempt, result, reason)
+        was_reported = attempt.outcome_reported
+        attempt.transition(AttemptEvent.ENDED)
+        if not was_reported:
+            if result not in api.PROVES_NOT_RUN:
+                placement.known_not_run = False
+            self._report_outcome(attempt, result, reason)
+        if was_bound:
+            self._bound_ended(placement, result, reason)
+            if placement.group is not None:
+                return
+        self.requests.forget_if_done(placement)
+        if not self.any_at_node(attempt.node):
+            self.links.nothing_at(attempt.node)
+
+    def _end_member(self, attempt: Attempt, result: api.Result, reason: api.Reason) -> api.Result:
+        """Note how an attempt to place a member ended; the result that the decision module is to get."""
+        if result is api.Result.FINISHED:
+            attempt.placement.end_reason = "finished"
+        else:
+            text = reason.name.lower().replace("_", " ") if reason else result.value
+            attempt.placement.end_reason = text
+        if not attempt.running and result is api.Result.LOST:
+            return api.Result.REJECTED  # it was held and never committed
+        return result
+
+    def _bound_ended(self, placement: Placement, result: api.Result, reason: api.Reason) -> None:
+        """A task that its client knows as placed has ended."""
+        placement.bound_attempt = None
+        finished = result is api.Result.FINISHED
+        if placement.group is not None:
+            self.groups.member_over(placement, finished, reason)
+            self.requests.forget_if_done(placement)
+            return
+        self.context.count("finished" if finished else "lost")
+        ended = ev.TaskEnded(placement.request, placement.task.key, finished, reason)
+        self.requests.notify(placement, ended)
+
+    def _report_outcome(self, attempt: Attempt, result: api.Result, reason: api.Reason) -> None:
+        placement = attempt.placement
+        concluded = placement.state is not PlacementState.OPEN
+        latency = self.context.now - attempt.created_at
+        self.context.notify_module(
+            api.Outcome(placement.number, attempt.number, attempt.node, result, concluded, reason, latency)
+        )
+
+    # Duplicates
+
+    def handle_duplicate(self, attempt: Attempt) -> None:
+        """An abandoned attempt was accepted by its node or runs there nevertheless."""
+        placement = attempt.placement
+        if placement.group is not None:
+            self.stop(attempt, ev.StopReason.ABANDONED)
+            return
+        match abandoned_attempts.duplicate_action(placement.effect, placement.state):
+            case DuplicateAction.STOP:
+                self.context.count("copies_stopped")
+                self.stop(attempt, ev.StopReason.ABANDONED)
+            case DuplicateAction.ADOPT:
+                placement.attempts.pop(attempt.id, None)
+                running = attempt.running
+                attempt.transition(AttemptEvent.ADOPTED)
+                self.adopt(attempt.node, attempt.id, placement.task, running, placement)
+                self.requests.forget_if_done(placement)
+            case DuplicateAction.WAIT:
+                pass
+
+    def adopt(
+        self, node: int, id: AttemptId, task: ev.TaskSpec, running: bool, former: Placement | None = None
+    ) -> Attempt:
+        """Track a task that is at a node though no request waits for it; ``former`` placed it, if known."""
+        placement = self.requests.adopt(task, former)
+        state = AttemptState.RUNNING if running else AttemptState.ACCEPTED
+        attempt = Attempt(self.context, id, placement, 0, node, state)
+        placement.bound_attempt = attempt
+        self.track(attempt)
+        self.context.count("adopted")
+        self.context.notify_module(api.TaskAdopted(self.requests.module_task(placement), node))
+        self.requests.notify(placement, ev.TaskRecovered(placement.request, task.key, node))
+        return attempt
--- a/tests/golden/test_golden_traces.py
+++ b/tests/golden/test_golden_traces.py
@@ -17,7 +17,7 @@
 import pytest
 
 from stairplank import decide
-from stairplank.planner import attempts as grpc_attempts
+from stairplank.planner import attempt_lifecycle
 from stairplank.platform import client_requests, links
 
 EXPECTED: dict[str, str] = json.loads(golden_digests.DIGESTS.read_text())
@@ -50,7 +50,7 @@
         (decide, "HOLD_POLL_US", "grpc drawn-room 1"),
         (decide, "HOLD_POLL_US", "platform usual 1"),
         (decide, "COMFORT", "decisions 3"),
-        (grpc_attempts, "OFFER_EXPIRY_SLACK_US", "grpc groups-bad-day 1"),
+        (attempt_lifecycle, "OFFER_EXPIRY_SLACK_US", "grpc groups-bad-day 1"),
         (links, "LOOK_US", "platform usual 2"),
         (client_requests, "ANSWER_MARGIN_US", "platform strange 1012"),
     ],
--- a/tests/planner/test_attempts.py
+++ b/tests/planner/test_attempts.py
@@ -10,8 +10,9 @@
 
 from stairplank import interface as api
 from stairplank.planner import events as ev
-from stairplank.planner.attempts import REPLY_RESERVE_TICKS, Attempts
+from stairplank.planner.attempts import Attempts
 from stairplank.planner.errors import ConcludedTaskError, IllegalTransitionError
+from stairplank.planner.offers import REPLY_RESERVE_TICKS
 from stairplank.planner.placement import Attempt, Placement
 from stairplank.planner.transitions import AttemptEvent, AttemptState, PlacementEvent
 
@@ -28,7 +29,7 @@
         self.attempts.groups = Others()  # type: ignore[assignment]
 
     def bind(self, node: int = 1, timeout: int = 0) -> None:
-        self.attempts.bind(api.Bind(self.one.number, node, timeout))
+        self.attempts.offers.bind(api.Bind(self.one.number, node, timeout))
 
     def outcomes(self) -> list[api.Result]:
         return [e.result for e in self.context.module_events if isinstance(e, api.Outcome)]
@@ -73,19 +74,19 @@
     assert r.outcomes() == [api.Result.TIMEOUT] and r.attempt.state is AttemptState.ABANDONED_SENT
     stops = [a for a in r.context.actions if isinstance(a, ev.SendStop)]
     assert bool(stops) is (sort == "worker")
-    r.attempts.node_error(ev.NodeError(1, r.attempt.id))
+    r.attempts.messages.node_error(ev.NodeError(1, r.attempt.id))
     assert r.outcomes() == [api.Result.TIMEOUT] and not r.attempts.attempts
 
 
 def test_an_answer_binds_an_open_placing_alone() -> None:
     r = Room()
     r.bind()
-    r.attempts.node_running(ev.NodeRunning(1, r.attempt.id))
+    r.attempts.messages.node_running(ev.NodeRunning(1, r.attempt.id))
     assert r.one.bound_attempt is r.attempt and ("task_placed", r.one, 1, 0, 0) in r.owners.asked
     late = Room()
     late.bind()
     late.one.transition(PlacementEvent.CANCELLED)
-    late.attempts.node_running(ev.NodeRunning(1, late.attempt.id))
+    late.attempts.messages.node_running(ev.NodeRunning(1, late.attempt.id))
     assert late.one.bound_attempt is None and "task_placed" not in late.owners.names()
 
 
@@ -97,7 +98,7 @@
     old = r.attempt
     pass_time(r.context, 2 * SECOND)
     r.one.transition(PlacementEvent.FAILED)
-    r.attempts.node_running(ev.NodeRunning(1, old.id))
+    r.attempts.messages.node_running(ev.NodeRunning(1, old.id))
     assert old.state is AttemptState.OVER and r.attempt is not old and r.attempt.id == old.id
     assert heir.bound_attempt is r.attempt and not r.one.attempts
 
@@ -105,7 +106,7 @@
 def test_words_on_what_is_not_known_are_left_to_the_links() -> None:
     r = Room()
     r.bind()
-    r.attempts.node_running(ev.NodeRunning(2, r.attempt.id))  # another node's
+    r.attempts.messages.node_running(ev.NodeRunning(2, r.attempt.id))  # another node's
     assert r.one.bound_attempt is None and r.links.names()[-1] == "unplaced_word"
 
 
@@ -115,7 +116,7 @@
     with pytest.raises(IllegalTransitionError, match="attempt: 'sent' while 'sent'"):
         r.attempt.transition(AttemptEvent.SENT)
     with pytest.raises(ConcludedTaskError, match="which is over"):
-        r.attempts.bind(api.Bind(99, 1, 0))
+        r.attempts.offers.bind(api.Bind(99, 1, 0))
 
 
 def test_a_broken_link_tells_what_had_left() -> None:
--- a/tests/planner/test_core.py
+++ b/tests/planner/test_core.py
@@ -10,7 +10,7 @@
 from stairplank import interface as api
 from stairplank.planner import events as ev
 from stairplank.planner.admission import Bounds
-from stairplank.planner.attempts import REPLY_RESERVE_TICKS
+from stairplank.planner.offers import REPLY_RESERVE_TICKS
 
 TICK = 10 * MS
 
--- a/tests/planner/test_core_fenced.py
+++ b/tests/planner/test_core_fenced.py
@@ -7,7 +7,7 @@
 
 from stairplank import interface as api
 from stairplank.planner import events as ev
-from stairplank.planner.attempts import OFFER_EXPIRY_SLACK_US
+from stairplank.planner.attempt_lifecycle import OFFER_EXPIRY_SLACK_US
 
 MS = 1_000
 
