--- a/stairplank/planner/client_requests.py
+++ b/stairplank/planner/client_requests.py
@@ -17,8 +17,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
 from typing import Protocol
 
 from .. import interface as api
@@ -27,126 +25,96 @@
 from .abandoned_attempts import PlacementState
 from .context import CoreContext
 from .placement import Placement
+from .request_table import RequestTable
 from .transitions import PlacementEvent
 
-REPEATABLE = api.Effect.IDEMPOTENT
-
-
-@dataclass(slots=True)
-class Session:
-    """An owner's stream."""
-
-    client: str
-    placements: dict[int, Placement] = field(default_factory=dict)
-    groups: dict[int, int] = field(default_factory=dict)  # ask: number
-    open_tasks: int = 0
-
 
 class Attempts(Protocol):
-    """What owners' matters need done at nodes."""
+    """What clients' requests need of the attempts at nodes."""
+
+    def in_flight(self) -> int:
+        """The number of attempts that have not ended."""
 
-    def in_flight(self) -> int: ...
-    def cancel(self, placement: Placement) -> None: ...
-    def stop_bound(self, placement: Placement, why: ev.StopReason) -> None: ...
-    def placement_concluded(self, placement: Placement) -> None: ...
+    def cancel(self, placement: Placement) -> None:
+        """Stop every attempt of a placement."""
 
+    def stop_bound(self, placement: Placement, reason: ev.StopReason) -> None:
+        """Stop the attempt that runs the task."""
 
-class Groups(Protocol):
-    """What owners' matters need to know of groups, and have done to them."""
+    def placement_concluded(self, placement: Placement) -> None:
+        """The placement has its outcome."""
 
-    def owner_came(self, owner: str, session: int, live: Callable[[int], bool]) -> None: ...
-    def owner_left(self, number: int, other: int) -> None: ...
-    def withdrawn(self, number: int) -> None: ...
-    def member_unplaced(self, placement: Placement) -> None: ...
-    def member_gone(self, placement: Placement) -> None: ...
 
+class ClientRequests(RequestTable):
+    """Admits requests, and decides and sends the one outcome of each."""
 
-class ClientRequests:
     def __init__(self, context: CoreContext) -> None:
-        self.context = context
+        """Other components are set before the first event."""
+        super().__init__(context)
         self.attempts: Attempts
-        self.groups: Groups
-        self.sessions: dict[int, Session] = {}
-        self.by_client: dict[str, list[int]] = {}
-        self.placements: dict[int, Placement] = {}
-        self.by_client_key: dict[tuple[str, int], Placement] = {}
         self.open_tasks = 0
         self.draining = False
 
-    # Questions
-
-    def is_connected(self, session: int) -> bool:
-        """Whether a stream is there to be told on."""
-        return session in self.sessions
-
-    def find_by_key(self, owner: str, key: int) -> Placement | None:
-        return self.by_client_key.get((owner, key))
-
-    def find(self, number: int) -> Placement | None:
-        return self.placements.get(number)
-
-    def all_placements(self) -> list[Placement]:
-        return list(self.placements.values())
-
-    def client_of(self, session: int) -> str:
-        return self.sessions[session].client
-
-    def newest_session(self, owner: str) -> int:
-        """The owner's newest stream, or 0."""
-        return (self.by_client.get(owner) or [0])[-1]
-
-    # Streams
+    # Sessions
 
     def client_connected(self, event: ev.ClientConnected) -> None:
-        self.sessions[event.session] = Session(event.client)
-        self.by_client.setdefault(event.client, []).append(event.session)
+        """Open a session; what runs for the client and has no open session is reported on this one."""
+        self._open_session(event.session, event.client)
         self.groups.owner_came(event.client, event.session, self.is_connected)
         for placement in list(self.by_client_key.values()):
-            # What runs for this owner and has no stream to be told on is this stream's from now on.
-            if (
-                placement.task.client == event.client
-                and placement.bound_attempt
-                and placement.session not in self.sessions
-            ):
-                placement.session, placement.request = event.session, 0
-                self.notify(placement, ev.TaskRecovered(0, placement.task.key, placement.bound_attempt.node))
+            bound = placement.bound_attempt
+            orphaned = placement.session not in self.sessions
+            if placement.task.client == event.client and bound is not None and orphaned:
+                self._move(placement, event.session, 0)
+                self.notify(placement, ev.TaskRecovered(0, placement.task.key, bound.node))
 
     def client_disconnected(self, event: ev.ClientDisconnected) -> None:
-        """Danger: an owner gone in the middle must leave neither open tasks nor attempts behind."""
-        session = self.sessions.pop(event.session, None)
+        """Close a session.
+
+        Danger: a client that leaves at any moment must leave neither open tasks nor attempts behind.
+        """
+        session = self._close_session(event.session)
         if session is None:
             return
-        others = self.by_client.get(session.client, [])
-        if event.session in others:
-            others.remove(event.session)
-        if not others:
-            self.by_client.pop(session.client, None)
+        other = self.newest_session(session.client)
         for placement in list(session.placements.values()):
             if placement.state is PlacementState.OPEN:
                 self._cancel_open(placement)
-            elif others:
-                placement.session, placement.request = others[-1], 0
+            elif other:
+                self._move(placement, other, 0)
         for number in list(session.groups.values()):
-            self.groups.owner_left(number, others[-1] if others else 0)
+            self.groups.owner_left(number, other)
+
+    def _move(self, placement: Placement, session: int, request: int) -> None:
+        """Notify the client on another session, or request, from now on."""
+        placement.session = session
+        placement.request = request
 
-    # Asks
+    # Admission
 
     def placement_requested(self, event: ev.PlacementRequested) -> None:
-        session = self.sessions[event.session]
-        rejection = self._rejection(session, event)
+        """Admit a request or reject it; a task that runs already is reported as recovered."""
+        rejection = self._rejection(event)
         if rejection is not None:
             self.reject(event.session, event.request, rejection)
             return
         known = self.find_by_key(event.task.client, event.task.key)
         if known is not None and known.bound_attempt is not None:
-            # It runs already. Danger: placed anew it would run twice.
-            old = self.sessions.get(known.session)
-            if old is not None:
-                old.placements.pop(known.request, None)
-            known.session, known.request = event.session, event.request
-            session.placements[event.request] = known
-            self.notify(known, ev.TaskRecovered(event.request, event.task.key, known.bound_attempt.node))
-            return
+            self._recover(known, event, known.bound_attempt.node)
+        else:
+            self._admit(event)
+
+    def _recover(self, placement: Placement, event: ev.PlacementRequested, node: int) -> None:
+        """The task runs already. Danger: placed anew it would run twice."""
+        former = self.sessions.get(placement.session)
+        if former is not None:
+            former.placements.pop(placement.request, None)
+        self._move(placement, event.session, event.request)
+        self.sessions[event.session].placements[event.request] = placement
+        self.notify(placement, ev.TaskRecovered(event.request, event.task.key, node))
+
+    def _admit(self, event: ev.PlacementRequested) -> None:
+        session = self.sessions[event.session]
         placement = Placement(self.context, event.session, event.request, event.task)
         placement.deadline = self.context.now + event.wait_us - event.age_us
         self.register(placement)
@@ -158,69 +126,59 @@
         self.context.notify_module(api.TaskRequested(self.module_task(placement)))
 
     def reject(self, session: int, request: int, rejection: ev.Rejection) -> None:
+        """Send a rejection of a request of either kind."""
         self.context.count("rejected")
         self.context.emit(ev.SendToClient(session, ev.Rejected(request, rejection)))
 
-    def request_error(self, session: int, ask: int) -> ev.Rejection | None:
-        """What is wrong with an ask of either kind before its tasks are looked at."""
-        if self.draining:
-            return ev.Rejection("UNAVAILABLE", "", "this planner is leaving", admission.DRAINING_RETRY_US)
+    def request_error(self, session: int, request: int) -> ev.Rejection | None:
+        """What is wrong with a request of either kind before its tasks are looked at."""
         known = self.sessions[session]
-        if ask <= 0 or ask in known.placements or ask in known.groups:
+        if self.draining:
+            message = "this planner is leaving"
+            return ev.Rejection("UNAVAILABLE", "", message, admission.DRAINING_RETRY_US)
+        if request <= 0 or request in known.placements or request in known.groups:
             message = "a number above 0 that no live ask of this stream has is needed"
             return ev.Rejection("INVALID_ARGUMENT", "ask", message)
         return None
 
     def task_error(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None:
-        context = self.context
-        return admission.task_error(
-            task, wait_us, context.config.bounds, context.settings, context.config.tenants
-        )
+        """What is wrong with a task."""
+        config = self.context.config
+        return admission.task_error(task, wait_us, config.bounds, self.context.settings, config.tenants)
 
     def capacity_error(self, session: int) -> ev.Rejection | None:
-        """Bounds of tables: how many tasks are open, an owner's, and attempts at nodes."""
+        """Whether a table is at its bound: open tasks, those of the client, or attempts at nodes."""
         open_here = self.sessions[session].open_tasks
-        return admission.capacity_error(
-            self.open_tasks, open_here, self.attempts.in_flight(), self.context.config.bounds
+        bounds = self.context.config.bounds
+        return admission.capacity_error(self.open_tasks, open_here, self.attempts.in_flight(), bounds)
+
+    def _rejection(self, event: ev.PlacementRequested) -> ev.Rejection | None:
+        return (
+            self.request_error(event.session, event.request)
+            or self.task_error(event.task, event.wait_us)
+            or admission.deadline_error(event.wait_us, event.age_us)
+            or self._duplicate_error(event.task)
+            or self.capacity_error(event.session)
         )
 
-    def _rejection(self, session: Session, event: ev.PlacementRequested) -> ev.Rejection | None:
-        wrong = self.request_error(event.session, event.request) or self.task_error(event.task, event.wait_us)
-        if wrong is None:
-            wrong = admission.deadline_error(event.wait_us, event.age_us)
-        if wrong is not None:
-            return wrong
-        known = self.find_by_key(event.task.client, event.task.key)
-        if known is not None and known.state is PlacementState.OPEN:
+    def _duplicate_error(self, task: ev.TaskSpec) -> ev.Rejection | None:
+        """Whether another task of this key is open, or may still run where a second run does harm."""
+        known = self.find_by_key(task.client, task.key)
+        if known is None:
+            return None
+        if known.state is PlacementState.OPEN:
             return ev.Rejection("ALREADY_EXISTS", "task.key", "this task waits for its outcome already")
-        effect = self.context.effect(self.context.classes[event.task.task_class])
-        if known is not None and known.bound_attempt is None and effect is not REPEATABLE:
-            # Danger: an attempt that was given up may still run; asked again too soon it would run twice.
+        effect = self.context.effect(self.context.classes[task.task_class])
+        if known.bound_attempt is None and effect is not api.Effect.IDEMPOTENT:
+            # Danger: an abandoned attempt may still run; placed again too soon the task would run twice.
             message = "an earlier attempt of this task may still run"
             return ev.Rejection("ABORTED", "task.key", message, admission.UNSETTLED_RETRY_US)
-        return self.capacity_error(event.session)
-
-    def register(self, placement: Placement) -> None:
-        """Know a placement by number and name from now on."""
-        self.placements[placement.number] = self.by_client_key[placement.client_key] = placement
-
-    def module_task(self, placement: Placement) -> api.Task:
-        """As the module is told of it."""
-        spec = placement.task
-        return api.Task(
-            placement.number,
-            placement.class_index,
-            self.context.tenants.get(spec.tenant, 0),
-            spec.key,
-            placement.deadline,
-            spec.service,
-            spec.cores,
-            spec.memory,
-            spec.expected_duration_us or None,
-            spec.resubmitted,
-        )
+        return None
+
+    # Cancellation
 
     def placement_cancelled(self, event: ev.PlacementCancelled) -> None:
+        """The client cancels a task or a group."""
         session = self.sessions[event.session]
         if event.request in session.groups:
             self.context.count("groups_withdrawn")
@@ -229,7 +187,7 @@
         by_key = self.find_by_key(session.client, event.key)
         placement = session.placements.get(event.request) if event.request else by_key
         if placement is None:
-            return  # it is over: the words have crossed
+            return  # it has ended: the messages have crossed
         if placement.state is PlacementState.OPEN:
             self._cancel_open(placement)
         elif placement.bound_attempt is not None and not placement.cancelled:
@@ -237,31 +195,15 @@
             self.attempts.stop_bound(placement, ev.StopReason.CANCELLED)
 
     def _cancel_open(self, placement: Placement) -> None:
-        """Nothing is owed any more; attempts that are out are called back."""
-        self.context.count(PlacementEvent.CANCELLED)
+        """No outcome is sent; attempts in flight are stopped."""
+        self.context.count("withdrawn")
         self.conclude(placement, PlacementEvent.CANCELLED)
         self.context.notify_module(api.TaskCancelled(placement.number))
         self.attempts.cancel(placement)
         self.forget_if_done(placement)
 
-    # Groups of this stream, by the groups' room's numbers
-
-    def register_group(self, session: int, ask: int, number: int) -> None:
-        self.sessions[session].groups[ask] = number
-
-    def forget_group(self, session: int, ask: int) -> None:
-        if session in self.sessions:
-            self.sessions[session].groups.pop(ask, None)
-
     # Outcomes
 
-    def notify(self, placement: Placement, word: ev.ClientMessage) -> None:
-        self.notify_session(placement.session, word)
-
-    def notify_session(self, session: int, word: ev.ClientMessage) -> None:
-        if session in self.sessions:
-            self.context.emit(ev.SendToClient(session, word))
-
     def conclude(self, placement: Placement, event: PlacementEvent) -> None:
         """The placement's one outcome is decided."""
         placement.transition(event)
@@ -273,11 +215,9 @@
             session.open_tasks -= 1
 
     def shed(self, action: api.Shed) -> None:
-        placement = self.placements.get(action.task)
-        if placement is None or placement.state is not PlacementState.OPEN:
-            return
-        if placement.group is not None:
-            self.groups.member_unplaced(placement)
+        """The decision module gives up a task; a retry does no harm."""
+        placement = self._open_single(action.task)
+        if placement is None:
             return
         self.context.count("refused")
         self.conclude(placement, PlacementEvent.SHED)
@@ -285,11 +225,9 @@
         self._release(placement)
 
     def fail(self, action: api.Fail) -> None:
-        placement = self.placements.get(action.task)
-        if placement is None or placement.state is not PlacementState.OPEN:
-            return
-        if placement.group is not None:
-            self.groups.member_unplaced(placement)
+        """The decision module gives up a task that may run nevertheless."""
+        placement = self._open_single(action.task)
+        if placement is None:
             return
         self.context.count("failed")
         may_run = bool(placement.attempts) or not placement.known_not_run
@@ -297,56 +235,56 @@
         self.notify(placement, ev.TaskFailed(placement.request, may_run))
         self._release(placement)
 
+    def _open_single(self, number: int) -> Placement | None:
+        """The single task that the decision module gives up, if it is open; groups get their members."""
+        placement = self.placements.get(number)
+        if placement is None or placement.state is not PlacementState.OPEN:
+            return None
+        if placement.group is not None:
+            self.groups.member_unplaced(placement)
+            return None
+        return placement
+
     def _release(self, placement: Placement) -> None:
-        """The ask is done with; copies that nodes have spoken of meanwhile are not."""
+        """The request is done with; duplicates that nodes have reported meanwhile are not."""
         session = self.sessions.get(placement.session)
         if session is not None:
             session.placements.pop(placement.request, None)
         self.attempts.placement_concluded(placement)
         self.forget_if_done(placement)
 
-    def task_placed(self, placement: Placement, node: int, number: int, latency: int) -> None:
-        """It is bound; ``latency`` since the offer."""
+    def task_placed(self, placement: Placement, node: int, number: int, latency_us: int) -> None:
+        """Attempt ``number`` placed the task, so long after its offer."""
         self.context.count("placed")
         self.conclude(placement, PlacementEvent.PLACED)
-        self.context.notify_module(api.Placed(placement.number, number, node, latency))
-        self.notify(placement, ev.TaskPlaced(placement.request, node, number, latency))
+        self.context.notify_module(api.Placed(placement.number, number, node, latency_us))
+        self.notify(placement, ev.TaskPlaced(placement.request, node, number, latency_us))
 
-    def adopt(self, spec: ev.TaskSpec, former: Placement | None) -> Placement:
-        """A task that is at a node though nothing here waits for it: it is told on its owner's stream."""
-        placement = Placement(self.context, 0, 0, spec, PlacementState.PLACED)
+    def adopt(self, task: ev.TaskSpec, former: Placement | None) -> Placement:
+        """A placement for a task found at a node; the client gets messages on it as on the former one's."""
+        placement = Placement(self.context, 0, 0, task, PlacementState.PLACED)
         if former is not None and former.session in self.sessions:
-            placement.session, placement.request = former.session, former.request
+            self._move(placement, former.session, former.request)
             self.sessions[former.session].placements[former.request] = placement
         else:
-            placement.session = self.newest_session(spec.client)
+            placement.session = self.newest_session(task.client)
         self.register(placement)
         return placement
 
-    def forget_if_done(self, placement: Placement) -> None:
-        """Drop a placement of which nothing is left."""
-        if placement.state is PlacementState.OPEN or placement.attempts:
-            return
-        if self.placements.pop(placement.number, None) is not None and placement.group is not None:
-            self.groups.member_gone(placement)
-        if self.by_client_key.get(placement.client_key) is placement:
-            del self.by_client_key[placement.client_key]
-        session = self.sessions.get(placement.session)
-        if session is not None and session.placements.get(placement.request) is placement:
-            del session.placements[placement.request]
-
-    # Leaving
+    # Graceful shutdown
 
     def conclude_all(self) -> None:
-        """What is still owed is answered now: refused where a retry is proven harmless, else failed."""
-        owed: Iterable[Placement] = [
-            p for p in self.all_placements() if p.state is PlacementState.OPEN and p.group is None
+        """Decide every open task now: shed where a retry is proven harmless, else failed."""
+        open_tasks = [
+            placement
+            for placement in self.all_placements()
+            if placement.state is PlacementState.OPEN and placement.group is None
         ]
-        for placement in owed:
-            out = any(not a.waiting for a in placement.attempts.values())
-            harmless = placement.effect is REPEATABLE or (placement.known_not_run and not out)
+        for placement in open_tasks:
+            in_flight = any(not attempt.waiting for attempt in placement.attempts.values())
+            proven = placement.known_not_run and not in_flight
             self.context.notify_module(api.TaskCancelled(placement.number))
-            if harmless:
+            if placement.effect is api.Effect.IDEMPOTENT or proven:
                 self.shed(api.Shed(placement.number, admission.DRAINING_RETRY_US))
             else:
                 self.fail(api.Fail(placement.number))
--- a/stairplank/planner/context.py
+++ b/stairplank/planner/context.py
@@ -1,5 +1,6 @@
-"""What the components of the planner's core share: the event loop, settings, bounds and names. No I/O,
-no clock.
+"""What the components of the planner's core share: the event loop, settings, bounds and names.
+
+No I/O, no clock.
 
 A component owns its tables and no other component touches them. It emits actions for what is to be done
 outside the core, notifies the decision module of events, and sets timers. The core (``core``) routes events
--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -1,21 +1,21 @@
-"""The conductor: routes events to the rooms, lets time pass, asks the module. No I/O, clock or global state.
+"""The planner's core: routes events to its components, advances time and runs the decision module.
 
-The core stands between the decision module, which says where a task goes, and the driver, which has sockets
-or simulated ones. ``handle`` takes the time and an event and returns actions; ``next_due`` says when it wants
-a ``Due``. Time that goes back is taken as no time. What there is to know is kept in rooms, each with its own
-tables and its own page of invariants:
+No I/O, clock or global state. The core stands between the decision module, which says where a task goes, and
+the driver, which has sockets or simulated ones. ``handle`` takes the time and an event and returns actions;
+``next_due`` says when it wants a ``TimerDue``. Time that goes back is taken as no time. All state is kept in
+components, each with its own tables and invariants:
 
-| room | looks after |
+| component | responsible for |
 | --- | --- |
-| ``owners`` | streams, asks, the one outcome of each |
-| ``attempts`` | what is out at nodes: offers, leftovers, copies, proofs |
+| ``requests`` | sessions, requests, the one outcome of each |
+| ``attempts`` | what is at nodes: offers, abandoned attempts, duplicates, proofs |
 | ``links`` | dialling, grace, what is unsettled, what nodes hold |
-| ``list`` | the node list |
-| ``groups``, ``leases`` | groups on the path; which keeps have arrived |
+| ``node_list`` | the node list |
+| ``groups``, ``leases`` | groups being placed or running; which lease renewals have arrived |
 
-Invariants of the conductor: what rooms feed the module is taken by it in order, before the next timer and the
-next event; a word of a group's member is taken when the module has nothing more to hear; a planner that
-leaves takes nothing new, and answers all it owes within ``stop_grace_us``.
+Invariants of the core: the decision module handles what components queue for it in order, before the next
+timer and the next event; an event of a group's member is handled when the module has nothing more to handle;
+a planner that drains admits nothing new, and decides every open request within ``stop_grace_us``.
 """
 
 from __future__ import annotations
@@ -38,9 +38,10 @@
 
 
 class Core:
-    """One life of a planner. ``life`` must be a number that no other life has."""
+    """One incarnation of a planner."""
 
     def __init__(self, settings: api.Settings, config: CoreConfig, incarnation: int, seed: int) -> None:
+        """``incarnation`` must be a number that no other run of a planner has."""
         self.context = CoreContext(settings, config, incarnation)
         self.incarnation = incarnation
         self.module = Planner(settings, seed)
@@ -50,18 +51,34 @@
         self.node_list = NodeList(self.context)
         self.leases = Leases(self.context)
         self.groups = Groups(self.context, self.leases, seed ^ 0x6709)
-        self.requests.attempts, self.requests.groups = self.attempts, self.groups
-        self.attempts.requests, self.attempts.links = self.requests, self.links
+        self.stopping = False
+        self._connect_components()
+        self._event_handlers = self._list_event_handlers()
+        self._action_handlers = self._list_action_handlers()
+
+    def _connect_components(self) -> None:
+        """Give each component those that its protocols name."""
+        self.requests.attempts = self.attempts
+        self.requests.groups = self.groups
+        self.attempts.requests = self.requests
+        self.attempts.links = self.links
         self.attempts.groups = self.groups
-        self.links.attempts, self.links.requests = self.attempts, self.requests
-        self.links.groups, self.links.list = self.groups, self.node_list
+        self.links.attempts = self.attempts
+        self.links.requests = self.requests
+        self.links.groups = self.groups
+        self.links.list = self.node_list
         self.links.leases = self.leases
-        self.node_list.links, self.node_list.attempts = self.links, self.attempts
+        self.node_list.links = self.links
+        self.node_list.attempts = self.attempts
         self.leases.attempts = self.attempts
-        self.groups.requests, self.groups.attempts = self.requests, self.attempts
-        self.groups.links, self.groups.list = self.links, self.node_list
-        self.stopping = False
-        self._event_handlers: dict[type, Callable[[Any], None]] = {
+        self.groups.requests = self.requests
+        self.groups.attempts = self.attempts
+        self.groups.links = self.links
+        self.groups.list = self.node_list
+
+    def _list_event_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """What handles each event."""
+        return {
             ev.ClientConnected: self.requests.client_connected,
             ev.ClientDisconnected: self.requests.client_disconnected,
             ev.PlacementRequested: self.requests.placement_requested,
@@ -88,7 +105,10 @@
             ev.SettingsChanged: self._settings_changed,
             ev.TimerDue: self._timer_due,
         }
-        self._action_handlers: dict[type, Callable[[Any], None]] = {
+
+    def _list_action_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """What carries out each action of the decision module."""
+        return {
             api.Bind: self.attempts.offers.bind,
             api.StopAttempt: self.attempts.stop_attempt,
             api.Evict: self.attempts.evict,
@@ -104,14 +124,14 @@
     # Driving
 
     def start(self, now: int) -> list[ev.Action]:
-        """The first call of a life."""
+        """The first call: start the decision module."""
         self._begin(now)
         self.context.notify_module(api.Started())
         self._run()
         return self.context.actions
 
     def handle(self, now: int, event: ev.Event) -> list[ev.Action]:
-        """Take an event, and whatever has come due; return what is to be done, in order."""
+        """Fire timers that are due, then handle an event; return what is to be done, in order."""
         self._begin(now)
         self._run_timers()
         self._event_handlers[type(event)](event)
@@ -119,16 +139,16 @@
         return self.context.actions
 
     def handle_after_stall(self, now: int, events: list[ev.Event]) -> list[ev.Action]:
-        """Take what came while the process stood still, before the time that has passed is felt.
+        """Handle what arrived while the process stood still, before the time that has passed is felt.
 
-        Danger: timers that fell due meanwhile would send offers to nodes whose word of a drain lies unread in
-        the planner's own socket. What nodes and the list said comes first, then time, then owners.
+        Danger: timers that fell due meanwhile would send offers to nodes whose report of a drain lies unread
+        in the planner's own socket. What nodes and the list sent comes first, then time, then clients.
         """
         self._begin(now)
-        told = [e for e in events if not isinstance(e, _CLIENT_EVENTS)]
-        told.sort(key=lambda e: not isinstance(e, (ev.NodeDraining, ev.NodeListReceived)))
-        for word in told:
-            self._event_handlers[type(word)](word)
+        received = [event for event in events if not isinstance(event, _CLIENT_EVENTS)]
+        received.sort(key=lambda event: not isinstance(event, (ev.NodeDraining, ev.NodeListReceived)))
+        for message in received:
+            self._event_handlers[type(message)](message)
             self._run()
         self._run_timers()
         for event in events:
@@ -138,29 +158,30 @@
         return self.context.actions
 
     def next_due(self) -> int | None:
-        """When a ``Due`` is wanted, or None."""
+        """When a ``TimerDue`` is wanted, or None."""
         return self.context.next_due()
 
     @property
     def finished(self) -> bool:
-        """Whether a stopping planner owes nothing more."""
+        """Whether a draining planner has decided every request."""
         return self.stopping and self.requests.open_tasks == 0 and not self.groups.owed()
 
     @property
     def counts(self) -> dict[str, int]:
+        """Counters by name."""
         return self.context.counts
 
     def _begin(self, now: int) -> None:
         self.context.begin(now)
 
     def _run(self) -> None:
-        """Let the module decide on what has been fed, and carry its actions out, until both are done."""
-        told, words = self.context.module_events, self.groups.words
-        while told or words:
-            while told:
-                for action in self.module.handle(self.context.now, told.popleft()):
+        """Let the decision module handle what is queued and carry its actions out, until nothing is left."""
+        module_events = self.context.module_events
+        while module_events or self.groups.words:
+            while module_events:
+                for action in self.module.handle(self.context.now, module_events.popleft()):
                     self._action_handlers[type(action)](action)
-            if words:
+            if self.groups.words:
                 self.groups.take_word()
 
     def _run_timers(self) -> None:
@@ -171,7 +192,7 @@
     def _timer_due(self, event: ev.TimerDue) -> None:
         pass
 
-    # The module's own
+    # Actions of the decision module
 
     def _set_timer(self, action: api.SetTimer) -> None:
         self.context.call_at(action.at_us, self._module_timer_fired, action.token)
@@ -213,7 +234,7 @@
         self.node_list.settings_changed()
         self.context.count("settings_changed")
 
-    # Leaving
+    # Graceful shutdown
 
     def _shutdown_requested(self, event: ev.ShutdownRequested) -> None:
         if not self.stopping:
--- a/stairplank/planner/event_loop.py
+++ b/stairplank/planner/event_loop.py
@@ -1,5 +1,6 @@
-"""The event loop every core is built on: monotonic time, timers, pending actions and the decision module's
-event queue. No I/O or clock.
+"""The event loop every core is built on: time, timers, pending actions, the decision module's event queue.
+
+No I/O or clock.
 
 ``context`` adds what the components of the planner's own core share; the platform's core uses this as it is.
 """
@@ -23,9 +24,10 @@
 
 
 class EventLoop:
-    """One per core."""
+    """Time, timers and queues of one core; times in microseconds."""
 
     def __init__(self) -> None:
+        """A loop at time 0 without timers."""
         self.now = 0
         self.actions: list[Any] = []  # of this turn, for the caller to carry out
         self.module_events: deque[api.Event] = deque()  # for the decision module, not yet handled by it
@@ -53,7 +55,7 @@
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def next_number(self) -> int:
-        """A number that is unique within this process life."""
+        """A number that is unique within this run of the process."""
         self._last_number += 1
         return self._last_number
 
--- a/stairplank/planner/trace.py
+++ b/stairplank/planner/trace.py
@@ -1,8 +1,8 @@
 """Records what a core is fed and what it returns, and feeds the same to another core. No I/O.
 
-A trace is a list of steps, each a method's name and its arguments; with it goes what made the core. A core is
-a state machine without clock or chance of its own, so the same steps give the same actions, to the last
-field: where a redesign gives others, it is told which step did.
+A trace is a list of steps, each a method's name and its arguments, with the arguments that the core was
+created with. A core is a state machine without clock or randomness of its own, so the same steps give the
+same actions, to the last field; ``replay`` names the first step that gives others.
 """
 
 from __future__ import annotations
@@ -18,19 +18,20 @@
 
 @dataclass
 class Trace:
-    """One core's life. ``made``: the arguments of its making."""
+    """What one core was fed; ``core_arguments`` created it."""
 
     core_arguments: tuple[Any, ...]
     steps: list[tuple[str, tuple[Any, ...]]] = field(default_factory=list)
     digests: list[str] = field(default_factory=list)  # of the actions after each step
 
     def digest(self, actions: list[Any]) -> str:
+        """A digest of the actions of one step."""
         return hashlib.blake2b(repr(actions).encode(), digest_size=8).hexdigest()
 
 
-def record(core: Core, *made: Any) -> Trace:
-    """Put a recorder around a core that was made so; it acts as before."""
-    trace = Trace(made)
+def record(core: Core, *core_arguments: Any) -> Trace:
+    """Put a recorder around a core that was created with these arguments; it acts as before."""
+    trace = Trace(core_arguments)
     for name in METHODS:
         inner = getattr(core, name)
 
@@ -45,7 +46,7 @@
 
 
 def replay(trace: Trace) -> tuple[int, list[Any]] | None:
-    """Feed a trace to a new core: None where all is equal, else the first other step and its actions."""
+    """Feed a trace to a new core: None if all is equal, else the first step that differs and its actions."""
     core = Core(*trace.core_arguments)
     for number, (name, args) in enumerate(trace.steps):
         actions = getattr(core, name)(*args)
