--- a/stairplank/planner/attempt_lifecycle.py
+++ b/stairplank/planner/attempt_lifecycle.py
@@ -30,35 +30,70 @@
 class ClientRequests(Protocol):
     """What attempts need of the clients' requests."""
 
-    def find(self, number: int) -> Placement | None: ...
-    def notify(self, placement: Placement, message: ev.ClientMessage) -> None: ...
-    def task_placed(self, placement: Placement, node: int, number: int, latency: int) -> None: ...
-    def adopt(self, task: ev.TaskSpec, former: Placement | None) -> Placement: ...
-    def module_task(self, placement: Placement) -> api.Task: ...
-    def forget_if_done(self, placement: Placement) -> None: ...
+    def find(self, number: int) -> Placement | None:
+        """The placement of that number, unless it is forgotten."""
+
+    def notify(self, placement: Placement, message: ev.ClientMessage) -> None:
+        """Send a message on the placement's session."""
+
+    def task_placed(self, placement: Placement, node: int, number: int, latency: int) -> None:
+        """An attempt placed the task."""
+
+    def adopt(self, task: ev.TaskSpec, former: Placement | None) -> Placement:
+        """A placement for a task found at a node."""
+
+    def module_task(self, placement: Placement) -> api.Task:
+        """The task as the decision module gets it."""
+
+    def forget_if_done(self, placement: Placement) -> None:
+        """Drop a placement of which nothing is left."""
 
 
 class Links(Protocol):
     """What attempts need of the links to nodes."""
 
-    def up(self, node: int) -> bool: ...
-    def reach(self, node: int) -> bool: ...
-    def dial_now(self, node: int) -> bool: ...
-    def heard(self, node: int, id: AttemptId) -> None: ...
-    def unplaced_word(self, node: int) -> None: ...
-    def unsettled(self, node: int, id: AttemptId) -> None: ...
-    def question(self, node: int, since: int) -> int | None: ...
-    def nothing_at(self, node: int) -> None: ...
+    def up(self, node: int) -> bool:
+        """Whether the link to a node is up."""
+
+    def reach(self, node: int) -> bool:
+        """Whether the node has addresses to be dialled at."""
+
+    def dial_now(self, node: int) -> bool:
+        """Dial at once; whether the link is being dialled."""
+
+    def heard(self, node: int, id: AttemptId) -> None:
+        """A message of the node settles this attempt's fate."""
+
+    def unplaced_word(self, node: int) -> None:
+        """The node reported on an attempt that is unknown here."""
+
+    def unsettled(self, node: int, id: AttemptId) -> None:
+        """Something is to be sent on this attempt when the link is back."""
+
+    def question(self, node: int, since: int) -> int | None:
+        """Ask what the node holds, unless that was done since; else when to retry, or None."""
+
+    def nothing_at(self, node: int) -> None:
+        """No attempt is at the node any more."""
 
 
 class Groups(Protocol):
     """What attempts to place members need of their groups."""
 
-    def tag(self, placement: Placement) -> ev.GroupTag: ...
-    def allows(self, placement: Placement, node: int) -> bool: ...
-    def ready(self, placement: Placement, attempt: Attempt) -> None: ...
-    def runs(self, placement: Placement, attempt: Attempt) -> None: ...
-    def member_over(self, placement: Placement, finished: bool, reason: api.Reason) -> None: ...
+    def tag(self, placement: Placement) -> ev.GroupTag:
+        """What the node gets to know of the member's group."""
+
+    def allows(self, placement: Placement, node: int) -> bool:
+        """Whether a member may go to that node now."""
+
+    def ready(self, placement: Placement, attempt: Attempt) -> None:
+        """A node holds the member ready to start."""
+
+    def runs(self, placement: Placement, attempt: Attempt) -> None:
+        """A node started the member."""
+
+    def member_over(self, placement: Placement, finished: bool, reason: api.Reason) -> None:
+        """A member that was bound has ended."""
 
 
 class AttemptLifecycle:
--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -189,8 +189,8 @@
             due.callback(due.argument)
             self._run()
 
-    def _timer_due(self, event: ev.TimerDue) -> None:
-        pass
+    def _timer_due(self, _: ev.TimerDue) -> None:
+        """Timers were fired before the event was handled."""
 
     # Actions of the decision module
 
@@ -213,7 +213,7 @@
     def _watch_node_list(self, action: api.WatchNodeList) -> None:
         self.context.emit(ev.WatchNodeList(action.active, self.node_list.revision))
 
-    def _fetch_node_list(self, action: api.FetchNodeList) -> None:
+    def _fetch_node_list(self, _: api.FetchNodeList) -> None:
         self.context.emit(ev.FetchNodeList())
 
     def _module_log(self, action: api.Log) -> None:
@@ -236,7 +236,7 @@
 
     # Graceful shutdown
 
-    def _shutdown_requested(self, event: ev.ShutdownRequested) -> None:
+    def _shutdown_requested(self, _: ev.ShutdownRequested) -> None:
         if not self.stopping:
             self.stopping = self.requests.draining = True
             self.groups.leave()
