--- a/tests/groups/test_core_groups.py
+++ b/tests/groups/test_core_groups.py
@@ -31,11 +31,11 @@
     def group(
         self, n: int = 1, count: int = 3, sort: str = "worker", wait: int = 9 * SECOND, **more: Any
     ) -> list[Any]:
-        members = tuple(self.spec(100 * n + i, sort, service=50 + n) for i in range(count))
+        members = tuple(self.task_spec(100 * n + i, sort, service=50 + n) for i in range(count))
         return self.feed(ev.GroupRequested(1, n, more.pop("members", members), wait, **more))
 
     def offers(self) -> list[ev.SendOffer]:
-        return self.all(ev.SendOffer)
+        return self.actions_of(ev.SendOffer)
 
     def ready(self, *offers: ev.SendOffer) -> None:
         for offer in offers:
@@ -54,11 +54,11 @@
         return offers
 
     def stops(self) -> set[Any]:
-        return {s.id for s in self.all(ev.SendStop)}
+        return {s.id for s in self.actions_of(ev.SendStop)}
 
     def quiet(self) -> bool:
         core = self.core
-        return self.empty() and not core.groups.records and not core.groups.coordinator.groups
+        return self.is_empty() and not core.groups.records and not core.groups.coordinator.groups
 
 
 def test_a_group_from_ask_to_end() -> None:
@@ -66,20 +66,20 @@
     w.group()
     offers = w.offers()
     assert [o.group.member for o in offers] == [0, 1, 2] and {o.group.size for o in offers} == {3}  # type: ignore[union-attr]
-    assert w.words(ev.Admitted) == [ev.Admitted(1, 1)] and w.words(ev.Offered) == []
+    assert w.client_messages(ev.Admitted) == [ev.Admitted(1, 1)] and w.client_messages(ev.Offered) == []
     w.ready(*offers[:2])
-    assert w.all(ev.SendCommit) == []
+    assert w.actions_of(ev.SendCommit) == []
     w.ready(offers[2])
-    assert {i for c in w.all(ev.SendCommit) for i in c.ids} == {o.id for o in offers}
+    assert {i for c in w.actions_of(ev.SendCommit) for i in c.ids} == {o.id for o in offers}
     w.run(*offers)
-    (placed,) = w.words()
+    (placed,) = w.client_messages()
     assert isinstance(placed, ev.GroupPlaced) and dict(placed.bindings) == {
         i: o.node for i, o in enumerate(offers)
     }
     for o in offers:
         w.feed(ev.NodeEnded(o.node, o.id, api.Result.FINISHED, api.Reason.UNTOLD))
-    assert [type(x).__name__ for x in w.words()[1:]] == ["MemberEnded"] * 3 + ["GroupEnded"]
-    assert w.words()[-1].finished and w.quiet()
+    assert [type(x).__name__ for x in w.client_messages()[1:]] == ["MemberEnded"] * 3 + ["GroupEnded"]
+    assert w.client_messages()[-1].finished and w.quiet()
 
 
 def test_one_node_refuses_the_last_member_and_all_is_released_before_the_next_try() -> None:
@@ -98,7 +98,7 @@
             w.feed(ev.NodeRejected(o.node, o.id, api.Reason.NOT_HERE))
     w.wait(4 * SECOND)
     assert len([o for o in w.offers() if o.id.attempt == 0]) >= 6
-    assert w.words(ev.GroupAttempted) and w.all(ev.SendCommit) == []
+    assert w.client_messages(ev.GroupAttempted) and w.actions_of(ev.SendCommit) == []
 
 
 @pytest.mark.parametrize("sort", ["worker", "report", "ingest"])
@@ -113,10 +113,12 @@
     for o in offers[:2]:
         w.feed(ev.NodeRejected(o.node, o.id, api.Reason.NOT_HERE))
     w.wait(5 * SECOND)
-    assert w.words(ev.GroupFailed) == [] and len(w.offers()) > 3
-    w.said.clear()
+    assert w.client_messages(ev.GroupFailed) == [] and len(w.offers()) > 3
+    w.actions.clear()
     w.feed(ev.NodeReady(offers[2].node, offers[2].id))
-    assert w.all(ev.SendCommit) == [] and (w.all(ev.SendStop) or w.all(ev.RequestNodeTasks))
+    assert w.actions_of(ev.SendCommit) == [] and (
+        w.actions_of(ev.SendStop) or w.actions_of(ev.RequestNodeTasks)
+    )
 
 
 def test_a_node_vanishes_after_two_members_started() -> None:
@@ -131,7 +133,7 @@
     for o in offers:
         if o.id in w.core.attempts.attempts:
             w.feed(ev.NodeEnded(o.node, o.id, api.Result.CANCELLED, api.Reason.UNTOLD))
-    assert [type(x) for x in w.words()] == [ev.GroupFailed]  # once-only members were let run
+    assert [type(x) for x in w.client_messages()] == [ev.GroupFailed]  # once-only members were let run
 
 
 def test_a_drain_in_the_middle() -> None:
@@ -147,7 +149,7 @@
     assert rest <= w.stops()
     for o in offers[1:]:
         w.feed(ev.NodeEnded(o.node, o.id, api.Result.CANCELLED, api.Reason.UNTOLD))
-    words = w.words()
+    words = w.client_messages()
     assert isinstance(words[0], ev.GroupPlaced) and words[-1] == ev.GroupEnded(1, False) and w.quiet()
 
 
@@ -169,7 +171,7 @@
             else ev.NodeRejected(o.node, o.id, api.Reason.NOT_HERE)
         )
     assert w.quiet()
-    assert [x for x in w.words() if isinstance(x, (ev.GroupShed, ev.GroupFailed))] == []
+    assert [x for x in w.client_messages() if isinstance(x, (ev.GroupShed, ev.GroupFailed))] == []
 
 
 def test_a_release_whose_word_is_lost_ends_in_bounded_time() -> None:
@@ -178,60 +180,60 @@
     offers = w.offers()
     w.ready(*offers[:2])
     w.wait(20 * SECOND)
-    assert [type(x) for x in w.words() if not isinstance(x, ev.GroupAttempted)] == [ev.GroupShed]
+    assert [type(x) for x in w.client_messages() if not isinstance(x, ev.GroupAttempted)] == [ev.GroupShed]
     assert w.quiet()
 
 
 def test_an_owner_that_leaves_releases_what_gathers_and_keeps_what_runs() -> None:
     w = Groups()
     whole = w.whole(n=1, count=2)
-    w.said.clear()
+    w.actions.clear()
     w.group(n=2, count=2)
     gathering = w.offers()
     w.feed(ev.ClientDisconnected(1))
     assert w.stops() == {o.id for o in gathering}
     w.wait(5 * SECOND)
-    assert w.all(ev.SendLeaseRenewal) and {o.id for o in whole} <= set(w.core.attempts.attempts)
+    assert w.actions_of(ev.SendLeaseRenewal) and {o.id for o in whole} <= set(w.core.attempts.attempts)
 
 
 def test_a_group_that_can_never_fit_is_told_at_once() -> None:
     w = Groups(nodes=2)
-    big = tuple(w.spec(i, cores=12.0) for i in (1, 2, 3))
+    big = tuple(w.task_spec(i, cores=12.0) for i in (1, 2, 3))
     w.group(members=big)
-    (word,) = w.words()
+    (word,) = w.client_messages()
     assert isinstance(word, ev.GroupShed) and word.never and "cores" in word.reason and w.quiet()
 
 
 def test_invalid_groups_name_the_field() -> None:
     w = Groups()
-    w.group(n=1, members=(w.spec(1), w.spec(1)))
-    w.group(n=2, members=(w.spec(1), w.spec(2, cores=-1.0)))
+    w.group(n=1, members=(w.task_spec(1), w.task_spec(1)))
+    w.group(n=2, members=(w.task_spec(1), w.task_spec(2, cores=-1.0)))
     w.group(n=3, same_rack=True, distinct_racks=True)
     w.group(n=4, min_members=9)
-    w.group(n=5, members=(w.spec(1, client="else"),))
-    fields = [x.rejection.field for x in w.words(ev.Rejected)]
+    w.group(n=5, members=(w.task_spec(1, client="else"),))
+    fields = [x.rejection.field for x in w.client_messages(ev.Rejected)]
     assert fields == ["members[1].key", "members[1].cores", "distinct_racks", "least", "members[0].owner"]
-    w.running(6)
-    w.group(n=7, members=(w.spec(6), w.spec(7)))
-    assert w.words(ev.Rejected)[-1].rejection.code == "ALREADY_EXISTS" and not w.core.groups.records
+    w.request_running(6)
+    w.group(n=7, members=(w.task_spec(6), w.task_spec(7)))
+    assert w.client_messages(ev.Rejected)[-1].rejection.code == "ALREADY_EXISTS" and not w.core.groups.records
 
 
 def test_groups_are_bounded() -> None:
     w = Groups(groups=GroupConfig(groups_most=1))
     w.group(n=1)
     w.group(n=2)
-    assert w.words(ev.Rejected)[0].rejection.code == "RESOURCE_EXHAUSTED"
+    assert w.client_messages(ev.Rejected)[0].rejection.code == "RESOURCE_EXHAUSTED"
 
 
 def test_a_member_of_every_class() -> None:
     w = Groups(nodes=4)
     sorts = ("worker", "ingest", "report", "apart")
-    w.group(members=tuple(w.spec(i + 1, sort, service=9 + i) for i, sort in enumerate(sorts)))
+    w.group(members=tuple(w.task_spec(i + 1, sort, service=9 + i) for i, sort in enumerate(sorts)))
     offers = w.offers()
     assert len(offers) == 4
     w.ready(*offers)
     w.run(*offers)
-    assert isinstance(w.words()[0], ev.GroupPlaced)
+    assert isinstance(w.client_messages()[0], ev.GroupPlaced)
 
 
 # A planner that was killed
@@ -252,16 +254,16 @@
 def test_after_a_restart_a_group_goes_on_whole_or_is_released(running: set[int]) -> None:
     earlier = Groups(nodes=4)
     earlier.group()
-    w = Groups(nodes=4, life=8)
+    w = Groups(nodes=4, incarnation=8)
     for node, held in told(earlier.offers(), running).items():
         w.feed(ev.LinkDown(node))
-        w.up(node, held=held)
+        w.connect_node(node, held=held)
     ids = {h.id for held in told(earlier.offers(), running).values() for h in held}
     if len(running) == 3:
         w.wait(30 * SECOND)
         assert w.stops() == set() and set(w.core.attempts.attempts) == ids
-        assert len(w.words(ev.TaskRecovered)) == 3
-        assert {i for k in w.all(ev.SendLeaseRenewal) for i in k.ids} == ids
+        assert len(w.client_messages(ev.TaskRecovered)) == 3
+        assert {i for k in w.actions_of(ev.SendLeaseRenewal) for i in k.ids} == ids
         one = next(iter(w.core.attempts.attempts.values()))
         w.feed(ev.NodeEnded(one.node, one.id, api.Result.LOST, api.Reason.EVICTED))
         assert w.stops() == ids - {one.id}
@@ -275,7 +277,7 @@
     w.group()
     offers = w.offers()
     w.feed(ev.ShutdownRequested())
-    assert isinstance(w.words()[0], ev.GroupShed) and w.stops() == {o.id for o in offers}
+    assert isinstance(w.client_messages()[0], ev.GroupShed) and w.stops() == {o.id for o in offers}
     for o in offers:
         w.feed(ev.NodeRejected(o.node, o.id, api.Reason.NOT_HERE))
     assert w.core.finished and w.quiet()
@@ -290,7 +292,7 @@
             w.feed(ev.NodeUsage(o.node, o.id, 0.5, 0.5, 0.0, 0.0))
         w.wait(100 * MS)
     assert len(w.core.context._timers) <= before + 3
-    assert len(w.all(ev.SendLeaseRenewal)) < 200  # once in 0.4 s to each node, not once a word
+    assert len(w.actions_of(ev.SendLeaseRenewal)) < 200  # once in 0.4 s to each node, not once a word
 
 
 @pytest.mark.parametrize("answered", [True, False])
@@ -306,7 +308,7 @@
     assert bool(w.stops()) is not answered and bool(w.core.counts.get("leases_over")) is not answered
     assert w.now > began and len(w.core.leases.keeps) <= 3
     if not answered:
-        assert [e.finished for e in w.words(ev.GroupEnded)] == [False]
+        assert [e.finished for e in w.client_messages(ev.GroupEnded)] == [False]
 
 
 def test_a_late_answer_lengthens_a_lease_only_from_when_its_keep_was_said() -> None:
@@ -314,7 +316,7 @@
     w.whole()
     w.answers_keeps = False
     w.wait(1100 * MS)
-    first = w.all(ev.SendLeaseRenewal)[0]
+    first = w.actions_of(ev.SendLeaseRenewal)[0]
     held = [a for a in w.core.attempts.attempts.values() if a.node == first.node]
     until = held[0].leased_until
     w.feed(ev.LeasesRenewed(first.node, first.renewal))  # said a second ago
@@ -337,7 +339,7 @@
     for told_so in (True, False):
         earlier = Groups(nodes=4)
         earlier.group()
-        w = Groups(nodes=4, life=8)
+        w = Groups(nodes=4, incarnation=8)
         held = told(earlier.offers(), {1, 2})
         for node, tasks in held.items():
             done = tuple(h for h in tasks if h.group is not None and h.group.member == 0 and told_so)
--- a/tests/groups/test_wishes.py
+++ b/tests/groups/test_wishes.py
@@ -143,10 +143,10 @@
 def test_a_wish_that_the_room_can_meet_is_met_at_the_first_try(wish: str) -> None:
     """Five members on an empty room: all four tries used to bind them to one node."""
     w = World(nodes=10)
-    w.said.clear()
-    members = tuple(w.spec(100 + i, "report", service=50) for i in range(5))
+    w.actions.clear()
+    members = tuple(w.task_spec(100 + i, "report", service=50) for i in range(5))
     w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, **{wish: True}))
-    offers = w.all(ev.SendOffer)
+    offers = w.actions_of(ev.SendOffer)
     assert len(offers) == 5
     nodes = [o.node for o in offers]
     racks = [(n - 1) // 2 for n in nodes]
@@ -157,19 +157,19 @@
         w.feed(ev.NodeReady(offer.node, offer.id))
     for offer in offers:
         w.feed(ev.NodeRunning(offer.node, offer.id))
-    (placed,) = w.words(ev.GroupPlaced)
+    (placed,) = w.client_messages(ev.GroupPlaced)
     assert placed.constraints_met and placed.attempts == 1
 
 
 def test_a_refused_member_goes_where_the_wish_still_holds() -> None:
     w = World(nodes=6)
-    w.said.clear()
-    members = tuple(w.spec(100 + i, "report", service=50 + i) for i in range(2))
+    w.actions.clear()
+    members = tuple(w.task_spec(100 + i, "report", service=50 + i) for i in range(2))
     w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, distinct_racks=True))
-    first, second = w.all(ev.SendOffer)
+    first, second = w.actions_of(ev.SendOffer)
     w.feed(ev.NodeRejected(second.node, second.id, api.Reason.QUEUE_FULL))
     w.wait(200_000)
-    again = w.all(ev.SendOffer)[2:]
+    again = w.actions_of(ev.SendOffer)[2:]
     assert again and all(
         (o.node - 1) // 2 != (first.node - 1) // 2 for o in again if o.task.key == second.task.key
     )
@@ -177,12 +177,12 @@
 
 def test_a_wish_that_can_never_be_met_is_said_in_the_first_word() -> None:
     w = World(nodes=4)
-    w.said.clear()
-    members = tuple(w.spec(100 + i, "report", service=50 + i, cores=12.0) for i in range(3))
+    w.actions.clear()
+    members = tuple(w.task_spec(100 + i, "report", service=50 + i, cores=12.0) for i in range(3))
     w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, same_rack=True))
-    tried = w.words(ev.GroupAttempted)
+    tried = w.client_messages(ev.GroupAttempted)
     if tried:
         assert tried[0].attempts == 0 and "can never be met" in tried[0].reason
-        assert len(w.all(ev.SendOffer)) == 3  # and it is placed as it can be, without waiting
+        assert len(w.actions_of(ev.SendOffer)) == 3  # and it is placed as it can be, without waiting
     else:
         assert w.words(ev.GroupShed)
--- a/tests/planner/room.py
+++ b/tests/planner/component_stubs.py
@@ -19,45 +19,47 @@
     return made
 
 
-class Others:
+class ComponentStub:
     """Any other component: calls are recorded, answers are given where a test says which."""
 
     def __init__(self, **answers: Any) -> None:
-        self.asked: list[tuple[Any, ...]] = []
+        self.calls: list[tuple[Any, ...]] = []
         self.answers = answers
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
         def called(*args: Any) -> Any:
-            self.asked.append((name, *args))
+            self.calls.append((name, *args))
             answer = self.answers.get(name)
             return answer(*args) if callable(answer) else answer
 
         return called
 
-    def names(self) -> list[str]:
-        return [a[0] for a in self.asked]
+    def called_names(self) -> list[str]:
+        return [a[0] for a in self.calls]
 
 
-def spec(key: int = 1, sort: str = "worker", **more: Any) -> ev.TaskSpec:
+def make_task(key: int = 1, task_class: str = "worker", **more: Any) -> ev.TaskSpec:
     fields: dict[str, Any] = {
-        "client": "o", "key": key, "task_class": sort, "tenant": "", "service": 5, "cores": 1.0,
+        "client": "o", "key": key, "task_class": task_class, "tenant": "", "service": 5, "cores": 1.0,
         "memory": 2.0, "expected_duration_us": 0, "resubmitted": False, **more,
     }  # fmt: skip
     return ev.TaskSpec(**fields)
 
 
-def placing(on: CoreContext, key: int = 1, sort: str = "worker", wait: int = 6 * SECOND) -> Placement:
-    made = Placement(on, 1, key, spec(key, sort))
-    made.deadline = on.now + wait
+def make_placement(
+    context: CoreContext, key: int = 1, task_class: str = "worker", wait_us: int = 6 * SECOND
+) -> Placement:
+    made = Placement(context, 1, key, make_task(key, task_class))
+    made.deadline = context.now + wait_us
     return made
 
 
-def pass_time(on: CoreContext, us: int) -> None:
+def pass_time(context: CoreContext, duration_us: int) -> None:
     """Let a component's timers fall due, each at its time."""
-    until = on.now + us
-    while (due := on.next_due()) is not None and due <= until:
-        on.now = max(on.now, due)
-        one = on.pop_due()
+    until = context.now + duration_us
+    while (due := context.next_due()) is not None and due <= until:
+        context.now = max(context.now, due)
+        one = context.pop_due()
         assert one is not None
         one.callback(one.argument)
-    on.now = until
+    context.now = until
--- a/tests/planner/test_attempts.py
+++ b/tests/planner/test_attempts.py
@@ -1,11 +1,11 @@
-"""The attempts' room by itself: every other room is played by hand."""
+"""The attempts by themselves: every other component is a stub."""
 
 from __future__ import annotations
 
 from typing import Any
 
 import pytest
-from room import Others, core_context, pass_time, placing
+from component_stubs import ComponentStub, core_context, make_placement, pass_time
 from world import SECOND
 
 from stairplank import interface as api
@@ -17,19 +17,19 @@
 from stairplank.planner.transitions import AttemptEvent, AttemptState, PlacementEvent
 
 
-class Room:
+class Fixture:
     def __init__(self, up: bool = True, sort: str = "worker", **links: Any) -> None:
         self.context = core_context()
         self.attempts = Attempts(self.context)
-        self.one = placing(self.context, 1, sort)
-        self.owners = Others(find=lambda n: self.one if n == self.one.number else None)
-        self.links = Others(up=up, reach=True, dial_now=True, **links)
-        self.attempts.requests = self.owners  # type: ignore[assignment]
+        self.placement = make_placement(self.context, 1, sort)
+        self.requests = ComponentStub(find=lambda n: self.placement if n == self.placement.number else None)
+        self.links = ComponentStub(up=up, reach=True, dial_now=True, **links)
+        self.attempts.requests = self.requests  # type: ignore[assignment]
         self.attempts.links = self.links  # type: ignore[assignment]
-        self.attempts.groups = Others()  # type: ignore[assignment]
+        self.attempts.groups = ComponentStub()  # type: ignore[assignment]
 
     def bind(self, node: int = 1, timeout: int = 0) -> None:
-        self.attempts.offers.bind(api.Bind(self.one.number, node, timeout))
+        self.attempts.offers.bind(api.Bind(self.placement.number, node, timeout))
 
     def outcomes(self) -> list[api.Result]:
         return [e.result for e in self.context.module_events if isinstance(e, api.Outcome)]
@@ -43,85 +43,91 @@
 
 
 def test_an_offer_leaves_over_a_link_that_stands() -> None:
-    r = Room()
-    r.bind()
-    (offer,) = r.sent()
-    tick = r.context.settings.tick_us
-    assert offer.wait_us == 6 * SECOND - REPLY_RESERVE_TICKS * tick and r.attempt.state is AttemptState.SENT
+    fixture = Fixture()
+    fixture.bind()
+    (offer,) = fixture.sent()
+    tick = fixture.context.settings.tick_us
+    assert (
+        offer.wait_us == 6 * SECOND - REPLY_RESERVE_TICKS * tick
+        and fixture.attempt.state is AttemptState.SENT
+    )
 
 
 def test_one_that_waits_for_a_link_is_given_up_with_the_dial() -> None:
-    r = Room(up=False)
-    r.bind()
-    assert r.attempt.state is AttemptState.WAITING and not r.sent()
-    pass_time(r.context, r.context.config.dial_timeout_us)
-    assert r.outcomes() == [api.Result.UNREACHABLE] and not r.attempts.attempts
+    fixture = Fixture(up=False)
+    fixture.bind()
+    assert fixture.attempt.state is AttemptState.WAITING and not fixture.sent()
+    pass_time(fixture.context, fixture.context.config.dial_timeout_us)
+    assert fixture.outcomes() == [api.Result.UNREACHABLE] and not fixture.attempts.attempts
 
 
 def test_no_offer_leaves_for_a_task_whose_time_is_over() -> None:
     """After a pause what nodes said is taken before time: the module may bind what is long due."""
-    r = Room()
-    r.context.now += 6 * SECOND
-    r.bind()
-    assert not r.sent() and r.outcomes() == [api.Result.NOT_SENT]
+    fixture = Fixture()
+    fixture.context.now += 6 * SECOND
+    fixture.bind()
+    assert not fixture.sent() and fixture.outcomes() == [api.Result.NOT_SENT]
 
 
 @pytest.mark.parametrize("sort", ["worker", "report"])
 def test_a_time_out_is_told_once_and_calls_back_what_may_be_repeated(sort: str) -> None:
-    r = Room(sort=sort)
-    r.bind(timeout=SECOND)
-    pass_time(r.context, 2 * SECOND)
-    assert r.outcomes() == [api.Result.TIMEOUT] and r.attempt.state is AttemptState.ABANDONED_SENT
-    stops = [a for a in r.context.actions if isinstance(a, ev.SendStop)]
+    fixture = Fixture(sort=sort)
+    fixture.bind(timeout=SECOND)
+    pass_time(fixture.context, 2 * SECOND)
+    assert fixture.outcomes() == [api.Result.TIMEOUT] and fixture.attempt.state is AttemptState.ABANDONED_SENT
+    stops = [a for a in fixture.context.actions if isinstance(a, ev.SendStop)]
     assert bool(stops) is (sort == "worker")
-    r.attempts.messages.node_error(ev.NodeError(1, r.attempt.id))
-    assert r.outcomes() == [api.Result.TIMEOUT] and not r.attempts.attempts
+    fixture.attempts.messages.node_error(ev.NodeError(1, fixture.attempt.id))
+    assert fixture.outcomes() == [api.Result.TIMEOUT] and not fixture.attempts.attempts
 
 
 def test_an_answer_binds_an_open_placing_alone() -> None:
-    r = Room()
-    r.bind()
-    r.attempts.messages.node_running(ev.NodeRunning(1, r.attempt.id))
-    assert r.one.bound_attempt is r.attempt and ("task_placed", r.one, 1, 0, 0) in r.owners.asked
-    late = Room()
+    fixture = Fixture()
+    fixture.bind()
+    fixture.attempts.messages.node_running(ev.NodeRunning(1, fixture.attempt.id))
+    assert (
+        fixture.placement.bound_attempt is fixture.attempt
+        and ("task_placed", fixture.placement, 1, 0, 0) in fixture.requests.calls
+    )
+    late = Fixture()
     late.bind()
-    late.one.transition(PlacementEvent.CANCELLED)
+    late.placement.transition(PlacementEvent.CANCELLED)
     late.attempts.messages.node_running(ev.NodeRunning(1, late.attempt.id))
-    assert late.one.bound_attempt is None and "task_placed" not in late.owners.names()
+    assert late.placement.bound_attempt is None and "task_placed" not in late.requests.called_names()
 
 
 def test_a_copy_is_adopted_in_place_of_its_attempt() -> None:
-    r = Room(sort="report")
-    heir = Placement(r.context, 1, 0, r.one.task)
-    r.owners.answers["adopt"] = heir
-    r.bind(timeout=SECOND)
-    old = r.attempt
-    pass_time(r.context, 2 * SECOND)
-    r.one.transition(PlacementEvent.FAILED)
-    r.attempts.messages.node_running(ev.NodeRunning(1, old.id))
-    assert old.state is AttemptState.OVER and r.attempt is not old and r.attempt.id == old.id
-    assert heir.bound_attempt is r.attempt and not r.one.attempts
+    fixture = Fixture(sort="report")
+    heir = Placement(fixture.context, 1, 0, fixture.placement.task)
+    fixture.requests.answers["adopt"] = heir
+    fixture.bind(timeout=SECOND)
+    old = fixture.attempt
+    pass_time(fixture.context, 2 * SECOND)
+    fixture.placement.transition(PlacementEvent.FAILED)
+    fixture.attempts.messages.node_running(ev.NodeRunning(1, old.id))
+    assert old.state is AttemptState.OVER and fixture.attempt is not old and fixture.attempt.id == old.id
+    assert heir.bound_attempt is fixture.attempt and not fixture.placement.attempts
 
 
 def test_words_on_what_is_not_known_are_left_to_the_links() -> None:
-    r = Room()
-    r.bind()
-    r.attempts.messages.node_running(ev.NodeRunning(2, r.attempt.id))  # another node's
-    assert r.one.bound_attempt is None and r.links.names()[-1] == "unplaced_word"
+    fixture = Fixture()
+    fixture.bind()
+    fixture.attempts.messages.node_running(ev.NodeRunning(2, fixture.attempt.id))  # another node's
+    assert fixture.placement.bound_attempt is None and fixture.links.called_names()[-1] == "unplaced_word"
 
 
 def test_an_illegal_step_names_state_and_event() -> None:
-    r = Room()
-    r.bind()
+    fixture = Fixture()
+    fixture.bind()
     with pytest.raises(IllegalTransitionError, match="attempt: 'sent' while 'sent'"):
-        r.attempt.transition(AttemptEvent.SENT)
+        fixture.attempt.transition(AttemptEvent.SENT)
     with pytest.raises(ConcludedTaskError, match="which is over"):
-        r.attempts.offers.bind(api.Bind(99, 1, 0))
+        fixture.attempts.offers.bind(api.Bind(99, 1, 0))
 
 
 def test_a_broken_link_tells_what_had_left() -> None:
-    r = Room()
-    r.bind()
-    assert r.attempts.link_lost(1, frozenset()) == [r.attempt.id]
-    assert r.attempts.link_lost(1, frozenset([r.attempt.id])) == []
-    assert r.outcomes() == [api.Result.UNREACHABLE]
+    fixture = Fixture()
+    fixture.bind()
+    assert fixture.attempts.link_lost(1, frozenset()) == [fixture.attempt.id]
+    assert fixture.attempts.link_lost(1, frozenset([fixture.attempt.id])) == []
+    assert fixture.outcomes() == [api.Result.UNREACHABLE]
--- a/tests/planner/test_heard.py
+++ b/tests/planner/test_heard.py
@@ -66,21 +66,21 @@
 def test_an_offer_that_was_never_seen_is_proven_never_to_have_run() -> None:
     for complete in (True, False):
         w = World()
-        offer = w.offer(1, "report")
+        offer = w.request_offer(1, "report")
         w.feed(ev.LinkDown(offer.node))
-        w.link_up(offer.node, 0, False)
+        w.connect_link(offer.node, 0, False)
         w.feed(ev.NodeTasksReported(offer.node, 0, (), complete))
         w.wait(SECOND)
-        again = w.all(ev.SendOffer)[1:]
+        again = w.actions_of(ev.SendOffer)[1:]
         assert bool(again) is complete  # a once task: sent again only where it cannot have run
-        assert bool(w.words(ev.TaskFailed)) is not complete
+        assert bool(w.client_messages(ev.TaskFailed)) is not complete
 
 
 def test_an_accepted_task_that_is_gone_is_lost_all_the_same() -> None:
     w = World()
-    offer = w.offer(1, "report")
+    offer = w.request_offer(1, "report")
     w.feed(ev.NodeAccepted(offer.node, offer.id))
     w.feed(ev.LinkDown(offer.node))
-    w.link_up(offer.node, 0, False)
+    w.connect_link(offer.node, 0, False)
     w.feed(ev.NodeTasksReported(offer.node, 0, (), True))
-    assert w.words() == [ev.TaskFailed(1, True)]
+    assert w.client_messages() == [ev.TaskFailed(1, True)]
--- a/tests/planner/test_leases.py
+++ b/tests/planner/test_leases.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from room import Others, core_context, pass_time, placing
+from component_stubs import ComponentStub, core_context, make_placement, pass_time
 from world import SECOND
 
 from stairplank.planner import events as ev
@@ -16,19 +16,19 @@
 MS = 1_000
 
 
-def room() -> tuple[Leases, Attempt, Others]:
+def room() -> tuple[Leases, Attempt, ComponentStub]:
     on = core_context()
     leases = Leases(on)
-    one = placing(on)
+    one = make_placement(on)
     one.group = (3, 0)
     attempt = Attempt(on, AttemptId(7, one.number, 0), one, 0, 4, AttemptState.RUNNING)
-    others = Others(find=lambda id: attempt if id == attempt.id else None)
+    others = ComponentStub(find=lambda id: attempt if id == attempt.id else None)
     leases.attempts = others  # type: ignore[assignment]
     return leases, attempt, others
 
 
-def over(others: Others) -> list[Any]:
-    return [a for a in others.asked if a[0] == "end"]
+def over(others: ComponentStub) -> list[Any]:
+    return [a for a in others.calls if a[0] == "end"]
 
 
 def test_a_lease_that_nothing_lengthens_runs_out_once() -> None:
--- a/tests/planner/test_node_links.py
+++ b/tests/planner/test_node_links.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from room import Others, core_context, pass_time
+from component_stubs import ComponentStub, core_context, pass_time
 from world import SECOND
 
 from stairplank.planner import events as ev
@@ -22,10 +22,10 @@
     def __init__(self, nodes: int = 1, **config: Any) -> None:
         self.context = core_context(**config)
         self.links = Links(self.context, random.Random(1))
-        self.attempts = Others(any_at_node=False, link_lost=lambda node, unsent: [ID], at_node=[])
+        self.attempts = ComponentStub(any_at_node=False, link_lost=lambda node, unsent: [ID], at_node=[])
         self.links.attempts = self.attempts  # type: ignore[assignment]
         for name in ("requests", "groups", "leases", "list"):
-            setattr(self.links, name, Others())
+            setattr(self.links, name, ComponentStub())
         for node in range(1, nodes + 1):
             self.links.listed(node, ("a",))
             self.links.dial_if_due(node)
@@ -40,13 +40,20 @@
 def test_a_link_that_stands_asks_what_its_node_holds_and_sends_what_waits() -> None:
     r = Room()
     r.up()
-    assert r.links.up(1) and r.emitted(ev.RequestNodeTasks) and r.attempts.names() == ["send_waiting_offers"]
+    assert (
+        r.links.up(1)
+        and r.emitted(ev.RequestNodeTasks)
+        and r.attempts.called_names() == ["send_waiting_offers"]
+    )
 
 
 def test_a_draining_node_gets_nothing_that_waits() -> None:
     r = Room()
     r.up(draining=True)
-    assert "send_waiting_offers" not in r.attempts.names() and "fail_waiting_offers" in r.attempts.names()
+    assert (
+        "send_waiting_offers" not in r.attempts.called_names()
+        and "fail_waiting_offers" in r.attempts.called_names()
+    )
     assert r.links.drains(1, 0) and not r.links.drains(1, 5)  # a newer life, by the list's word
 
 
@@ -68,7 +75,7 @@
         r.up()
         r.links.held_told(ev.NodeTasksReported(1, 0, (), True))
     pass_time(r.context, 5 * SECOND)
-    settled = [a for a in r.attempts.asked if a[0] in ("not_at_node", "link_expired") and a[1]]
+    settled = [a for a in r.attempts.calls if a[0] in ("not_at_node", "link_expired") and a[1]]
     assert settled == ([("not_at_node", [ID], True)] if back else [("link_expired", [ID])])
     assert not r.links.links[1].unsettled
 
--- a/tests/planner/test_nodelist.py
+++ b/tests/planner/test_nodelist.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from room import Others, core_context
+from component_stubs import ComponentStub, core_context
 from world import SECOND
 
 from stairplank import interface as api
@@ -17,14 +17,14 @@
         self.context = core_context()
         self.list = NodeList(self.context)
         self.known: set[int] = set()
-        self.links = Others(
+        self.links = ComponentStub(
             is_linked=lambda n: n in self.known,
             nodes=lambda: list(self.known),
             drains=False,
             listed=lambda n, a: self.known.add(n) or True,
             unlisted=self.known.discard,
         )
-        self.attempts = Others()
+        self.attempts = ComponentStub()
         self.list.links = self.links  # type: ignore[assignment]
         self.list.attempts = self.attempts  # type: ignore[assignment]
 
@@ -46,10 +46,10 @@
     r.tell(1, revision=1, since=0, full=False, status=api.NodeStatus.DRAINING)  # an older word
     kinds = [(h.kind, [e.id for e in h.nodes]) for h in r.heard()]
     assert kinds == [(api.ListKind.FULL, [1, 2]), (api.ListKind.CHANGES, [2])]
-    assert ("fail_waiting_offers", 2) in r.attempts.asked and (
+    assert ("fail_waiting_offers", 2) in r.attempts.calls and (
         "fail_waiting_offers",
         1,
-    ) not in r.attempts.asked
+    ) not in r.attempts.calls
 
 
 def test_a_gap_is_asked_for_anew_but_not_faster_than_stated() -> None:
--- a/tests/planner/test_settings_changed.py
+++ b/tests/planner/test_settings_changed.py
@@ -39,7 +39,7 @@
 
 
 def of_kind(world: World, node: int, kind: str, zone: str = "z1") -> ev.ListedNode:
-    return replace(world.listed(node), node_type=kind, zone=zone)
+    return replace(world.node_entry(node), node_type=kind, zone=zone)
 
 
 def tell_list(world: World, revision: int, *nodes: ev.ListedNode) -> list[ev.Action]:
@@ -51,7 +51,7 @@
 
 
 def rejections(world: World) -> list[str]:
-    return [word.rejection.code for word in world.words(ev.Rejected)]
+    return [word.rejection.code for word in world.client_messages(ev.Rejected)]
 
 
 def watches(actions: list[ev.Action]) -> list[ev.WatchNodeList]:
@@ -65,22 +65,22 @@
     """A deadline that grows makes a task of six seconds one that comes too late to start in time."""
     w = World()
     large = 12.0  # more than a node has left once the reserve for tasks in time is kept
-    (first,) = offers(w.ask(1, cores=large))
+    (first,) = offers(w.request(1, cores=large))
     change(w, {"classes": with_class(SETTINGS, "worker", deadline_us=60 * SECOND)})
     (second,) = offers(w.feed(ev.NodeRejected(first.node, first.id, api.Reason.QUEUE_FULL)))
     assert second.node != first.node
-    assert offers(w.ask(2, cores=large)) == []
+    assert offers(w.request(2, cores=large)) == []
 
 
 def test_a_task_in_flight_is_answered_at_the_end_of_its_own_wait() -> None:
     w = World()
-    offer = w.offer(1, "report")
+    offer = w.request_offer(1, "report")
     asked = w.now
     change(w, {"classes": with_class(SETTINGS, "report", deadline_us=SECOND, latency_objective_us=SECOND)})
     w.wait(5 * SECOND)
-    assert w.words() == []
+    assert w.client_messages() == []
     w.wait(SECOND)
-    assert w.words() == [ev.TaskFailed(1, True)]
+    assert w.client_messages() == [ev.TaskFailed(1, True)]
     assert w.now == asked + 6 * SECOND
     assert offer.wait_us > 5 * SECOND
 
@@ -88,29 +88,29 @@
 @pytest.mark.parametrize("tick", [MS, 100 * MS])
 def test_a_task_in_flight_has_one_answer_in_time_whatever_the_tick_becomes(tick: int) -> None:
     w = World()
-    w.offer(1, "report")
+    w.request_offer(1, "report")
     change(w, {"tick_us": tick})
     w.wait(6 * SECOND + SETTINGS.answer_slack_us)
-    assert w.words() == [ev.TaskFailed(1, True)]
+    assert w.client_messages() == [ev.TaskFailed(1, True)]
 
 
 def test_a_class_is_used_in_the_turn_after_its_coming() -> None:
     w = World()
-    w.ask(1, "fresh")
+    w.request(1, "fresh")
     assert rejections(w) == ["INVALID_ARGUMENT"]
     change(w, {"classes": (*SETTINGS.classes, FRESH)})
-    offer = w.offer(2, "fresh")
+    offer = w.request_offer(2, "fresh")
     assert offer.class_index == len(SETTINGS.classes)
     w.wait(6 * SECOND)
-    assert w.words(ev.TaskFailed) == [ev.TaskFailed(2, True)]  # its effect is known: it may run
+    assert w.client_messages(ev.TaskFailed) == [ev.TaskFailed(2, True)]  # its effect is known: it may run
 
 
 def test_a_tenant_is_used_in_the_turn_after_its_coming() -> None:
     w = World()
-    w.ask(1, tenant="t3")
+    w.request(1, tenant="t3")
     assert rejections(w) == ["INVALID_ARGUMENT"]
     change(w, tenants=("t1", "t2", "t3"))
-    offer = w.offer(2, tenant="t3")
+    offer = w.request_offer(2, tenant="t3")
     job = w.core.module.open[offer.id.placement]
     assert job.task.tenant == 2
 
@@ -118,47 +118,47 @@
 def test_a_group_of_a_class_is_taken_in_the_turn_after_its_coming() -> None:
     w = World()
     change(w, {"classes": (*SETTINGS.classes, FRESH)})
-    members = tuple(w.spec(100 + i, "fresh") for i in range(2))
+    members = tuple(w.task_spec(100 + i, "fresh") for i in range(2))
     w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND))
-    assert len(w.all(ev.SendOffer)) == 2
+    assert len(w.actions_of(ev.SendOffer)) == 2
 
 
 def test_a_lower_bound_stops_new_tasks_only() -> None:
     w = World()
-    first, second = w.offer(1), w.offer(2)
+    first, second = w.request_offer(1), w.request_offer(2)
     change(w, **with_bounds(w, open_tasks=1))
-    assert w.words() == []
-    w.ask(3)
+    assert w.client_messages() == []
+    w.request(3)
     assert rejections(w) == ["RESOURCE_EXHAUSTED"]
     w.feed(ev.NodeRunning(first.node, first.id))
     w.feed(ev.NodeRunning(second.node, second.id))
-    assert len(w.words(ev.TaskPlaced)) == 2
-    assert offers(w.ask(4))
+    assert len(w.client_messages(ev.TaskPlaced)) == 2
+    assert offers(w.request(4))
 
 
 def test_a_higher_bound_lets_new_tasks_in_at_once() -> None:
     w = World(bounds=replace(World().core.context.config.bounds, open_tasks_per_client=1))
-    w.offer(1)
-    w.ask(2)
+    w.request_offer(1)
+    w.request(2)
     assert rejections(w) == ["RESOURCE_EXHAUSTED"]
     change(w, **with_bounds(w, open_tasks_per_client=2))
-    assert offers(w.ask(3))
+    assert offers(w.request(3))
 
 
 def test_a_held_task_finds_the_room_that_a_higher_limit_gives() -> None:
     w = World(nodes=1)
-    w.running(1, cores=10.0)
-    assert offers(w.ask(2, cores=10.0)) == []
+    w.request_running(1, cores=10.0)
+    assert offers(w.request(2, cores=10.0)) == []
     change(w, {"cores_limit": 2.0})
     assert offers(w.wait(SECOND))
 
 
 def test_fewer_attempts_hold_for_tasks_in_flight_too() -> None:
     w = World()
-    first = w.offer(1)
+    first = w.request_offer(1)
     change(w, {"max_attempts": 1})
     w.feed(ev.NodeRejected(first.node, first.id, api.Reason.QUEUE_FULL))
-    assert len(w.words(ev.TaskShed)) == 1
+    assert len(w.client_messages(ev.TaskShed)) == 1
 
 
 # Groups
@@ -168,13 +168,13 @@
     """The places of nodes are kept between lists."""
     w = World(nodes=2)
     apart = {"distinct_nodes": True}
-    large = tuple(w.spec(100 + i, cores=20.0) for i in range(2))
+    large = tuple(w.task_spec(100 + i, cores=20.0) for i in range(2))
     w.core.node_list.places()
     change(w, {"cores_limit": 2.0})
     assert [p.cores for p in w.core.node_list.places()] == [32.0, 32.0]
     w.feed(ev.GroupRequested(1, 1, large, 9 * SECOND, **apart))
-    assert w.words(ev.GroupAttempted) == []
-    assert len(w.all(ev.SendOffer)) >= 1
+    assert w.client_messages(ev.GroupAttempted) == []
+    assert len(w.actions_of(ev.SendOffer)) >= 1
 
 
 # The node list
@@ -227,10 +227,10 @@
 
 def test_nodes_above_a_table_that_grows_are_taken() -> None:
     w = World(nodes=1, max_nodes=1)
-    tell_list(w, 2, w.listed(1), w.listed(2))
+    tell_list(w, 2, w.node_entry(1), w.node_entry(2))
     assert w.core.links.nodes() == [1]
     assert watches(change(w, max_nodes=2)) == [ev.WatchNodeList(True, 0)]
-    tell_list(w, 2, w.listed(1), w.listed(2))
+    tell_list(w, 2, w.node_entry(1), w.node_entry(2))
     assert w.core.links.nodes() == [1, 2]
 
 
@@ -239,7 +239,7 @@
 )
 def test_the_whole_list_is_fetched_once_for_what_is_left_out(more: dict[str, Any]) -> None:
     w = World(nodes=1, max_nodes=2)
-    tell_list(w, 2, w.listed(1), of_kind(w, 2, "huge"), w.listed(3))
+    tell_list(w, 2, w.node_entry(1), of_kind(w, 2, "huge"), w.node_entry(3))
     assert len(watches(change(w, **more))) == 1
     w.wait(2 * LIST_RETRY_US)
     assert watches(change(w, {"max_attempts": 5})) == []  # it is on its way
@@ -247,15 +247,15 @@
 
 def test_a_node_that_has_left_is_not_fetched_for_its_kind() -> None:
     w = World(nodes=1)
-    tell_list(w, 2, w.listed(1), of_kind(w, 2, "huge"))
-    tell_list(w, 3, w.listed(1))
+    tell_list(w, 2, w.node_entry(1), of_kind(w, 2, "huge"))
+    tell_list(w, 3, w.node_entry(1))
     assert watches(change(w, {"node_types": (*SETTINGS.node_types, HUGE)})) == []
 
 
 def test_a_smaller_table_keeps_the_nodes_it_has() -> None:
     w = World(nodes=3)
     assert watches(change(w, max_nodes=1)) == []
-    w.feed(ev.NodeListReceived(2, 1, False, (w.listed(4),), 10**15))
+    w.feed(ev.NodeListReceived(2, 1, False, (w.node_entry(4),), 10**15))
     assert sorted(w.core.links.nodes()) == [1, 2, 3]
 
 
@@ -276,7 +276,7 @@
 
 def test_more_dials_begin_at_once() -> None:
     w = World(nodes=0, max_dials=1)
-    listed = w.list(1, 2, 3)
+    listed = w.send_node_list(1, 2, 3)
     assert [a.node for a in listed if isinstance(a, ev.Dial)] == [1]
     dials = [a.node for a in change(w, max_dials=2) if isinstance(a, ev.Dial)]
     assert dials == [2]
@@ -297,17 +297,17 @@
     task = held(w, 9)
     task = replace(task, task=replace(task.task, task_class="fresh"))
     w.feed(ev.NodeTasksReported(1, 0, (task,)))
-    assert w.words(ev.TaskRecovered) == []
+    assert w.client_messages(ev.TaskRecovered) == []
     change(w, {"classes": (*SETTINGS.classes, FRESH)})
-    assert w.all(ev.RequestNodeTasks) == []  # it was asked a moment ago
+    assert w.actions_of(ev.RequestNodeTasks) == []  # it was asked a moment ago
     w.wait(HELD_GAP_US)
-    assert w.all(ev.RequestNodeTasks) == [ev.RequestNodeTasks(1)]
+    assert w.actions_of(ev.RequestNodeTasks) == [ev.RequestNodeTasks(1)]
     w.feed(ev.NodeTasksReported(1, 0, (task,)))
-    assert w.words(ev.TaskRecovered) == [ev.TaskRecovered(0, 9, 1)]
-    w.said.clear()
+    assert w.client_messages(ev.TaskRecovered) == [ev.TaskRecovered(0, 9, 1)]
+    w.actions.clear()
     change(w, {"max_attempts": 5})
     w.wait(2 * HELD_GAP_US)
-    assert w.all(ev.RequestNodeTasks) == []
+    assert w.actions_of(ev.RequestNodeTasks) == []
 
 
 def test_a_node_whose_link_is_broken_is_not_asked() -> None:
@@ -324,7 +324,7 @@
     task = held(w, 9)
     w.feed(ev.NodeTasksReported(1, 0, (replace(task, task=replace(task.task, task_class="fresh")),)))
     assert w.core.links._unknown_class == {1}
-    w.list(2, revision=2)
+    w.send_node_list(2, revision=2)
     assert w.core.links._unknown_class == set()
 
 
@@ -337,8 +337,8 @@
     task = held(w, 9)
     unknown = replace(task, task=replace(task.task, task_class="never"))
     w.feed(ev.NodeTasksReported(1, 0, (unknown,)))
-    tell_list(w, 2, w.listed(1), w.listed(2), of_kind(w, 3, "never"), w.listed(4))
-    w.offer(1, wait=60 * SECOND)
+    tell_list(w, 2, w.node_entry(1), w.node_entry(2), of_kind(w, 3, "never"), w.node_entry(4))
+    w.request_offer(1, wait_us=60 * SECOND)
     before = len(w.core.context._timers)
     actions: list[ev.Action] = []
     classes = SETTINGS.classes
@@ -356,7 +356,7 @@
 
 def test_tables_that_grow_again_and_again_fetch_the_list_at_a_bounded_pace() -> None:
     w = World(nodes=1, max_nodes=1)
-    nodes = [w.listed(n) for n in range(1, 50)]
+    nodes = [w.node_entry(n) for n in range(1, 50)]
     tell_list(w, 2, *nodes)
     fetches = 0
     began = w.now
--- a/tests/planner/test_transitions.py
+++ b/tests/planner/test_transitions.py
@@ -49,7 +49,7 @@
 def withdrawn_and_silent() -> Counter[tuple[str, Any, str]]:
     """A withdrawn task's stop is lost; it runs on, unbound, until its time-out."""
     w = World()
-    offer = w.offer(1)
+    offer = w.request_offer(1)
     w.feed(ev.PlacementCancelled(1, 1))
     w.feed(ev.NodeRunning(offer.node, offer.id))
     w.wait(10 * SECOND)
@@ -59,7 +59,7 @@
 def adopted_while_running() -> Counter[tuple[str, Any, str]]:
     """Given up and failed, and then its node says at once that it runs."""
     w = World()
-    offer = w.offer(1, "report")
+    offer = w.request_offer(1, "report")
     w.wait(offer.wait_us + 20_000)
     w.feed(ev.NodeRunning(offer.node, offer.id))
     return w.core.context.transition_counts
--- a/tests/planner/world.py
+++ b/tests/planner/world.py
@@ -66,25 +66,25 @@
     def __init__(
         self,
         nodes: int = 3,
-        life: int = 7,
+        incarnation: int = 7,
         confirms_running: bool = True,
         bounds: Bounds = BOUNDS,
         **config: Any,
     ) -> None:
         settings = replace(SETTINGS, confirms_running=confirms_running)
         core_config = CoreConfig(bounds, ("t1", "t2"), ("z1", "z2"), **config)
-        self.core = Core(settings, core_config, life, seed=5)
+        self.core = Core(settings, core_config, incarnation, seed=5)
         self.now = 1000 * SECOND
-        self.said: list[ev.Action] = list(self.core.start(self.now))
-        self.list(*range(1, nodes + 1))
+        self.actions: list[ev.Action] = list(self.core.start(self.now))
+        self.send_node_list(*range(1, nodes + 1))
         for node in range(1, nodes + 1):
-            self.up(node)
+            self.connect_node(node)
         self.feed(ev.ClientConnected(1, "o"))
-        self.said.clear()
+        self.actions.clear()
 
     def feed(self, event: ev.Event) -> list[ev.Action]:
         actions = self.core.handle(self.now, event)
-        self.said += actions
+        self.actions += actions
         return actions
 
     def wait(self, us: int) -> list[ev.Action]:
@@ -97,7 +97,7 @@
         self.now = until
         return out
 
-    def listed(
+    def node_entry(
         self, node: int, status: api.NodeStatus = api.NodeStatus.READY, started: int = 0
     ) -> ev.ListedNode:
         rack = f"r{(node - 1) // 2}"
@@ -105,57 +105,63 @@
             node, f"n{node}", (f"127.0.0.1:{node}",), "z1", rack, "std", status, 16.0, 32.0, started
         )
 
-    def list(self, *nodes: int, full: bool = True, revision: int = 1, **changes: Any) -> list[ev.Action]:
-        entries = tuple(self.listed(n, **changes) for n in nodes)
+    def send_node_list(
+        self, *nodes: int, full: bool = True, revision: int = 1, **changes: Any
+    ) -> list[ev.Action]:
+        entries = tuple(self.node_entry(n, **changes) for n in nodes)
         return self.feed(ev.NodeListReceived(revision, revision - 1, full, entries, 10**15))
 
-    def link_up(self, node: int, started: int = 0, draining: bool = False) -> list[ev.Action]:
+    def connect_link(self, node: int, started: int = 0, draining: bool = False) -> list[ev.Action]:
         """The link stands, once it has been dialled."""
         link = self.core.links.links.get(node)
         while link is not None and link.state is State.DOWN:
             self.wait(10_000)
         return self.feed(ev.LinkUp(node, started, draining))
 
-    def up(self, node: int, started: int = 0, draining: bool = False, held: Any = ()) -> list[ev.Action]:
+    def connect_node(
+        self, node: int, started: int = 0, draining: bool = False, held: Any = ()
+    ) -> list[ev.Action]:
         """The link stands, if it did not, and the node tells what it holds."""
         stands = self.core.links.up(node)
-        out = [] if stands else self.link_up(node, started, draining)
+        out = [] if stands else self.connect_link(node, started, draining)
         return out + self.feed(ev.NodeTasksReported(node, started, tuple(held)))
 
-    def spec(self, key: int, sort: str = "worker", **changes: Any) -> ev.TaskSpec:
-        return replace(ev.TaskSpec("o", key, sort, "", 5, 1.0, 2.0, 0, False), **changes)
+    def task_spec(self, key: int, task_class: str = "worker", **changes: Any) -> ev.TaskSpec:
+        return replace(ev.TaskSpec("o", key, task_class, "", 5, 1.0, 2.0, 0, False), **changes)
 
-    def ask(
+    def request(
         self,
-        n: int,
-        sort: str = "worker",
+        number: int,
+        task_class: str = "worker",
         session: int = 1,
-        wait: int = 6 * SECOND,
+        wait_us: int = 6 * SECOND,
         key: int = 0,
         **spec: Any,
     ) -> list[ev.Action]:
-        return self.feed(ev.PlacementRequested(session, n, self.spec(key or n, sort, **spec), wait))
+        return self.feed(
+            ev.PlacementRequested(session, number, self.task_spec(key or number, task_class, **spec), wait_us)
+        )
 
-    def offer(self, n: int, sort: str = "worker", **more: Any) -> ev.SendOffer:
-        (offer,) = [a for a in self.ask(n, sort, **more) if isinstance(a, ev.SendOffer)]
+    def request_offer(self, number: int, task_class: str = "worker", **more: Any) -> ev.SendOffer:
+        (offer,) = [a for a in self.request(number, task_class, **more) if isinstance(a, ev.SendOffer)]
         return offer
 
-    def running(self, n: int, sort: str = "worker", **more: Any) -> ev.SendOffer:
-        offer = self.offer(n, sort, **more)
+    def request_running(self, number: int, task_class: str = "worker", **more: Any) -> ev.SendOffer:
+        offer = self.request_offer(number, task_class, **more)
         self.feed(ev.NodeRunning(offer.node, offer.id))
         return offer
 
-    def words(self, kind: type | None = None, session: int = 1) -> list[Any]:
+    def client_messages(self, kind: type | None = None, session: int = 1) -> list[Any]:
         """What the owner was told, progress left out."""
-        told = [a.message for a in self.said if isinstance(a, ev.SendToClient) and a.session == session]
+        told = [a.message for a in self.actions if isinstance(a, ev.SendToClient) and a.session == session]
         if kind is None:
             return [w for w in told if not isinstance(w, (ev.Admitted, ev.Offered))]
         return [w for w in told if isinstance(w, kind)]
 
-    def all(self, kind: type) -> list[Any]:
-        return [a for a in self.said if isinstance(a, kind)]
+    def actions_of(self, kind: type) -> list[Any]:
+        return [a for a in self.actions if isinstance(a, kind)]
 
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Nothing is left of any task."""
         core = self.core
         sessions = [s for s in core.requests.sessions.values() if s.placements or s.open_tasks]
@@ -170,6 +176,13 @@
 
 
 def held(
-    world: World, key: int, sort: str = "worker", life: int = 3, running: bool = True, owner: str = "o"
+    world: World,
+    key: int,
+    task_class: str = "worker",
+    incarnation: int = 3,
+    running: bool = True,
+    client: str = "o",
 ) -> Any:
-    return ev.NodeTask(AttemptId(life, key, 0), world.spec(key, sort, client=owner), running)
+    return ev.NodeTask(
+        AttemptId(incarnation, key, 0), world.task_spec(key, task_class, client=client), running
+    )
