--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -1,21 +1,21 @@
-"""The conductor: routes events to the rooms, lets time pass, asks the module. No I/O, clock or global state.
+"""The planner's core: routes events to its components, advances time and runs the decision module.
 
-The core stands between the decision module, which says where a task goes, and the driver, which has sockets
-or simulated ones. ``handle`` takes the time and an event and returns actions; ``next_due`` says when it wants
-a ``Due``. Time that goes back is taken as no time. What there is to know is kept in rooms, each with its own
-tables and its own page of invariants:
+No I/O, clock or global state. The core stands between the decision module, which says where a task goes, and
+the driver, which has sockets or simulated ones. ``handle`` takes the time and an event and returns actions;
+``next_due`` says when it wants a ``TimerDue``. Time that goes back is taken as no time. All state is kept in
+components, each with its own tables and invariants:
 
-| room | looks after |
+| component | responsible for |
 | --- | --- |
-| ``owners`` | streams, asks, the one outcome of each |
-| ``attempts`` | what is out at nodes: offers, leftovers, copies, proofs |
+| ``requests`` | sessions, requests, the one outcome of each |
+| ``attempts`` | what is at nodes: offers, abandoned attempts, duplicates, proofs |
 | ``links`` | dialling, grace, what is unsettled, what nodes hold |
-| ``list`` | the node list |
-| ``groups``, ``leases`` | groups on the path; which keeps have arrived |
+| ``node_list`` | the node list |
+| ``groups``, ``leases`` | groups being placed or running; which lease renewals have arrived |
 
-Invariants of the conductor: what rooms feed the module is taken by it in order, before the next timer and the
-next event; a word of a group's member is taken when the module has nothing more to hear; a planner that
-leaves takes nothing new, and answers all it owes within ``stop_grace_us``.
+Invariants of the core: the decision module handles what components queue for it in order, before the next
+timer and the next event; an event of a group's member is handled when the module has nothing more to handle;
+a planner that drains admits nothing new, and decides every open request within ``stop_grace_us``.
 """
 
 from __future__ import annotations
@@ -29,172 +29,191 @@
 from . import events as ev
 from .attempts import Attempts
 from .client_requests import ClientRequests
-from .context import CoreConfig as CoreConfig
 from .context import CoreContext
+from .core_config import CoreConfig as CoreConfig
 from .group_requests import GroupRequests
 from .leases import Leases
 from .node_links import Links
 from .nodelist import NodeList
 
-MODULE_IDS = 2**52  # ids of tasks stay below
-
 
 class Core:
-    """One life of a planner. ``life`` must be a number that no other life has."""
+    """One incarnation of a planner."""
 
     def __init__(self, settings: api.Settings, config: CoreConfig, incarnation: int, seed: int) -> None:
+        """``incarnation`` must be a number that no other run of a planner has."""
         self.context = CoreContext(settings, config, incarnation)
         self.incarnation = incarnation
         self.module = Planner(settings, seed)
-        self.owners = ClientRequests(self.context)
+        self.requests = ClientRequests(self.context)
         self.attempts = Attempts(self.context)
         self.links = Links(self.context, random.Random(seed ^ 0x11))
-        self.list = NodeList(self.context)
+        self.node_list = NodeList(self.context)
         self.leases = Leases(self.context)
         self.groups = GroupRequests(self.context, self.leases, seed ^ 0x6709)
-        self.owners.attempts, self.owners.groups = self.attempts, self.groups
-        self.attempts.owners, self.attempts.links = self.owners, self.links
+        self.stopping = False
+        self._connect_components()
+        self._event_handlers = self._list_event_handlers()
+        self._action_handlers = self._list_action_handlers()
+
+    def _connect_components(self) -> None:
+        """Give each component those that its protocols name."""
+        self.requests.attempts = self.attempts
+        self.requests.groups = self.groups
+        self.attempts.requests = self.requests
+        self.attempts.links = self.links
         self.attempts.groups = self.groups
-        self.links.attempts, self.links.owners = self.attempts, self.owners
-        self.links.groups, self.links.list = self.groups, self.list
+        self.links.attempts = self.attempts
+        self.links.requests = self.requests
+        self.links.groups = self.groups
+        self.links.list = self.node_list
         self.links.leases = self.leases
-        self.list.links, self.list.attempts = self.links, self.attempts
+        self.node_list.links = self.links
+        self.node_list.attempts = self.attempts
         self.leases.attempts = self.attempts
-        self.groups.owners, self.groups.attempts = self.owners, self.attempts
-        self.groups.links, self.groups.list = self.links, self.list
-        self.stopping = False
-        self._handlers: dict[type, Callable[[Any], None]] = {
-            ev.ClientConnected: self.owners.came,
-            ev.ClientDisconnected: self.owners.left,
-            ev.PlacementRequested: self.owners.asked,
-            ev.PlacementCancelled: self.owners.withdrawn,
+        self.groups.requests = self.requests
+        self.groups.attempts = self.attempts
+        self.groups.links = self.links
+        self.groups.list = self.node_list
+
+    def _list_event_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """What handles each event."""
+        return {
+            ev.ClientConnected: self.requests.client_connected,
+            ev.ClientDisconnected: self.requests.client_disconnected,
+            ev.PlacementRequested: self.requests.placement_requested,
+            ev.PlacementCancelled: self.requests.placement_cancelled,
             ev.GroupRequested: self.groups.request,
-            ev.NodeListReceived: self.list.told,
-            ev.NodeListFailed: self.list.failed,
+            ev.NodeListReceived: self.node_list.told,
+            ev.NodeListFailed: self.node_list.failed,
             ev.LinkUp: self.links.came_up,
             ev.DialFailed: self.links.failed,
             ev.LinkDown: self.links.lost,
             ev.NodeTasksReported: self.links.held_told,
             ev.NodeTasksFailed: self.links.held_failed,
             ev.NodeDraining: self.links.drained,
-            ev.NodeAccepted: self.attempts.node_accepted,
-            ev.NodeReady: self.attempts.node_ready,
-            ev.NodeRunning: self.attempts.node_running,
-            ev.NodeRejected: self.attempts.node_refused,
-            ev.NodeError: self.attempts.node_error,
-            ev.NodeEnded: self.attempts.node_ended,
-            ev.NodeUsage: self.attempts.node_usage,
+            ev.NodeAccepted: self.attempts.messages.node_accepted,
+            ev.NodeReady: self.attempts.messages.node_ready,
+            ev.NodeRunning: self.attempts.messages.node_running,
+            ev.NodeRejected: self.attempts.messages.node_rejected,
+            ev.NodeError: self.attempts.messages.node_error,
+            ev.NodeEnded: self.attempts.messages.node_ended,
+            ev.NodeUsage: self.attempts.messages.node_usage,
             ev.LeasesRenewed: self.leases.renewal_received,
-            ev.HealthCheckCompleted: self._probe_told,
-            ev.ShutdownRequested: self._stop_asked,
+            ev.HealthCheckCompleted: self._health_checked,
+            ev.ShutdownRequested: self._shutdown_requested,
             ev.SettingsChanged: self._settings_changed,
-            ev.TimerDue: self._due,
+            ev.TimerDue: self._timer_due,
         }
-        self._carriers: dict[type, Callable[[Any], None]] = {
-            api.Bind: self.attempts.bind,
+
+    def _list_action_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """What carries out each action of the decision module."""
+        return {
+            api.Bind: self.attempts.offers.bind,
             api.StopAttempt: self.attempts.stop_attempt,
             api.Evict: self.attempts.evict,
-            api.Shed: self.owners.refuse,
-            api.Fail: self.owners.fail,
+            api.Shed: self.requests.shed,
+            api.Fail: self.requests.fail,
             api.SetTimer: self._set_timer,
-            api.HealthCheck: self._probe,
-            api.WatchNodeList: self._watch,
-            api.FetchNodeList: self._fetch,
+            api.HealthCheck: self._check_health,
+            api.WatchNodeList: self._watch_node_list,
+            api.FetchNodeList: self._fetch_node_list,
             api.Log: self._module_log,
         }
 
     # Driving
 
     def start(self, now: int) -> list[ev.Action]:
-        """The first call of a life."""
+        """The first call: start the decision module."""
         self._begin(now)
         self.context.notify_module(api.Started())
         self._run()
         return self.context.actions
 
     def handle(self, now: int, event: ev.Event) -> list[ev.Action]:
-        """Take an event, and whatever has come due; return what is to be done, in order."""
+        """Fire timers that are due, then handle an event; return what is to be done, in order."""
         self._begin(now)
-        self._pass_time()
-        self._handlers[type(event)](event)
+        self._run_timers()
+        self._event_handlers[type(event)](event)
         self._run()
         return self.context.actions
 
-    def woke(self, now: int, events: list[ev.Event]) -> list[ev.Action]:
-        """Take what came while the process stood still, before the time that has passed is felt.
+    def handle_after_stall(self, now: int, events: list[ev.Event]) -> list[ev.Action]:
+        """Handle what arrived while the process stood still, before the time that has passed is felt.
 
-        Danger: timers that fell due meanwhile would send offers to nodes whose word of a drain lies unread in
-        the planner's own socket. What nodes and the list said comes first, then time, then owners.
+        Danger: timers that fell due meanwhile would send offers to nodes whose report of a drain lies unread
+        in the planner's own socket. What nodes and the list sent comes first, then time, then clients.
         """
         self._begin(now)
-        told = [e for e in events if not isinstance(e, _OWNERS)]
-        told.sort(key=lambda e: not isinstance(e, (ev.NodeDraining, ev.NodeListReceived)))
-        for word in told:
-            self._handlers[type(word)](word)
+        received = [event for event in events if not isinstance(event, _CLIENT_EVENTS)]
+        received.sort(key=lambda event: not isinstance(event, (ev.NodeDraining, ev.NodeListReceived)))
+        for message in received:
+            self._event_handlers[type(message)](message)
             self._run()
-        self._pass_time()
+        self._run_timers()
         for event in events:
-            if isinstance(event, _OWNERS):
-                self._handlers[type(event)](event)
+            if isinstance(event, _CLIENT_EVENTS):
+                self._event_handlers[type(event)](event)
                 self._run()
         return self.context.actions
 
     def next_due(self) -> int | None:
-        """When a ``Due`` is wanted, or None."""
+        """When a ``TimerDue`` is wanted, or None."""
         return self.context.next_due()
 
     @property
     def finished(self) -> bool:
-        """Whether a stopping planner owes nothing more."""
-        return self.stopping and self.owners.open_tasks == 0 and not self.groups.has_unanswered()
+        """Whether a draining planner has decided every request."""
+        return self.stopping and self.requests.open_tasks == 0 and not self.groups.has_unanswered()
 
     @property
     def counts(self) -> dict[str, int]:
+        """Counters by name."""
         return self.context.counts
 
     def _begin(self, now: int) -> None:
         self.context.begin(now)
 
     def _run(self) -> None:
-        """Let the module decide on what has been fed, and carry its actions out, until both are done."""
-        told, words = self.context.module_events, self.groups.messages
-        while told or words:
-            while told:
-                for action in self.module.handle(self.context.now, told.popleft()):
-                    self._carriers[type(action)](action)
-            if words:
+        """Let the decision module handle what is queued and carry its actions out, until nothing is left."""
+        module_events = self.context.module_events
+        while module_events or self.groups.messages:
+            while module_events:
+                for action in self.module.handle(self.context.now, module_events.popleft()):
+                    self._action_handlers[type(action)](action)
+            if self.groups.messages:
                 self.groups.take_message()
 
-    def _pass_time(self) -> None:
+    def _run_timers(self) -> None:
         while (due := self.context.pop_due()) is not None:
-            due.call(due.what)
+            due.callback(due.argument)
             self._run()
 
-    def _due(self, event: ev.TimerDue) -> None:
-        pass
+    def _timer_due(self, _: ev.TimerDue) -> None:
+        """Timers were fired before the event was handled."""
 
-    # The module's own
+    # Actions of the decision module
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        self.context.call_at(action.at_us, self._timer, action.token)
+        self.context.call_at(action.at_us, self._module_timer_fired, action.token)
 
-    def _timer(self, token: int) -> None:
+    def _module_timer_fired(self, token: int) -> None:
         self.context.notify_module(api.TimerFired(token))
 
-    def _probe(self, action: api.HealthCheck) -> None:
+    def _check_health(self, action: api.HealthCheck) -> None:
         if self.links.up(action.node):
             self.context.count("probes")
             self.context.emit(ev.CheckHealth(action.node))
         else:
             self.context.notify_module(api.HealthChecked(action.node, False, 0))
 
-    def _probe_told(self, event: ev.HealthCheckCompleted) -> None:
+    def _health_checked(self, event: ev.HealthCheckCompleted) -> None:
         self.context.notify_module(api.HealthChecked(event.node, event.ok, event.latency_us, event.report))
 
-    def _watch(self, action: api.WatchNodeList) -> None:
-        self.context.emit(ev.WatchNodeList(action.active, self.list.revision))
+    def _watch_node_list(self, action: api.WatchNodeList) -> None:
+        self.context.emit(ev.WatchNodeList(action.active, self.node_list.revision))
 
-    def _fetch(self, action: api.FetchNodeList) -> None:
+    def _fetch_node_list(self, _: api.FetchNodeList) -> None:
         self.context.emit(ev.FetchNodeList())
 
     def _module_log(self, action: api.Log) -> None:
@@ -212,22 +231,24 @@
         self.module.s = event.settings
         self.groups.settings_changed()
         self.links.settings_changed()
-        self.list.settings_changed()
+        self.node_list.settings_changed()
         self.context.count("settings_changed")
 
-    # Leaving
+    # Graceful shutdown
 
-    def _stop_asked(self, event: ev.ShutdownRequested) -> None:
+    def _shutdown_requested(self, _: ev.ShutdownRequested) -> None:
         if not self.stopping:
-            self.stopping = self.owners.leaving = True
+            self.stopping = self.requests.draining = True
             self.groups.shut_down()
-            self.context.call_at(self.context.now + self.context.config.stop_grace_us, self._stop_over)
+            self.context.call_at(
+                self.context.now + self.context.config.stop_grace_us, self._shutdown_timed_out
+            )
 
-    def _stop_over(self, _: None) -> None:
-        self.owners.answer_all()
+    def _shutdown_timed_out(self, _: None) -> None:
+        self.requests.conclude_all()
 
 
-_OWNERS = (
+_CLIENT_EVENTS = (
     ev.ClientConnected,
     ev.ClientDisconnected,
     ev.PlacementRequested,
--- a/stairplank/planner/event_loop.py
+++ b/stairplank/planner/event_loop.py
@@ -1,5 +1,6 @@
-"""The event loop every core is built on: monotonic time, timers, pending actions and the decision module's
-event queue. No I/O or clock.
+"""The event loop every core is built on: time, timers, pending actions, the decision module's event queue.
+
+No I/O or clock.
 
 ``context`` adds what the components of the planner's own core share; the platform's core uses this as it is.
 """
@@ -12,20 +13,21 @@
 from typing import Any, NamedTuple
 
 from .. import interface as api
-from .state_table import Table
+from .state_table import TransitionTable
 
 
 class _Timer(NamedTuple):
-    at: int
+    due_at: int
     order: int
-    call: Callable[[Any], None]
-    what: Any
+    callback: Callable[[Any], None]
+    argument: Any
 
 
 class EventLoop:
-    """One per core."""
+    """Time, timers and queues of one core; times in microseconds."""
 
     def __init__(self) -> None:
+        """A loop at time 0 without timers."""
         self.now = 0
         self.actions: list[Any] = []  # of this turn, for the caller to carry out
         self.module_events: deque[api.Event] = deque()  # for the decision module, not yet handled by it
@@ -48,33 +50,33 @@
         """Queue an event for the decision module; it is handled after the current event."""
         self.module_events.append(event)
 
-    def count(self, what: str) -> None:
+    def count(self, name: str) -> None:
         """Increment a named counter."""
-        self.counts[what] = self.counts.get(what, 0) + 1
+        self.counts[name] = self.counts.get(name, 0) + 1
 
     def next_number(self) -> int:
-        """A number that is unique within this process life."""
+        """A number that is unique within this run of the process."""
         self._last_number += 1
         return self._last_number
 
-    def transition(self, table: Table, state: Any, event: str) -> Any:
-        """The state that follows. Raises IllegalTransition."""
+    def transition(self, table: TransitionTable, state: Any, event: str) -> Any:
+        """The state that follows. Raises IllegalTransitionError."""
         self.transition_counts[table.name, state, event] += 1
         return table.after(state, event)
 
     # Timers
 
-    def call_at(self, at: int, call: Callable[[Any], None], what: Any = None) -> None:
+    def call_at(self, at: int, callback: Callable[[Any], None], argument: Any = None) -> None:
         """Schedule ``call(what)`` for that time; timers of the same time keep their order."""
         self._last_order += 1
-        heapq.heappush(self._timers, _Timer(at, self._last_order, call, what))
+        heapq.heappush(self._timers, _Timer(at, self._last_order, callback, argument))
 
     def next_due(self) -> int | None:
         """When the first timer is due, or None."""
-        return self._timers[0].at if self._timers else None
+        return self._timers[0].due_at if self._timers else None
 
     def pop_due(self) -> _Timer | None:
         """Remove and return the first timer that is due, or None."""
-        if self._timers and self._timers[0].at <= self.now:
+        if self._timers and self._timers[0].due_at <= self.now:
             return heapq.heappop(self._timers)
         return None
--- a/stairplank/planner/group_members.py
+++ b/stairplank/planner/group_members.py
@@ -20,6 +20,7 @@
 from .group_peers import GroupPeers
 from .leases import Leases
 from .placement import Placement
+from .transitions import PlacementEvent
 
 
 @dataclass(slots=True)
@@ -50,9 +51,9 @@
         """Request a placement from the decision module; it is given up at the deadline."""
         placement = Placement(self.context, record.session, 0, record.spec.members[member])
         placement.group = (number, member)
-        placement.expires = deadline
+        placement.deadline = deadline
         record.placements[member] = placement
-        self._peers.owners.keep(placement)
+        self._peers.requests.register(placement)
         self.context.count("members_tried")
         excluded: frozenset[int] = frozenset()
         if self._coordinator.enforces_constraints(number):
@@ -62,7 +63,7 @@
         # that comes too late and keep a reserve from it. Whether a group is attempted again is decided by
         # the coordinator, so that a member does not count as resubmitted either.
         task = replace(
-            self._peers.owners.task(placement),
+            self._peers.requests.module_task(placement),
             expires_us=record.deadline,
             resubmitted=False,
             excluded_nodes=excluded,
@@ -83,7 +84,7 @@
             if other == member or placement.state not in (PlacementState.OPEN, PlacementState.PLACED):
                 continue
             for attempt in placement.attempts.values():
-                if not attempt.reported:
+                if not attempt.outcome_reported:
                     taken[other] = attempt.node
         return taken
 
@@ -92,7 +93,7 @@
         for node, attempt_ids in self._bound_by_node(record, members).items():
             self.context.emit(ev.SendCommit(node, attempt_ids, lease_us))
             for attempt_id in attempt_ids:
-                attempt = self._peers.attempts.known(attempt_id)
+                attempt = self._peers.attempts.find(attempt_id)
                 assert attempt is not None
                 self._leases.extend(attempt, self.context.now + lease_us)
 
@@ -107,7 +108,7 @@
         """The bound attempts of members, by node, over links that are up."""
         by_node: dict[int, tuple[AttemptId, ...]] = {}
         for member in members:
-            attempt = record.placements[member].bound
+            attempt = record.placements[member].bound_attempt
             if attempt is not None and self._peers.links.up(attempt.node):
                 by_node[attempt.node] = (*by_node.get(attempt.node, ()), attempt.id)
         return by_node
@@ -117,7 +118,7 @@
         for member in members:
             placement = record.placements[member]
             if placement.state is PlacementState.OPEN:
-                placement.becomes("withdrawn")
+                placement.transition(PlacementEvent.CANCELLED)
                 self.context.notify_module(api.TaskCancelled(placement.number))
-            placement.withdrawn = True
-            self._peers.attempts.call_back(placement)
+            placement.cancelled = True
+            self._peers.attempts.abandon_member(placement)
--- a/stairplank/planner/group_peers.py
+++ b/stairplank/planner/group_peers.py
@@ -11,53 +11,53 @@
 from .placement import Attempt, Placement
 
 
-class Owners(Protocol):
+class ClientRequests(Protocol):
     """What groups need of the clients' requests."""
 
-    def bad_ask(self, session: int, ask: int) -> ev.Rejection | None:
+    def request_error(self, session: int, ask: int) -> ev.Rejection | None:
         """Why this request id is rejected, or None."""
 
-    def bad_task(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None:
+    def task_error(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None:
         """Why this task is rejected, or None."""
 
-    def no_room(self, session: int) -> ev.Rejection | None:
+    def capacity_error(self, session: int) -> ev.Rejection | None:
         """Why the planner admits no more of this session, or None."""
 
     def reject(self, session: int, ask: int, rejection: ev.Rejection) -> None:
         """Notify the client that its request is rejected."""
 
-    def owner_of(self, session: int) -> str:
+    def client_of(self, session: int) -> str:
         """The client's name."""
 
-    def named(self, owner: str, key: int) -> Placement | None:
+    def find_by_key(self, owner: str, key: int) -> Placement | None:
         """The placement of this task, if there is one."""
 
-    def newest(self, owner: str) -> int:
+    def newest_session(self, owner: str) -> int:
         """The client's newest session; 0: none."""
 
-    def group_asked(self, session: int, ask: int, number: int) -> None:
+    def register_group(self, session: int, ask: int, number: int) -> None:
         """A request of this session was admitted as this group."""
 
-    def group_over(self, session: int, ask: int) -> None:
+    def forget_group(self, session: int, ask: int) -> None:
         """The group of this request is over."""
 
-    def tell_on(self, session: int, word: ev.ClientMessage) -> None:
+    def notify_session(self, session: int, word: ev.ClientMessage) -> None:
         """Send a message on this session."""
 
-    def keep(self, placing: Placement) -> None:
+    def register(self, placing: Placement) -> None:
         """Add a placement to those that are known."""
 
-    def task(self, placing: Placement) -> api.Task:
+    def module_task(self, placing: Placement) -> api.Task:
         """The task as the decision module takes it."""
 
 
 class Attempts(Protocol):
     """What groups need of the attempts."""
 
-    def known(self, id: AttemptId) -> Attempt | None:
+    def find(self, id: AttemptId) -> Attempt | None:
         """The attempt, unless its end is known."""
 
-    def call_back(self, placing: Placement) -> None:
+    def abandon_member(self, placing: Placement) -> None:
         """Abandon all attempts of this placement."""
 
     def adopt(self, node: int, id: AttemptId, spec: ev.TaskSpec, running: bool) -> Attempt:
@@ -87,7 +87,7 @@
 class GroupPeers:
     """The components that groups use; the core sets them when it connects its components."""
 
-    owners: Owners
+    requests: ClientRequests
     attempts: Attempts
     links: Links
     list: NodeList
--- a/stairplank/planner/group_requests.py
+++ b/stairplank/planner/group_requests.py
@@ -31,6 +31,7 @@
 from .leases import Leases
 from .orphan_groups import OrphanGroup, OrphanGroups
 from .placement import Attempt, Placement
+from .transitions import PlacementEvent
 
 
 class GroupRequests(GroupPeers):
@@ -54,7 +55,7 @@
         number, member = _member_of(placement)
         size = self.records[number].spec.min_members
         # Reserved at least until the attempt is over and its members were committed.
-        lease_us = placement.expires - self.context.now + self.context.config.groups.lease_us
+        lease_us = placement.deadline - self.context.now + self.context.config.groups.lease_us
         return ev.GroupTag(self.context.incarnation, number, size, member, max(1, lease_us))
 
     def has_unanswered(self) -> bool:
@@ -72,7 +73,7 @@
     def request(self, event: ev.GroupRequested) -> None:
         """A client requests a group: it is admitted and attempted, or rejected."""
         spec = GroupSpec(
-            self.owners.owner_of(event.session),
+            self.requests.client_of(event.session),
             event.members,
             event.min_members or len(event.members),
             event.same_rack,
@@ -80,16 +81,16 @@
             event.distinct_racks,
         )
         max_groups = self.context.config.groups.max_groups
-        rejection = check_request(event, spec, self.owners, len(self.coordinator.groups), max_groups)
+        rejection = check_request(event, spec, self.requests, len(self.coordinator.groups), max_groups)
         if rejection is not None:
-            self.owners.reject(event.session, event.request, rejection)
+            self.requests.reject(event.session, event.request, rejection)
             return
         number = self.context.next_number()
         deadline = self.context.now + event.wait_us - event.age_us
         self.records[number] = GroupRecord(event.session, event.request, spec, deadline)
-        self.owners.group_asked(event.session, event.request, number)
+        self.requests.register_group(event.session, event.request, number)
         self.context.count("groups_taken")
-        self.owners.tell_on(event.session, ev.Admitted(event.request, number))
+        self.requests.notify_session(event.session, ev.Admitted(event.request, number))
         nodes = self.list.places() if has_constraints(spec) else ()
         capacity = self.list.room()
         self._perform(self.coordinator.request(self.context.now, number, spec, deadline, capacity, nodes))
@@ -99,7 +100,7 @@
         for record in self.records.values():
             if record.spec.client != client or is_live(record.session):
                 continue
-            if any(self.owners.named(*p.name) is p for p in record.placements.values()):
+            if any(self.requests.find_by_key(*p.client_key) is p for p in record.placements.values()):
                 record.session = session
                 record.request = 0
 
@@ -154,8 +155,8 @@
                 record = self.records.get(number)
                 if record is None or record.placements.get(member) is not placement:
                     return  # of an attempt that is long over
-                reason = placement.ended or "no place was found"
-                finished = placement.ended == "finished"
+                reason = placement.end_reason or "no place was found"
+                finished = placement.end_reason == "finished"
                 result = self.coordinator.member_over(now, number, member, finished, reason)
             case MemberReserved(_, member, node):
                 result = self.coordinator.member_reserved(now, number, member, node, self.list.rack(node))
@@ -166,8 +167,8 @@
 
     def member_unplaced(self, placement: Placement) -> None:
         """The module found no node for a member in this attempt; attempts in flight are called back."""
-        placement.becomes("failed")
-        self.attempts.call_back(placement)
+        placement.transition(PlacementEvent.FAILED)
+        self.attempts.abandon_member(placement)
 
     def member_over(self, placement: Placement, finished: bool, reason: api.Reason) -> None:
         """A bound member has ended at its node."""
@@ -218,7 +219,7 @@
             case actions.Placed(_, members, constraints_met, attempts):
                 record.is_placed = True
                 self.context.count("groups_placed")
-                bound = [(member, record.placements[member].bound) for member in members]
+                bound = [(member, record.placements[member].bound_attempt) for member in members]
                 bindings = tuple((member, at.node) for member, at in bound if at is not None)
                 self._notify(record, ev.GroupPlaced(request, bindings, constraints_met, attempts))
             case actions.Shed(_, reason, is_permanent, retry_after_us):
@@ -235,14 +236,14 @@
                 self._notify(record, ev.GroupEnded(request, finished))
 
     def _notify(self, record: GroupRecord, message: ev.GroupMessage) -> None:
-        self.owners.tell_on(record.session, message)
+        self.requests.notify_session(record.session, message)
 
     def _forget_if_over(self, number: int) -> None:
         record = self.records.get(number)
         if record is None or number in self.coordinator.groups:
             return
         del self.records[number]
-        self.owners.group_over(record.session, record.request)
+        self.requests.forget_group(record.session, record.request)
 
     # Groups of an earlier incarnation
 
@@ -266,7 +267,7 @@
         client = running[0].task.task.client
         tasks = (*(member.task.task for member in running), *(task.task for task in finished))
         spec = GroupSpec(client, tasks, orphan.size)
-        record = GroupRecord(self.owners.newest(client), 0, spec, is_placed=True)
+        record = GroupRecord(self.requests.newest_session(client), 0, spec, is_placed=True)
         self.records[number] = record
         locations: dict[int, Location] = {}
         for member, found in enumerate(running):
--- a/stairplank/planner/leases.py
+++ b/stairplank/planner/leases.py
@@ -2,7 +2,7 @@
 
 Invariants (tests/planner/test_leases.py, with the other components played by hand):
 
-1. ``lease_expires_at`` of an attempt is never later than its node keeps it: it counts from when the commit,
+1. ``leased_until`` of an attempt is never later than its node keeps it: it counts from when the commit,
    or the last renewal that the node has acknowledged, was sent.
 2. A member whose lease has run out for all that is known is reported as lost, once, and stopped.
 3. At most ``MAX_PENDING_RENEWALS`` renewals to a node are unacknowledged; an acknowledgement covers those
@@ -29,13 +29,13 @@
 class Attempts(Protocol):
     """What leases need of the attempts."""
 
-    def known(self, id: AttemptId) -> Attempt | None:
+    def find(self, id: AttemptId) -> Attempt | None:
         """The attempt, unless its end is known."""
 
     def stop(self, attempt: Attempt, why: ev.StopReason) -> None:
         """Tell the node to stop the attempt."""
 
-    def over(self, attempt: Attempt, result: api.Result) -> None:
+    def end(self, attempt: Attempt, result: api.Result) -> None:
         """The attempt has ended with this result."""
 
 
@@ -77,7 +77,7 @@
 
     def _extend_all(self, renewal: PendingRenewal) -> None:
         for attempt_id in renewal.sent.ids:
-            attempt = self.attempts.known(attempt_id)
+            attempt = self.attempts.find(attempt_id)
             if attempt is not None:
                 self.extend(attempt, renewal.sent_at + renewal.sent.lease_us)
 
@@ -87,20 +87,20 @@
 
     def extend(self, attempt: Attempt, expires_at: int) -> None:
         """The node keeps the attempt until then for certain. An attempt has one timer."""
-        if not attempt.lease_expires_at:
+        if not attempt.leased_until:
             self.context.call_at(expires_at, self._expire, attempt)
-        attempt.lease_expires_at = max(attempt.lease_expires_at, expires_at)
+        attempt.leased_until = max(attempt.leased_until, expires_at)
 
     def _expire(self, attempt: Attempt) -> None:
         """Danger: where renewals are held up, a node has released its members and cannot say so.
 
         The rest of the group would run on by itself until the link is found to be dead, seconds later.
         """
-        if self.attempts.known(attempt.id) is not attempt or attempt.placement.group is None:
+        if self.attempts.find(attempt.id) is not attempt or attempt.placement.group is None:
             return
-        if attempt.lease_expires_at > self.context.now:
-            self.context.call_at(attempt.lease_expires_at, self._expire, attempt)
+        if attempt.leased_until > self.context.now:
+            self.context.call_at(attempt.leased_until, self._expire, attempt)
             return
         self.context.count("leases_over")
         self.attempts.stop(attempt, ev.StopReason.ABANDONED)
-        self.attempts.over(attempt, api.Result.LOST)
+        self.attempts.end(attempt, api.Result.LOST)
--- a/stairplank/planner/orphan_groups.py
+++ b/stairplank/planner/orphan_groups.py
@@ -83,7 +83,7 @@
         orphan = self._groups.get(group_id)
         if orphan is None:
             orphan = self._groups[group_id] = OrphanGroup(tag.size)
-            deadline = self.context.now + self.context.config.foundling_us
+            deadline = self.context.now + self.context.config.orphan_search_us
             self.context.call_at(deadline, self._search_over, group_id)
         return orphan
 
--- a/tests/planner/test_leases.py
+++ b/tests/planner/test_leases.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from room import Others, core_context, pass_time, placing
+from component_stubs import ComponentStub, core_context, make_placement, pass_time
 from world import SECOND
 
 from stairplank.planner import events as ev
@@ -16,19 +16,19 @@
 MS = 1_000
 
 
-def room() -> tuple[Leases, Attempt, Others]:
+def room() -> tuple[Leases, Attempt, ComponentStub]:
     on = core_context()
     leases = Leases(on)
-    one = placing(on)
+    one = make_placement(on)
     one.group = (3, 0)
     attempt = Attempt(on, AttemptId(7, one.number, 0), one, 0, 4, AttemptState.RUNNING)
-    others = Others(known=lambda id: attempt if id == attempt.id else None)
+    others = ComponentStub(find=lambda id: attempt if id == attempt.id else None)
     leases.attempts = others  # type: ignore[assignment]
     return leases, attempt, others
 
 
-def over(others: Others) -> list[Any]:
-    return [a for a in others.asked if a[0] == "over"]
+def over(others: ComponentStub) -> list[Any]:
+    return [a for a in others.calls if a[0] == "end"]
 
 
 def test_a_lease_that_is_not_renewed_expires_once() -> None:
@@ -48,7 +48,7 @@
     sent_at = leases.context.now
     pass_time(leases.context, 900 * MS)
     leases.renewal_received(ev.LeasesRenewed(4, renewal.renewal))
-    assert attempt.lease_expires_at == sent_at + 2 * SECOND and not leases.pending_renewals
+    assert attempt.leased_until == sent_at + 2 * SECOND and not leases.pending_renewals
     pass_time(leases.context, 1099 * MS)
     assert not over(others)
     pass_time(leases.context, 2 * MS)
@@ -62,7 +62,7 @@
     leases.renew(4, (other,), SECOND)
     last = [a for a in leases.context.actions if isinstance(a, ev.SendLeaseRenewal)][-1]
     leases.renewal_received(ev.LeasesRenewed(4, last.renewal))
-    assert not leases.pending_renewals and attempt.lease_expires_at == 0
+    assert not leases.pending_renewals and attempt.leased_until == 0
 
 
 def test_renewals_on_a_lost_link_are_forgotten() -> None:
@@ -71,4 +71,4 @@
     number = leases.pending_renewals[4][0].sent.renewal
     leases.link_lost(4)
     leases.renewal_received(ev.LeasesRenewed(4, number))
-    assert not leases.pending_renewals and attempt.lease_expires_at == 0
+    assert not leases.pending_renewals and attempt.leased_until == 0
