--- a/benchmarks/fence/run.py
+++ b/benchmarks/fence/run.py
@@ -71,14 +71,14 @@
     def said() -> bytes:
         now[0] += 1
         found = stamps.stamp(now[0])
-        raw: bytes = offer(convert.stamp_to(found)).SerializeToString()
+        raw: bytes = offer(convert.stamp_to_proto(found)).SerializeToString()
         return raw
 
     def heard() -> int | None:
         message = node_pb2.OfferRequest.FromString(with_stamp)
-        return grants.said_at(now[0] + 400_000, convert.stamp_from(message.offer))
+        return grants.said_at(now[0] + 400_000, convert.stamp_from_proto(message.offer))
 
-    with_stamp = offer(convert.stamp_to(stamp)).SerializeToString()
+    with_stamp = offer(convert.stamp_to_proto(stamp)).SerializeToString()
     without = offer(None).SerializeToString()
     rows: dict[str, list[float]] = {"say": [], "say bare": [], "hear": [], "hear bare": []}
     for _ in range(7):  # in turns, since the machine's speed drifts
--- a/benchmarks/path/counted_planner.py
+++ b/benchmarks/path/counted_planner.py
@@ -31,7 +31,7 @@
 from stairplank.cli.main import _end_with_stdin
 from stairplank.planner import events as ev
 from stairplank.planner.daemon import Daemon
-from stairplank.planner.node_connection import NodeLink
+from stairplank.planner.node_connection import NodeConnection
 from stairplank.rpc.connection import Connection, Stream
 from stairplank.settings import load_planner
 
@@ -129,7 +129,7 @@
 
 
 def count_events(counts: Counts) -> None:
-    feed = Daemon.feed
+    feed = Daemon.handle
 
     def counted(self: Daemon, event: ev.Event) -> None:
         counts.add(f"event_{type(event).__name__}")
@@ -137,13 +137,13 @@
             counts.add("list_entries", len(event.nodes))
         feed(self, event)
 
-    Daemon.feed = counted  # type: ignore[method-assign]
+    Daemon.handle = counted  # type: ignore[method-assign]
 
 
 def count_transport(counts: Counts) -> None:
     """Messages, bytes, turns of the writers, keepalive pings; processor time of framing."""
     try_send, recv, ping = Stream.try_send, Stream.recv, h2.connection.H2Connection.ping
-    link_send = NodeLink.send
+    link_send = NodeConnection.send
 
     def counted_send(self: Stream, message: bytes) -> bool:
         counts.add("messages_out")
@@ -156,7 +156,7 @@
         counts.add("bytes_in", len(message or b""))
         return message
 
-    def counted_link_send(self: NodeLink, message: Any, id: Any) -> bool:
+    def counted_link_send(self: NodeConnection, message: Any, id: Any) -> bool:
         counts.add(f"to_node_{message.WhichOneof('kind')}")
         return link_send(self, message, id)
 
@@ -166,7 +166,7 @@
 
     Stream.try_send = counted_send  # type: ignore[method-assign]
     Stream.recv = counted_recv  # type: ignore[method-assign]
-    NodeLink.send = counted_link_send  # type: ignore[method-assign]
+    NodeConnection.send = counted_link_send  # type: ignore[method-assign]
     protocol: Any = h2.connection.H2Connection
     protocol.ping = counted_ping
     protocol.receive_data = counts.timed("h2_receive", protocol.receive_data)  # one for each read
--- a/benchmarks/path/nodes.py
+++ b/benchmarks/path/nodes.py
@@ -10,7 +10,7 @@
 import gevent
 
 from stairplank.cli.main import _end_with_stdin
-from stairplank.planner.daemon import DIRECTORY
+from stairplank.planner.daemon import DIRECTORY_SERVICE
 from stairplank.proto import caller
 from stairplank.rpc import Channel
 from stairplank.standin.light_node import LightNode
@@ -23,7 +23,7 @@
     channel = Channel(directory)
     calls = []
     for node in nodes:
-        call = caller(channel, DIRECTORY, "Announce")
+        call = caller(channel, DIRECTORY_SERVICE, "Announce")
         call.send(node.entry())
         calls.append(call)
     gevent.sleep(3600)
--- a/benchmarks/path/run.py
+++ b/benchmarks/path/run.py
@@ -30,7 +30,7 @@
 from gevent.event import Event
 from hdrh.histogram import HdrHistogram
 
-from stairplank.planner.daemon import PLACEMENT
+from stairplank.planner.daemon import PLACEMENT_SERVICE
 from stairplank.proto import caller, common_pb2, placement_pb2
 from stairplank.rpc import Channel
 
@@ -105,7 +105,7 @@
         self.wait_for("p.sock")
         gevent.sleep(0.5 + nodes / 150)
         self.channel = Channel(f"unix:{self.work}/p.sock")
-        self.call = caller(self.channel, PLACEMENT, "Place")
+        self.call = caller(self.channel, PLACEMENT_SERVICE, "Place")
         self.call.send(REQUEST(hello=REQUEST.Hello(owner="bench")))
         self.call.recv(10)
 
--- a/stairplank/cli/place.py
+++ b/stairplank/cli/place.py
@@ -43,10 +43,10 @@
 ) -> int:
     """Ask for ``count`` tasks; print the stream until each has its outcome (or end). The exit code."""
     from ..planner import convert
-    from ..planner.daemon import PLACEMENT
+    from ..planner.daemon import PLACEMENT_SERVICE
 
     try:
-        call = caller(Channel(address, dial_timeout_s=dial_s), PLACEMENT, "Place")
+        call = caller(Channel(address, dial_timeout_s=dial_s), PLACEMENT_SERVICE, "Place")
         call.send(_REQUEST(hello=_REQUEST.Hello(owner=owner)))
         first = call.recv(dial_s)
         if first is None:
@@ -57,7 +57,7 @@
         began = time.monotonic()
         for n in range(1, count + 1):
             wanted = common_pb2.Task(key=key + n, **task)
-            sent = convert.stamp_to(stamps.stamp(time.monotonic_ns() // 1000))
+            sent = convert.stamp_to_proto(stamps.stamp(time.monotonic_ns() // 1000))
             ask_for = _REQUEST.Ask(ask=n, task=wanted, wait_us=int(wait_s * 1e6), sent=sent)
             call.send(_REQUEST(ask=ask_for))
         owed = set(range(1, count + 1))
--- a/stairplank/configuration/joining.py
+++ b/stairplank/configuration/joining.py
@@ -20,7 +20,7 @@
     """What a configuration is put into force at."""
 
     config: PlannerConfig
-    life: int
+    incarnation: int
 
     def prepare_site(self, text: str, name: str) -> PlannerConfig:
         """The planner's configuration with that text. Raises SettingsError and NeedsRestartError."""
@@ -44,7 +44,7 @@
     return ConfigurationWatch(
         config.configuration,
         config.settings.position,
-        planner.life,
+        planner.incarnation,
         check,
         planner.apply_site,
         copy_file_of(config),
--- a/stairplank/emulator/wires.py
+++ b/stairplank/emulator/wires.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from ..fence import Stamp, Stamps
-from ..planner.link_state import Heard
+from ..planner.link_state import ReceivedMessages
 from ..standin.door import Door
 
 THERE, BACK = "there", "back"
@@ -50,7 +50,7 @@
     node: int
     epoch: int
     life: int  # of the planner
-    heard: Heard
+    heard: ReceivedMessages
     stamps: Stamps = field(default_factory=Stamps)
     given_up: bool = False  # by its planner, or reset: nothing more is said on it
     reset: bool = False  # what is still on the way is lost as well
@@ -70,7 +70,9 @@
         self._paths: dict[tuple[int, int], Path] = {}
         self._wires: dict[tuple[int, int], Wire] = {}
         self._doors: dict[tuple[int, int], Door] = {}
-        self._heard: dict[tuple[int, int], tuple[int, Heard]] = {}  # planner's life and node: node's life
+        self._heard: dict[
+            tuple[int, int], tuple[int, ReceivedMessages]
+        ] = {}  # planner's life and node: node's life
         self._epoch = 0
 
     def path(self, planner: int, node: int) -> Path:
@@ -89,12 +91,12 @@
         self._epoch += 1
         known = self._heard.get((life, node))
         if known is None or known[0] != started:
-            known = self._heard[life, node] = (started, Heard())
+            known = self._heard[life, node] = (started, ReceivedMessages())
         heard = known[1]
         wire = self._wires[planner, node] = Wire(planner, node, self._epoch, life, heard)
-        heard.opened()
+        heard.stream_opened()
         door = self.door(planner, node)
-        unheard = door.opened(self.now, life, self._epoch, heard.number)
+        unheard = door.opened(self.now, life, self._epoch, heard.last_number)
         assert unheard is not None and door.grants is not None
         wire.stamps.heard(self.now, door.grants.give(self.now))
         return wire
@@ -102,7 +104,7 @@
     def replay(self, wire: Wire, feed: Callable[[Any], None]) -> None:
         """Say again what was not heard."""
         door = self.door(wire.planner, wire.node)
-        for number, event in door.box.after(wire.heard.number):
+        for number, event in door.box.after(wire.heard.last_number):
             self.back(wire, event, feed, number)
 
     def give_up(self, planner: int, node: int) -> Wire | None:
@@ -167,7 +169,7 @@
             return
         wire.stamps.heard(self.now, grant)
         if number:
-            take, again = wire.heard.take(number)
+            take, again = wire.heard.receive(number)
             if again:
                 self.there(wire, lambda door: self.replay(wire, feed))
             if take and number % ACK_EVERY == 0:
--- a/stairplank/planner/attempts.py
+++ b/stairplank/planner/attempts.py
@@ -45,14 +45,14 @@
 class Links(Protocol):
     """What attempts need of the links."""
 
-    def up(self, node: int) -> bool: ...
-    def reach(self, node: int) -> bool: ...
+    def is_up(self, node: int) -> bool: ...
+    def has_addresses(self, node: int) -> bool: ...
     def dial_now(self, node: int) -> bool: ...
-    def heard(self, node: int, id: AttemptId) -> None: ...
-    def unplaced_word(self, node: int) -> None: ...
-    def unsettled(self, node: int, id: AttemptId) -> None: ...
-    def question(self, node: int, since: int) -> int | None: ...
-    def nothing_at(self, node: int) -> None: ...
+    def mark_settled(self, node: int, id: AttemptId) -> None: ...
+    def unknown_attempt_reported(self, node: int) -> None: ...
+    def mark_unsettled(self, node: int, id: AttemptId) -> None: ...
+    def request_tasks_since(self, node: int, since: int) -> int | None: ...
+    def node_idle(self, node: int) -> None: ...
 
 
 class Groups(Protocol):
@@ -120,9 +120,9 @@
         if context.now >= attempt.timeout:
             # Danger: after a pause nodes' words are taken before time passes: the task's may be over by now.
             self.over(attempt, api.Result.NOT_SENT)
-        elif self.links.up(action.node):
+        elif self.links.is_up(action.node):
             self.send(attempt)
-        elif not self.links.reach(action.node):
+        elif not self.links.has_addresses(action.node):
             self.over(attempt, api.Result.UNREACHABLE)
         else:
             context.call_at(context.now + context.config.dial_timeout_us, self._dial_over, attempt)
@@ -174,10 +174,10 @@
 
     def stop(self, attempt: Attempt, why: ev.StopReason) -> None:
         """Call an attempt off, now or when its link is back."""
-        if self.links.up(attempt.node):
+        if self.links.is_up(attempt.node):
             self.context.emit(ev.SendStop(attempt.node, attempt.id, why))
         elif why is not ev.StopReason.ABANDONED:
-            self.links.unsettled(attempt.node, attempt.id)
+            self.links.mark_unsettled(attempt.node, attempt.id)
 
     def stop_bound(self, placing: Placement, why: ev.StopReason) -> None:
         if placing.bound is not None:
@@ -253,7 +253,7 @@
         """
         if self.attempts.get(attempt.id) is not attempt or attempt.accepted:
             return
-        again = self.links.question(attempt.node, attempt.timeout + SETTLE_US)
+        again = self.links.request_tasks_since(attempt.node, attempt.timeout + SETTLE_US)
         if again is not None:
             self.context.call_at(again, self._settle, attempt)
 
@@ -306,7 +306,7 @@
                 return
         self.owners.forget_if_over(placing)
         if not self.any_at(attempt.node):
-            self.links.nothing_at(attempt.node)
+            self.links.node_idle(attempt.node)
 
     def _unbound(self, placing: Placement, result: api.Result, reason: api.Reason) -> None:
         """What its owner was told to run is over."""
@@ -359,13 +359,13 @@
         attempt = self.attempts.get(id)
         if attempt is None or attempt.node != node or attempt.waiting:
             return None
-        self.links.heard(node, id)
+        self.links.mark_settled(node, id)
         return attempt
 
     def node_accepted(self, event: ev.NodeAccepted) -> None:
         attempt = self._heard(event.node, event.id)
         if attempt is None:
-            self.links.unplaced_word(event.node)
+            self.links.unknown_attempt_reported(event.node)
         if attempt is None or attempt.accepted:
             return
         attempt.step("accepted")
@@ -377,7 +377,7 @@
     def node_ready(self, event: ev.NodeReady) -> None:
         attempt = self._heard(event.node, event.id)
         if attempt is None:
-            self.links.unplaced_word(event.node)
+            self.links.unknown_attempt_reported(event.node)
             return
         placing = attempt.placement
         if not attempt.accepted:
@@ -396,7 +396,7 @@
     def node_running(self, event: ev.NodeRunning) -> None:
         attempt = self._heard(event.node, event.id)
         if attempt is None:
-            self.links.unplaced_word(event.node)
+            self.links.unknown_attempt_reported(event.node)
         if attempt is None or attempt.running:
             return
         fresh = not attempt.accepted
--- a/stairplank/planner/convert.py
+++ b/stairplank/planner/convert.py
@@ -11,23 +11,23 @@
 from . import events as ev
 from .events import AttemptId
 
-_STATUS = {
+_NODE_STATUS = {
     directory_pb2.NodeEntry.STATE_GONE: api.NodeStatus.GONE,
     directory_pb2.NodeEntry.STATE_DRAINING: api.NodeStatus.DRAINING,
     directory_pb2.NodeEntry.STATE_READY: api.NodeStatus.READY,
 }
-_HOW = {
+_RESULT = {
     node_pb2.OfferEvent.Ended.HOW_FINISHED: api.Result.FINISHED,
     node_pb2.OfferEvent.Ended.HOW_STOPPED: api.Result.CANCELLED,
 }
-_WHY = {
+_STOP_REASON = {
     ev.StopReason.CANCELLED: node_pb2.OfferRequest.Stop.WHY_WITHDRAWN,
     ev.StopReason.MIGRATED: node_pb2.OfferRequest.Stop.WHY_MOVED,
     ev.StopReason.ABANDONED: node_pb2.OfferRequest.Stop.WHY_LEFT_OVER,
 }
 
 
-def spec_from(task: Any) -> ev.TaskSpec:
+def task_from_proto(task: Any) -> ev.TaskSpec:
     return ev.TaskSpec(
         task.owner,
         task.key,
@@ -41,7 +41,7 @@
     )
 
 
-def task_to(spec: ev.TaskSpec) -> Any:
+def task_to_proto(spec: ev.TaskSpec) -> Any:
     return common_pb2.Task(
         owner=spec.client,
         key=spec.key,
@@ -55,38 +55,38 @@
     )
 
 
-def id_from(id: Any) -> AttemptId:
+def attempt_id_from_proto(id: Any) -> AttemptId:
     return AttemptId(id.life, id.placing, id.attempt)
 
 
-def id_to(id: AttemptId) -> Any:
+def attempt_id_to_proto(id: AttemptId) -> Any:
     return common_pb2.AttemptId(life=id.incarnation, placing=id.placement, attempt=id.attempt)
 
 
-def tag_from(tag: Any) -> ev.GroupTag:
+def group_tag_from_proto(tag: Any) -> ev.GroupTag:
     return ev.GroupTag(tag.life, tag.group, tag.size, tag.member, tag.lease_us)
 
 
-def tag_to(tag: ev.GroupTag) -> Any:
+def group_tag_to_proto(tag: ev.GroupTag) -> Any:
     return node_pb2.GroupMember(
         life=tag.incarnation, group=tag.group, size=tag.size, member=tag.member, lease_us=tag.lease_us
     )
 
 
-def stamp_from(message: Any) -> Stamp | None:
+def stamp_from_proto(message: Any) -> Stamp | None:
     """When a message says that it was said; None where it does not."""
     return Stamp(message.sent.grant, message.sent.since_us) if message.HasField("sent") else None
 
 
-def stamp_to(stamp: Stamp | None) -> Any:
+def stamp_to_proto(stamp: Stamp | None) -> Any:
     return None if stamp is None else common_pb2.Sent(grant=stamp.grant, since_us=stamp.since_us)
 
 
-def reason_from(reason: int) -> api.Reason:
+def reason_from_proto(reason: int) -> api.Reason:
     return api.Reason(reason) if 0 <= reason <= 7 else api.Reason.UNTOLD
 
 
-def list_from(message: Any) -> ev.NodeListReceived:
+def node_list_from_proto(message: Any) -> ev.NodeListReceived:
     """Entries without a known state, or with an id that is none, are passed over."""
     nodes = tuple(
         ev.ListedNode(
@@ -96,39 +96,43 @@
             e.zone,
             e.rack,
             e.kind,
-            _STATUS[e.state],
+            _NODE_STATUS[e.state],
             e.free_cores,
             e.free_memory,
             e.started_unix_us,
         )
         for e in message.nodes
-        if e.state in _STATUS
+        if e.state in _NODE_STATUS
     )
     return ev.NodeListReceived(message.revision, message.since, message.full, nodes, message.now_unix_us)
 
 
-def node_event(node: int, message: Any) -> ev.Event | None:
+def node_event_from_proto(node: int, message: Any) -> ev.Event | None:
     """None for what a later version of the protocol may add, and for the hello."""
     match message.WhichOneof("kind"):
         case "accepted":
-            return ev.NodeAccepted(node, id_from(message.accepted.id))
+            return ev.NodeAccepted(node, attempt_id_from_proto(message.accepted.id))
         case "ready":
-            return ev.NodeReady(node, id_from(message.ready.id))
+            return ev.NodeReady(node, attempt_id_from_proto(message.ready.id))
         case "running":
-            return ev.NodeRunning(node, id_from(message.running.id))
+            return ev.NodeRunning(node, attempt_id_from_proto(message.running.id))
         case "refused":
             late = message.refused.reason == common_pb2.REASON_TOO_LATE
-            reason = reason_from(message.refused.reason)
-            return ev.NodeRejected(node, id_from(message.refused.id), reason, late)
+            reason = reason_from_proto(message.refused.reason)
+            return ev.NodeRejected(node, attempt_id_from_proto(message.refused.id), reason, late)
         case "error":
-            return ev.NodeError(node, id_from(message.error.id))
+            return ev.NodeError(node, attempt_id_from_proto(message.error.id))
         case "ended":
             ended = message.ended
-            result = _HOW.get(ended.how, api.Result.LOST)
-            return ev.NodeEnded(node, id_from(ended.id), result, reason_from(ended.reason))
+            result = _RESULT.get(ended.how, api.Result.LOST)
+            return ev.NodeEnded(
+                node, attempt_id_from_proto(ended.id), result, reason_from_proto(ended.reason)
+            )
         case "usage":
             u = message.usage
-            return ev.NodeUsage(node, id_from(u.id), u.cores, u.memory, u.served_share, u.node_memory_share)
+            return ev.NodeUsage(
+                node, attempt_id_from_proto(u.id), u.cores, u.memory, u.served_share, u.node_memory_share
+            )
         case "draining":
             return ev.NodeDraining(node)
         case "kept":
@@ -136,51 +140,54 @@
     return None
 
 
-def held_from(node: int, message: Any, asked_at: int) -> ev.NodeTasksReported:
+def node_tasks_from_proto(node: int, message: Any, asked_at: int) -> ev.NodeTasksReported:
     def held(t: Any) -> ev.NodeTask:
-        tag = tag_from(t.group) if t.HasField("group") else None
-        return ev.NodeTask(id_from(t.id), spec_from(t.task), t.running, tag)
+        tag = group_tag_from_proto(t.group) if t.HasField("group") else None
+        return ev.NodeTask(attempt_id_from_proto(t.id), task_from_proto(t.task), t.running, tag)
 
     tasks, finished = tuple(map(held, message.tasks)), tuple(map(held, message.finished))
     return ev.NodeTasksReported(node, message.started_unix_us, tasks, message.complete, asked_at, finished)
 
 
-def offer_to(offer: ev.SendOffer, sort: api.TaskClass, stamp: Stamp | None) -> Any:
+def offer_to_proto(offer: ev.SendOffer, sort: api.TaskClass, stamp: Stamp | None) -> Any:
     return node_pb2.OfferRequest(
         offer=node_pb2.OfferRequest.Offer(
-            id=id_to(offer.id),
-            task=task_to(offer.task),
+            id=attempt_id_to_proto(offer.id),
+            task=task_to_proto(offer.task),
             wait_us=offer.wait_us,
             priority=sort.priority,
             window_us=sort.dedup_window_us,
             once=sort.effect is api.Effect.AT_MOST_ONCE,
-            group=tag_to(offer.group) if offer.group is not None else None,
-            sent=stamp_to(stamp),
+            group=group_tag_to_proto(offer.group) if offer.group is not None else None,
+            sent=stamp_to_proto(stamp),
         )
     )
 
 
-def commit_to(commit: ev.SendCommit, stamp: Stamp | None) -> Any:
+def commit_to_proto(commit: ev.SendCommit, stamp: Stamp | None) -> Any:
     part = node_pb2.OfferRequest.Commit(
-        ids=map(id_to, commit.ids), lease_us=commit.lease_us, sent=stamp_to(stamp)
+        ids=map(attempt_id_to_proto, commit.ids), lease_us=commit.lease_us, sent=stamp_to_proto(stamp)
     )
     return node_pb2.OfferRequest(commit=part)
 
 
-def keep_to(keep: ev.SendLeaseRenewal, stamp: Stamp | None) -> Any:
+def lease_renewal_to_proto(keep: ev.SendLeaseRenewal, stamp: Stamp | None) -> Any:
     part = node_pb2.OfferRequest.Keep(
-        ids=map(id_to, keep.ids), lease_us=keep.lease_us, sent=stamp_to(stamp), keep=keep.renewal
+        ids=map(attempt_id_to_proto, keep.ids),
+        lease_us=keep.lease_us,
+        sent=stamp_to_proto(stamp),
+        keep=keep.renewal,
     )
     return node_pb2.OfferRequest(keep=part)
 
 
-def group_from(session: int, ask: Any, owner: str, age_us: int) -> ev.GroupRequested:
+def group_request_from_proto(session: int, ask: Any, owner: str, age_us: int) -> ev.GroupRequested:
     for member in ask.members:
         member.owner = member.owner or owner
     return ev.GroupRequested(
         session,
         ask.ask,
-        tuple(map(spec_from, ask.members)),
+        tuple(map(task_from_proto, ask.members)),
         ask.wait_us,
         ask.least,
         ask.same_rack,
@@ -190,11 +197,13 @@
     )
 
 
-def stop_to(stop: ev.SendStop) -> Any:
-    return node_pb2.OfferRequest(stop=node_pb2.OfferRequest.Stop(id=id_to(stop.id), why=_WHY[stop.reason]))
+def stop_to_proto(stop: ev.SendStop) -> Any:
+    return node_pb2.OfferRequest(
+        stop=node_pb2.OfferRequest.Stop(id=attempt_id_to_proto(stop.id), why=_STOP_REASON[stop.reason])
+    )
 
 
-def word_to(word: ev.ClientMessage) -> Any:
+def client_message_to_proto(word: ev.ClientMessage) -> Any:
     event = placement_pb2.PlaceEvent
     match word:
         case ev.Rejected(ask, r):
--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -33,8 +33,8 @@
 from .context import CoreContext
 from .grouping import Groups
 from .leases import Leases
-from .node_links import Links
-from .nodelist import NodeList
+from .node_links import NodeLinks
+from .node_list import NodeList
 
 MODULE_IDS = 2**52  # ids of tasks stay below
 
@@ -48,15 +48,15 @@
         self.module = Planner(settings, seed)
         self.owners = ClientRequests(self.context)
         self.attempts = Attempts(self.context)
-        self.links = Links(self.context, random.Random(seed ^ 0x11))
+        self.links = NodeLinks(self.context, random.Random(seed ^ 0x11))
         self.list = NodeList(self.context)
         self.leases = Leases(self.context)
         self.groups = Groups(self.context, self.leases, seed ^ 0x6709)
         self.owners.attempts, self.owners.groups = self.attempts, self.groups
         self.attempts.owners, self.attempts.links = self.owners, self.links
         self.attempts.groups = self.groups
-        self.links.attempts, self.links.owners = self.attempts, self.owners
-        self.links.groups, self.links.list = self.groups, self.list
+        self.links.attempts, self.links.client_requests = self.attempts, self.owners
+        self.links.groups, self.links.node_list = self.groups, self.list
         self.links.leases = self.leases
         self.list.links, self.list.attempts = self.links, self.attempts
         self.leases.attempts = self.attempts
@@ -69,14 +69,14 @@
             ev.PlacementRequested: self.owners.asked,
             ev.PlacementCancelled: self.owners.withdrawn,
             ev.GroupRequested: self.groups.asked,
-            ev.NodeListReceived: self.list.told,
-            ev.NodeListFailed: self.list.failed,
-            ev.LinkUp: self.links.came_up,
-            ev.DialFailed: self.links.failed,
-            ev.LinkDown: self.links.lost,
-            ev.NodeTasksReported: self.links.held_told,
-            ev.NodeTasksFailed: self.links.held_failed,
-            ev.NodeDraining: self.links.drained,
+            ev.NodeListReceived: self.list.list_received,
+            ev.NodeListFailed: self.list.list_failed,
+            ev.LinkUp: self.links.link_up,
+            ev.DialFailed: self.links.dial_failed,
+            ev.LinkDown: self.links.link_down,
+            ev.NodeTasksReported: self.links.tasks_reported,
+            ev.NodeTasksFailed: self.links.task_report_failed,
+            ev.NodeDraining: self.links.node_draining,
             ev.NodeAccepted: self.attempts.node_accepted,
             ev.NodeReady: self.attempts.node_ready,
             ev.NodeRunning: self.attempts.node_running,
@@ -182,7 +182,7 @@
         self.context.notify_module(api.TimerFired(token))
 
     def _probe(self, action: api.HealthCheck) -> None:
-        if self.links.up(action.node):
+        if self.links.is_up(action.node):
             self.context.count("probes")
             self.context.emit(ev.CheckHealth(action.node))
         else:
--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -41,15 +41,15 @@
 from .clock import raw_us
 from .core import Core
 from .events import AttemptId
-from .link_state import Heard
-from .live_settings import core_config, epochs_most, prepared, server_limits
-from .node_connection import NODE as NODE
-from .node_connection import WORK_BATCH, NodeLink
-from .stall_detector import Pulse
-
-PLACEMENT = placement_pb2.DESCRIPTOR.services_by_name["Placement"]
-DIRECTORY = directory_pb2.DESCRIPTOR.services_by_name["Directory"]
-HELLO_S = 5.0  # an owner's stream must say whose it is by then
+from .link_state import ReceivedMessages
+from .live_settings import core_config, max_session_epochs, prepare_config, server_limits
+from .node_connection import NODE_SERVICE as NODE_SERVICE
+from .node_connection import READ_BATCH, NodeConnection
+from .stall_detector import StallDetector
+
+PLACEMENT_SERVICE = placement_pb2.DESCRIPTOR.services_by_name["Placement"]
+DIRECTORY_SERVICE = directory_pb2.DESCRIPTOR.services_by_name["Directory"]
+HELLO_TIMEOUT_S = 5.0  # an owner's stream must say whose it is by then
 UNKNOWN_AGE_US = 1 << 62  # what an ask under no grant of its stream proves: nothing
 
 
@@ -60,33 +60,33 @@
         """``revision``: of the site's configuration that ``config`` was made with."""
         self.config = config
         self.position = config.settings.position
-        self.life = int.from_bytes(os.urandom(8), "big") >> 1 or 1
+        self.incarnation = int.from_bytes(os.urandom(8), "big") >> 1 or 1
         self.log = structlog.get_logger("planner").bind(planner=self.position)
-        seed = config.seed if config.seed is not None else self.life
-        self.core = Core(config.settings, core_config(config), self.life, seed)
-        self.health = Health((PLACEMENT.full_name,))
-        names = (PLACEMENT.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
+        seed = config.seed if config.seed is not None else self.incarnation
+        self.core = Core(config.settings, core_config(config), self.incarnation, seed)
+        self.health = Health((PLACEMENT_SERVICE.full_name,))
+        names = (PLACEMENT_SERVICE.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
         served = {
-            **methods(PLACEMENT, Place=self._place),
+            **methods(PLACEMENT_SERVICE, Place=self._place),
             **self.health.methods(),
             **Reflection(names).methods(),
         }
         self.server = Server(config.listen, served, server_limits(config))
-        self.links: dict[int, NodeLink] = {}
-        self.heard: dict[int, tuple[int, Heard]] = {}  # node: its life, and its words so far
-        self.owners: dict[int, ServerCall] = {}
+        self.connections: dict[int, NodeConnection] = {}
+        self.received: dict[int, tuple[int, ReceivedMessages]] = {}  # node: its life, and its words so far
+        self.sessions: dict[int, ServerCall] = {}
         self.peers: dict[int, tuple[str, int]] = {}  # owner's stream: its owner and that one's session
-        self.epochs = Epochs(epochs_most(config))  # of owners' sessions
+        self.epochs = Epochs(max_session_epochs(config))  # of owners' sessions
         self.grants: dict[int, Grants] = {}  # an owner's stream
         self._rng = random.Random(os.urandom(16))
         self._epoch = 0
         self._step_watch = StepWatch()
-        self.dropped_words = 0
+        self.dropped_messages = 0
         self.core_ns = 0  # time spent in the core and the module
         self._session = 0
         self._pending: deque[ev.Event] = deque()
         self._working = False
-        self.pulse = Pulse(self._pending, self._wake)
+        self.stall_detector = StallDetector(self._pending, self._resume_after_stall)
         self._rearm = Flag()
         self._armed: int | None = None
         self._watch: Any = None
@@ -105,7 +105,7 @@
         before, raw, after = now_us(), raw_us(), now_us()
         if after - before > 1_000 or not self._step_watch.stepped(before, raw):
             return False  # stood still between the two readings: they say nothing of each other
-        for link in self.links.values():
+        for link in self.connections.values():
             link.stamps.forget()
         return True
 
@@ -121,37 +121,37 @@
         gc.freeze()
         gc.set_threshold(20_000, 20, 50)
         self._stop.wait()
-        clean = self._leave()
+        clean = self._shut_down()
         for handler in handlers:
             handler.cancel()
         return 0 if clean else 1
 
     def start(self) -> None:
         self.server.start()
-        self.log.info("planner starts", listen=list(self.server.addresses), life=self.life)
+        self.log.info("planner starts", listen=list(self.server.addresses), life=self.incarnation)
         self._carry_out(self.core.start(now_us()))
         gevent.spawn(self._clock)
-        self.pulse.start()
+        self.stall_detector.start()
         self.configuration.start()
 
     def stop(self) -> None:
         self._stop.set()
 
-    def _leave(self) -> bool:
+    def _shut_down(self) -> bool:
         """Take nothing new, answer what is owed, close. Bounded by stop-grace and two seconds."""
         self.log.info("planner leaves", owed=self.core.owners.open_tasks)
         self.health.set(False)
         self.configuration.stop()
         self.server.leave()
-        self.feed(ev.ShutdownRequested())
+        self.handle(ev.ShutdownRequested())
         until = now_us() + self.config.stop_grace_us + 1_000_000
         while not self.core.finished and now_us() < until:
             gevent.sleep(0.01)
-        for call in list(self.owners.values()):
+        for call in list(self.sessions.values()):
             call.finish(Code.UNAVAILABLE, "this planner has left")
         clean = self.server.stop(1.0)
-        for link in list(self.links.values()):
-            link.hang_up()
+        for link in list(self.connections.values()):
+            link.close()
         self.log.info("planner has left", owed=self.core.owners.open_tasks, **self.core.counts)
         return self.core.finished and clean
 
@@ -162,7 +162,7 @@
 
         Changes nothing, and may run in another thread. Raises SettingsError and NeedsRestartError.
         """
-        return prepared(self.config, text, name)
+        return prepare_config(self.config, text, name)
 
     def apply_site(self, config: PlannerConfig) -> LiveChanges:
         """Put a prepared configuration into force, at once; what has changed. Raises NeedsRestartError."""
@@ -173,17 +173,17 @@
             return changes
         self.config = config
         self.server.limits = server_limits(config)
-        self.epochs.allow(epochs_most(config))
-        self.feed(ev.SettingsChanged(config.settings, core_config(config)))
+        self.epochs.allow(max_session_epochs(config))
+        self.handle(ev.SettingsChanged(config.settings, core_config(config)))
         self.log.info("settings changed", keys=list(changes.keys))
         return changes
 
     # The core
 
-    def feed(self, event: ev.Event) -> None:
+    def handle(self, event: ev.Event) -> None:
         """Give the core an event and do what it says. Events that arise meanwhile wait their turn."""
         self._pending.append(event)
-        if self._working or self.pulse.late():
+        if self._working or self.stall_detector.is_stalled():
             return
         self._working = True
         try:
@@ -198,7 +198,7 @@
         if due is not None and (self._armed is None or due < self._armed):
             self._rearm.set()
 
-    def _wake(self, stood: int) -> None:
+    def _resume_after_stall(self, stood: int) -> None:
         """The process stood still, stopped or starved; what came meanwhile is read by now."""
         events = list(self._pending)
         self._pending.clear()
@@ -208,7 +208,7 @@
             self._carry_out(self.core.woke(now_us(), events))
         finally:
             self._working = False
-        self.feed(ev.TimerDue())
+        self.handle(ev.TimerDue())
 
     def _clock(self) -> None:
         """Wake the core when something is due."""
@@ -218,36 +218,36 @@
             self._rearm.clear()
             left = None if due is None else max(0, due - now_us()) / 1e6
             if not self._rearm.wait(left):
-                self.feed(ev.TimerDue())
+                self.handle(ev.TimerDue())
 
     def _carry_out(self, actions: list[ev.Action]) -> None:
         for action in actions:
             match action:
                 case ev.SendToClient():
-                    self._tell(action)
+                    self._send_to_client(action)
                 case ev.SendOffer():
                     self._send_offer(action)
                 case ev.SendCommit():
-                    link = self.links.get(action.node)
+                    link = self.connections.get(action.node)
                     if link is not None:
-                        self._send(link, convert.commit_to(action, link.stamp()), None)
+                        self._send(link, convert.commit_to_proto(action, link.stamp()), None)
                 case ev.SendLeaseRenewal():
-                    link = self.links.get(action.node)
+                    link = self.connections.get(action.node)
                     if link is not None:
-                        self._send(link, convert.keep_to(action, link.stamp()), None)
+                        self._send(link, convert.lease_renewal_to_proto(action, link.stamp()), None)
                 case ev.SendStop():
-                    link = self.links.get(action.node)
+                    link = self.connections.get(action.node)
                     if link is not None:
-                        self._send(link, convert.stop_to(action), None)
+                        self._send(link, convert.stop_to_proto(action), None)
                 case ev.Dial():
-                    self.links[action.node] = NodeLink(self, action.node, action.addresses)
+                    self.connections[action.node] = NodeConnection(self, action.node, action.addresses)
                 case ev.CloseLink():
-                    if action.node in self.links:
-                        self.links[action.node].hang_up()
+                    if action.node in self.connections:
+                        self.connections[action.node].close()
                 case ev.RequestNodeTasks():
-                    gevent.spawn(self._ask_held, action.node)
+                    gevent.spawn(self._request_tasks, action.node)
                 case ev.CheckHealth():
-                    self._probe(action.node)
+                    self._check_health(action.node)
                 case ev.WatchNodeList():
                     if self._watch is not None:
                         self._watch.kill(block=False)
@@ -263,11 +263,11 @@
 
     def _place(self, call: ServerCall) -> None:
         """Handler of Placement.Place."""
-        if len(self.owners) >= self.config.owners_most:
-            raise RpcError(Code.RESOURCE_EXHAUSTED, f"{len(self.owners)} owners are here already")
+        if len(self.sessions) >= self.config.owners_most:
+            raise RpcError(Code.RESOURCE_EXHAUSTED, f"{len(self.sessions)} owners are here already")
         if self.server.leaving:
             raise RpcError(Code.UNAVAILABLE, "this planner is leaving")
-        first = call.recv(HELLO_S)
+        first = call.recv(HELLO_TIMEOUT_S)
         if first is None or first.WhichOneof("kind") != "hello":
             raise RpcError(Code.INVALID_ARGUMENT, "kind: the first message must be hello")
         owner = first.hello.owner
@@ -280,61 +280,61 @@
         if first.hello.session:
             if not self.epochs.take(peer, first.hello.epoch):
                 raise RpcError(Code.ABORTED, "a newer stream of this session has been here")
-            self._end_older(peer)
+            self._end_older_streams(peer)
         grants = self.grants[session] = Grants(now_us(), self._rng)
-        welcome = event.Welcome(planner=self.position, life=self.life)
-        self.owners[session] = call
+        welcome = event.Welcome(planner=self.position, life=self.incarnation)
+        self.sessions[session] = call
         self.peers[session] = peer
         call.send(event(welcome=welcome, grant=grants.give(now_us())))
-        renewing = gevent.spawn(self._renew, session, grants)
-        self.feed(ev.ClientConnected(session, owner))
+        renewing = gevent.spawn(self._renew_grants, session, grants)
+        self.handle(ev.ClientConnected(session, owner))
         try:
-            self._read_owner(call, session, owner)
-            while session in self.owners and self._owes(session):
+            self._read_client(call, session, owner)
+            while session in self.sessions and self._has_open_requests(session):
                 gevent.sleep(0.02)  # no more asks come, but what was asked for still runs
         finally:
             renewing.kill(block=False)
             self.grants.pop(session, None)
             self.peers.pop(session, None)
-            if self.owners.pop(session, None) is not None:
-                self.feed(ev.ClientDisconnected(session))
+            if self.sessions.pop(session, None) is not None:
+                self.handle(ev.ClientDisconnected(session))
 
-    def _owes(self, session: int) -> bool:
+    def _has_open_requests(self, session: int) -> bool:
         """Whether words of an owner's stream are still to come, or what it said has not been looked at."""
         known = self.core.owners.sessions.get(session)
         return known is None or bool(known.asks or known.groups)
 
-    def _end_older(self, peer: tuple[str, int]) -> None:
+    def _end_older_streams(self, peer: tuple[str, int]) -> None:
         """Danger: an ask that an old connection kept could come after its withdrawal on the new one."""
         for session in [s for s, p in self.peers.items() if p == peer]:
-            call = self.owners.pop(session, None)
+            call = self.sessions.pop(session, None)
             if call is not None:
                 error = RpcError(Code.ABORTED, "a newer stream of this session is here")
                 call.stream.connection.close(error)
-                self.feed(ev.ClientDisconnected(session))
+                self.handle(ev.ClientDisconnected(session))
 
-    def _renew(self, session: int, grants: Grants) -> None:
+    def _renew_grants(self, session: int, grants: Grants) -> None:
         """A stream on which nothing is said is given a grant all the same, now and then."""
         event = placement_pb2.PlaceEvent
-        while session in self.owners:
+        while session in self.sessions:
             gevent.sleep(max(0.01, (grants.next_due() - now_us()) / 1e6))
-            call = self.owners.get(session)
+            call = self.sessions.get(session)
             if call is not None and now_us() >= grants.next_due():
                 with contextlib.suppress(RpcError):
                     call.try_send(event(renewed=event.Grant(), grant=grants.give(now_us())))
 
-    def _age(self, session: int, message: Any) -> int:
+    def _message_age_us(self, session: int, message: Any) -> int:
         """How old a message of an owner's is at most; 0 where it does not say when it was said."""
-        stamp = convert.stamp_from(message)
+        stamp = convert.stamp_from_proto(message)
         if stamp is None:
             return 0
         now = now_us()
         at = self.grants[session].said_at(now, stamp)
         return UNKNOWN_AGE_US if at is None else max(0, now - at)
 
-    def _read_owner(self, call: ServerCall, session: int, owner: str) -> None:
+    def _read_client(self, call: ServerCall, session: int, owner: str) -> None:
         taken = 0
-        while (message := call.recv()) is not None and session in self.owners:
+        while (message := call.recv()) is not None and session in self.sessions:
             match message.WhichOneof("kind"):
                 case "ask":
                     ask = message.ask
@@ -342,27 +342,27 @@
                         self._reject(session, ask.ask, "task.owner", "is not the stream's owner")
                     else:
                         ask.task.owner = owner
-                        spec, age = convert.spec_from(ask.task), self._age(session, ask)
-                        self.feed(ev.PlacementRequested(session, ask.ask, spec, ask.wait_us, age))
+                        spec, age = convert.task_from_proto(ask.task), self._message_age_us(session, ask)
+                        self.handle(ev.PlacementRequested(session, ask.ask, spec, ask.wait_us, age))
                 case "ask_group":
-                    age = self._age(session, message.ask_group)
-                    self.feed(convert.group_from(session, message.ask_group, owner, age))
+                    age = self._message_age_us(session, message.ask_group)
+                    self.handle(convert.group_request_from_proto(session, message.ask_group, owner, age))
                 case "withdraw":
-                    self.feed(ev.PlacementCancelled(session, message.withdraw.ask, message.withdraw.key))
+                    self.handle(ev.PlacementCancelled(session, message.withdraw.ask, message.withdraw.key))
                 case "hello":
                     raise RpcError(Code.INVALID_ARGUMENT, "hello: only the first message may be one")
                 case _:
                     raise RpcError(Code.INVALID_ARGUMENT, "kind: one of ask, ask_group, withdraw is needed")
             taken += 1
-            if taken % WORK_BATCH == 0:
+            if taken % READ_BATCH == 0:
                 gevent.sleep(0)
 
     def _reject(self, session: int, ask: int, field: str, message: str) -> None:
         word = ev.Rejected(ask, ev.Rejection("INVALID_ARGUMENT", field, message))
-        self._tell(ev.SendToClient(session, word))
+        self._send_to_client(ev.SendToClient(session, word))
 
-    def _tell(self, action: ev.SendToClient) -> None:
-        call = self.owners.get(action.session)
+    def _send_to_client(self, action: ev.SendToClient) -> None:
+        call = self.sessions.get(action.session)
         if call is None:
             return
         if not isinstance(action.message, (ev.Admitted, ev.Offered)):
@@ -372,9 +372,9 @@
         # The bound of this connection: it may have been made before send-buffer changed.
         full = call.stream.out_bytes > call.stream.connection.limits.send_bytes // 2
         if full and isinstance(action.message, ev.Offered):
-            self.dropped_words += 1  # the first to go where an owner is slow: no outcome hangs on it
+            self.dropped_messages += 1  # the first to go where an owner is slow: no outcome hangs on it
             return
-        message = convert.word_to(action.message)
+        message = convert.client_message_to_proto(action.message)
         grants = self.grants.get(action.session)
         if grants is not None:
             message.grant = grants.give_if_due(now_us())
@@ -385,67 +385,69 @@
         if not sent:
             # Danger: an owner that does not read would hold memory without end.
             self.log.warning("owner does not read", session=action.session)
-            del self.owners[action.session]
+            del self.sessions[action.session]
             call.finish(Code.RESOURCE_EXHAUSTED, "too much of what was told has not been read", drop=True)
             call.stream.fail(RpcError(Code.RESOURCE_EXHAUSTED, "the owner does not read"))
             self._pending.append(ev.ClientDisconnected(action.session))
             if not self._working:
-                self.feed(ev.TimerDue())
+                self.handle(ev.TimerDue())
 
     # Nodes
 
     def _send_offer(self, action: ev.SendOffer) -> None:
-        link = self.links.get(action.node)
+        link = self.connections.get(action.node)
         if link is not None:
             name = f"{action.task.client}/{action.task.key}"
             number = f"{action.id.placement}.{action.id.attempt}"
             self.log.debug("offered", task=name, attempt=number, node=action.node)
             sort = self.config.settings.classes[action.class_index]
-            self._send(link, convert.offer_to(action, sort, link.stamp()), action.id)
+            self._send(link, convert.offer_to_proto(action, sort, link.stamp()), action.id)
 
-    def _send(self, link: NodeLink, message: Any, id: AttemptId | None) -> None:
+    def _send(self, link: NodeConnection, message: Any, id: AttemptId | None) -> None:
         if not link.send(message, id):
             self.log.warning("node does not read", node=link.node)
             if id is not None:
                 link.sent.append((1 << 62, id))
-            link.hang_up()
+            link.close()
 
-    def link_over(self, link: NodeLink, event: ev.Event) -> None:
-        if self.links.get(link.node) is not link:
+    def connection_ended(self, link: NodeConnection, event: ev.Event) -> None:
+        if self.connections.get(link.node) is not link:
             return  # given up, and dialled anew since: what becomes of it says nothing of the newer one
-        del self.links[link.node]
-        self.feed(event)
+        del self.connections[link.node]
+        self.handle(event)
         if not self.core.links.is_linked(link.node):
-            self.heard.pop(link.node, None)  # a node that has left: its words need not be remembered
+            self.received.pop(link.node, None)  # a node that has left: its words need not be remembered
 
     def _unary(self, node: int, method: str, request: Any, answer: Any, timeout_us: int) -> Any:
-        link = self.links.get(node)
+        link = self.connections.get(node)
         if link is None or link.channel is None:
             raise RpcError(Code.UNAVAILABLE, "no link", never_ran=True)
-        return link.channel.unary(path(NODE, method), request, answer.FromString, timeout_s=timeout_us / 1e6)
+        return link.channel.unary(
+            path(NODE_SERVICE, method), request, answer.FromString, timeout_s=timeout_us / 1e6
+        )
 
-    def _ask_held(self, node: int) -> None:
-        request = node_pb2.HeldRequest(planner=self.position, life=self.life)
-        link, asked_at = self.links.get(node), now_us()
+    def _request_tasks(self, node: int) -> None:
+        request = node_pb2.HeldRequest(planner=self.position, life=self.incarnation)
+        link, asked_at = self.connections.get(node), now_us()
         try:
             told = self._unary(node, "Held", request, node_pb2.HeldResponse, self.config.link_grace_us + 1)
         except RpcError as error:
             self.log.info("held not told", node=node, error=str(error))
-            self.feed(ev.NodeTasksFailed(node))
+            self.handle(ev.NodeTasksFailed(node))
         else:
             # Last words that were said before this answer may still be on their way, on the other stream.
             until = now_us() + self.config.link_grace_us
-            while link is not None and link.heard.number < told.words and now_us() < until:
-                if self.links.get(node) is not link:
+            while link is not None and link.received.last_number < told.words and now_us() < until:
+                if self.connections.get(node) is not link:
                     return  # the link broke: the next one asks anew
                 gevent.sleep(0.005)
-            if link is None or link.heard.number < told.words:
+            if link is None or link.received.last_number < told.words:
                 told.complete = False
-            self.feed(convert.held_from(node, told, asked_at))
+            self.handle(convert.node_tasks_from_proto(node, told, asked_at))
 
-    def _probe(self, node: int) -> None:
-        link = self.links.get(node)
-        if link is None or not link.probe():
+    def _check_health(self, node: int) -> None:
+        link = self.connections.get(node)
+        if link is None or not link.check_health():
             self._pending.append(ev.HealthCheckCompleted(node, False, 0))
 
     # The node list
@@ -460,18 +462,18 @@
     def _watch_list(self, revision: int) -> None:
         channel = self._directory()
         try:
-            call = caller(channel, DIRECTORY, "Watch")
+            call = caller(channel, DIRECTORY_SERVICE, "Watch")
             call.send(directory_pb2.WatchRequest(planner=self.position, revision=revision))
             call.close_send()
             while (message := call.recv(self.config.list_silence_us / 1e6)) is not None:
-                self.feed(convert.list_from(message))
+                self.handle(convert.node_list_from_proto(message))
         except RpcError as error:
             self.log.info("node list out of reach", error=str(error))
         finally:
             channel.close()
         if self._watch is gevent.getcurrent():
             self._watch = None
-            self.feed(ev.NodeListFailed())
+            self.handle(ev.NodeListFailed())
 
     def _fetch_list(self) -> None:
         channel = self._directory()
@@ -479,12 +481,12 @@
             request = directory_pb2.ListRequest(planner=self.position)
             timeout = self.config.list_silence_us / 1e6
             told = channel.unary(
-                path(DIRECTORY, "List"), request, directory_pb2.NodeList.FromString, timeout_s=timeout
+                path(DIRECTORY_SERVICE, "List"), request, directory_pb2.NodeList.FromString, timeout_s=timeout
             )
         except RpcError as error:
             self.log.info("node list out of reach", error=str(error))
-            self.feed(ev.NodeListFailed())
+            self.handle(ev.NodeListFailed())
         else:
-            self.feed(convert.list_from(told))
+            self.handle(convert.node_list_from_proto(told))
         finally:
             channel.close()
--- a/stairplank/planner/grouping.py
+++ b/stairplank/planner/grouping.py
@@ -86,12 +86,12 @@
 
 
 class Links(Protocol):
-    def up(self, node: int) -> bool: ...
+    def is_up(self, node: int) -> bool: ...
 
 
 class NodeList(Protocol):
-    def room(self) -> Room: ...
-    def places(self) -> tuple[Place, ...]: ...
+    def capacity(self) -> Room: ...
+    def ready_nodes(self) -> tuple[Place, ...]: ...
     def rack(self, node: int) -> str: ...
 
 
@@ -142,8 +142,8 @@
         self.owners.group_asked(event.session, event.request, number)
         self.context.count("groups_taken")
         self.owners.tell_on(event.session, ev.Admitted(event.request, number))
-        places = self.list.places() if wishes(spec) else ()
-        room = self.list.room()
+        places = self.list.ready_nodes() if wishes(spec) else ()
+        room = self.list.capacity()
         self._carry(self.coordinator.asked(self.context.now, number, spec, deadline, room, places))
 
     def _rejection(self, event: ev.GroupRequested, spec: GroupSpec) -> ev.Rejection | None:
@@ -249,7 +249,7 @@
     def _advance(self, due: int) -> None:
         if due == self._due:
             self._due = None
-            self._carry(self.coordinator.advance(self.context.now, self.list.room()))
+            self._carry(self.coordinator.advance(self.context.now, self.list.capacity()))
 
     def _carry(self, actions: list[gr.Action]) -> None:
         for action in actions:
@@ -321,7 +321,7 @@
 
     def _closed(self, record: GroupRecord, number: int, member: int) -> frozenset[int]:
         """Nodes closed to a member, by where the others of this try go."""
-        return self.coordinator.closed(number, member, self._taken(record, member), self.list.places())
+        return self.coordinator.closed(number, member, self._taken(record, member), self.list.ready_nodes())
 
     def _taken(self, record: GroupRecord, member: int) -> dict[int, int]:
         """Where the other members of this try go."""
@@ -347,7 +347,7 @@
         by_node: dict[int, list[AttemptId]] = {}
         for member in members:
             attempt = record.placings[member].bound
-            if attempt is not None and self.links.up(attempt.node):
+            if attempt is not None and self.links.is_up(attempt.node):
                 by_node.setdefault(attempt.node, []).append(attempt.id)
         return [(node, tuple(ids)) for node, ids in by_node.items()]
 
--- a/stairplank/planner/live_settings.py
+++ b/stairplank/planner/live_settings.py
@@ -40,12 +40,12 @@
     )
 
 
-def epochs_most(config: PlannerConfig) -> int:
+def max_session_epochs(config: PlannerConfig) -> int:
     """How many sessions of clients are remembered."""
     return config.owners_most * EPOCHS_PER_CLIENT
 
 
-def prepared(config: PlannerConfig, text: str, name: str) -> PlannerConfig:
+def prepare_config(config: PlannerConfig, text: str, name: str) -> PlannerConfig:
     """The configuration of a planner after a site's text comes into force.
 
     Raises SettingsError where the text is wrong, NeedsRestartError where a running planner cannot take it.
--- a/stairplank/planner/node_connection.py
+++ b/stairplank/planner/node_connection.py
@@ -15,15 +15,15 @@
 from . import events as ev
 from .clock import now_us
 from .events import AttemptId
-from .link_state import Heard
+from .link_state import ReceivedMessages
 
-NODE = node_pb2.DESCRIPTOR.services_by_name["Node"]
-ACK_EVERY = 32  # last words of a node, or
-ACK_S = 0.25  # so long after the first of them
-WORK_BATCH = 64  # messages of one stream taken before others get a turn
+NODE_SERVICE = node_pb2.DESCRIPTOR.services_by_name["Node"]
+ACK_MESSAGES = 32  # last words of a node, or
+ACK_DELAY_S = 0.25  # so long after the first of them
+READ_BATCH = 64  # messages of one stream taken before others get a turn
 
 
-class LinkHost(Protocol):
+class ConnectionHost(Protocol):
     """The planner as its links see it: whom they report to."""
 
     @property
@@ -31,23 +31,23 @@
     @property
     def position(self) -> int: ...
     @property
-    def life(self) -> int: ...
+    def incarnation(self) -> int: ...
     @property
     def log(self) -> Any: ...
     @property
-    def heard(self) -> dict[int, tuple[int, Heard]]:
+    def received(self) -> dict[int, tuple[int, ReceivedMessages]]:
         """By node: its life, and its numbered messages so far. Outlives a link."""
 
-    def feed(self, event: ev.Event) -> None: ...
-    def link_over(self, link: NodeLink, event: ev.Event) -> None: ...
+    def handle(self, event: ev.Event) -> None: ...
+    def connection_ended(self, link: NodeConnection, event: ev.Event) -> None: ...
     def next_epoch(self) -> int: ...
     def clock_stepped(self) -> bool: ...
 
 
-class NodeLink:
+class NodeConnection:
     """The one link to a node: dials its addresses in order, speaks Offers on the first that answers."""
 
-    def __init__(self, host: LinkHost, node: int, addresses: tuple[str, ...]) -> None:
+    def __init__(self, host: ConnectionHost, node: int, addresses: tuple[str, ...]) -> None:
         self.host = host
         self.node = node
         self.addresses = addresses
@@ -55,11 +55,11 @@
         self.call: Any = None
         self.sent: deque[tuple[int, AttemptId | None]] = deque()  # number of the message; the offer's attempt
         self.closing = False
-        self.heard = Heard()
+        self.received = ReceivedMessages()
         self.stamps = Stamps()
         self._ack_due = False
-        self._probe = 0
-        self._probes: dict[int, int] = {}  # under way: number, when asked
+        self._last_check = 0
+        self._checks: dict[int, int] = {}  # under way: number, when asked
         self.greenlet = gevent.spawn(self._run)
 
     def _run(self) -> None:
@@ -70,24 +70,24 @@
                 break
             except RpcError as error:
                 self.host.log.debug("dial failed", node=self.node, address=target, error=str(error))
-                self._close()
+                self._close_channel()
         if welcome is None or self.closing:
-            self._close()
-            self.host.link_over(self, ev.DialFailed(self.node))
+            self._close_channel()
+            self.host.connection_ended(self, ev.DialFailed(self.node))
             return
-        known = self.host.heard.get(self.node)
+        known = self.host.received.get(self.node)
         if known is None or known[0] != welcome.started_unix_us:
-            known = self.host.heard[self.node] = (welcome.started_unix_us, Heard())
-        self.heard = known[1]
-        self.heard.opened()
-        self.host.feed(ev.LinkUp(self.node, welcome.started_unix_us, welcome.draining))
+            known = self.host.received[self.node] = (welcome.started_unix_us, ReceivedMessages())
+        self.received = known[1]
+        self.received.stream_opened()
+        self.host.handle(ev.LinkUp(self.node, welcome.started_unix_us, welcome.draining))
         try:
             self._read()
         except RpcError as error:
             self.host.log.info("link broken", node=self.node, error=str(error))
         unsent = self.unsent()
-        self._close()
-        self.host.link_over(self, ev.LinkDown(self.node, unsent))
+        self._close_channel()
+        self.host.connection_ended(self, ev.LinkDown(self.node, unsent))
 
     def _dial(self, target: str) -> Any:
         config = self.host.config
@@ -99,11 +99,11 @@
         )
         timeout = config.dial_timeout_us / 1e6
         self.channel = Channel(target, limits, timeout)
-        self.call = caller(self.channel, NODE, "Offers")
-        heard = self.host.heard.get(self.node, (0, Heard()))[1].number
+        self.call = caller(self.channel, NODE_SERVICE, "Offers")
+        heard = self.host.received.get(self.node, (0, ReceivedMessages()))[1].last_number
         hello = node_pb2.OfferRequest.Hello(
             planner=self.host.position,
-            life=self.host.life,
+            life=self.host.incarnation,
             heard=heard,
             epoch=self.host.next_epoch(),
         )
@@ -123,36 +123,36 @@
         taken = 0
         while (message := self.call.recv()) is not None:
             self.stamps.heard(now_us(), message.grant)
-            if message.number and not self._numbered(message.number):
+            if message.number and not self._receive_numbered(message.number):
                 continue
-            event = convert.node_event(self.node, message)
+            event = convert.node_event_from_proto(self.node, message)
             if event is None and message.WhichOneof("kind") == "sampled":
-                event = self._sampled(message.sampled)
+                event = self._health_report(message.sampled)
             if event is not None:
-                self.host.feed(event)
+                self.host.handle(event)
             taken += 1
-            if taken % WORK_BATCH == 0:
+            if taken % READ_BATCH == 0:
                 gevent.sleep(0)
 
-    def _numbered(self, number: int) -> bool:
+    def _receive_numbered(self, number: int) -> bool:
         """A last word: taken once, in order, and acknowledged; a gap is asked for again."""
-        take, again = self.heard.take(number)
+        take, again = self.received.receive(number)
         if again:
-            self.host.log.info("words missed", node=self.node, heard=self.heard.number, came=number)
-            self._ack(True)
-        elif self.heard.number - self.heard.acknowledged >= ACK_EVERY:
-            self._ack(False)
+            self.host.log.info("words missed", node=self.node, heard=self.received.last_number, came=number)
+            self._acknowledge(True)
+        elif self.received.last_number - self.received.acknowledged >= ACK_MESSAGES:
+            self._acknowledge(False)
         elif take and not self._ack_due:
             self._ack_due = True
-            gevent.spawn_later(ACK_S, self._ack, False)
+            gevent.spawn_later(ACK_DELAY_S, self._acknowledge, False)
         return take
 
-    def _ack(self, again: bool) -> None:
+    def _acknowledge(self, again: bool) -> None:
         self._ack_due = False
         if self.closing or self.call is None or self.call.stream.error is not None:
             return
-        self.heard.acknowledged = self.heard.number
-        ack = node_pb2.OfferRequest.Ack(number=self.heard.number, again=again)
+        self.received.acknowledged = self.received.last_number
+        ack = node_pb2.OfferRequest.Ack(number=self.received.last_number, again=again)
         self.send(node_pb2.OfferRequest(ack=ack), None)
 
     def send(self, message: Any, id: AttemptId | None) -> bool:
@@ -168,27 +168,27 @@
             self.sent.popleft()
         return True
 
-    def probe(self) -> bool:
+    def check_health(self) -> bool:
         """Ask for the node's report; its answer, or that there was none in time, goes to the core."""
-        self._probe += 1
-        number = self._probe
+        self._last_check += 1
+        number = self._last_check
         if not self.send(node_pb2.OfferRequest(probe=node_pb2.OfferRequest.Probe(probe=number)), None):
             return False
-        self._probes[number] = now_us()
-        gevent.spawn_later(self.host.config.probe_timeout_us / 1e6, self._probe_over, number)
+        self._checks[number] = now_us()
+        gevent.spawn_later(self.host.config.probe_timeout_us / 1e6, self._check_timed_out, number)
         return True
 
-    def _sampled(self, sampled: Any) -> ev.Event | None:
-        began = self._probes.pop(sampled.probe, None)
+    def _health_report(self, sampled: Any) -> ev.Event | None:
+        began = self._checks.pop(sampled.probe, None)
         if began is None:
             return None  # it came too late
         report = (sampled.report.free_cores, sampled.report.free_memory, sampled.report.util)
         return ev.HealthCheckCompleted(self.node, True, now_us() - began, report)
 
-    def _probe_over(self, number: int) -> None:
-        began = self._probes.pop(number, None)
+    def _check_timed_out(self, number: int) -> None:
+        began = self._checks.pop(number, None)
         if began is not None:
-            self.host.feed(ev.HealthCheckCompleted(self.node, False, now_us() - began))
+            self.host.handle(ev.HealthCheckCompleted(self.node, False, now_us() - began))
 
     def unsent(self) -> frozenset[AttemptId]:
         """Attempts of which not one byte was handed to the connection."""
@@ -203,11 +203,11 @@
             self.host.log.warning("the clock has jumped: grants are forgotten")
         return self.stamps.stamp(now_us())
 
-    def hang_up(self) -> None:
+    def close(self) -> None:
         self.closing = True
-        self._close()
+        self._close_channel()
 
-    def _close(self) -> None:
+    def _close_channel(self) -> None:
         # Aborted: what has not left by now is not to come out of a path that heals later.
         if self.channel is not None:
             self.channel.close(abort=True)
--- a/stairplank/planner/node_links.py
+++ b/stairplank/planner/node_links.py
@@ -23,11 +23,13 @@
 from .abandoned_attempts import PlacementState
 from .context import CoreContext
 from .events import AttemptId
-from .link_state import Dials, Link, Redial, State
+from .link_state import DialBackoff, DialQueue, Link, LinkState
 from .placement import Attempt, Placement
 from .transitions import LINK
 
-HELD_GAP_US = 1_000_000  # a node is not asked more often for what it holds because of words we cannot place
+TASK_REQUEST_INTERVAL_US = (
+    1_000_000  # a node is not asked more often for what it holds because of words we cannot place
+)
 
 
 class Attempts(Protocol):
@@ -50,7 +52,7 @@
     def adopt(self, node: int, id: AttemptId, spec: ev.TaskSpec, running: bool) -> Attempt: ...
 
 
-class Owners(Protocol):
+class ClientRequests(Protocol):
     def named(self, owner: str, key: int) -> Placement | None: ...
 
 
@@ -64,46 +66,46 @@
 
 
 class NodeList(Protocol):
-    def drains(self, node: int) -> None: ...
+    def node_draining(self, node: int) -> None: ...
 
 
-class Links:
+class NodeLinks:
     def __init__(self, context: CoreContext, rng: random.Random) -> None:
         config = context.config
         self.context = context
         self.attempts: Attempts
-        self.owners: Owners
+        self.client_requests: ClientRequests
         self.groups: Groups
         self.leases: Leases
-        self.list: NodeList
+        self.node_list: NodeList
         self.links: dict[int, Link] = {}
-        self.redial = Redial(config.dial_retry_us, config.dial_retry_most_us, rng)
-        self.dials = Dials(config.dials_most)
+        self.dial_backoff = DialBackoff(config.dial_retry_us, config.dial_retry_most_us, rng)
+        self.dial_queue = DialQueue(config.dials_most)
         self._unknown_class: set[int] = set()  # nodes that hold a task of a class that is not known
 
     def settings_changed(self) -> None:
         config = self.context.config
-        self.redial.set_waits(config.dial_retry_us, config.dial_retry_most_us)
-        self._dial_these(self.dials.set_most(config.dials_most))
+        self.dial_backoff.set_bounds(config.dial_retry_us, config.dial_retry_most_us)
+        self._emit_dials(self.dial_queue.set_limit(config.dials_most))
         # Danger: a task of a class that was not known would never be adopted, nor its client notified.
         nodes, self._unknown_class = self._unknown_class, set()
         for node in sorted(nodes):
-            self._ask_later_than((node, self.context.now))
+            self._request_tasks_later((node, self.context.now))
 
-    def _ask_later_than(self, node_and_time: tuple[int, int]) -> None:
+    def _request_tasks_later(self, node_and_time: tuple[int, int]) -> None:
         """Ask what the node holds, unless it is asked after that time anyhow, as soon as it may be asked."""
         node, time = node_and_time
-        again = self.question(node, time + 1)
+        again = self.request_tasks_since(node, time + 1)
         if again is not None:
-            self.context.call_at(again, self._ask_later_than, node_and_time)
+            self.context.call_at(again, self._request_tasks_later, node_and_time)
 
     # Questions
 
-    def up(self, node: int) -> bool:
+    def is_up(self, node: int) -> bool:
         link = self.links.get(node)
-        return link is not None and link.state is State.UP
+        return link is not None and link.state is LinkState.UP
 
-    def reach(self, node: int) -> bool:
+    def has_addresses(self, node: int) -> bool:
         """Whether the node has addresses to be dialled at."""
         link = self.links.get(node)
         return link is not None and bool(link.addresses)
@@ -114,14 +116,14 @@
     def nodes(self) -> list[int]:
         return list(self.links)
 
-    def drains(self, node: int, started_unix_us: int) -> bool:
+    def is_draining(self, node: int, started_unix_us: int) -> bool:
         """Whether the node's own word that it drains beats a list that knows of this life of it as ready."""
         link = self.links.get(node)
-        if link is None or not link.draining:
+        if link is None or not link.is_draining:
             return False
         if link.started_unix_us >= started_unix_us:
             return True
-        link.draining = False  # the list knows of a newer life
+        link.is_draining = False  # the list knows of a newer life
         return False
 
     # Dialling
@@ -129,105 +131,105 @@
     def dial_now(self, node: int) -> bool:
         """An offer waits: whether the link is being dialled, by now."""
         link = self.links[node]
-        if self.redial.wanted_now(link, self.context.now):
+        if self.dial_backoff.may_dial_now(link, self.context.now):
             self._dial(link, first=True)
-        return link.state is not State.DOWN
+        return link.state is not LinkState.DOWN
 
     def _dial(self, link: Link, first: bool = False) -> None:
-        self._step(link, "dial")
-        self._dial_these(self.dials.want(link.node, first=first))
+        self._transition(link, "dial")
+        self._emit_dials(self.dial_queue.request(link.node, first=first))
 
-    def _step(self, link: Link, event: str) -> None:
+    def _transition(self, link: Link, event: str) -> None:
         link.state = self.context.transition(LINK, link.state, event)
 
-    def _dial_these(self, nodes: list[int]) -> None:
+    def _emit_dials(self, nodes: list[int]) -> None:
         for node in nodes:
             link = self.links.get(node)
             if link is not None:
                 self.context.emit(ev.Dial(node, link.addresses))
             else:
-                self._dial_these(self.dials.over(node))
+                self._emit_dials(self.dial_queue.finished(node))
 
     def _redial(self, node: int) -> None:
         link = self.links.get(node)
-        if link is not None and link.state is State.DOWN and link.dial_at <= self.context.now:
+        if link is not None and link.state is LinkState.DOWN and link.next_dial_at <= self.context.now:
             self._dial(link)
 
-    def failed(self, event: ev.DialFailed) -> None:
-        self._dial_these(self.dials.over(event.node))
+    def dial_failed(self, event: ev.DialFailed) -> None:
+        self._emit_dials(self.dial_queue.finished(event.node))
         link = self.links.get(event.node)
         if link is None:
             return
-        self._step(link, "failed")
-        self.redial.after_failure(link, self.context.now)
-        self.context.call_at(link.dial_at, self._redial, link.node)
+        self._transition(link, "failed")
+        self.dial_backoff.after_failure(link, self.context.now)
+        self.context.call_at(link.next_dial_at, self._redial, link.node)
         self.attempts.drop_waiting(event.node)
 
     # A link's life
 
-    def came_up(self, event: ev.LinkUp) -> None:
-        self._dial_these(self.dials.over(event.node))
+    def link_up(self, event: ev.LinkUp) -> None:
+        self._emit_dials(self.dial_queue.finished(event.node))
         link = self.links.get(event.node)
         if link is None:
             self.context.emit(ev.CloseLink(event.node))
             return
-        self._step(link, "up")
-        link.fails, link.lost_at = 0, 0
+        self._transition(link, "up")
+        link.failed_dials, link.broken_at = 0, 0
         if link.started_unix_us not in (-1, event.started_unix_us):
             # The node's process is another one: what was there is gone, and its own 'draining' with it.
-            link.draining = False
+            link.is_draining = False
             link.unsettled.clear()
             self.attempts.lost_with_its_life(link.node)
         link.started_unix_us = event.started_unix_us
         # What the node holds is asked for at each new link: it settles what a cut left open, and after a
         # restart of this planner it is how its tasks come back.
-        link.held_at = self.context.now
+        link.tasks_requested_at = self.context.now
         self.context.emit(ev.RequestNodeTasks(event.node))
         if event.draining:
-            self.drained(ev.NodeDraining(event.node))
+            self.node_draining(ev.NodeDraining(event.node))
         if event.draining:
             self.attempts.drop_waiting(event.node)
         else:
             self.attempts.send_waiting(event.node)
 
-    def drained(self, event: ev.NodeDraining) -> None:
+    def node_draining(self, event: ev.NodeDraining) -> None:
         """The node's own word."""
         link = self.links.get(event.node)
-        if link is None or link.draining:
+        if link is None or link.is_draining:
             return
-        link.draining = True
+        link.is_draining = True
         self.attempts.drop_waiting(event.node)
-        self.list.drains(event.node)
+        self.node_list.node_draining(event.node)
 
-    def lost(self, event: ev.LinkDown) -> None:
+    def link_down(self, event: ev.LinkDown) -> None:
         link = self.links.get(event.node)
         if link is None:
             return
         self.leases.link_lost(event.node)
-        self._step(link, "lost")
-        link.lost_at = self.context.now
-        self.redial.after_loss(link, self.context.now)
-        self.context.call_at(link.dial_at, self._redial, link.node)
+        self._transition(link, "lost")
+        link.broken_at = self.context.now
+        self.dial_backoff.after_loss(link, self.context.now)
+        self.context.call_at(link.next_dial_at, self._redial, link.node)
         link.unsettled.update(self.attempts.over_unsent(event.node, event.unsent))
         grace = self.context.now + self.context.config.link_grace_us
-        self.context.call_at(grace, self._grace_over, (event.node, self.context.now))
+        self.context.call_at(grace, self._grace_expired, (event.node, self.context.now))
 
-    def _grace_over(self, broke: tuple[int, int]) -> None:
+    def _grace_expired(self, broke: tuple[int, int]) -> None:
         """A broken link did not come back in time: what was there counts as lost from now on."""
         node, lost_at = broke
         link = self.links.get(node)
-        if link is not None and link.lost_at == lost_at and link.state is not State.UP:
+        if link is not None and link.broken_at == lost_at and link.state is not LinkState.UP:
             self.context.log("node lost", node=node, under_way=len(link.unsettled))
             self.attempts.lose(sorted(link.unsettled))
             link.unsettled.clear()
 
-    def unsettled(self, node: int, id: AttemptId) -> None:
+    def mark_unsettled(self, node: int, id: AttemptId) -> None:
         """Something is to be said of this attempt when the link is back."""
         link = self.links.get(node)
         if link is not None:
             link.unsettled.add(id)
 
-    def heard(self, node: int, id: AttemptId) -> None:
+    def mark_settled(self, node: int, id: AttemptId) -> None:
         """The node has spoken of it."""
         link = self.links.get(node)
         if link is not None:
@@ -235,30 +237,34 @@
 
     # What nodes hold
 
-    def unplaced_word(self, node: int) -> None:
+    def unknown_attempt_reported(self, node: int) -> None:
         """The node has something of ours that we know nothing of any more: what it holds will tell."""
         link = self.links.get(node)
-        if link is not None and link.state is State.UP and self.context.now >= link.held_at + HELD_GAP_US:
-            self._ask_held(link)
-
-    def question(self, node: int, since: int) -> int | None:
+        if (
+            link is not None
+            and link.state is LinkState.UP
+            and self.context.now >= link.tasks_requested_at + TASK_REQUEST_INTERVAL_US
+        ):
+            self._request_tasks(link)
+
+    def request_tasks_since(self, node: int, since: int) -> int | None:
         """Ask what the node holds, for something that is settled by any answer to a question since then.
 
         None: it is asked, was asked, or the next link asks by itself; else when to come again.
         """
         link = self.links.get(node)
-        if link is None or link.state is not State.UP or link.held_at >= since:
+        if link is None or link.state is not LinkState.UP or link.tasks_requested_at >= since:
             return None
-        if self.context.now < link.held_at + HELD_GAP_US:
-            return link.held_at + HELD_GAP_US
-        self._ask_held(link)
+        if self.context.now < link.tasks_requested_at + TASK_REQUEST_INTERVAL_US:
+            return link.tasks_requested_at + TASK_REQUEST_INTERVAL_US
+        self._request_tasks(link)
         return None
 
-    def _ask_held(self, link: Link) -> None:
-        link.held_at = self.context.now
+    def _request_tasks(self, link: Link) -> None:
+        link.tasks_requested_at = self.context.now
         self.context.emit(ev.RequestNodeTasks(link.node))
 
-    def held_told(self, event: ev.NodeTasksReported) -> None:
+    def tasks_reported(self, event: ev.NodeTasksReported) -> None:
         link = self.links.get(event.node)
         if link is None or link.started_unix_us != event.started_unix_us:
             return
@@ -274,7 +280,7 @@
             attempt = self.attempts.known(id)
             spoken = attempt is not None and attempt.accepted
             if attempt is None:
-                self._held_unknown(event.node, task)
+                self._unknown_task_reported(event.node, task)
             elif task.running:
                 self.attempts.node_running(ev.NodeRunning(event.node, id))
             else:
@@ -288,7 +294,7 @@
                 # Danger: the stop of a given-up copy was lost with its link: said once, the copy runs on.
                 self.attempts.copy(attempt)
 
-    def _held_unknown(self, node: int, held: ev.NodeTask) -> None:
+    def _unknown_task_reported(self, node: int, held: ev.NodeTask) -> None:
         """A task of an earlier life, or one that was given up as lost."""
         index = self.context.classes.get(held.task.task_class)
         if index is None:
@@ -298,7 +304,7 @@
         if held.group is not None:
             self.groups.held_member(node, held, held.group)
             return
-        known = self.owners.named(held.task.client, held.task.key)
+        known = self.client_requests.named(held.task.client, held.task.key)
         fate = PlacementState.UNKNOWN if known is None else known.state
         if abandoned_attempts.on_word(self.context.effect(index), fate) is abandoned_attempts.Copy.STOP:
             self.context.count("copies_stopped")
@@ -306,13 +312,13 @@
         else:
             self.attempts.adopt(node, held.id, held.task, held.running)
 
-    def held_failed(self, event: ev.NodeTasksFailed) -> None:
-        if self.up(event.node):
+    def task_report_failed(self, event: ev.NodeTasksFailed) -> None:
+        if self.is_up(event.node):
             self.context.emit(ev.CloseLink(event.node))  # without its word nothing is settled: begin anew
 
     # By the list's word
 
-    def listed(self, node: int, addresses: tuple[str, ...]) -> bool:
+    def node_listed(self, node: int, addresses: tuple[str, ...]) -> bool:
         """The list names a node that is not gone: keep a link to it. False where the table is full."""
         link = self.links.get(node)
         if link is None:
@@ -321,33 +327,33 @@
                 self.context.log("node not taken: the table is full", node=node, most=most)
                 return False
             link = self.links[node] = Link(node, addresses)
-        link.listed = True
+        link.is_listed = True
         if link.addresses != addresses:
-            link.addresses, link.dial_at = addresses, self.context.now
-            if link.state is State.UP:
+            link.addresses, link.next_dial_at = addresses, self.context.now
+            if link.state is LinkState.UP:
                 self.context.emit(ev.CloseLink(node))
         return True
 
     def dial_if_due(self, node: int) -> None:
         link = self.links[node]
-        if link.state is State.DOWN and link.dial_at <= self.context.now:
+        if link.state is LinkState.DOWN and link.next_dial_at <= self.context.now:
             self._dial(link)
 
-    def unlisted(self, node: int) -> None:
+    def node_unlisted(self, node: int) -> None:
         """The list names it no longer: the link stays while something is at the node."""
         link = self.links[node]
-        link.listed = False
+        link.is_listed = False
         self.attempts.drop_waiting(node)
         if not self.attempts.any_at(node):
-            self._drop(link)
+            self._remove(link)
 
-    def nothing_at(self, node: int) -> None:
+    def node_idle(self, node: int) -> None:
         link = self.links.get(node)
-        if link is not None and not link.listed:
-            self._drop(link)
+        if link is not None and not link.is_listed:
+            self._remove(link)
 
-    def _drop(self, link: Link) -> None:
+    def _remove(self, link: Link) -> None:
         self._unknown_class.discard(link.node)
-        if self.links.pop(link.node, None) is not None and link.state is not State.DOWN:
+        if self.links.pop(link.node, None) is not None and link.state is not LinkState.DOWN:
             self.context.emit(ev.CloseLink(link.node))
-            self._dial_these(self.dials.over(link.node))
+            self._emit_dials(self.dial_queue.finished(link.node))
--- a/stairplank/planner/nodelist.py
+++ b/stairplank/planner/node_list.py
@@ -1,6 +1,6 @@
 """The node list as the planner knows it: entries, revisions, nodes' lives on our clock. No I/O or clock.
 
-Invariants (tests/planner/test_nodelist.py, with the other rooms played by hand):
+Invariants (tests/planner/test_node_list.py, with the other rooms played by hand):
 
 1. The module is told of every entry and every change once, in the order of the list's words; an older word
    than the one at hand changes nothing.
@@ -24,18 +24,18 @@
 from . import events as ev
 from .context import CoreContext
 
-LIST_RETRY_US = 600_000  # a change that does not fit: asked for anew at once, then not faster than this
+REFETCH_INTERVAL_US = 600_000  # a change that does not fit: asked for anew at once, then not faster than this
 
 
-class Links(Protocol):
+class NodeLinks(Protocol):
     """What the list needs of the links."""
 
     def is_linked(self, node: int) -> bool: ...
     def nodes(self) -> list[int]: ...
-    def drains(self, node: int, started_unix_us: int) -> bool: ...
-    def listed(self, node: int, addresses: tuple[str, ...]) -> bool: ...
+    def is_draining(self, node: int, started_unix_us: int) -> bool: ...
+    def node_listed(self, node: int, addresses: tuple[str, ...]) -> bool: ...
     def dial_if_due(self, node: int) -> None: ...
-    def unlisted(self, node: int) -> None: ...
+    def node_unlisted(self, node: int) -> None: ...
 
 
 class Attempts(Protocol):
@@ -45,60 +45,60 @@
 class NodeList:
     def __init__(self, context: CoreContext) -> None:
         self.context = context
-        self.links: Links
+        self.links: NodeLinks
         self.attempts: Attempts
         self.entries: dict[int, api.NodeEntry] = {}
-        self.started: dict[int, tuple[int, int]] = {}  # node: its life on the list's clock, and on ours
-        self.kinds = self._numbered_kinds()
+        self.incarnations: dict[int, tuple[int, int]] = {}  # node: its life on the list's clock, and on ours
+        self.node_types = self._numbered_node_types()
         self.zones = {name: i for i, name in enumerate(context.config.zones)}
         self.racks: dict[str, int] = {}
         self.revision = 0
         self._refetch_at = 0
-        self._unknown_kinds: dict[int, str] = {}  # of nodes whose kind is not in the settings
+        self._unknown_types: dict[int, str] = {}  # of nodes whose kind is not in the settings
         self._table_was_full = False  # nodes of the list were left out
-        self._fetch_waits = False
-        self._places: tuple[Place, ...] | None = None
+        self._fetch_scheduled = False
+        self._ready_nodes: tuple[Place, ...] | None = None
 
-    def _numbered_kinds(self) -> dict[str, int]:
+    def _numbered_node_types(self) -> dict[str, int]:
         return {kind.name: number for number, kind in enumerate(self.context.settings.node_types)}
 
     def settings_changed(self) -> None:
-        self.kinds = self._numbered_kinds()
+        self.node_types = self._numbered_node_types()
         # Danger: zones that nodes have named already are counted by the numbers that they got then.
         for name in self.context.config.zones:
             self.zones.setdefault(name, len(self.zones))
-        self._places = None  # their room follows the settings' limits
-        self._fetch_if_more()
+        self._ready_nodes = None  # their room follows the settings' limits
+        self._refetch_if_useful()
 
-    def _fetch_if_more(self) -> None:
+    def _refetch_if_useful(self) -> None:
         """Fetch the whole list where it has more nodes for this planner, at most once in a while."""
-        if not self._may_take_more() or self._fetch_waits:
+        if not self._may_take_more() or self._fetch_scheduled:
             return
         if self.context.now >= self._refetch_at:
-            self._fetch_whole()
+            self._refetch()
             return
-        self._fetch_waits = True
-        self.context.call_at(self._refetch_at, self._fetch_now)
+        self._fetch_scheduled = True
+        self.context.call_at(self._refetch_at, self._refetch_due)
 
-    def _fetch_now(self, _: None) -> None:
-        self._fetch_waits = False
-        self._fetch_if_more()
+    def _refetch_due(self, _: None) -> None:
+        self._fetch_scheduled = False
+        self._refetch_if_useful()
 
     def _may_take_more(self) -> bool:
         """Whether nodes of the list that were left out may be taken by the new settings.
 
         Danger: fetched at each change, the whole list would load the directory hundreds of times an hour.
         """
-        if any(name in self.kinds for name in self._unknown_kinds.values()):
+        if any(name in self.node_types for name in self._unknown_types.values()):
             return True
         return self._table_was_full and len(self.links.nodes()) < self.context.config.nodes_most
 
-    def _fetch_whole(self) -> None:
+    def _refetch(self) -> None:
         """Changes of the list do not name what was left out of it."""
         self._table_was_full = False
-        self._unknown_kinds.clear()
+        self._unknown_types.clear()
         self.revision = 0
-        self._refetch_at = self.context.now + LIST_RETRY_US
+        self._refetch_at = self.context.now + REFETCH_INTERVAL_US
         self.context.emit(ev.WatchNodeList(True, 0))
 
     # Questions
@@ -107,7 +107,7 @@
         entry = self.entries.get(node)
         return f"?{node}" if entry is None else str(entry.group)
 
-    def room(self) -> Room:
+    def capacity(self) -> Room:
         """The fleet as it is believed to be."""
         s = self.context.settings
         ready = [e for e in self.entries.values() if e.status is api.NodeStatus.READY and e.node_type >= 0]
@@ -121,10 +121,10 @@
         racks = len({entry.group for entry in ready})
         return Room(len(ready), racks, cores, memory, free_cores, free_memory)
 
-    def places(self) -> tuple[Place, ...]:
+    def ready_nodes(self) -> tuple[Place, ...]:
         """Ready nodes, each by itself; made anew once the list has changed."""
-        if self._places is not None:
-            return self._places
+        if self._ready_nodes is not None:
+            return self._ready_nodes
         s = self.context.settings
         out = []
         for entry in self.entries.values():
@@ -133,14 +133,14 @@
                 cores, memory = kind.cores * s.cores_limit, kind.memory * s.memory_limit
                 free = cores - kind.cores + entry.free_cores, memory - kind.memory + entry.free_memory
                 out.append(Place(entry.id, str(entry.group), entry.node_type, cores, memory, *free))
-        self._places = tuple(out)
-        return self._places
+        self._ready_nodes = tuple(out)
+        return self._ready_nodes
 
     # Words of the list
 
-    def told(self, event: ev.NodeListReceived) -> None:
+    def list_received(self, event: ev.NodeListReceived) -> None:
         if not event.full and event.since > self.revision:
-            self._missed(event)
+            self._changes_missed(event)
             return
         if not event.full and event.revision < self.revision:
             return  # an older word than the one we have
@@ -149,35 +149,35 @@
         if event.full:
             listed = {node.id for node in event.nodes}
             for missing in [n for n in self.links.nodes() if n not in listed]:
-                self._gone(missing)
+                self._remove(missing)
         for node, entry in zip(event.nodes, entries, strict=True):
-            self._listed(node, entry)
+            self._update_link(node, entry)
         kept = [e for e in entries if self.links.is_linked(e.id) or e.status is api.NodeStatus.GONE]
-        self._to_module(api.ListKind.FULL if event.full else api.ListKind.CHANGES, kept)
+        self._notify_module(api.ListKind.FULL if event.full else api.ListKind.CHANGES, kept)
 
-    def _missed(self, event: ev.NodeListReceived) -> None:
+    def _changes_missed(self, event: ev.NodeListReceived) -> None:
         """Danger: a change was missed; a drain may be among what we do not know."""
         self.context.log("list changes missed", have=self.revision, since=event.since)
         self.revision = 0
         if self.context.now >= self._refetch_at:
-            self._refetch_at = self.context.now + LIST_RETRY_US
+            self._refetch_at = self.context.now + REFETCH_INTERVAL_US
             self.context.emit(ev.WatchNodeList(True, 0))
         else:
             self.context.notify_module(api.NodeList(api.ListKind.FAILED))
 
-    def failed(self, event: ev.NodeListFailed) -> None:
+    def list_failed(self, event: ev.NodeListFailed) -> None:
         self.context.count("list_failures")
         self.context.notify_module(api.NodeList(api.ListKind.FAILED))
 
-    def drains(self, node: int) -> None:
+    def node_draining(self, node: int) -> None:
         """The node says so itself, before the list does."""
         entry = self.entries.get(node)
         if entry is not None and entry.status is api.NodeStatus.READY:
             self.context.log("node drains by its own word", node=node)
-            self._to_module(api.ListKind.CHANGES, [replace(entry, status=api.NodeStatus.DRAINING)])
+            self._notify_module(api.ListKind.CHANGES, [replace(entry, status=api.NodeStatus.DRAINING)])
 
-    def _to_module(self, kind: api.ListKind, entries: list[api.NodeEntry]) -> None:
-        self._places = None
+    def _notify_module(self, kind: api.ListKind, entries: list[api.NodeEntry]) -> None:
+        self._ready_nodes = None
         if kind is api.ListKind.FULL:
             self.entries = {}
         for entry in entries:
@@ -193,20 +193,20 @@
     def _entry(self, node: ev.ListedNode, list_now: int) -> api.NodeEntry:
         launched = 0
         if node.started_unix_us:
-            known = self.started.get(node.id)
+            known = self.incarnations.get(node.id)
             if known is None or known[0] != node.started_unix_us:
                 # The node's start on our clock, by the list's word for now; worked out once a life, so that
                 # it does not seem to change from list to list.
                 age = max(0, list_now - node.started_unix_us)
-                known = self.started[node.id] = (node.started_unix_us, max(1, self.context.now - age))
+                known = self.incarnations[node.id] = (node.started_unix_us, max(1, self.context.now - age))
             launched = known[1]
         status = node.status
-        if status is api.NodeStatus.READY and self.links.drains(node.id, node.started_unix_us):
+        if status is api.NodeStatus.READY and self.links.is_draining(node.id, node.started_unix_us):
             status = api.NodeStatus.DRAINING  # its own word beats an older 'ready'
         return api.NodeEntry(
             node.id,
             self.zones.setdefault(node.zone, len(self.zones)),
-            self.kinds.get(node.node_type, -1),
+            self.node_types.get(node.node_type, -1),
             self.racks.setdefault(node.rack, len(self.racks)),
             status,
             node.free_cores,
@@ -214,23 +214,23 @@
             launched,
         )
 
-    def _listed(self, node: ev.ListedNode, entry: api.NodeEntry) -> None:
+    def _update_link(self, node: ev.ListedNode, entry: api.NodeEntry) -> None:
         if entry.status is api.NodeStatus.GONE:
-            self._gone(node.id)
+            self._remove(node.id)
             return
-        if not self.links.listed(node.id, node.addresses):
+        if not self.links.node_listed(node.id, node.addresses):
             self._table_was_full = True
             return
-        self._unknown_kinds.pop(node.id, None)
+        self._unknown_types.pop(node.id, None)
         if entry.node_type < 0:
-            self._unknown_kinds[node.id] = node.node_type
+            self._unknown_types[node.id] = node.node_type
             self.context.log("node of an unknown kind", node=node.id, kind=node.node_type)
         self.links.dial_if_due(node.id)
 
-    def _gone(self, node: int) -> None:
+    def _remove(self, node: int) -> None:
         if self.links.is_linked(node):
-            self._unknown_kinds.pop(node, None)
-            self._places = None
+            self._unknown_types.pop(node, None)
+            self._ready_nodes = None
             self.entries.pop(node, None)
-            self.started.pop(node, None)
-            self.links.unlisted(node)
+            self.incarnations.pop(node, None)
+            self.links.node_unlisted(node)
--- a/stairplank/planner/stall_detector.py
+++ b/stairplank/planner/stall_detector.py
@@ -12,50 +12,50 @@
 
 from .clock import now_us
 
-PULSE_S = 0.05
-STOOD_US = 200_000  # without a pulse: the process did not run
-WAKE_MOST_US = 100_000  # is spent at most on reading what came meanwhile
-ROUND_S = 0.002  # a turn in which sockets are looked at: sleep(0) may come back without one
-ROUNDS = 2  # without a further event: everything is read
+HEARTBEAT_S = 0.05
+STALL_US = 200_000  # without a pulse: the process did not run
+CATCH_UP_LIMIT_US = 100_000  # is spent at most on reading what came meanwhile
+CATCH_UP_ROUND_S = 0.002  # a turn in which sockets are looked at: sleep(0) may come back without one
+QUIET_ROUNDS = 2  # without a further event: everything is read
 
 
-class Pulse:
+class StallDetector:
     """``pending`` grows as readers hear something; ``woke`` is called, with how long the process stood (in
     microseconds), once it has stopped growing."""
 
-    def __init__(self, pending: Sized, woke: Callable[[int], None]) -> None:
+    def __init__(self, pending: Sized, resume: Callable[[int], None]) -> None:
         self._pending = pending
-        self._woke = woke
-        self.at = now_us()
-        self.waking = False
+        self._resume = resume
+        self.last_beat = now_us()
+        self.catching_up = False
 
     def start(self) -> None:
-        self.at = now_us()
+        self.last_beat = now_us()
         gevent.spawn(self._beat)
 
-    def late(self) -> bool:
+    def is_stalled(self) -> bool:
         """Whether the process stood still and nothing may be decided yet. To be asked before each turn, by
         whoever comes first."""
-        if not self.waking and now_us() - self.at > STOOD_US:
-            self.waking = True
-            gevent.spawn(self._wake)
-        return self.waking
+        if not self.catching_up and now_us() - self.last_beat > STALL_US:
+            self.catching_up = True
+            gevent.spawn(self._catch_up)
+        return self.catching_up
 
     def _beat(self) -> None:
         while True:
-            gevent.sleep(PULSE_S)
+            gevent.sleep(HEARTBEAT_S)
             # Danger: this timer may be the first after a stall, and would hide it from the others.
-            if not self.late():
-                self.at = now_us()
+            if not self.is_stalled():
+                self.last_beat = now_us()
 
-    def _wake(self) -> None:
-        stood = now_us() - self.at
-        until = now_us() + WAKE_MOST_US
+    def _catch_up(self) -> None:
+        stood = now_us() - self.last_beat
+        until = now_us() + CATCH_UP_LIMIT_US
         seen = -1
         while len(self._pending) != seen and now_us() < until:
             seen = len(self._pending)
-            for _ in range(ROUNDS):
-                gevent.sleep(ROUND_S)
-        self.at = now_us()
-        self.waking = False
-        self._woke(stood)
+            for _ in range(QUIET_ROUNDS):
+                gevent.sleep(CATCH_UP_ROUND_S)
+        self.last_beat = now_us()
+        self.catching_up = False
+        self._resume(stood)
--- a/stairplank/planner/transitions.py
+++ b/stairplank/planner/transitions.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from .abandoned_attempts import PlacementState
-from .link_state import State
+from .link_state import LinkState
 from .state_table import IllegalTransition as IllegalTransition
 from .state_table import Table
 
@@ -29,7 +29,7 @@
     OVER = "over"  # the last word on it
 
 
-S, F, L = AttemptState, PlacementState, State
+S, F, L = AttemptState, PlacementState, LinkState
 
 ATTEMPT = Table(
     "attempt",
--- a/stairplank/platform/driver.py
+++ b/stairplank/platform/driver.py
@@ -13,7 +13,7 @@
 from gevent.event import Event as Flag
 
 from ..planner.clock import now_us
-from ..planner.stall_detector import Pulse
+from ..planner.stall_detector import StallDetector
 from . import events as ev
 from .core import Core
 from .event_queue import EventQueue
@@ -44,7 +44,7 @@
         self.core = core
         self.executor: Executor
         self.queue = EventQueue()
-        self.pulse = Pulse(self.queue, self._resume_after_stall)
+        self.pulse = StallDetector(self.queue, self._resume_after_stall)
         self.clients_in_turn: frozenset[int] = frozenset()  # of whose messages the current turn has some
         # When the current round of reading is over (monotonic, in seconds); 0: none has begun since the last
         # turns.
@@ -76,7 +76,7 @@
             self._turn.wait()
             self._turn.clear()
             self._round_until = 0.0
-            while len(self.queue) and not self._is_resuming and not self.pulse.late():
+            while len(self.queue) and not self._is_resuming and not self.pulse.is_stalled():
                 self._run_slice()
                 self._round_until = 0.0
                 if len(self.queue):
--- a/stairplank/scale/carriers.py
+++ b/stairplank/scale/carriers.py
@@ -46,7 +46,7 @@
         control=Mechanism("stairplank.platform.links", "Links"),
     ),
     Form.GRPC: Carriers(
-        workers=Mechanism("stairplank.planner.nodelist", "NodeList"),
+        workers=Mechanism("stairplank.planner.node_list", "NodeList"),
         starts=_DECIDES,
         running=Mechanism("stairplank.planner.client_requests", "ClientRequests"),
         gangs=Mechanism("stairplank.groups.coordinator", "Coordinator"),
@@ -54,9 +54,9 @@
         zones=_DECIDES,
         settings=Mechanism("stairplank.configuration.watch", "ConfigurationWatch"),
         list_address=None,
-        machine_lost=Mechanism("stairplank.planner.node_links", "Links"),
+        machine_lost=Mechanism("stairplank.planner.node_links", "NodeLinks"),
         restarted_workers=_COLD_NODES,
-        control=Mechanism("stairplank.planner.node_links", "Links"),
+        control=Mechanism("stairplank.planner.node_links", "NodeLinks"),
     ),
 }
 
--- a/stairplank/scale/grpc_clients.py
+++ b/stairplank/scale/grpc_clients.py
@@ -10,8 +10,8 @@
 import gevent
 
 from ..fence import Stamps
-from ..planner.convert import stamp_to
-from ..planner.daemon import PLACEMENT
+from ..planner.convert import stamp_to_proto
+from ..planner.daemon import PLACEMENT_SERVICE
 from ..proto import caller, common_pb2, placement_pb2
 from ..rpc import Channel, RpcError
 from .load import RECONNECT_S, RETRY_S, SERVICES, WAIT_MS, LoadClient
@@ -56,7 +56,7 @@
             gevent.sleep(RECONNECT_S)
 
     def _connect(self) -> None:
-        call = caller(Channel(self.where), PLACEMENT, "Place")
+        call = caller(Channel(self.where), PLACEMENT_SERVICE, "Place")
         call.send(REQUEST(hello=REQUEST.Hello(owner="scale")))
         welcome = call.recv(WELCOME_TIMEOUT_S)
         self._traffic.opened(call.stream.connection)
@@ -77,7 +77,7 @@
             memory=2,
             life_us=int(life_s * US_PER_S),
         )
-        sent = stamp_to(self._stamps.stamp(_now_us()))
+        sent = stamp_to_proto(self._stamps.stamp(_now_us()))
         ask = REQUEST.Ask(ask=number, task=task, wait_us=WAIT_MS * US_PER_MS, sent=sent)
         message = REQUEST(ask=ask)
         try:
--- a/stairplank/scale/grpc_peers.py
+++ b/stairplank/scale/grpc_peers.py
@@ -9,7 +9,7 @@
 import gevent
 
 from ..planner.clock import now_us
-from ..planner.convert import list_from
+from ..planner.convert import node_list_from_proto
 from ..planner.daemon import Daemon
 from ..proto import directory_pb2
 from ..rpc import ServerCall
@@ -89,7 +89,7 @@
     def publish(self, rows: list[dict[str, Any]]) -> int:
         """Tell of these rows; the number of the revision once it is told."""
         entries = [directory_pb2.NodeEntry.FromString(base64.b64decode(row["entry"])) for row in rows]
-        for node in list_from(directory_pb2.NodeList(nodes=entries)).nodes:
+        for node in node_list_from_proto(directory_pb2.NodeList(nodes=entries)).nodes:
             self._listing.directory.announced(now_us(), node)
         while len(self._listing.directory.nodes) < len(rows):
             gevent.sleep(POLL_S)
--- a/stairplank/standin/crowd.py
+++ b/stairplank/standin/crowd.py
@@ -14,7 +14,7 @@
 from ..fence import Stamp, Stamps
 from ..planner import convert
 from ..planner import events as ev
-from ..planner.daemon import PLACEMENT, now_us
+from ..planner.daemon import PLACEMENT_SERVICE, now_us
 from ..proto import caller, placement_pb2
 from ..rpc import Channel, Code, Limits, RpcError
 from .config import CrowdConfig, begun
@@ -40,13 +40,13 @@
             p = event.placed
             return ev.TaskPlaced(p.ask, p.node, p.attempt, p.latency_us)
         case "refused":
-            reason = convert.reason_from(event.refused.reason)
+            reason = convert.reason_from_proto(event.refused.reason)
             return ev.TaskShed(event.refused.ask, event.refused.retry_after_us, reason)
         case "failed":
             return ev.TaskFailed(event.failed.ask, event.failed.may_run)
         case "ended":
             e = event.ended
-            return ev.TaskEnded(e.ask, e.key, e.finished, convert.reason_from(e.reason))
+            return ev.TaskEnded(e.ask, e.key, e.finished, convert.reason_from_proto(e.reason))
         case "group_placed":
             g = event.group_placed
             bindings = tuple((b.member, b.node) for b in g.bindings)
@@ -64,12 +64,12 @@
 
 
 def request_of(do: Do, stamp: Stamp | None) -> Any:
-    sent = convert.stamp_to(stamp)
+    sent = convert.stamp_to_proto(stamp)
     if isinstance(do, Ask):
-        task = convert.task_to(do.task)
+        task = convert.task_to_proto(do.task)
         return _REQUEST(ask=_REQUEST.Ask(ask=do.ask, task=task, wait_us=do.wait_us, sent=sent))
     if isinstance(do, AskGroup):
-        members = map(convert.task_to, do.tasks)
+        members = map(convert.task_to_proto, do.tasks)
         return _REQUEST(
             ask_group=_REQUEST.AskGroup(ask=do.ask, members=members, wait_us=do.wait_us, sent=sent)
         )
@@ -111,7 +111,7 @@
             channel = self.channels[planner] = Channel(address, limits, 1.0)
             up = False
             try:
-                call = caller(channel, PLACEMENT, "Place")
+                call = caller(channel, PLACEMENT_SERVICE, "Place")
                 self.epoch += 1
                 hello = _REQUEST.Hello(owner=self.model.name, session=self.session, epoch=self.epoch)
                 call.send(_REQUEST(hello=hello))
--- a/stairplank/standin/farm.py
+++ b/stairplank/standin/farm.py
@@ -12,7 +12,7 @@
 
 from .. import interface as api
 from ..planner import convert
-from ..planner.daemon import DIRECTORY, NODE, now_us
+from ..planner.daemon import DIRECTORY_SERVICE, NODE_SERVICE, now_us
 from ..proto import caller, common_pb2, directory_pb2, methods, node_pb2
 from ..rpc import Channel, Code, RpcError, Server, ServerCall
 from .config import FarmConfig, NodeConfig, begun
@@ -37,7 +37,7 @@
 
 
 def message(word: Said) -> Any:
-    id = convert.id_to(word.id)
+    id = convert.attempt_id_to_proto(word.id)
     reason: Any = int(word.reason)
     match word.what:
         case "accepted":
@@ -86,7 +86,7 @@
         seed = self.rng.randrange(2**63)
         self.node = Node(self.config.model, self.farm.copies, seed, now_us(), cold)
         self.started_unix_us = int(time.time() * 1e6) if cold else 0
-        handlers = methods(NODE, Offers=self.offers, Probe=self.probe, Held=self.held)
+        handlers = methods(NODE_SERVICE, Offers=self.offers, Probe=self.probe, Held=self.held)
         self.server = Server(self.addresses, handlers)
         self.addresses = self.server.addresses
         self.server.start()
@@ -224,13 +224,13 @@
                     node.offer(
                         now_us(),
                         planner,
-                        convert.id_from(offer.id),
-                        convert.spec_from(offer.task),
+                        convert.attempt_id_from_proto(offer.id),
+                        convert.task_from_proto(offer.task),
                         offer.wait_us,
                         offer.priority,
                         offer.window_us,
-                        convert.tag_from(offer.group) if offer.HasField("group") else None,
-                        said_at=door.said_at(now_us(), convert.stamp_from(offer)),
+                        convert.group_tag_from_proto(offer.group) if offer.HasField("group") else None,
+                        said_at=door.said_at(now_us(), convert.stamp_from_proto(offer)),
                     )
                 )
             case "ack":
@@ -238,17 +238,17 @@
                 for _, event in door.box.after(request.ack.number) if request.ack.again else ():
                     self.put(call, event, planner)
             case "commit":
-                ids = [convert.id_from(i) for i in request.commit.ids]
-                said_at = door.said_at(now_us(), convert.stamp_from(request.commit))
+                ids = [convert.attempt_id_from_proto(i) for i in request.commit.ids]
+                said_at = door.said_at(now_us(), convert.stamp_from_proto(request.commit))
                 self.say(node.commit(now_us(), ids, request.commit.lease_us, said_at=said_at))
             case "keep":
-                ids = [convert.id_from(i) for i in request.keep.ids]
-                said_at = door.said_at(now_us(), convert.stamp_from(request.keep))
+                ids = [convert.attempt_id_from_proto(i) for i in request.keep.ids]
+                said_at = door.said_at(now_us(), convert.stamp_from_proto(request.keep))
                 self.say(node.keep(now_us(), ids, request.keep.lease_us, said_at=said_at))
                 if request.keep.keep and said_at is not None:
                     self.put(call, _EVENT(kept=_EVENT.Kept(keep=request.keep.keep)), planner)
             case "stop":
-                self.say(node.stop(now_us(), convert.id_from(request.stop.id)))
+                self.say(node.stop(now_us(), convert.attempt_id_from_proto(request.stop.id)))
             case "probe":
                 self.next_probe += 1
                 self.probes[self.next_probe] = (call, planner, request.probe.probe)
@@ -291,10 +291,10 @@
         ):
             for offer in offers:
                 told.add(
-                    id=convert.id_to(offer.id),
-                    task=convert.task_to(offer.task),
+                    id=convert.attempt_id_to_proto(offer.id),
+                    task=convert.task_to_proto(offer.task),
                     running=offer.stage.value == "running",
-                    group=convert.tag_to(offer.group) if offer.group is not None else None,
+                    group=convert.group_tag_to_proto(offer.group) if offer.group is not None else None,
                 )
         return answer
 
@@ -305,7 +305,7 @@
         while self.node is not None:
             channel = Channel(directory)
             try:
-                call = caller(channel, DIRECTORY, "Announce")
+                call = caller(channel, DIRECTORY_SERVICE, "Announce")
                 told = -1
                 while self.node is not None:
                     if self.changes() != told:
--- a/stairplank/standin/listing.py
+++ b/stairplank/standin/listing.py
@@ -11,7 +11,7 @@
 
 from .. import interface as api
 from ..planner import convert
-from ..planner.daemon import DIRECTORY, now_us
+from ..planner.daemon import DIRECTORY_SERVICE, now_us
 from ..planner.events import ListedNode
 from ..proto import directory_pb2, methods
 from ..rpc import Code, RpcError, Server, ServerCall
@@ -52,7 +52,7 @@
         self.hung = Flag()
         self.hung.set()
         self.news = Flag()
-        handlers = methods(DIRECTORY, List=self.list, Watch=self.watch, Announce=self.announce)
+        handlers = methods(DIRECTORY_SERVICE, List=self.list, Watch=self.watch, Announce=self.announce)
         self.server = Server(config.listen, handlers)
 
     def start(self) -> None:
@@ -140,7 +140,7 @@
         node = None
         try:
             while (entry := call.recv()) is not None:
-                told = convert.list_from(directory_pb2.NodeList(nodes=[entry]))
+                told = convert.node_list_from_proto(directory_pb2.NodeList(nodes=[entry]))
                 for node in told.nodes:
                     self.directory.announced(now_us(), node)
         finally:
--- a/tests/golden/golden_grpc_days.py
+++ b/tests/golden/golden_grpc_days.py
@@ -36,17 +36,21 @@
         head = (self.now, planner, core.incarnation)
         match action:
             case ev.SendToClient(session, word):
-                self.trace.add(*head, "client", session, convert.word_to(word).SerializeToString())
+                self.trace.add(
+                    *head, "client", session, convert.client_message_to_proto(word).SerializeToString()
+                )
             case ev.SendOffer(node=node):
                 task_class = self.config.room.classes[action.class_index]
-                message = convert.offer_to(action, task_class, None)
+                message = convert.offer_to_proto(action, task_class, None)
                 self.trace.add(*head, "node", node, message.SerializeToString())
             case ev.SendCommit(node=node):
-                self.trace.add(*head, "node", node, convert.commit_to(action, None).SerializeToString())
+                self.trace.add(*head, "node", node, convert.commit_to_proto(action, None).SerializeToString())
             case ev.SendLeaseRenewal(node=node):
-                self.trace.add(*head, "node", node, convert.keep_to(action, None).SerializeToString())
+                self.trace.add(
+                    *head, "node", node, convert.lease_renewal_to_proto(action, None).SerializeToString()
+                )
             case ev.SendStop(node=node):
-                self.trace.add(*head, "node", node, convert.stop_to(action).SerializeToString())
+                self.trace.add(*head, "node", node, convert.stop_to_proto(action).SerializeToString())
             case ev.Dial(node, addresses):
                 self.trace.add(*head, "dial", node, addresses)
             case ev.CloseLink(node):
--- a/tests/planner/test_attempts.py
+++ b/tests/planner/test_attempts.py
@@ -21,7 +21,7 @@
         self.attempts = Attempts(self.context)
         self.one = placing(self.context, 1, sort)
         self.owners = Others(placing=lambda n: self.one if n == self.one.number else None)
-        self.links = Others(up=up, reach=True, dial_now=True, **links)
+        self.links = Others(is_up=up, has_addresses=True, dial_now=True, **links)
         self.attempts.owners = self.owners  # type: ignore[assignment]
         self.attempts.links = self.links  # type: ignore[assignment]
         self.attempts.groups = Others()  # type: ignore[assignment]
@@ -105,7 +105,7 @@
     r = Room()
     r.bind()
     r.attempts.node_running(ev.NodeRunning(2, r.attempt.id))  # another node's
-    assert r.one.bound is None and r.links.names()[-1] == "unplaced_word"
+    assert r.one.bound is None and r.links.names()[-1] == "unknown_attempt_reported"
 
 
 def test_an_illegal_step_names_state_and_event() -> None:
--- a/tests/planner/test_daemon.py
+++ b/tests/planner/test_daemon.py
@@ -11,7 +11,7 @@
 import grpc
 import pytest
 
-from stairplank.planner.daemon import DIRECTORY, NODE, PLACEMENT, Daemon
+from stairplank.planner.daemon import DIRECTORY_SERVICE, NODE_SERVICE, PLACEMENT_SERVICE, Daemon
 from stairplank.proto import caller, common_pb2, directory_pb2, methods, node_pb2, path, placement_pb2
 from stairplank.rpc import Channel, Code, RpcError, Server
 from stairplank.settings import load_planner
@@ -63,7 +63,7 @@
         self.reports = True
         self.hang = False
         self.held: list[Any] = []
-        handlers = methods(NODE, Offers=self.stream, Probe=self.probe, Held=self.hold)
+        handlers = methods(NODE_SERVICE, Offers=self.stream, Probe=self.probe, Held=self.hold)
         self.server = Server(["127.0.0.1:0"], handlers)
         self.server.start()
 
@@ -105,7 +105,7 @@
     def __init__(self, tmp_path: Path, nodes: int = 2) -> None:
         self.nodes = [FakeNode(n + 1) for n in range(nodes)]
         self.watchers: list[Any] = []
-        handlers = methods(DIRECTORY, List=self.list, Watch=self.watch, Announce=lambda call: None)
+        handlers = methods(DIRECTORY_SERVICE, List=self.list, Watch=self.watch, Announce=lambda call: None)
         self.directory = Server(["127.0.0.1:0"], handlers)
         self.directory.start()
         file = tmp_path / "planner.conf"
@@ -141,7 +141,7 @@
 
     def owner(self, name: str = "o") -> Any:
         channel = Channel(self.address)
-        call = caller(channel, PLACEMENT, "Place")
+        call = caller(channel, PLACEMENT_SERVICE, "Place")
         call.send(_REQUEST(hello=_REQUEST.Hello(owner=name)))
         assert call.recv(WAIT).WhichOneof("kind") == "welcome"
         return call
@@ -151,8 +151,8 @@
 
     def close(self) -> None:
         self.daemon.server.stop()
-        for link in list(self.daemon.links.values()):
-            link.hang_up()
+        for link in list(self.daemon.connections.values()):
+            link.close()
         for node in self.nodes:
             node.server.stop()
         self.directory.stop()
@@ -198,7 +198,7 @@
     def place() -> list[str]:
         with grpc.insecure_channel(world.address) as channel:
             method = channel.stream_stream(
-                path(PLACEMENT, "Place"),
+                path(PLACEMENT_SERVICE, "Place"),
                 request_serializer=_REQUEST.SerializeToString,
                 response_deserializer=placement_pb2.PlaceEvent.FromString,
             )
@@ -219,7 +219,7 @@
     ],
 )
 def test_a_bad_first_message_names_the_field(world: World, request_: Any, code: Code, text: str) -> None:
-    call = caller(Channel(world.address), PLACEMENT, "Place")
+    call = caller(Channel(world.address), PLACEMENT_SERVICE, "Place")
     call.send(request_)
     with pytest.raises(RpcError) as caught:
         call.recv(WAIT)
@@ -249,12 +249,12 @@
 
 def test_malformed_bytes_end_their_stream_alone(world: World) -> None:
     good = world.owner()
-    bad = Channel(world.address).call(path(PLACEMENT, "Place"), lambda raw: raw, lambda raw: raw)
+    bad = Channel(world.address).call(path(PLACEMENT_SERVICE, "Place"), lambda raw: raw, lambda raw: raw)
     bad.send(b"\xff\xff\xff garbage")
     with pytest.raises(RpcError) as caught:
         bad.recv(WAIT)
     assert caught.value.code is Code.INVALID_ARGUMENT
-    huge = Channel(world.address).call(path(PLACEMENT, "Place"), lambda raw: raw, lambda raw: raw)
+    huge = Channel(world.address).call(path(PLACEMENT_SERVICE, "Place"), lambda raw: raw, lambda raw: raw)
     huge.send(b"x" * 70_000)
     with pytest.raises(RpcError) as caught:
         huge.recv(WAIT)
@@ -272,7 +272,7 @@
 
 def test_owners_past_the_bound_are_turned_away(world: World) -> None:
     calls = [world.owner(f"o{i}") for i in range(4)]
-    call = caller(Channel(world.address), PLACEMENT, "Place")
+    call = caller(Channel(world.address), PLACEMENT_SERVICE, "Place")
     call.send(_REQUEST(hello=_REQUEST.Hello(owner="one too many")))
     with pytest.raises(RpcError) as caught:
         call.recv(WAIT)
@@ -294,7 +294,7 @@
     slow, good = world.owner("slow"), world.owner("good")
     with gevent.Timeout(30):
         n = 0
-        while len(world.daemon.owners) > 1:
+        while len(world.daemon.sessions) > 1:
             n += 1
             slow.send(ask(n, cores=-1.0, task_class="?" * 60, service=n))
             gevent.sleep(0)
@@ -328,7 +328,7 @@
 def test_an_owner_s_deadline_ends_its_stream(world: World) -> None:
     for node in world.nodes:
         node.answer = False
-    call = caller(Channel(world.address), PLACEMENT, "Place", timeout_s=0.5)
+    call = caller(Channel(world.address), PLACEMENT_SERVICE, "Place", timeout_s=0.5)
     call.send(_REQUEST(hello=_REQUEST.Hello(owner="o")))
     call.send(ask(1))
     with pytest.raises(RpcError) as caught:
@@ -393,7 +393,7 @@
     call.send(ask(2, "report", service=6))
     world.until(lambda: len(world.offers()) == 2)
     began = time.monotonic()
-    left = gevent.spawn(world.daemon._leave)
+    left = gevent.spawn(world.daemon._shut_down)
     kinds = {type(word(call, "refused", "failed")).__name__ for _ in range(2)}
     assert kinds == {"Refused", "Failed"}
     assert left.get(timeout=WAIT) is True and time.monotonic() - began < WAIT
@@ -403,11 +403,11 @@
 
 def test_a_probe_without_an_answer_is_told_as_one(world: World) -> None:
     told: list[Any] = []
-    feed = world.daemon.feed
-    world.daemon.feed = lambda event: (told.append(event), feed(event))[1]  # type: ignore[method-assign]
+    feed = world.daemon.handle
+    world.daemon.handle = lambda event: (told.append(event), feed(event))[1]  # type: ignore[method-assign]
     world.nodes[0].reports = False
     for node in (1, 2):
-        world.daemon._probe(node)
+        world.daemon._check_health(node)
     world.until(lambda: sum(type(e).__name__ == "HealthCheckCompleted" for e in told) == 2)
     assert {e.node: e.ok for e in told if type(e).__name__ == "HealthCheckCompleted"} == {1: False, 2: True}
 
@@ -433,8 +433,8 @@
 
 
 def test_a_node_that_has_left_is_forgotten(world: World) -> None:
-    world.until(lambda: set(world.daemon.heard) == {1, 2})
+    world.until(lambda: set(world.daemon.received) == {1, 2})
     entries = [e for e in world.entries() if e.id == 2]
     world.watchers[-1].send(directory_pb2.NodeList(revision=2, full=True, nodes=entries))
-    world.until(lambda: set(world.daemon.links) == {2})
-    assert set(world.daemon.heard) == {2}
+    world.until(lambda: set(world.daemon.connections) == {2})
+    assert set(world.daemon.received) == {2}
--- a/tests/planner/test_daemon_configuration.py
+++ b/tests/planner/test_daemon_configuration.py
@@ -20,7 +20,7 @@
 from stairplank.configuration.publication import Outcome
 from stairplank.configuration.revision import Revision
 from stairplank.configuration.server import Replica
-from stairplank.planner.daemon import PLACEMENT
+from stairplank.planner.daemon import PLACEMENT_SERVICE
 from stairplank.proto import caller, common_pb2, placement_pb2
 from stairplank.rpc import Channel, RpcError
 
@@ -103,7 +103,7 @@
         """What that planner says to a task of that class: rejected, or taken."""
         channel = Channel(self.socket(number))
         try:
-            call = caller(channel, PLACEMENT, "Place")
+            call = caller(channel, PLACEMENT_SERVICE, "Place")
             request = placement_pb2.PlaceRequest
             call.send(request(hello=request.Hello(owner="test")))
             assert call.recv(WAIT_S).WhichOneof("kind") == "welcome"
--- a/tests/planner/test_daemon_fence.py
+++ b/tests/planner/test_daemon_fence.py
@@ -12,7 +12,7 @@
 from gevent import socket
 from test_daemon import _EVENT, _REQUEST, WAIT, World, ask, word
 
-from stairplank.planner.daemon import PLACEMENT, now_us
+from stairplank.planner.daemon import PLACEMENT_SERVICE, now_us
 from stairplank.proto import caller, common_pb2, node_pb2
 from stairplank.rpc import Channel, Code, RpcError
 
@@ -26,7 +26,7 @@
 
 def stream(world: World, session: int = 0, epoch: int = 0, owner: str = "o") -> tuple[Any, int]:
     """An owner's stream, and the grant of its welcome."""
-    call = caller(Channel(world.address), PLACEMENT, "Place")
+    call = caller(Channel(world.address), PLACEMENT_SERVICE, "Place")
     call.send(_REQUEST(hello=_REQUEST.Hello(owner=owner, session=session, epoch=epoch)))
     welcome = call.recv(WAIT)
     assert welcome.WhichOneof("kind") == "welcome"
@@ -139,7 +139,7 @@
 
     for n in world.nodes:
         n.calls[-1].send(_EVENT(renewed=_EVENT.Grant(), grant=5))
-    link = world.daemon.links[1]
+    link = world.daemon.connections[1]
     world.until(lambda: link.stamp() is not None)
     monkeypatch.setattr(daemon, "raw_us", lambda: now_us() - 3_000_000)  # the other clock has gone on alone
     assert link.stamp() is None
@@ -184,12 +184,12 @@
     from stairplank.planner import stall_detector
 
     call, _ = stream(world)
-    session = next(iter(world.daemon.owners))
+    session = next(iter(world.daemon.sessions))
     spec = [ev.TaskSpec("o", n, "worker", "", 100 + n, 1.0, 1.0, 0, False) for n in range(1, 9)]
-    world.daemon.pulse.at -= stall_detector.STOOD_US + 1
+    world.daemon.stall_detector.last_beat -= stall_detector.STALL_US + 1
     for n, task in enumerate(spec, 1):
-        world.daemon.feed(ev.PlacementRequested(session, n, task, 6_000_000))
-    world.daemon.feed(ev.NodeDraining(1))
+        world.daemon.handle(ev.PlacementRequested(session, n, task, 6_000_000))
+    world.daemon.handle(ev.NodeDraining(1))
     for _ in spec:
         assert word(call, "placed").node == 2
     assert not world.nodes[0].offers
@@ -211,18 +211,18 @@
     for words, proven in ((0, True), (5, False)):
         answer = node_pb2.HeldResponse(node=1, complete=True, words=words)
         world.daemon._unary = lambda *args, a=answer: a  # type: ignore[method-assign]
-        world.daemon._ask_held(1)
+        world.daemon._request_tasks(1)
         assert told.pop().complete is proven
 
 
 def test_an_older_link_s_end_says_nothing_of_the_newer(world: World) -> None:
     from stairplank.planner import events as ev
 
-    world.until(lambda: world.daemon.core.links.up(1))  # the node has spoken, we may not have heard it yet
-    link = world.daemon.links[1]
+    world.until(lambda: world.daemon.core.links.is_up(1))  # the node has spoken, we may not have heard it yet
+    link = world.daemon.connections[1]
 
     class Older:
         node = 1
 
-    world.daemon.link_over(Older(), ev.LinkDown(1))  # type: ignore[arg-type]
-    assert world.daemon.links[1] is link and world.daemon.core.links.up(1)
+    world.daemon.connection_ended(Older(), ev.LinkDown(1))  # type: ignore[arg-type]
+    assert world.daemon.connections[1] is link and world.daemon.core.links.is_up(1)
--- a/tests/planner/test_daemon_settings.py
+++ b/tests/planner/test_daemon_settings.py
@@ -12,7 +12,7 @@
 
 from stairplank.configuration.live import NeedsRestartError
 from stairplank.planner import events as ev
-from stairplank.planner.daemon import PLACEMENT
+from stairplank.planner.daemon import PLACEMENT_SERVICE
 from stairplank.proto import caller
 from stairplank.rpc import Channel, Code, RpcError
 from stairplank.settings import SettingsError
@@ -98,8 +98,8 @@
 
 def test_the_same_settings_disturb_nothing(world: World) -> None:
     fed: list[ev.Event] = []
-    feed = world.daemon.feed
-    world.daemon.feed = lambda event: (fed.append(event), feed(event))[0]  # type: ignore[assignment,func-returns-value]
+    feed = world.daemon.handle
+    world.daemon.handle = lambda event: (fed.append(event), feed(event))[0]  # type: ignore[assignment,func-returns-value]
     before = world.daemon.config
     assert apply(world).identical
     assert world.daemon.config is before
@@ -109,7 +109,7 @@
 def test_fewer_clients_are_let_in_and_those_that_are_here_stay(world: World) -> None:
     calls = [world.owner(f"o{n}") for n in range(2)]
     apply(world, ("owners-most 4", "owners-most 2"))
-    third = caller(Channel(world.address), PLACEMENT, "Place")
+    third = caller(Channel(world.address), PLACEMENT_SERVICE, "Place")
     third.send(_REQUEST(hello=_REQUEST.Hello(owner="third")))
     with pytest.raises(RpcError) as caught:
         third.recv(WAIT)
@@ -122,14 +122,14 @@
 def test_more_clients_are_let_in(world: World) -> None:
     apply(world, ("owners-most 4", "owners-most 20"))
     calls = [world.owner(f"o{n}") for n in range(12)]
-    assert len(calls) == len(world.daemon.owners)
+    assert len(calls) == len(world.daemon.sessions)
 
 
 def test_streams_of_connected_clients_are_known_when_fewer_are_let_in(world: World) -> None:
     """Danger: the old stream of a session that is forgotten would be taken for a new one."""
 
     def hello(session: int, epoch: int) -> Any:
-        call = caller(Channel(world.address), PLACEMENT, "Place")
+        call = caller(Channel(world.address), PLACEMENT_SERVICE, "Place")
         call.send(_REQUEST(hello=_REQUEST.Hello(owner="o", session=session, epoch=epoch)))
         return call
 
@@ -146,8 +146,8 @@
     old = world.owner("old")
     apply(world, ("send-buffer 64k", "send-buffer 1m"), ("message-most 64k", "message-most 256k"))
     new = world.owner("new")
-    world.until(lambda: len(world.daemon.owners) == 2)
-    limits = [call.stream.connection.limits for call in world.daemon.owners.values()]
+    world.until(lambda: len(world.daemon.sessions) == 2)
+    limits = [call.stream.connection.limits for call in world.daemon.sessions.values()]
     assert [(x.send_bytes, x.message_bytes) for x in limits] == [(1 << 16, 1 << 16), (1 << 20, 1 << 18)]
     for n, call in enumerate((old, new), 1):
         call.send(ask(n))
@@ -157,15 +157,15 @@
 def test_progress_is_dropped_by_the_bound_of_its_own_connection(world: World) -> None:
     """Danger: by the newer, larger bound the connection would be closed for messages that may be dropped."""
     world.owner()
-    (session,) = world.daemon.owners
-    call = world.daemon.owners[session]
+    (session,) = world.daemon.sessions
+    call = world.daemon.sessions[session]
     apply(world, ("send-buffer 64k", "send-buffer 1m"))
     call.stream.out_bytes += 40_000  # more than half of what this connection may hold
     try:
-        world.daemon._tell(ev.SendToClient(session, ev.Offered(1, 1, 0)))
+        world.daemon._send_to_client(ev.SendToClient(session, ev.Offered(1, 1, 0)))
     finally:
         call.stream.out_bytes -= 40_000
-    assert world.daemon.dropped_words == 1
+    assert world.daemon.dropped_messages == 1
 
 
 def test_a_list_that_is_silent_is_given_up_by_the_new_time(world: World) -> None:
--- a/tests/planner/test_heard.py
+++ b/tests/planner/test_heard.py
@@ -7,19 +7,19 @@
 from world import SECOND, World
 
 from stairplank.planner import events as ev
-from stairplank.planner.link_state import Heard
+from stairplank.planner.link_state import ReceivedMessages
 from stairplank.standin.outbox import Outbox
 
 
 def test_words_are_taken_once_and_in_order() -> None:
-    heard = Heard()
-    assert heard.take(1) == (True, False) and heard.take(1) == (False, False)
-    assert heard.take(4) == (False, True)  # 2 and 3 are missing: asked for once
-    assert heard.take(5) == (False, False)
-    assert [heard.take(n)[0] for n in (2, 3, 4, 5)] == [True] * 4
-    assert heard.take(7) == (False, True)
-    heard.opened()
-    assert heard.take(8) == (False, True)
+    heard = ReceivedMessages()
+    assert heard.receive(1) == (True, False) and heard.receive(1) == (False, False)
+    assert heard.receive(4) == (False, True)  # 2 and 3 are missing: asked for once
+    assert heard.receive(5) == (False, False)
+    assert [heard.receive(n)[0] for n in (2, 3, 4, 5)] == [True] * 4
+    assert heard.receive(7) == (False, True)
+    heard.stream_opened()
+    assert heard.receive(8) == (False, True)
 
 
 def test_the_box_keeps_what_was_not_heard() -> None:
@@ -35,7 +35,7 @@
 def test_over_any_losses_each_word_is_taken_once() -> None:
     for seed in range(200):
         rng = random.Random(seed)
-        box, heard, taken = Outbox(1), Heard(), []
+        box, heard, taken = Outbox(1), ReceivedMessages(), []
         wire: list[tuple[int, int]] = []
 
         def send(items: list[tuple[int, int]], rng: random.Random = rng, wire: list = wire) -> None:
@@ -46,19 +46,19 @@
             send([(number, word)])
             while wire and rng.random() < 0.7:
                 number, word_ = wire.pop(0)
-                take, again = heard.take(number)
+                take, again = heard.receive(number)
                 if take:
                     taken.append(word_)
-                    box.heard(heard.number)
+                    box.heard(heard.last_number)
                 if again:
-                    send(box.after(heard.number))
+                    send(box.after(heard.last_number))
             if rng.random() < 0.1:  # the link is cut and opened again
                 wire.clear()
-                heard.opened()
-                send(box.after(heard.number))
-        heard.opened()
-        for number, word in box.after(heard.number):
-            if heard.take(number)[0]:
+                heard.stream_opened()
+                send(box.after(heard.last_number))
+        heard.stream_opened()
+        for number, word in box.after(heard.last_number):
+            if heard.receive(number)[0]:
                 taken.append(word)
         assert taken == list(range(30)), seed
 
--- a/tests/planner/test_nodelist.py
+++ b/tests/planner/test_node_list.py
@@ -9,7 +9,7 @@
 
 from stairplank import interface as api
 from stairplank.planner import events as ev
-from stairplank.planner.nodelist import LIST_RETRY_US, NodeList
+from stairplank.planner.node_list import REFETCH_INTERVAL_US, NodeList
 
 
 class Room:
@@ -20,9 +20,9 @@
         self.links = Others(
             is_linked=lambda n: n in self.known,
             nodes=lambda: list(self.known),
-            drains=False,
-            listed=lambda n, a: self.known.add(n) or True,
-            unlisted=self.known.discard,
+            is_draining=False,
+            node_listed=lambda n, a: self.known.add(n) or True,
+            node_unlisted=self.known.discard,
         )
         self.attempts = Others()
         self.list.links = self.links  # type: ignore[assignment]
@@ -33,7 +33,7 @@
         entries = tuple(
             ev.ListedNode(n, f"n{n}", ("a",), "z1", f"r{n}", "std", status, 4.0, 8.0, 0) for n in nodes
         )
-        self.list.told(ev.NodeListReceived(revision, since, full, entries, 10**15))
+        self.list.list_received(ev.NodeListReceived(revision, since, full, entries, 10**15))
 
     def heard(self) -> list[api.NodeList]:
         return [e for e in self.context.module_events if isinstance(e, api.NodeList)]
@@ -56,7 +56,7 @@
         r.tell(1, revision=9, since=8, full=False)
     assert len([a for a in r.context.actions if isinstance(a, ev.WatchNodeList)]) == 1
     assert [h.kind for h in r.heard()][1:] == [api.ListKind.FAILED] * 3
-    r.context.now += LIST_RETRY_US
+    r.context.now += REFETCH_INTERVAL_US
     r.tell(1, revision=9, since=8, full=False)
     assert len([a for a in r.context.actions if isinstance(a, ev.WatchNodeList)]) == 2
 
@@ -71,9 +71,9 @@
 def test_a_node_s_own_word_comes_before_the_list_s() -> None:
     r = Room()
     r.tell(1, 2)
-    r.list.drains(1)
+    r.list.node_draining(1)
     assert r.heard()[-1].nodes[0].status is api.NodeStatus.DRAINING
-    r.links.answers["drains"] = lambda node, started: node == 1
+    r.links.answers["is_draining"] = lambda node, started: node == 1
     r.tell(1, 2, revision=2)
     assert [e.status for e in r.heard()[-1].nodes] == [api.NodeStatus.DRAINING, api.NodeStatus.READY]
 
@@ -81,9 +81,9 @@
 def test_the_room_is_what_ready_nodes_of_known_kinds_accept() -> None:
     r = Room()
     r.tell(1, 2, 3)
-    before = r.list.room()
-    r.list.drains(3)
-    after = r.list.room()
+    before = r.list.capacity()
+    r.list.node_draining(3)
+    after = r.list.capacity()
     assert (before.nodes, after.nodes) == (3, 2) and after.cores == before.cores * 2 / 3
-    assert [p.node for p in r.list.places()] == [1, 2] and r.list.rack(9) == "?9"
+    assert [p.node for p in r.list.ready_nodes()] == [1, 2] and r.list.rack(9) == "?9"
     assert r.context.now == 1000 * SECOND
--- a/tests/planner/test_settings_changed.py
+++ b/tests/planner/test_settings_changed.py
@@ -12,8 +12,8 @@
 from stairplank import interface as api
 from stairplank.planner import events as ev
 from stairplank.planner.core import Core, CoreConfig
-from stairplank.planner.node_links import HELD_GAP_US
-from stairplank.planner.nodelist import LIST_RETRY_US
+from stairplank.planner.node_links import TASK_REQUEST_INTERVAL_US
+from stairplank.planner.node_list import REFETCH_INTERVAL_US
 
 HUGE = api.NodeType("huge", 64.0, 128.0)
 FRESH = api.TaskClass("fresh", api.Effect.AT_MOST_ONCE, api.Scope.ALL, 0, SECOND, 6 * SECOND)
@@ -169,9 +169,9 @@
     w = World(nodes=2)
     apart = {"distinct_nodes": True}
     large = tuple(w.spec(100 + i, cores=20.0) for i in range(2))
-    w.core.list.places()
+    w.core.list.ready_nodes()
     change(w, {"cores_limit": 2.0})
-    assert [p.cores for p in w.core.list.places()] == [32.0, 32.0]
+    assert [p.cores for p in w.core.list.ready_nodes()] == [32.0, 32.0]
     w.feed(ev.GroupRequested(1, 1, large, 9 * SECOND, **apart))
     assert w.words(ev.GroupAttempted) == []
     assert len(w.all(ev.SendOffer)) >= 1
@@ -239,7 +239,7 @@
     w = World(nodes=1, nodes_most=2)
     tell_list(w, 2, w.listed(1), of_kind(w, 2, "huge"), w.listed(3))
     assert len(watches(change(w, **more))) == 1
-    w.wait(2 * LIST_RETRY_US)
+    w.wait(2 * REFETCH_INTERVAL_US)
     assert watches(change(w, {"max_attempts": 5})) == []  # it is on its way
 
 
@@ -287,7 +287,7 @@
     change(w, dial_retry_us=20 * SECOND, dial_retry_most_us=20 * SECOND)
     failed = w.now
     w.feed(ev.DialFailed(1))
-    assert w.core.links.links[1].dial_at >= failed + 10 * SECOND
+    assert w.core.links.links[1].next_dial_at >= failed + 10 * SECOND
 
 
 def test_tasks_of_a_class_that_comes_later_are_adopted() -> None:
@@ -298,13 +298,13 @@
     assert w.words(ev.TaskRecovered) == []
     change(w, {"classes": (*SETTINGS.classes, FRESH)})
     assert w.all(ev.RequestNodeTasks) == []  # it was asked a moment ago
-    w.wait(HELD_GAP_US)
+    w.wait(TASK_REQUEST_INTERVAL_US)
     assert w.all(ev.RequestNodeTasks) == [ev.RequestNodeTasks(1)]
     w.feed(ev.NodeTasksReported(1, 0, (task,)))
     assert w.words(ev.TaskRecovered) == [ev.TaskRecovered(0, 9, 1)]
     w.said.clear()
     change(w, {"max_attempts": 5})
-    w.wait(2 * HELD_GAP_US)
+    w.wait(2 * TASK_REQUEST_INTERVAL_US)
     assert w.all(ev.RequestNodeTasks) == []
 
 
@@ -312,7 +312,7 @@
     w = World(nodes=1)
     task = held(w, 9)
     w.feed(ev.NodeTasksReported(1, 0, (replace(task, task=replace(task.task, task_class="fresh")),)))
-    w.wait(2 * HELD_GAP_US)
+    w.wait(2 * TASK_REQUEST_INTERVAL_US)
     w.feed(ev.LinkDown(1))
     assert change(w, {"classes": (*SETTINGS.classes, FRESH)}) == []
 
@@ -363,7 +363,7 @@
         fetches += len(found)
         if found:
             tell_list(w, 2, *nodes)
-    assert 1 <= fetches <= 2 + (w.now - began) // LIST_RETRY_US
+    assert 1 <= fetches <= 2 + (w.now - began) // REFETCH_INTERVAL_US
     timers = len(w.core.context._timers)
     for _ in range(100):
         change(w, nodes_most=39)
@@ -371,7 +371,7 @@
     assert len(w.core.context._timers) <= timers + 1
     change(w, nodes_most=39)
     for _ in range(3):
-        if watches(w.wait(LIST_RETRY_US)):
+        if watches(w.wait(REFETCH_INTERVAL_US)):
             tell_list(w, 2, *nodes)
     assert len(w.core.links.nodes()) == 39
 
--- a/tests/planner/test_stall_detector.py
+++ b/tests/planner/test_stall_detector.py
@@ -29,20 +29,20 @@
         decided.append((list(pending), stood))
         pending.clear()
 
-    watch = stall_detector.Pulse(pending, woke)
+    watch = stall_detector.StallDetector(pending, woke)
 
     def reads() -> None:
         while ours.recv(1):
             pending.append("read")
-            watch.late()
+            watch.is_stalled()
 
     def due() -> None:
         pending.append("timer")
-        assert watch.late()  # it may not decide
+        assert watch.is_stalled()  # it may not decide
 
     reader = gevent.spawn(reads)
     watch.start()
-    gevent.sleep(stall_detector.PULSE_S)
+    gevent.sleep(stall_detector.HEARTBEAT_S)
     timer = gevent.spawn_later(0.2, due)
     theirs.sendall(b"xyz")
     time.sleep(0.5)  # the whole process stands still, bytes unread, timers overdue
@@ -57,9 +57,9 @@
 
 def test_its_own_timer_does_not_hide_a_stall() -> None:
     decided: list[int] = []
-    watch = stall_detector.Pulse([], decided.append)
+    watch = stall_detector.StallDetector([], decided.append)
     watch.start()
-    gevent.sleep(2 * stall_detector.PULSE_S)
+    gevent.sleep(2 * stall_detector.HEARTBEAT_S)
     time.sleep(0.5)
     assert until(lambda: any(stood >= 400_000 for stood in decided))
 
@@ -67,7 +67,7 @@
 def test_reading_on_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     pending: list[int] = []
     decided: list[int] = []
-    watch = stall_detector.Pulse(pending, decided.append)
+    watch = stall_detector.StallDetector(pending, decided.append)
 
     def floods() -> None:
         while not decided:
@@ -75,7 +75,7 @@
             gevent.sleep(0.001)
 
     flood = gevent.spawn(floods)
-    watch.at -= stall_detector.STOOD_US + 1
-    assert watch.late()
+    watch.last_beat -= stall_detector.STALL_US + 1
+    assert watch.is_stalled()
     flood.join(10)
     assert len(decided) == 1
--- a/tests/planner/world.py
+++ b/tests/planner/world.py
@@ -10,7 +10,7 @@
 from stairplank.planner.admission import Bounds
 from stairplank.planner.core import Core, CoreConfig
 from stairplank.planner.events import AttemptId
-from stairplank.planner.link_state import State
+from stairplank.planner.link_state import LinkState
 
 MS, SECOND = 1_000, 1_000_000
 CLASSES = (
@@ -112,13 +112,13 @@
     def link_up(self, node: int, started: int = 0, draining: bool = False) -> list[ev.Action]:
         """The link stands, once it has been dialled."""
         link = self.core.links.links.get(node)
-        while link is not None and link.state is State.DOWN:
+        while link is not None and link.state is LinkState.DOWN:
             self.wait(10_000)
         return self.feed(ev.LinkUp(node, started, draining))
 
     def up(self, node: int, started: int = 0, draining: bool = False, held: Any = ()) -> list[ev.Action]:
         """The link stands, if it did not, and the node tells what it holds."""
-        stands = self.core.links.up(node)
+        stands = self.core.links.is_up(node)
         out = [] if stands else self.link_up(node, started, draining)
         return out + self.feed(ev.NodeTasksReported(node, started, tuple(held)))
 
--- a/tests/platform/platform_standins.py
+++ b/tests/platform/platform_standins.py
@@ -371,7 +371,7 @@
         (folder / "config.json").write_text(json.dumps(self.config | (changes or {})))
         self.service = Service(str(folder / "config.json"))
         self.read: list[ev.Event] = []  # by the service, whether handled or not
-        enqueue, self._late = self.service.driver.enqueue, self.service.driver.pulse.late
+        enqueue, self._late = self.service.driver.enqueue, self.service.driver.pulse.is_stalled
 
         def enqueues(*events: ev.Event) -> None:
             self.read.extend(events)
@@ -402,11 +402,11 @@
         return id
 
     def hold(self) -> None:
-        self.service.driver.pulse.late = lambda: True  # type: ignore[method-assign]
+        self.service.driver.pulse.is_stalled = lambda: True  # type: ignore[method-assign]
 
     def go(self) -> None:
-        self.service.driver.pulse.at = now_us()
-        self.service.driver.pulse.late = self._late  # type: ignore[method-assign]
+        self.service.driver.pulse.last_beat = now_us()
+        self.service.driver.pulse.is_stalled = self._late  # type: ignore[method-assign]
         self.service.driver._turn.set()
 
     def has_read(self, kind: type, id: str = "") -> bool:
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -127,7 +127,7 @@
     """A burst of set-ups is read first; the drain that comes meanwhile is handled before most of them."""
     handled: list[str] = []
     monkeypatch.setattr(driver, "SLICE_S", 0.005)
-    monkeypatch.setattr(service.driver.pulse, "late", lambda: False)
+    monkeypatch.setattr(service.driver.pulse, "is_stalled", lambda: False)
 
     def handle(now: int, batch: list[ev.Event]) -> list[ev.Action]:
         handled.extend(type(event).__name__ for event in batch)
@@ -165,7 +165,7 @@
     """One that never waits while there is work counts as hung."""
     waits: list[float] = []
     monkeypatch.setattr(driver, "SLICE_S", 0.0)
-    monkeypatch.setattr(service.driver.pulse, "late", lambda: False)
+    monkeypatch.setattr(service.driver.pulse, "is_stalled", lambda: False)
     real = gevent.sleep
     monkeypatch.setattr(module.gevent, "sleep", lambda s=0.0: (waits.append(s), real(s)))
     for number in range(1, 100):
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -69,7 +69,7 @@
         "import stairplank.standin.door as d\n"
         "d.Door.said_at = lambda self, now, stamp: now\n"
         "import stairplank.planner.daemon as p\n"
-        "p.Daemon._age = lambda self, session, message: 0\n",
+        "p.Daemon._message_age_us = lambda self, session, message: 0\n",
         2,
     ),
 }
--- a/tests/scale/test_grpc_peers.py
+++ b/tests/scale/test_grpc_peers.py
@@ -105,4 +105,4 @@
     assert workers.snapshot()["tasks"] == 1 and not client.lost
     assert client.traffic()["task_messages"] >= 5
     assert node_list.snapshot()["traffic"][4]["control_bytes"] > 0
-    assert daemon._leave()
+    assert daemon._shut_down()
--- a/tests/scale/test_scaling_counts_grpc.py
+++ b/tests/scale/test_scaling_counts_grpc.py
@@ -10,7 +10,7 @@
 from stairplank.emulator.world import World, WorldConfig
 from stairplank.planner import events as ev
 from stairplank.planner.core import Core
-from stairplank.planner.link_state import State
+from stairplank.planner.link_state import LinkState
 from stairplank.settings.cluster import CLUSTER, cluster_from
 from stairplank.settings.schema import load_text
 from stairplank.standin.node_model import NodeModel
@@ -63,7 +63,7 @@
     def links_up(self, planner: int) -> int:
         """Links of that planner that are up."""
         links = self.cores[planner].links.links.values()
-        return sum(link.state is State.UP for link in links)
+        return sum(link.state is LinkState.UP for link in links)
 
 
 def settled(workers: int) -> CountedWorld:
