--- a/benchmarks/path/nodes.py
+++ b/benchmarks/path/nodes.py
@@ -10,7 +10,7 @@
 import gevent
 
 from stairplank.cli.main import _end_with_stdin
-from stairplank.planner.daemon import DIRECTORY_SERVICE
+from stairplank.planner.services import DIRECTORY_SERVICE
 from stairplank.proto import caller
 from stairplank.rpc import Channel
 from stairplank.standin.light_node import LightNode
--- a/benchmarks/path/run.py
+++ b/benchmarks/path/run.py
@@ -30,7 +30,7 @@
 from gevent.event import Event
 from hdrh.histogram import HdrHistogram
 
-from stairplank.planner.daemon import PLACEMENT_SERVICE
+from stairplank.planner.services import PLACEMENT_SERVICE
 from stairplank.proto import caller, common_pb2, placement_pb2
 from stairplank.rpc import Channel
 
--- a/stairplank/cli/place.py
+++ b/stairplank/cli/place.py
@@ -43,7 +43,7 @@
 ) -> int:
     """Ask for ``count`` tasks; print the stream until each has its outcome (or end). The exit code."""
     from ..planner import convert
-    from ..planner.daemon import PLACEMENT_SERVICE
+    from ..planner.services import PLACEMENT_SERVICE
 
     try:
         call = caller(Channel(address, dial_timeout_s=dial_s), PLACEMENT_SERVICE, "Place")
--- a/stairplank/emulator/wires.py
+++ b/stairplank/emulator/wires.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from ..fence import Stamp, Stamps
-from ..planner.link_state import ReceivedMessages
+from ..planner.received_messages import ReceivedMessages
 from ..standin.door import Door
 
 THERE, BACK = "there", "back"
--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -1,19 +1,19 @@
-"""The planner's process: sockets, greenlets, the clock. It feeds the core and carries out what it returns.
+"""The planner's process: greenlets, the clock, signals. It feeds the core and carries out what it returns.
 
-One greenlet an owner's stream reads it, one a node's link, one waits on the clock, one watches the node list.
-None of them blocks while the core works, so the core needs no locks. A stalled process is felt as one late
-batch: what came meanwhile is read in order, and what fell due is done before it.
+One greenlet reads each client's stream (``placement_service``), one each node's (``node_connection``), one
+waits on the clock, one watches the node list (``node_list_watch``). None of them blocks while the core works,
+so the core needs no locks. A stalled process is felt as one late batch: what came meanwhile is read in order,
+and what fell due is done before it.
 """
 
 from __future__ import annotations
 
-import contextlib
 import gc
 import os
-import random
 import signal
 import time
 from collections import deque
+from collections.abc import Callable
 from typing import Any
 
 import gevent
@@ -23,34 +23,24 @@
 from ..configuration.joining import follow
 from ..configuration.live import LiveChanges, live_changes
 from ..configuration.revision import NO_REVISION, Revision
-from ..fence import Epochs, Grants, StepWatch
-from ..proto import (
-    caller,
-    directory_pb2,
-    methods,
-    node_pb2,
-    path,
-    placement_pb2,
-)
+from ..proto import methods
 from ..proto.standard import Health, Reflection
-from ..rpc import Channel, Code, Limits, RpcError, Server, ServerCall
+from ..rpc import Server
 from ..settings import PlannerConfig
-from . import convert
 from . import events as ev
-from .clock import now_us as now_us
-from .clock import raw_us
+from .clock import now_us
 from .core import Core
-from .events import AttemptId
-from .link_state import ReceivedMessages
-from .live_settings import core_config, max_session_epochs, prepare_config, server_limits
-from .node_connection import NODE_SERVICE as NODE_SERVICE
-from .node_connection import READ_BATCH, NodeConnection
+from .live_settings import core_config, prepare_config, server_limits
+from .node_connections import NodeConnections
+from .node_list_watch import NodeListWatch
+from .placement_service import PlacementService
+from .services import PLACEMENT_SERVICE
 from .stall_detector import StallDetector
 
-PLACEMENT_SERVICE = placement_pb2.DESCRIPTOR.services_by_name["Placement"]
-DIRECTORY_SERVICE = directory_pb2.DESCRIPTOR.services_by_name["Directory"]
-HELLO_TIMEOUT_S = 5.0  # an owner's stream must say whose it is by then
-UNKNOWN_AGE_US = 1 << 62  # what an ask under no grant of its stream proves: nothing
+SHUTDOWN_MARGIN_US = 1_000_000  # beyond stop-grace, for the core's last answers
+SHUTDOWN_POLL_S = 0.01
+CLOSE_TIMEOUT_S = 1.0
+GC_THRESHOLDS = (20_000, 20, 50)
 
 
 class Daemon:
@@ -64,62 +54,46 @@
         self.log = structlog.get_logger("planner").bind(planner=self.position)
         seed = config.seed if config.seed is not None else self.incarnation
         self.core = Core(config.settings, core_config(config), self.incarnation, seed)
+        self.placement_service = PlacementService(self)
+        self.node_connections = NodeConnections(self)
+        self.node_list_watch = NodeListWatch(self)
+        self._performers = self._performers_by_type()
         self.health = Health((PLACEMENT_SERVICE.full_name,))
+        self.server = self._make_server()
+        self.core_ns = 0  # time spent in the core and the decision module
+        self._queue: deque[ev.Event] = deque()
+        self._in_turn = False
+        self.stall_detector = StallDetector(self._queue, self._resume_after_stall)
+        self._timer_changed = Flag()
+        self._timer_due: int | None = None  # what the timer's greenlet waits for
+        self._stop = Flag()
+        self.configuration = follow(self, revision)
+
+    def _make_server(self) -> Server:
         names = (PLACEMENT_SERVICE.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
         served = {
-            **methods(PLACEMENT_SERVICE, Place=self._place),
+            **methods(PLACEMENT_SERVICE, Place=self.placement_service.place),
             **self.health.methods(),
             **Reflection(names).methods(),
         }
-        self.server = Server(config.listen, served, server_limits(config))
-        self.connections: dict[int, NodeConnection] = {}
-        self.received: dict[int, tuple[int, ReceivedMessages]] = {}  # node: its life, and its words so far
-        self.sessions: dict[int, ServerCall] = {}
-        self.peers: dict[int, tuple[str, int]] = {}  # owner's stream: its owner and that one's session
-        self.epochs = Epochs(max_session_epochs(config))  # of owners' sessions
-        self.grants: dict[int, Grants] = {}  # an owner's stream
-        self._rng = random.Random(os.urandom(16))
-        self._epoch = 0
-        self._step_watch = StepWatch()
-        self.dropped_messages = 0
-        self.core_ns = 0  # time spent in the core and the module
-        self._session = 0
-        self._pending: deque[ev.Event] = deque()
-        self._working = False
-        self.stall_detector = StallDetector(self._pending, self._resume_after_stall)
-        self._rearm = Flag()
-        self._armed: int | None = None
-        self._watch: Any = None
-        self._stop = Flag()
-        self.configuration = follow(self, revision)
+        return Server(self.config.listen, served, server_limits(self.config))
 
-    # The fence
+    # Start and shutdown
 
-    def next_epoch(self) -> int:
-        """Of a link to a node; grows with each of this life."""
-        self._epoch += 1
-        return self._epoch
-
-    def clock_stepped(self) -> bool:
-        """Whether the monotonic clock has jumped against the raw one; all grants are forgotten then."""
-        before, raw, after = now_us(), raw_us(), now_us()
-        if after - before > 1_000 or not self._step_watch.stepped(before, raw):
-            return False  # stood still between the two readings: they say nothing of each other
-        for link in self.connections.values():
-            link.stamps.forget()
-        return True
-
-    # Life
+    @property
+    def is_leaving(self) -> bool:
+        """Whether the process takes no new streams."""
+        return self.server.leaving
 
     def run(self) -> int:
         """Serve until SIGTERM or SIGINT; the exit code."""
-        handlers = [gevent.signal_handler(s, self.stop) for s in (signal.SIGTERM, signal.SIGINT)]
+        handlers = [gevent.signal_handler(number, self.stop) for number in (signal.SIGTERM, signal.SIGINT)]
         self.start()
         # What start-up made stays for good: the collector need not look at it again and again, nor at the
         # short-lived messages of each task more than now and then (its pauses are felt as late answers).
         gc.collect()
         gc.freeze()
-        gc.set_threshold(20_000, 20, 50)
+        gc.set_threshold(*GC_THRESHOLDS)
         self._stop.wait()
         clean = self._shut_down()
         for handler in handlers:
@@ -127,31 +101,31 @@
         return 0 if clean else 1
 
     def start(self) -> None:
+        """Listen, start the core and the greenlets; returns at once."""
         self.server.start()
         self.log.info("planner starts", listen=list(self.server.addresses), life=self.incarnation)
         self._carry_out(self.core.start(now_us()))
-        gevent.spawn(self._clock)
+        gevent.spawn(self._run_timer)
         self.stall_detector.start()
         self.configuration.start()
 
     def stop(self) -> None:
+        """Make ``run`` shut down and return."""
         self._stop.set()
 
     def _shut_down(self) -> bool:
-        """Take nothing new, answer what is owed, close. Bounded by stop-grace and two seconds."""
+        """Take nothing new, answer every open request, close. Bounded by stop-grace and two seconds."""
         self.log.info("planner leaves", owed=self.core.owners.open_tasks)
         self.health.set(False)
         self.configuration.stop()
         self.server.leave()
         self.handle(ev.ShutdownRequested())
-        until = now_us() + self.config.stop_grace_us + 1_000_000
+        until = now_us() + self.config.stop_grace_us + SHUTDOWN_MARGIN_US
         while not self.core.finished and now_us() < until:
-            gevent.sleep(0.01)
-        for call in list(self.sessions.values()):
-            call.finish(Code.UNAVAILABLE, "this planner has left")
-        clean = self.server.stop(1.0)
-        for link in list(self.connections.values()):
-            link.close()
+            gevent.sleep(SHUTDOWN_POLL_S)
+        self.placement_service.close_sessions()
+        clean = self.server.stop(CLOSE_TIMEOUT_S)
+        self.node_connections.close_all()
         self.log.info("planner has left", owed=self.core.owners.open_tasks, **self.core.counts)
         return self.core.finished and clean
 
@@ -173,320 +147,79 @@
             return changes
         self.config = config
         self.server.limits = server_limits(config)
-        self.epochs.allow(max_session_epochs(config))
+        self.placement_service.settings_changed()
         self.handle(ev.SettingsChanged(config.settings, core_config(config)))
         self.log.info("settings changed", keys=list(changes.keys))
         return changes
 
-    # The core
+    # Turns of the core
 
     def handle(self, event: ev.Event) -> None:
-        """Give the core an event and do what it says. Events that arise meanwhile wait their turn."""
-        self._pending.append(event)
-        if self._working or self.stall_detector.is_stalled():
+        """Let the core handle an event, and carry out its actions; queued if a turn is in progress."""
+        self._queue.append(event)
+        if self._in_turn or self.stall_detector.is_stalled():
             return
-        self._working = True
+        self._in_turn = True
         try:
-            while self._pending:
+            while self._queue:
                 began = time.perf_counter_ns()
-                actions = self.core.handle(now_us(), self._pending.popleft())
+                actions = self.core.handle(now_us(), self._queue.popleft())
                 self.core_ns += time.perf_counter_ns() - began
                 self._carry_out(actions)
         finally:
-            self._working = False
+            self._in_turn = False
         due = self.core.next_due()
-        if due is not None and (self._armed is None or due < self._armed):
-            self._rearm.set()
-
-    def _resume_after_stall(self, stood: int) -> None:
-        """The process stood still, stopped or starved; what came meanwhile is read by now."""
-        events = list(self._pending)
-        self._pending.clear()
-        self.log.info("stood still", ms=stood // 1000, came=len(events))
-        self._working = True
+        if due is not None and (self._timer_due is None or due < self._timer_due):
+            self._timer_changed.set()
+
+    def enqueue(self, event: ev.Event) -> None:
+        """Queue an event for the turn in progress, or for the next one."""
+        self._queue.append(event)
+
+    def run_queued(self) -> None:
+        """Handle what is queued, unless a turn is in progress and will do so."""
+        if not self._in_turn:
+            self.handle(ev.TimerDue())
+
+    def _resume_after_stall(self, stalled_us: int) -> None:
+        """The process was stopped or starved; what came meanwhile is read by now."""
+        events = list(self._queue)
+        self._queue.clear()
+        self.log.info("stood still", ms=stalled_us // 1000, came=len(events))
+        self._in_turn = True
         try:
             self._carry_out(self.core.woke(now_us(), events))
         finally:
-            self._working = False
+            self._in_turn = False
         self.handle(ev.TimerDue())
 
-    def _clock(self) -> None:
-        """Wake the core when something is due."""
+    def _run_timer(self) -> None:
+        """Give the core a turn whenever one of its timers is due."""
         while True:
             due = self.core.next_due()
-            self._armed = due
-            self._rearm.clear()
-            left = None if due is None else max(0, due - now_us()) / 1e6
-            if not self._rearm.wait(left):
+            self._timer_due = due
+            self._timer_changed.clear()
+            wait_s = None if due is None else max(0, due - now_us()) / 1e6
+            if not self._timer_changed.wait(wait_s):
                 self.handle(ev.TimerDue())
 
     def _carry_out(self, actions: list[ev.Action]) -> None:
         for action in actions:
-            match action:
-                case ev.SendToClient():
-                    self._send_to_client(action)
-                case ev.SendOffer():
-                    self._send_offer(action)
-                case ev.SendCommit():
-                    link = self.connections.get(action.node)
-                    if link is not None:
-                        self._send(link, convert.commit_to_proto(action, link.stamp()), None)
-                case ev.SendLeaseRenewal():
-                    link = self.connections.get(action.node)
-                    if link is not None:
-                        self._send(link, convert.lease_renewal_to_proto(action, link.stamp()), None)
-                case ev.SendStop():
-                    link = self.connections.get(action.node)
-                    if link is not None:
-                        self._send(link, convert.stop_to_proto(action), None)
-                case ev.Dial():
-                    self.connections[action.node] = NodeConnection(self, action.node, action.addresses)
-                case ev.CloseLink():
-                    if action.node in self.connections:
-                        self.connections[action.node].close()
-                case ev.RequestNodeTasks():
-                    gevent.spawn(self._request_tasks, action.node)
-                case ev.CheckHealth():
-                    self._check_health(action.node)
-                case ev.WatchNodeList():
-                    if self._watch is not None:
-                        self._watch.kill(block=False)
-                        self._watch = None
-                    if action.active:
-                        self._watch = gevent.spawn(self._watch_list, action.revision)
-                case ev.FetchNodeList():
-                    gevent.spawn(self._fetch_list)
-                case ev.Report():
-                    self.log.info(action.event, **action.fields)
-
-    # Owners
-
-    def _place(self, call: ServerCall) -> None:
-        """Handler of Placement.Place."""
-        if len(self.sessions) >= self.config.owners_most:
-            raise RpcError(Code.RESOURCE_EXHAUSTED, f"{len(self.sessions)} owners are here already")
-        if self.server.leaving:
-            raise RpcError(Code.UNAVAILABLE, "this planner is leaving")
-        first = call.recv(HELLO_TIMEOUT_S)
-        if first is None or first.WhichOneof("kind") != "hello":
-            raise RpcError(Code.INVALID_ARGUMENT, "kind: the first message must be hello")
-        owner = first.hello.owner
-        if not 0 < len(owner.encode()) <= 100:
-            raise RpcError(Code.INVALID_ARGUMENT, "hello.owner: a name of 1 to 100 bytes is needed")
-        self._session += 1
-        session = self._session
-        event = placement_pb2.PlaceEvent
-        peer = (owner, first.hello.session)
-        if first.hello.session:
-            if not self.epochs.take(peer, first.hello.epoch):
-                raise RpcError(Code.ABORTED, "a newer stream of this session has been here")
-            self._end_older_streams(peer)
-        grants = self.grants[session] = Grants(now_us(), self._rng)
-        welcome = event.Welcome(planner=self.position, life=self.incarnation)
-        self.sessions[session] = call
-        self.peers[session] = peer
-        call.send(event(welcome=welcome, grant=grants.give(now_us())))
-        renewing = gevent.spawn(self._renew_grants, session, grants)
-        self.handle(ev.ClientConnected(session, owner))
-        try:
-            self._read_client(call, session, owner)
-            while session in self.sessions and self._has_open_requests(session):
-                gevent.sleep(0.02)  # no more asks come, but what was asked for still runs
-        finally:
-            renewing.kill(block=False)
-            self.grants.pop(session, None)
-            self.peers.pop(session, None)
-            if self.sessions.pop(session, None) is not None:
-                self.handle(ev.ClientDisconnected(session))
-
-    def _has_open_requests(self, session: int) -> bool:
-        """Whether words of an owner's stream are still to come, or what it said has not been looked at."""
-        known = self.core.owners.sessions.get(session)
-        return known is None or bool(known.asks or known.groups)
-
-    def _end_older_streams(self, peer: tuple[str, int]) -> None:
-        """Danger: an ask that an old connection kept could come after its withdrawal on the new one."""
-        for session in [s for s, p in self.peers.items() if p == peer]:
-            call = self.sessions.pop(session, None)
-            if call is not None:
-                error = RpcError(Code.ABORTED, "a newer stream of this session is here")
-                call.stream.connection.close(error)
-                self.handle(ev.ClientDisconnected(session))
-
-    def _renew_grants(self, session: int, grants: Grants) -> None:
-        """A stream on which nothing is said is given a grant all the same, now and then."""
-        event = placement_pb2.PlaceEvent
-        while session in self.sessions:
-            gevent.sleep(max(0.01, (grants.next_due() - now_us()) / 1e6))
-            call = self.sessions.get(session)
-            if call is not None and now_us() >= grants.next_due():
-                with contextlib.suppress(RpcError):
-                    call.try_send(event(renewed=event.Grant(), grant=grants.give(now_us())))
-
-    def _message_age_us(self, session: int, message: Any) -> int:
-        """How old a message of an owner's is at most; 0 where it does not say when it was said."""
-        stamp = convert.stamp_from_proto(message)
-        if stamp is None:
-            return 0
-        now = now_us()
-        at = self.grants[session].said_at(now, stamp)
-        return UNKNOWN_AGE_US if at is None else max(0, now - at)
-
-    def _read_client(self, call: ServerCall, session: int, owner: str) -> None:
-        taken = 0
-        while (message := call.recv()) is not None and session in self.sessions:
-            match message.WhichOneof("kind"):
-                case "ask":
-                    ask = message.ask
-                    if ask.task.owner and ask.task.owner != owner:
-                        self._reject(session, ask.ask, "task.owner", "is not the stream's owner")
-                    else:
-                        ask.task.owner = owner
-                        spec, age = convert.task_from_proto(ask.task), self._message_age_us(session, ask)
-                        self.handle(ev.PlacementRequested(session, ask.ask, spec, ask.wait_us, age))
-                case "ask_group":
-                    age = self._message_age_us(session, message.ask_group)
-                    self.handle(convert.group_request_from_proto(session, message.ask_group, owner, age))
-                case "withdraw":
-                    self.handle(ev.PlacementCancelled(session, message.withdraw.ask, message.withdraw.key))
-                case "hello":
-                    raise RpcError(Code.INVALID_ARGUMENT, "hello: only the first message may be one")
-                case _:
-                    raise RpcError(Code.INVALID_ARGUMENT, "kind: one of ask, ask_group, withdraw is needed")
-            taken += 1
-            if taken % READ_BATCH == 0:
-                gevent.sleep(0)
-
-    def _reject(self, session: int, ask: int, field: str, message: str) -> None:
-        word = ev.Rejected(ask, ev.Rejection("INVALID_ARGUMENT", field, message))
-        self._send_to_client(ev.SendToClient(session, word))
-
-    def _send_to_client(self, action: ev.SendToClient) -> None:
-        call = self.sessions.get(action.session)
-        if call is None:
-            return
-        if not isinstance(action.message, (ev.Admitted, ev.Offered)):
-            self.log.debug(
-                "told", session=action.session, word=type(action.message).__name__, ask=action.message.request
-            )
-        # The bound of this connection: it may have been made before send-buffer changed.
-        full = call.stream.out_bytes > call.stream.connection.limits.send_bytes // 2
-        if full and isinstance(action.message, ev.Offered):
-            self.dropped_messages += 1  # the first to go where an owner is slow: no outcome hangs on it
-            return
-        message = convert.client_message_to_proto(action.message)
-        grants = self.grants.get(action.session)
-        if grants is not None:
-            message.grant = grants.give_if_due(now_us())
-        try:
-            sent = call.try_send(message)
-        except RpcError:
-            return  # it is leaving: its handler ends the session
-        if not sent:
-            # Danger: an owner that does not read would hold memory without end.
-            self.log.warning("owner does not read", session=action.session)
-            del self.sessions[action.session]
-            call.finish(Code.RESOURCE_EXHAUSTED, "too much of what was told has not been read", drop=True)
-            call.stream.fail(RpcError(Code.RESOURCE_EXHAUSTED, "the owner does not read"))
-            self._pending.append(ev.ClientDisconnected(action.session))
-            if not self._working:
-                self.handle(ev.TimerDue())
-
-    # Nodes
-
-    def _send_offer(self, action: ev.SendOffer) -> None:
-        link = self.connections.get(action.node)
-        if link is not None:
-            name = f"{action.task.client}/{action.task.key}"
-            number = f"{action.id.placement}.{action.id.attempt}"
-            self.log.debug("offered", task=name, attempt=number, node=action.node)
-            sort = self.config.settings.classes[action.class_index]
-            self._send(link, convert.offer_to_proto(action, sort, link.stamp()), action.id)
-
-    def _send(self, link: NodeConnection, message: Any, id: AttemptId | None) -> None:
-        if not link.send(message, id):
-            self.log.warning("node does not read", node=link.node)
-            if id is not None:
-                link.sent.append((1 << 62, id))
-            link.close()
-
-    def connection_ended(self, link: NodeConnection, event: ev.Event) -> None:
-        if self.connections.get(link.node) is not link:
-            return  # given up, and dialled anew since: what becomes of it says nothing of the newer one
-        del self.connections[link.node]
-        self.handle(event)
-        if not self.core.links.is_linked(link.node):
-            self.received.pop(link.node, None)  # a node that has left: its words need not be remembered
-
-    def _unary(self, node: int, method: str, request: Any, answer: Any, timeout_us: int) -> Any:
-        link = self.connections.get(node)
-        if link is None or link.channel is None:
-            raise RpcError(Code.UNAVAILABLE, "no link", never_ran=True)
-        return link.channel.unary(
-            path(NODE_SERVICE, method), request, answer.FromString, timeout_s=timeout_us / 1e6
-        )
-
-    def _request_tasks(self, node: int) -> None:
-        request = node_pb2.HeldRequest(planner=self.position, life=self.incarnation)
-        link, asked_at = self.connections.get(node), now_us()
-        try:
-            told = self._unary(node, "Held", request, node_pb2.HeldResponse, self.config.link_grace_us + 1)
-        except RpcError as error:
-            self.log.info("held not told", node=node, error=str(error))
-            self.handle(ev.NodeTasksFailed(node))
-        else:
-            # Last words that were said before this answer may still be on their way, on the other stream.
-            until = now_us() + self.config.link_grace_us
-            while link is not None and link.received.last_number < told.words and now_us() < until:
-                if self.connections.get(node) is not link:
-                    return  # the link broke: the next one asks anew
-                gevent.sleep(0.005)
-            if link is None or link.received.last_number < told.words:
-                told.complete = False
-            self.handle(convert.node_tasks_from_proto(node, told, asked_at))
-
-    def _check_health(self, node: int) -> None:
-        link = self.connections.get(node)
-        if link is None or not link.check_health():
-            self._pending.append(ev.HealthCheckCompleted(node, False, 0))
-
-    # The node list
-
-    def _directory(self) -> Channel:
-        limits = Limits(
-            keepalive_s=self.config.keepalive_us[0] / 1e6,
-            keepalive_timeout_s=self.config.keepalive_us[1] / 1e6,
-        )
-        return Channel(self.config.directory, limits, self.config.list_silence_us / 2e6)
-
-    def _watch_list(self, revision: int) -> None:
-        channel = self._directory()
-        try:
-            call = caller(channel, DIRECTORY_SERVICE, "Watch")
-            call.send(directory_pb2.WatchRequest(planner=self.position, revision=revision))
-            call.close_send()
-            while (message := call.recv(self.config.list_silence_us / 1e6)) is not None:
-                self.handle(convert.node_list_from_proto(message))
-        except RpcError as error:
-            self.log.info("node list out of reach", error=str(error))
-        finally:
-            channel.close()
-        if self._watch is gevent.getcurrent():
-            self._watch = None
-            self.handle(ev.NodeListFailed())
-
-    def _fetch_list(self) -> None:
-        channel = self._directory()
-        try:
-            request = directory_pb2.ListRequest(planner=self.position)
-            timeout = self.config.list_silence_us / 1e6
-            told = channel.unary(
-                path(DIRECTORY_SERVICE, "List"), request, directory_pb2.NodeList.FromString, timeout_s=timeout
-            )
-        except RpcError as error:
-            self.log.info("node list out of reach", error=str(error))
-            self.handle(ev.NodeListFailed())
-        else:
-            self.handle(convert.node_list_from_proto(told))
-        finally:
-            channel.close()
+            self._performers[type(action)](action)
+
+    def _performers_by_type(self) -> dict[type, Callable[[Any], object]]:
+        nodes = self.node_connections
+        return {
+            ev.SendToClient: self.placement_service.send,
+            ev.SendOffer: nodes.send_offer,
+            ev.SendCommit: nodes.send_commit,
+            ev.SendLeaseRenewal: nodes.send_lease_renewal,
+            ev.SendStop: nodes.send_stop,
+            ev.Dial: nodes.dial,
+            ev.CloseLink: lambda action: nodes.close(action.node),
+            ev.RequestNodeTasks: lambda action: gevent.spawn(nodes.request_tasks, action.node),
+            ev.CheckHealth: lambda action: nodes.check_health(action.node),
+            ev.WatchNodeList: self.node_list_watch.restart,
+            ev.FetchNodeList: lambda _: gevent.spawn(self.node_list_watch.fetch),
+            ev.Report: lambda action: self.log.info(action.event, **action.fields),
+        }
--- a/stairplank/planner/node_connection.py
+++ b/stairplank/planner/node_connection.py
@@ -1,126 +1,160 @@
-"""One planner's link to a node: dialling, reading, acknowledging, stamping. Sockets; it decides nothing."""
+"""One planner's connection to a node: dials, reads, acknowledges, stamps. Sockets; it decides nothing."""
 
 from __future__ import annotations
 
 from collections import deque
-from typing import Any, Protocol
+from dataclasses import dataclass
+from typing import Any, NamedTuple, Protocol
 
 import gevent
 
 from ..fence import Stamp, Stamps
 from ..proto import caller, node_pb2
 from ..rpc import Channel, Code, Limits, RpcError
-from ..settings import PlannerConfig
 from . import convert
 from . import events as ev
 from .clock import now_us
 from .events import AttemptId
-from .link_state import ReceivedMessages
+from .process import PlannerProcess
+from .received_messages import ReceivedMessages
+from .services import NODE_SERVICE
 
-NODE_SERVICE = node_pb2.DESCRIPTOR.services_by_name["Node"]
-ACK_MESSAGES = 32  # last words of a node, or
+ACK_MESSAGES = 32  # numbered messages of a node are acknowledged together, or
 ACK_DELAY_S = 0.25  # so long after the first of them
-READ_BATCH = 64  # messages of one stream taken before others get a turn
+READ_BATCH = 64  # messages of one stream handled before other greenlets run
+NEVER_SENT = 1 << 62  # number of a message that the stream did not take
+_REQUEST = node_pb2.OfferRequest
 
 
-class ConnectionHost(Protocol):
-    """The planner as its links see it: whom they report to."""
+@dataclass(slots=True)
+class NodeMessages:
+    """The numbered messages of a node's incarnation."""
+
+    started_unix_us: int
+    messages: ReceivedMessages
+
+
+class SentMessage(NamedTuple):
+    """A message that was queued on the stream."""
+
+    number: int  # of the stream's messages, from 0
+    attempt: AttemptId | None  # of an offer
+
+
+class ConnectionTable(Protocol):
+    """Where connections are kept, as each of them sees it."""
 
     @property
-    def config(self) -> PlannerConfig: ...
-    @property
-    def position(self) -> int: ...
-    @property
-    def incarnation(self) -> int: ...
-    @property
-    def log(self) -> Any: ...
+    def process(self) -> PlannerProcess:
+        """The planner's process."""
+
     @property
-    def received(self) -> dict[int, tuple[int, ReceivedMessages]]:
-        """By node: its life, and its numbered messages so far. Outlives a link."""
+    def received(self) -> dict[int, NodeMessages]:
+        """By node; outlives a connection."""
+
+    def connection_ended(self, connection: NodeConnection, event: ev.Event) -> None:
+        """The connection is over; the event says how."""
 
-    def handle(self, event: ev.Event) -> None: ...
-    def connection_ended(self, link: NodeConnection, event: ev.Event) -> None: ...
-    def next_epoch(self) -> int: ...
-    def clock_stepped(self) -> bool: ...
+    def next_epoch(self) -> int:
+        """Number of a new connection; grows with each in this process life."""
+
+    def clock_stepped(self) -> bool:
+        """Whether the clock has jumped since the last question; all grants are forgotten then."""
 
 
 class NodeConnection:
-    """The one link to a node: dials its addresses in order, speaks Offers on the first that answers."""
+    """The one connection to a node: dials its addresses in order, speaks Offers on the first that answers."""
 
-    def __init__(self, host: ConnectionHost, node: int, addresses: tuple[str, ...]) -> None:
-        self.host = host
+    def __init__(self, table: ConnectionTable, node: int, addresses: tuple[str, ...]) -> None:
+        """Begin to dial, in a greenlet of its own."""
+        self.table = table
+        self.process = table.process
         self.node = node
         self.addresses = addresses
         self.channel: Channel | None = None
         self.call: Any = None
-        self.sent: deque[tuple[int, AttemptId | None]] = deque()  # number of the message; the offer's attempt
+        self.sent: deque[SentMessage] = deque()  # not yet handed to the connection, as far as is known
         self.closing = False
         self.received = ReceivedMessages()
         self.stamps = Stamps()
         self._ack_due = False
         self._last_check = 0
-        self._checks: dict[int, int] = {}  # under way: number, when asked
+        self._checks: dict[int, int] = {}  # health checks in flight: when each was sent, by number
         self.greenlet = gevent.spawn(self._run)
 
     def _run(self) -> None:
-        welcome = None
-        for target in self.addresses:
-            try:
-                welcome = self._dial(target)
-                break
-            except RpcError as error:
-                self.host.log.debug("dial failed", node=self.node, address=target, error=str(error))
-                self._close_channel()
+        welcome = self._connect()
         if welcome is None or self.closing:
             self._close_channel()
-            self.host.connection_ended(self, ev.DialFailed(self.node))
+            self.table.connection_ended(self, ev.DialFailed(self.node))
             return
-        known = self.host.received.get(self.node)
-        if known is None or known[0] != welcome.started_unix_us:
-            known = self.host.received[self.node] = (welcome.started_unix_us, ReceivedMessages())
-        self.received = known[1]
-        self.received.stream_opened()
-        self.host.handle(ev.LinkUp(self.node, welcome.started_unix_us, welcome.draining))
+        self._resume_messages(welcome.started_unix_us)
+        self.process.handle(ev.LinkUp(self.node, welcome.started_unix_us, welcome.draining))
         try:
             self._read()
         except RpcError as error:
-            self.host.log.info("link broken", node=self.node, error=str(error))
+            self.process.log.info("link broken", node=self.node, error=str(error))
         unsent = self.unsent()
         self._close_channel()
-        self.host.connection_ended(self, ev.LinkDown(self.node, unsent))
+        self.table.connection_ended(self, ev.LinkDown(self.node, unsent))
 
-    def _dial(self, target: str) -> Any:
-        config = self.host.config
+    def _connect(self) -> Any:
+        """The welcome of the first address that answers, or None."""
+        for address in self.addresses:
+            try:
+                return self._dial(address)
+            except RpcError as error:
+                self.process.log.debug("dial failed", node=self.node, address=address, error=str(error))
+                self._close_channel()
+        return None
+
+    def _resume_messages(self, started_unix_us: int) -> None:
+        """Go on after the last message that this incarnation of the node had sent."""
+        known = self.table.received.get(self.node)
+        if known is None or known.started_unix_us != started_unix_us:
+            known = self.table.received[self.node] = NodeMessages(started_unix_us, ReceivedMessages())
+        self.received = known.messages
+        self.received.stream_opened()
+
+    def _dial(self, address: str) -> Any:
+        """Open the stream; the node's welcome. Raises RpcError."""
+        config = self.process.config
         limits = Limits(
             keepalive_s=config.keepalive_us[0] / 1e6,
             keepalive_timeout_s=config.keepalive_us[1] / 1e6,
             message_bytes=config.message_most,
             send_bytes=config.send_buffer,
         )
-        timeout = config.dial_timeout_us / 1e6
-        self.channel = Channel(target, limits, timeout)
+        timeout_s = config.dial_timeout_us / 1e6
+        self.channel = Channel(address, limits, timeout_s)
         self.call = caller(self.channel, NODE_SERVICE, "Offers")
-        heard = self.host.received.get(self.node, (0, ReceivedMessages()))[1].last_number
-        hello = node_pb2.OfferRequest.Hello(
-            planner=self.host.position,
-            life=self.host.incarnation,
-            heard=heard,
-            epoch=self.host.next_epoch(),
+        self.call.send(_REQUEST(hello=self._hello()))
+        self.sent.append(SentMessage(0, None))
+        first = self.call.recv(timeout_s)
+        self._check_welcome(first)
+        self.stamps = Stamps()
+        self.stamps.heard(now_us(), first.grant)
+        return first.welcome
+
+    def _hello(self) -> Any:
+        known = self.table.received.get(self.node)
+        return _REQUEST.Hello(
+            planner=self.process.position,
+            life=self.process.incarnation,
+            heard=0 if known is None else known.messages.last_number,
+            epoch=self.table.next_epoch(),
         )
-        self.call.send(node_pb2.OfferRequest(hello=hello))
-        self.sent.append((0, None))
-        first = self.call.recv(timeout)
+
+    def _check_welcome(self, first: Any) -> None:
+        """Raises RpcError where the first message is no welcome of this node."""
         if first is None or first.WhichOneof("kind") != "welcome":
             raise RpcError(Code.FAILED_PRECONDITION, "the node did not say who it is", never_ran=True)
         if first.welcome.node != self.node:
             text = f"node {first.welcome.node} answers at the address of node {self.node}"
             raise RpcError(Code.FAILED_PRECONDITION, text, never_ran=True)
-        self.stamps = Stamps()
-        self.stamps.heard(now_us(), first.grant)
-        return first.welcome
 
     def _read(self) -> None:
-        taken = 0
+        count = 0
         while (message := self.call.recv()) is not None:
             self.stamps.heard(now_us(), message.grant)
             if message.number and not self._receive_numbered(message.number):
@@ -129,81 +163,92 @@
             if event is None and message.WhichOneof("kind") == "sampled":
                 event = self._health_report(message.sampled)
             if event is not None:
-                self.host.handle(event)
-            taken += 1
-            if taken % READ_BATCH == 0:
+                self.process.handle(event)
+            count += 1
+            if count % READ_BATCH == 0:
                 gevent.sleep(0)
 
     def _receive_numbered(self, number: int) -> bool:
-        """A last word: taken once, in order, and acknowledged; a gap is asked for again."""
-        take, again = self.received.receive(number)
-        if again:
-            self.host.log.info("words missed", node=self.node, heard=self.received.last_number, came=number)
-            self._acknowledge(True)
+        """Whether to handle a numbered message; acknowledges it, or requests those missing before it."""
+        receipt = self.received.receive(number)
+        if receipt.request_resend:
+            last = self.received.last_number
+            self.process.log.info("words missed", node=self.node, heard=last, came=number)
+            self._acknowledge(resend=True)
         elif self.received.last_number - self.received.acknowledged >= ACK_MESSAGES:
-            self._acknowledge(False)
-        elif take and not self._ack_due:
+            self._acknowledge(resend=False)
+        elif receipt.accepted and not self._ack_due:
             self._ack_due = True
-            gevent.spawn_later(ACK_DELAY_S, self._acknowledge, False)
-        return take
+            gevent.spawn_later(ACK_DELAY_S, self._acknowledge, resend=False)
+        return receipt.accepted
 
-    def _acknowledge(self, again: bool) -> None:
+    def _acknowledge(self, *, resend: bool) -> None:
         self._ack_due = False
         if self.closing or self.call is None or self.call.stream.error is not None:
             return
         self.received.acknowledged = self.received.last_number
-        ack = node_pb2.OfferRequest.Ack(number=self.received.last_number, again=again)
-        self.send(node_pb2.OfferRequest(ack=ack), None)
+        self.send(_REQUEST(ack=_REQUEST.Ack(number=self.received.last_number, again=resend)))
+
+    def send(self, message: Any, attempt: AttemptId | None = None) -> bool:
+        """Queue a message; ``attempt`` is that of an offer.
 
-    def send(self, message: Any, id: AttemptId | None) -> bool:
-        """Queue a message. False where the node has not read for so long that the buffer is full."""
+        False where the node has not read for so long that the buffer is full.
+        """
         try:
             if not self.call.try_send(message):
                 return False
         except RpcError:
-            pass  # the link is breaking: what this message would have said counts as unsent
+            pass  # the link is breaking: this message counts as unsent
         stream = self.call.stream
-        self.sent.append((stream.queued - 1 if stream.error is None else 1 << 62, id))
-        while self.sent and self.sent[0][0] < stream.handed:
+        number = stream.queued - 1 if stream.error is None else NEVER_SENT
+        self.sent.append(SentMessage(number, attempt))
+        while self.sent and self.sent[0].number < stream.handed:
             self.sent.popleft()
         return True
 
     def check_health(self) -> bool:
-        """Ask for the node's report; its answer, or that there was none in time, goes to the core."""
+        """Request the node's report; the core is given it, or that there was none in time.
+
+        False where the request could not be queued.
+        """
         self._last_check += 1
         number = self._last_check
-        if not self.send(node_pb2.OfferRequest(probe=node_pb2.OfferRequest.Probe(probe=number)), None):
+        if not self.send(_REQUEST(probe=_REQUEST.Probe(probe=number))):
             return False
         self._checks[number] = now_us()
-        gevent.spawn_later(self.host.config.probe_timeout_us / 1e6, self._check_timed_out, number)
+        timeout_s = self.process.config.probe_timeout_us / 1e6
+        gevent.spawn_later(timeout_s, self._check_timed_out, number)
         return True
 
     def _health_report(self, sampled: Any) -> ev.Event | None:
-        began = self._checks.pop(sampled.probe, None)
-        if began is None:
+        sent_at = self._checks.pop(sampled.probe, None)
+        if sent_at is None:
             return None  # it came too late
         report = (sampled.report.free_cores, sampled.report.free_memory, sampled.report.util)
-        return ev.HealthCheckCompleted(self.node, True, now_us() - began, report)
+        return ev.HealthCheckCompleted(self.node, True, now_us() - sent_at, report)
 
     def _check_timed_out(self, number: int) -> None:
-        began = self._checks.pop(number, None)
-        if began is not None:
-            self.host.handle(ev.HealthCheckCompleted(self.node, False, now_us() - began))
+        sent_at = self._checks.pop(number, None)
+        if sent_at is not None:
+            self.process.handle(ev.HealthCheckCompleted(self.node, False, now_us() - sent_at))
 
     def unsent(self) -> frozenset[AttemptId]:
         """Attempts of which not one byte was handed to the connection."""
         if self.call is None:
             return frozenset()
         handed = self.call.stream.handed
-        return frozenset(id for number, id in self.sent if id is not None and number >= handed)
+        return frozenset(
+            sent.attempt for sent in self.sent if sent.attempt is not None and sent.number >= handed
+        )
 
     def stamp(self) -> Stamp | None:
-        """For a message that counts from when it is said."""
-        if self.host.clock_stepped():
-            self.host.log.warning("the clock has jumped: grants are forgotten")
+        """For a message whose times count from when it is sent; None while no grant is known."""
+        if self.table.clock_stepped():
+            self.process.log.warning("the clock has jumped: grants are forgotten")
         return self.stamps.stamp(now_us())
 
     def close(self) -> None:
+        """Close the connection; the table is told by the reading greenlet."""
         self.closing = True
         self._close_channel()
 
--- a/stairplank/planner/node_links.py
+++ b/stairplank/planner/node_links.py
@@ -22,8 +22,9 @@
 from . import events as ev
 from .abandoned_attempts import PlacementState
 from .context import CoreContext
+from .dialing import DialBackoff, DialQueue
 from .events import AttemptId
-from .link_state import DialBackoff, DialQueue, Link, LinkState
+from .link_state import Link, LinkState
 from .placement import Attempt, Placement
 from .transitions import LINK
 
--- a/stairplank/scale/grpc_clients.py
+++ b/stairplank/scale/grpc_clients.py
@@ -11,7 +11,7 @@
 
 from ..fence import Stamps
 from ..planner.convert import stamp_to_proto
-from ..planner.daemon import PLACEMENT_SERVICE
+from ..planner.services import PLACEMENT_SERVICE
 from ..proto import caller, common_pb2, placement_pb2
 from ..rpc import Channel, RpcError
 from .load import RECONNECT_S, RETRY_S, SERVICES, WAIT_MS, LoadClient
--- a/stairplank/standin/crowd.py
+++ b/stairplank/standin/crowd.py
@@ -14,7 +14,8 @@
 from ..fence import Stamp, Stamps
 from ..planner import convert
 from ..planner import events as ev
-from ..planner.daemon import PLACEMENT_SERVICE, now_us
+from ..planner.clock import now_us
+from ..planner.services import PLACEMENT_SERVICE
 from ..proto import caller, placement_pb2
 from ..rpc import Channel, Code, Limits, RpcError
 from .config import CrowdConfig, begun
--- a/stairplank/standin/farm.py
+++ b/stairplank/standin/farm.py
@@ -12,7 +12,8 @@
 
 from .. import interface as api
 from ..planner import convert
-from ..planner.daemon import DIRECTORY_SERVICE, NODE_SERVICE, now_us
+from ..planner.clock import now_us
+from ..planner.services import DIRECTORY_SERVICE, NODE_SERVICE
 from ..proto import caller, common_pb2, directory_pb2, methods, node_pb2
 from ..rpc import Channel, Code, RpcError, Server, ServerCall
 from .config import FarmConfig, NodeConfig, begun
--- a/stairplank/standin/light_node.py
+++ b/stairplank/standin/light_node.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from ..planner.daemon import NODE_SERVICE
+from ..planner.services import NODE_SERVICE
 from ..proto import common_pb2, directory_pb2, methods, node_pb2
 from ..rpc import RpcError, Server
 
--- a/stairplank/standin/listing.py
+++ b/stairplank/standin/listing.py
@@ -11,8 +11,9 @@
 
 from .. import interface as api
 from ..planner import convert
-from ..planner.daemon import DIRECTORY_SERVICE, now_us
+from ..planner.clock import now_us
 from ..planner.events import ListedNode
+from ..planner.services import DIRECTORY_SERVICE
 from ..proto import directory_pb2, methods
 from ..rpc import Code, RpcError, Server, ServerCall
 from .config import ListingConfig, begun
--- a/tests/planner/test_daemon.py
+++ b/tests/planner/test_daemon.py
@@ -11,7 +11,8 @@
 import grpc
 import pytest
 
-from stairplank.planner.daemon import DIRECTORY_SERVICE, NODE_SERVICE, PLACEMENT_SERVICE, Daemon
+from stairplank.planner.daemon import Daemon
+from stairplank.planner.services import DIRECTORY_SERVICE, NODE_SERVICE, PLACEMENT_SERVICE
 from stairplank.proto import caller, common_pb2, directory_pb2, methods, node_pb2, path, placement_pb2
 from stairplank.rpc import Channel, Code, RpcError, Server
 from stairplank.settings import load_planner
@@ -151,7 +152,7 @@
 
     def close(self) -> None:
         self.daemon.server.stop()
-        for link in list(self.daemon.connections.values()):
+        for link in list(self.daemon.node_connections.connections.values()):
             link.close()
         for node in self.nodes:
             node.server.stop()
@@ -294,7 +295,7 @@
     slow, good = world.owner("slow"), world.owner("good")
     with gevent.Timeout(30):
         n = 0
-        while len(world.daemon.sessions) > 1:
+        while len(world.daemon.placement_service.sessions) > 1:
             n += 1
             slow.send(ask(n, cores=-1.0, task_class="?" * 60, service=n))
             gevent.sleep(0)
@@ -407,7 +408,7 @@
     world.daemon.handle = lambda event: (told.append(event), feed(event))[1]  # type: ignore[method-assign]
     world.nodes[0].reports = False
     for node in (1, 2):
-        world.daemon._check_health(node)
+        world.daemon.node_connections.check_health(node)
     world.until(lambda: sum(type(e).__name__ == "HealthCheckCompleted" for e in told) == 2)
     assert {e.node: e.ok for e in told if type(e).__name__ == "HealthCheckCompleted"} == {1: False, 2: True}
 
@@ -433,8 +434,8 @@
 
 
 def test_a_node_that_has_left_is_forgotten(world: World) -> None:
-    world.until(lambda: set(world.daemon.received) == {1, 2})
+    world.until(lambda: set(world.daemon.node_connections.received) == {1, 2})
     entries = [e for e in world.entries() if e.id == 2]
     world.watchers[-1].send(directory_pb2.NodeList(revision=2, full=True, nodes=entries))
-    world.until(lambda: set(world.daemon.connections) == {2})
-    assert set(world.daemon.received) == {2}
+    world.until(lambda: set(world.daemon.node_connections.connections) == {2})
+    assert set(world.daemon.node_connections.received) == {2}
--- a/tests/planner/test_daemon_configuration.py
+++ b/tests/planner/test_daemon_configuration.py
@@ -20,7 +20,7 @@
 from stairplank.configuration.publication import Outcome
 from stairplank.configuration.revision import Revision
 from stairplank.configuration.server import Replica
-from stairplank.planner.daemon import PLACEMENT_SERVICE
+from stairplank.planner.services import PLACEMENT_SERVICE
 from stairplank.proto import caller, common_pb2, placement_pb2
 from stairplank.rpc import Channel, RpcError
 
--- a/tests/planner/test_daemon_fence.py
+++ b/tests/planner/test_daemon_fence.py
@@ -12,7 +12,8 @@
 from gevent import socket
 from test_daemon import _EVENT, _REQUEST, WAIT, World, ask, word
 
-from stairplank.planner.daemon import PLACEMENT_SERVICE, now_us
+from stairplank.planner.clock import now_us
+from stairplank.planner.services import PLACEMENT_SERVICE
 from stairplank.proto import caller, common_pb2, node_pb2
 from stairplank.rpc import Channel, Code, RpcError
 
@@ -135,13 +136,15 @@
 def test_a_jump_of_the_clock_is_noticed_and_grants_are_forgotten(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    import stairplank.planner.daemon as daemon
+    import stairplank.planner.node_connections as node_connections
 
     for n in world.nodes:
         n.calls[-1].send(_EVENT(renewed=_EVENT.Grant(), grant=5))
-    link = world.daemon.connections[1]
+    link = world.daemon.node_connections.connections[1]
     world.until(lambda: link.stamp() is not None)
-    monkeypatch.setattr(daemon, "raw_us", lambda: now_us() - 3_000_000)  # the other clock has gone on alone
+    monkeypatch.setattr(
+        node_connections, "raw_us", lambda: now_us() - 3_000_000
+    )  # the other clock has gone on alone
     assert link.stamp() is None
     world.nodes[0].calls[-1].send(_EVENT(renewed=_EVENT.Grant(), grant=6))
     world.until(lambda: link.stamp() is not None)
@@ -184,7 +187,7 @@
     from stairplank.planner import stall_detector
 
     call, _ = stream(world)
-    session = next(iter(world.daemon.sessions))
+    session = next(iter(world.daemon.placement_service.sessions))
     spec = [ev.TaskSpec("o", n, "worker", "", 100 + n, 1.0, 1.0, 0, False) for n in range(1, 9)]
     world.daemon.stall_detector.last_beat -= stall_detector.STALL_US + 1
     for n, task in enumerate(spec, 1):
@@ -210,8 +213,8 @@
     world.daemon.core.handle = handle  # type: ignore[method-assign]
     for words, proven in ((0, True), (5, False)):
         answer = node_pb2.HeldResponse(node=1, complete=True, words=words)
-        world.daemon._unary = lambda *args, a=answer: a  # type: ignore[method-assign]
-        world.daemon._request_tasks(1)
+        world.daemon.node_connections._unary = lambda *args, a=answer: a  # type: ignore[method-assign]
+        world.daemon.node_connections.request_tasks(1)
         assert told.pop().complete is proven
 
 
@@ -219,10 +222,10 @@
     from stairplank.planner import events as ev
 
     world.until(lambda: world.daemon.core.links.is_up(1))  # the node has spoken, we may not have heard it yet
-    link = world.daemon.connections[1]
+    link = world.daemon.node_connections.connections[1]
 
     class Older:
         node = 1
 
-    world.daemon.connection_ended(Older(), ev.LinkDown(1))  # type: ignore[arg-type]
-    assert world.daemon.connections[1] is link and world.daemon.core.links.is_up(1)
+    world.daemon.node_connections.connection_ended(Older(), ev.LinkDown(1))  # type: ignore[arg-type]
+    assert world.daemon.node_connections.connections[1] is link and world.daemon.core.links.is_up(1)
--- a/tests/planner/test_daemon_settings.py
+++ b/tests/planner/test_daemon_settings.py
@@ -12,7 +12,7 @@
 
 from stairplank.configuration.live import NeedsRestartError
 from stairplank.planner import events as ev
-from stairplank.planner.daemon import PLACEMENT_SERVICE
+from stairplank.planner.services import PLACEMENT_SERVICE
 from stairplank.proto import caller
 from stairplank.rpc import Channel, Code, RpcError
 from stairplank.settings import SettingsError
@@ -122,7 +122,7 @@
 def test_more_clients_are_let_in(world: World) -> None:
     apply(world, ("owners-most 4", "owners-most 20"))
     calls = [world.owner(f"o{n}") for n in range(12)]
-    assert len(calls) == len(world.daemon.sessions)
+    assert len(calls) == len(world.daemon.placement_service.sessions)
 
 
 def test_streams_of_connected_clients_are_known_when_fewer_are_let_in(world: World) -> None:
@@ -138,16 +138,20 @@
     for call in calls:
         assert call.recv(WAIT).WhichOneof("kind") == "welcome"
     apply(world, ("owners-most 4", "owners-most 1"))
-    world.daemon.epochs.take(("other", 1), 1)
-    assert [world.daemon.epochs.take(("o", session), 5) for session in range(1, 9)] == [False] * 8
+    world.daemon.placement_service.epochs.take(("other", 1), 1)
+    assert [world.daemon.placement_service.epochs.take(("o", session), 5) for session in range(1, 9)] == [
+        False
+    ] * 8
 
 
 def test_what_a_connection_was_made_with_stays_with_it(world: World) -> None:
     old = world.owner("old")
     apply(world, ("send-buffer 64k", "send-buffer 1m"), ("message-most 64k", "message-most 256k"))
     new = world.owner("new")
-    world.until(lambda: len(world.daemon.sessions) == 2)
-    limits = [call.stream.connection.limits for call in world.daemon.sessions.values()]
+    world.until(lambda: len(world.daemon.placement_service.sessions) == 2)
+    limits = [
+        session.call.stream.connection.limits for session in world.daemon.placement_service.sessions.values()
+    ]
     assert [(x.send_bytes, x.message_bytes) for x in limits] == [(1 << 16, 1 << 16), (1 << 20, 1 << 18)]
     for n, call in enumerate((old, new), 1):
         call.send(ask(n))
@@ -157,23 +161,23 @@
 def test_progress_is_dropped_by_the_bound_of_its_own_connection(world: World) -> None:
     """Danger: by the newer, larger bound the connection would be closed for messages that may be dropped."""
     world.owner()
-    (session,) = world.daemon.sessions
-    call = world.daemon.sessions[session]
+    (session,) = world.daemon.placement_service.sessions
+    call = world.daemon.placement_service.sessions[session].call
     apply(world, ("send-buffer 64k", "send-buffer 1m"))
     call.stream.out_bytes += 40_000  # more than half of what this connection may hold
     try:
-        world.daemon._send_to_client(ev.SendToClient(session, ev.Offered(1, 1, 0)))
+        world.daemon.placement_service.send(ev.SendToClient(session, ev.Offered(1, 1, 0)))
     finally:
         call.stream.out_bytes -= 40_000
-    assert world.daemon.dropped_messages == 1
+    assert world.daemon.placement_service.dropped_messages == 1
 
 
 def test_a_list_that_is_silent_is_given_up_by_the_new_time(world: World) -> None:
     """The stand-in's list sends a message each half second."""
-    watching = world.daemon._watch
+    watching = world.daemon.node_list_watch._watch
     assert watching is not None
     apply(world, ("list-silence 2s", "list-silence 100ms"))
-    world.until(lambda: world.daemon._watch is not watching)
+    world.until(lambda: world.daemon.node_list_watch._watch is not watching)
     assert world.daemon.core.counts["list_failures"] >= 1
 
 
--- a/tests/planner/test_heard.py
+++ b/tests/planner/test_received_messages.py
@@ -7,7 +7,7 @@
 from world import SECOND, World
 
 from stairplank.planner import events as ev
-from stairplank.planner.link_state import ReceivedMessages
+from stairplank.planner.received_messages import ReceivedMessages
 from stairplank.standin.outbox import Outbox
 
 
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -68,8 +68,8 @@
     "fence": (
         "import stairplank.standin.door as d\n"
         "d.Door.said_at = lambda self, now, stamp: now\n"
-        "import stairplank.planner.daemon as p\n"
-        "p.Daemon._message_age_us = lambda self, session, message: 0\n",
+        "import stairplank.planner.placement_service as p\n"
+        "p.PlacementService._message_age_us = lambda self, session, message: 0\n",
         2,
     ),
 }
