--- a/stairplank/planner/convert.py
+++ b/stairplank/planner/convert.py
@@ -1,4 +1,7 @@
-"""Between the messages of stairplank.v1 and the core's events and actions. Translates and decides nothing."""
+"""Converts between the messages of stairplank.v1 and the core's events and actions; decides nothing.
+
+Protobuf messages are untyped here: ``Any`` stands for the message that a docstring names.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +14,8 @@
 from . import events as ev
 from .events import AttemptId
 
+_LAST_REASON = 7  # of api.Reason
+_PlaceEvent = placement_pb2.PlaceEvent
 _NODE_STATUS = {
     directory_pb2.NodeEntry.STATE_GONE: api.NodeStatus.GONE,
     directory_pb2.NodeEntry.STATE_DRAINING: api.NodeStatus.DRAINING,
@@ -28,6 +33,7 @@
 
 
 def task_from_proto(task: Any) -> ev.TaskSpec:
+    """A ``Task`` message as a task."""
     return ev.TaskSpec(
         task.owner,
         task.key,
@@ -42,6 +48,7 @@
 
 
 def task_to_proto(spec: ev.TaskSpec) -> Any:
+    """A task as a ``Task`` message."""
     return common_pb2.Task(
         owner=spec.client,
         key=spec.key,
@@ -56,59 +63,65 @@
 
 
 def attempt_id_from_proto(id: Any) -> AttemptId:
+    """An ``AttemptId`` message as an attempt's id."""
     return AttemptId(id.life, id.placing, id.attempt)
 
 
 def attempt_id_to_proto(id: AttemptId) -> Any:
+    """An attempt's id as an ``AttemptId`` message."""
     return common_pb2.AttemptId(life=id.incarnation, placing=id.placement, attempt=id.attempt)
 
 
 def group_tag_from_proto(tag: Any) -> ev.GroupTag:
+    """A ``GroupMember`` message as the tag of a group's member."""
     return ev.GroupTag(tag.life, tag.group, tag.size, tag.member, tag.lease_us)
 
 
 def group_tag_to_proto(tag: ev.GroupTag) -> Any:
+    """The tag of a group's member as a ``GroupMember`` message."""
     return node_pb2.GroupMember(
         life=tag.incarnation, group=tag.group, size=tag.size, member=tag.member, lease_us=tag.lease_us
     )
 
 
 def stamp_from_proto(message: Any) -> Stamp | None:
-    """When a message says that it was said; None where it does not."""
+    """When a message says that it was sent; None where it does not."""
     return Stamp(message.sent.grant, message.sent.since_us) if message.HasField("sent") else None
 
 
 def stamp_to_proto(stamp: Stamp | None) -> Any:
+    """When a message is sent, as a ``Sent`` message; None where that is not known."""
     return None if stamp is None else common_pb2.Sent(grant=stamp.grant, since_us=stamp.since_us)
 
 
 def reason_from_proto(reason: int) -> api.Reason:
-    return api.Reason(reason) if 0 <= reason <= 7 else api.Reason.UNTOLD
+    """A number of the ``Reason`` enum; UNTOLD for one that a later version may add."""
+    return api.Reason(reason) if 0 <= reason <= _LAST_REASON else api.Reason.UNTOLD
 
 
 def node_list_from_proto(message: Any) -> ev.NodeListReceived:
-    """Entries without a known state, or with an id that is none, are passed over."""
+    """A ``NodeList`` message; entries without a known state are left out."""
     nodes = tuple(
         ev.ListedNode(
-            e.id,
-            e.name,
-            tuple(e.addresses),
-            e.zone,
-            e.rack,
-            e.kind,
-            _NODE_STATUS[e.state],
-            e.free_cores,
-            e.free_memory,
-            e.started_unix_us,
+            entry.id,
+            entry.name,
+            tuple(entry.addresses),
+            entry.zone,
+            entry.rack,
+            entry.kind,
+            _NODE_STATUS[entry.state],
+            entry.free_cores,
+            entry.free_memory,
+            entry.started_unix_us,
         )
-        for e in message.nodes
-        if e.state in _NODE_STATUS
+        for entry in message.nodes
+        if entry.state in _NODE_STATUS
     )
     return ev.NodeListReceived(message.revision, message.since, message.full, nodes, message.now_unix_us)
 
 
 def node_event_from_proto(node: int, message: Any) -> ev.Event | None:
-    """None for what a later version of the protocol may add, and for the hello."""
+    """An ``OfferEvent`` of a node; None for kinds that are no event of the core or that are not known."""
     match message.WhichOneof("kind"):
         case "accepted":
             return ev.NodeAccepted(node, attempt_id_from_proto(message.accepted.id))
@@ -129,10 +142,7 @@
                 node, attempt_id_from_proto(ended.id), result, reason_from_proto(ended.reason)
             )
         case "usage":
-            u = message.usage
-            return ev.NodeUsage(
-                node, attempt_id_from_proto(u.id), u.cores, u.memory, u.served_share, u.node_memory_share
-            )
+            return _usage_from_proto(node, message.usage)
         case "draining":
             return ev.NodeDraining(node)
         case "kept":
@@ -140,24 +150,41 @@
     return None
 
 
-def node_tasks_from_proto(node: int, message: Any, asked_at: int) -> ev.NodeTasksReported:
-    def held(t: Any) -> ev.NodeTask:
-        tag = group_tag_from_proto(t.group) if t.HasField("group") else None
-        return ev.NodeTask(attempt_id_from_proto(t.id), task_from_proto(t.task), t.running, tag)
+def _usage_from_proto(node: int, usage: Any) -> ev.NodeUsage:
+    return ev.NodeUsage(
+        node,
+        attempt_id_from_proto(usage.id),
+        usage.cores,
+        usage.memory,
+        usage.served_share,
+        usage.node_memory_share,
+    )
+
+
+def node_tasks_from_proto(node: int, message: Any, requested_at: int) -> ev.NodeTasksReported:
+    """A ``HeldResponse`` of a node; ``requested_at`` by this planner's clock."""
+    tasks = tuple(map(_node_task_from_proto, message.tasks))
+    finished = tuple(map(_node_task_from_proto, message.finished))
+    return ev.NodeTasksReported(
+        node, message.started_unix_us, tasks, message.complete, requested_at, finished
+    )
+
 
-    tasks, finished = tuple(map(held, message.tasks)), tuple(map(held, message.finished))
-    return ev.NodeTasksReported(node, message.started_unix_us, tasks, message.complete, asked_at, finished)
+def _node_task_from_proto(task: Any) -> ev.NodeTask:
+    tag = group_tag_from_proto(task.group) if task.HasField("group") else None
+    return ev.NodeTask(attempt_id_from_proto(task.id), task_from_proto(task.task), task.running, tag)
 
 
-def offer_to_proto(offer: ev.SendOffer, sort: api.TaskClass, stamp: Stamp | None) -> Any:
+def offer_to_proto(offer: ev.SendOffer, task_class: api.TaskClass, stamp: Stamp | None) -> Any:
+    """An offer as an ``OfferRequest``."""
     return node_pb2.OfferRequest(
         offer=node_pb2.OfferRequest.Offer(
             id=attempt_id_to_proto(offer.id),
             task=task_to_proto(offer.task),
             wait_us=offer.wait_us,
-            priority=sort.priority,
-            window_us=sort.dedup_window_us,
-            once=sort.effect is api.Effect.AT_MOST_ONCE,
+            priority=task_class.priority,
+            window_us=task_class.dedup_window_us,
+            once=task_class.effect is api.Effect.AT_MOST_ONCE,
             group=group_tag_to_proto(offer.group) if offer.group is not None else None,
             sent=stamp_to_proto(stamp),
         )
@@ -165,88 +192,116 @@
 
 
 def commit_to_proto(commit: ev.SendCommit, stamp: Stamp | None) -> Any:
+    """The start of group members as an ``OfferRequest``."""
     part = node_pb2.OfferRequest.Commit(
         ids=map(attempt_id_to_proto, commit.ids), lease_us=commit.lease_us, sent=stamp_to_proto(stamp)
     )
     return node_pb2.OfferRequest(commit=part)
 
 
-def lease_renewal_to_proto(keep: ev.SendLeaseRenewal, stamp: Stamp | None) -> Any:
+def lease_renewal_to_proto(renewal: ev.SendLeaseRenewal, stamp: Stamp | None) -> Any:
+    """A renewal of leases as an ``OfferRequest``."""
     part = node_pb2.OfferRequest.Keep(
-        ids=map(attempt_id_to_proto, keep.ids),
-        lease_us=keep.lease_us,
+        ids=map(attempt_id_to_proto, renewal.ids),
+        lease_us=renewal.lease_us,
         sent=stamp_to_proto(stamp),
-        keep=keep.renewal,
+        keep=renewal.renewal,
     )
     return node_pb2.OfferRequest(keep=part)
 
 
-def group_request_from_proto(session: int, ask: Any, owner: str, age_us: int) -> ev.GroupRequested:
-    for member in ask.members:
-        member.owner = member.owner or owner
+def group_request_from_proto(session: int, request: Any, client: str, age_us: int) -> ev.GroupRequested:
+    """An ``AskGroup`` message of a client; members without an owner get the stream's."""
+    for member in request.members:
+        member.owner = member.owner or client
     return ev.GroupRequested(
         session,
-        ask.ask,
-        tuple(map(task_from_proto, ask.members)),
-        ask.wait_us,
-        ask.least,
-        ask.same_rack,
-        ask.distinct_nodes,
-        ask.distinct_racks,
+        request.ask,
+        tuple(map(task_from_proto, request.members)),
+        request.wait_us,
+        request.least,
+        request.same_rack,
+        request.distinct_nodes,
+        request.distinct_racks,
         age_us,
     )
 
 
 def stop_to_proto(stop: ev.SendStop) -> Any:
+    """The stop of an attempt as an ``OfferRequest``."""
     return node_pb2.OfferRequest(
         stop=node_pb2.OfferRequest.Stop(id=attempt_id_to_proto(stop.id), why=_STOP_REASON[stop.reason])
     )
 
 
-def client_message_to_proto(word: ev.ClientMessage) -> Any:
-    event = placement_pb2.PlaceEvent
-    match word:
-        case ev.Rejected(ask, r):
-            code = int(Code[r.code])
-            return event(
-                rejected=event.Rejected(
-                    ask=ask, code=code, field=r.field, message=r.message, retry_after_us=r.retry_after_us
-                )
-            )
-        case ev.Admitted(ask, placing):
-            return event(taken=event.Taken(ask=ask, placing=placing))
-        case ev.Offered(ask, node, attempt):
-            return event(offered=event.Offered(ask=ask, node=node, attempt=attempt))
-        case ev.TaskPlaced(ask, node, attempt, latency):
-            return event(placed=event.Placed(ask=ask, node=node, attempt=attempt, latency_us=latency))
-        case ev.TaskShed(ask, after, reason):
-            return event(refused=event.Refused(ask=ask, retry_after_us=after, reason=int(reason)))  # type: ignore[arg-type]
-        case ev.TaskFailed(ask, may_run):
-            return event(failed=event.Failed(ask=ask, may_run=may_run))
-        case ev.TaskEnded(ask, key, finished, reason):
-            return event(ended=event.Ended(ask=ask, key=key, finished=finished, reason=int(reason)))  # type: ignore[arg-type]
-        case ev.TaskRecovered(ask, key, node):
-            return event(found=event.Found(ask=ask, key=key, node=node))
-        case ev.GroupPlaced(ask, bindings, met, tries):
-            each = [event.Binding(member=m, node=n) for m, n in bindings]
-            return event(group_placed=event.GroupPlaced(ask=ask, bindings=each, wishes_met=met, tries=tries))
-        case ev.GroupShed(ask, after, why, never):
-            return event(
-                group_refused=event.GroupRefused(ask=ask, retry_after_us=after, why=why, never=never)
+def client_message_to_proto(message: ev.ClientMessage) -> Any:
+    """A message of the core to a client as a ``PlaceEvent``. Raises TypeError where it is none."""
+    converted = _task_message_to_proto(message)
+    if converted is None:
+        converted = _group_message_to_proto(message)
+    if converted is None:
+        raise TypeError(f"not a message to a client: {message!r}")
+    return converted
+
+
+def _task_message_to_proto(message: ev.ClientMessage) -> Any:
+    match message:
+        case ev.Rejected(request, rejection):
+            return _PlaceEvent(rejected=_rejection_to_proto(request, rejection))
+        case ev.Admitted(request, placement):
+            return _PlaceEvent(taken=_PlaceEvent.Taken(ask=request, placing=placement))
+        case ev.Offered(request, node, attempt):
+            return _PlaceEvent(offered=_PlaceEvent.Offered(ask=request, node=node, attempt=attempt))
+        case ev.TaskPlaced(request, node, attempt, latency_us):
+            placed = _PlaceEvent.Placed(ask=request, node=node, attempt=attempt, latency_us=latency_us)
+            return _PlaceEvent(placed=placed)
+        case ev.TaskShed(request, retry_after_us, reason):
+            number: Any = int(reason)
+            refused = _PlaceEvent.Refused(ask=request, retry_after_us=retry_after_us, reason=number)
+            return _PlaceEvent(refused=refused)
+        case ev.TaskFailed(request, may_run):
+            return _PlaceEvent(failed=_PlaceEvent.Failed(ask=request, may_run=may_run))
+        case ev.TaskEnded(request, key, finished, reason):
+            number = int(reason)
+            ended = _PlaceEvent.Ended(ask=request, key=key, finished=finished, reason=number)
+            return _PlaceEvent(ended=ended)
+        case ev.TaskRecovered(request, key, node):
+            return _PlaceEvent(found=_PlaceEvent.Found(ask=request, key=key, node=node))
+    return None
+
+
+def _rejection_to_proto(request: int, rejection: ev.Rejection) -> Any:
+    return _PlaceEvent.Rejected(
+        ask=request,
+        code=int(Code[rejection.code]),
+        field=rejection.field,
+        message=rejection.message,
+        retry_after_us=rejection.retry_after_us,
+    )
+
+
+def _group_message_to_proto(message: ev.ClientMessage) -> Any:
+    match message:
+        case ev.GroupPlaced(request, bindings, constraints_met, attempts):
+            each = [_PlaceEvent.Binding(member=member, node=node) for member, node in bindings]
+            group_placed = _PlaceEvent.GroupPlaced(
+                ask=request, bindings=each, wishes_met=constraints_met, tries=attempts
             )
-        case ev.GroupFailed(ask, why):
-            return event(group_failed=event.GroupFailed(ask=ask, why=why))
-        case ev.GroupAttempted(ask, tries, why, again):
-            return event(group_tried=event.GroupTried(ask=ask, tries=tries, why=why, again_in_us=again))
-        case ev.MemberEnded(ask, member, finished, reason):
-            return event(
-                member_ended=event.MemberEnded(
-                    ask=ask,
-                    member=member,
-                    finished=finished,
-                    reason=int(reason),  # type: ignore[arg-type]
-                )
+            return _PlaceEvent(group_placed=group_placed)
+        case ev.GroupShed(request, retry_after_us, why, never):
+            refused = _PlaceEvent.GroupRefused(
+                ask=request, retry_after_us=retry_after_us, why=why, never=never
             )
-        case ev.GroupEnded(ask, finished):
-            return event(group_ended=event.GroupEnded(ask=ask, finished=finished))
-    raise TypeError(f"not a word: {word!r}")
+            return _PlaceEvent(group_refused=refused)
+        case ev.GroupFailed(request, why):
+            return _PlaceEvent(group_failed=_PlaceEvent.GroupFailed(ask=request, why=why))
+        case ev.GroupAttempted(request, attempts, why, retry_in_us):
+            tried = _PlaceEvent.GroupTried(ask=request, tries=attempts, why=why, again_in_us=retry_in_us)
+            return _PlaceEvent(group_tried=tried)
+        case ev.MemberEnded(request, member, finished, reason):
+            number: Any = int(reason)
+            ended = _PlaceEvent.MemberEnded(ask=request, member=member, finished=finished, reason=number)
+            return _PlaceEvent(member_ended=ended)
+        case ev.GroupEnded(request, finished):
+            return _PlaceEvent(group_ended=_PlaceEvent.GroupEnded(ask=request, finished=finished))
+    return None
--- a/stairplank/planner/dialing.py
+++ b/stairplank/planner/dialing.py
@@ -17,6 +17,7 @@
     """
 
     def __init__(self, limit: int) -> None:
+        """At most ``limit`` dials are in progress."""
         self._limit = limit
         self._in_progress: set[int] = set()
         self._waiting: dict[int, None] = {}
@@ -56,6 +57,7 @@
     """Waits between dials: doubling from the initial to the longest, each drawn from its upper half."""
 
     def __init__(self, initial_us: int, max_us: int, rng: random.Random) -> None:
+        """Waits grow from ``initial_us`` to ``max_us``."""
         self._initial_us = initial_us
         self._max_us = max_us
         self._rng = rng
--- a/stairplank/planner/node_connections.py
+++ b/stairplank/planner/node_connections.py
@@ -25,6 +25,7 @@
     """At most one connection for each node."""
 
     def __init__(self, process: PlannerProcess) -> None:
+        """No node is connected yet."""
         self.process = process
         self.connections: dict[int, NodeConnection] = {}
         self.received: dict[int, NodeMessages] = {}  # by node; outlives a connection
--- a/stairplank/planner/node_list.py
+++ b/stairplank/planner/node_list.py
@@ -1,21 +1,21 @@
-"""The node list as the planner knows it: entries, revisions, nodes' lives on our clock. No I/O or clock.
+"""The node list as the planner knows it: entries, revisions, incarnations of nodes. No I/O or clock.
 
-Invariants (tests/planner/test_node_list.py, with the other rooms played by hand):
+Invariants (tests/planner/test_node_list.py, with the other components played by hand):
 
-1. The module is told of every entry and every change once, in the order of the list's words; an older word
-   than the one at hand changes nothing.
-2. A change that does not build on what is known is not taken: the whole list is asked for, at once and then
-   at most every ``LIST_RETRY_US``.
+1. The decision module is notified of every entry and every change once, in the order of the list's messages;
+   a message older than the current revision changes nothing.
+2. A change that does not build on the known revision is not taken: the whole list is requested, at once and
+   then at most every ``REFETCH_INTERVAL_US``.
 3. From the moment at which a node is known to drain or to be gone, whoever said it, no offer that still waits
-   leaves for it.
+   is sent to it.
 4. ``entries`` has the nodes that are listed and not gone, and no others.
 
-Tables: ``entries``, ``started``, and the numbers that zones and racks have.
+Tables: ``entries``, ``incarnations``, and the numbers that zones and racks have.
 """
 
 from __future__ import annotations
 
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Protocol
 
 from .. import interface as api
@@ -24,38 +24,63 @@
 from . import events as ev
 from .context import CoreContext
 
-REFETCH_INTERVAL_US = 600_000  # a change that does not fit: asked for anew at once, then not faster than this
+REFETCH_INTERVAL_US = 600_000  # between requests for the whole list because of missed changes
 
 
 class NodeLinks(Protocol):
     """What the list needs of the links."""
 
-    def is_linked(self, node: int) -> bool: ...
-    def nodes(self) -> list[int]: ...
-    def is_draining(self, node: int, started_unix_us: int) -> bool: ...
-    def node_listed(self, node: int, addresses: tuple[str, ...]) -> bool: ...
-    def dial_if_due(self, node: int) -> None: ...
-    def node_unlisted(self, node: int) -> None: ...
+    def is_linked(self, node: int) -> bool:
+        """Whether there is a link to the node, in whatever state."""
+
+    def nodes(self) -> list[int]:
+        """The nodes that there are links to."""
+
+    def is_draining(self, node: int, started_unix_us: int) -> bool:
+        """Whether the node said itself that it drains, in that incarnation or a later one."""
+
+    def node_listed(self, node: int, addresses: tuple[str, ...]) -> bool:
+        """Keep a link to the node. False where the table is full."""
+
+    def dial_if_due(self, node: int) -> None:
+        """Dial the node if its link is down and the backoff is over."""
+
+    def node_unlisted(self, node: int) -> None:
+        """The list no longer names the node."""
 
 
 class Attempts(Protocol):
-    def drop_waiting(self, node: int) -> None: ...
+    """What the list needs of the attempts."""
+
+    def drop_waiting(self, node: int) -> None:
+        """End the attempts whose offers wait for the node's link."""
+
+
+@dataclass(frozen=True, slots=True)
+class Incarnation:
+    """A node's process life, by two clocks."""
+
+    started_unix_us: int  # by the list
+    started_us: int  # by this planner's clock, worked out once
 
 
 class NodeList:
+    """The planner's view of the node list."""
+
     def __init__(self, context: CoreContext) -> None:
+        """No nodes are known before the first message of the list."""
         self.context = context
         self.links: NodeLinks
         self.attempts: Attempts
         self.entries: dict[int, api.NodeEntry] = {}
-        self.incarnations: dict[int, tuple[int, int]] = {}  # node: its life on the list's clock, and on ours
+        self.incarnations: dict[int, Incarnation] = {}  # by node
         self.node_types = self._numbered_node_types()
         self.zones = {name: i for i, name in enumerate(context.config.zones)}
         self.racks: dict[str, int] = {}
         self.revision = 0
         self._refetch_at = 0
-        self._unknown_types: dict[int, str] = {}  # of nodes whose kind is not in the settings
-        self._table_was_full = False  # nodes of the list were left out
+        self._unknown_types: dict[int, str] = {}  # by node: a type that is not in the settings
+        self._table_was_full = False  # listed nodes were left out
         self._fetch_scheduled = False
         self._ready_nodes: tuple[Place, ...] | None = None
 
@@ -63,15 +88,16 @@
         return {kind.name: number for number, kind in enumerate(self.context.settings.node_types)}
 
     def settings_changed(self) -> None:
+        """Take the node types, zones and limits of the settings in force."""
         self.node_types = self._numbered_node_types()
-        # Danger: zones that nodes have named already are counted by the numbers that they got then.
+        # Danger: zones that nodes have named already keep the numbers that they got then.
         for name in self.context.config.zones:
             self.zones.setdefault(name, len(self.zones))
-        self._ready_nodes = None  # their room follows the settings' limits
+        self._ready_nodes = None  # their capacity follows the settings' limits
         self._refetch_if_useful()
 
     def _refetch_if_useful(self) -> None:
-        """Fetch the whole list where it has more nodes for this planner, at most once in a while."""
+        """Request the whole list where it has more nodes for this planner, no faster than the interval."""
         if not self._may_take_more() or self._fetch_scheduled:
             return
         if self.context.now >= self._refetch_at:
@@ -85,7 +111,7 @@
         self._refetch_if_useful()
 
     def _may_take_more(self) -> bool:
-        """Whether nodes of the list that were left out may be taken by the new settings.
+        """Whether listed nodes that were left out may be taken by the new settings.
 
         Danger: fetched at each change, the whole list would load the directory hundreds of times an hour.
         """
@@ -94,7 +120,7 @@
         return self._table_was_full and len(self.links.nodes()) < self.context.config.nodes_most
 
     def _refetch(self) -> None:
-        """Changes of the list do not name what was left out of it."""
+        """Request the whole list: changes do not name the nodes that were left out."""
         self._table_was_full = False
         self._unknown_types.clear()
         self.revision = 0
@@ -104,46 +130,55 @@
     # Questions
 
     def rack(self, node: int) -> str:
+        """Name of the node's rack; for a node that is not listed, one that no other has."""
         entry = self.entries.get(node)
         return f"?{node}" if entry is None else str(entry.group)
 
     def capacity(self) -> Room:
-        """The fleet as it is believed to be."""
-        s = self.context.settings
-        ready = [e for e in self.entries.values() if e.status is api.NodeStatus.READY and e.node_type >= 0]
+        """Totals of the ready nodes of known types."""
+        settings = self.context.settings
+        ready = self._ready_entries()
         cores = memory = free_cores = free_memory = 0.0
         for entry in ready:
-            kind = s.node_types[entry.node_type]
-            cores += kind.cores * s.cores_limit
-            memory += kind.memory * s.memory_limit
-            free_cores += max(0.0, kind.cores * (s.cores_limit - 1) + entry.free_cores)
-            free_memory += max(0.0, kind.memory * (s.memory_limit - 1) + entry.free_memory)
+            node_type = settings.node_types[entry.node_type]
+            cores += node_type.cores * settings.cores_limit
+            memory += node_type.memory * settings.memory_limit
+            free_cores += max(0.0, node_type.cores * (settings.cores_limit - 1) + entry.free_cores)
+            free_memory += max(0.0, node_type.memory * (settings.memory_limit - 1) + entry.free_memory)
         racks = len({entry.group for entry in ready})
         return Room(len(ready), racks, cores, memory, free_cores, free_memory)
 
     def ready_nodes(self) -> tuple[Place, ...]:
-        """Ready nodes, each by itself; made anew once the list has changed."""
+        """The ready nodes of known types; cached until the list changes."""
         if self._ready_nodes is not None:
             return self._ready_nodes
-        s = self.context.settings
-        out = []
-        for entry in self.entries.values():
-            if entry.status is api.NodeStatus.READY and entry.node_type >= 0:
-                kind = s.node_types[entry.node_type]
-                cores, memory = kind.cores * s.cores_limit, kind.memory * s.memory_limit
-                free = cores - kind.cores + entry.free_cores, memory - kind.memory + entry.free_memory
-                out.append(Place(entry.id, str(entry.group), entry.node_type, cores, memory, *free))
-        self._ready_nodes = tuple(out)
+        settings = self.context.settings
+        nodes = []
+        for entry in self._ready_entries():
+            node_type = settings.node_types[entry.node_type]
+            cores = node_type.cores * settings.cores_limit
+            memory = node_type.memory * settings.memory_limit
+            free_cores = cores - node_type.cores + entry.free_cores
+            free_memory = memory - node_type.memory + entry.free_memory
+            rack = str(entry.group)
+            nodes.append(Place(entry.id, rack, entry.node_type, cores, memory, free_cores, free_memory))
+        self._ready_nodes = tuple(nodes)
         return self._ready_nodes
 
-    # Words of the list
+    def _ready_entries(self) -> list[api.NodeEntry]:
+        """Entries of ready nodes whose type is known."""
+        ready = api.NodeStatus.READY
+        return [entry for entry in self.entries.values() if entry.status is ready and entry.node_type >= 0]
+
+    # Messages of the list
 
     def list_received(self, event: ev.NodeListReceived) -> None:
+        """Take a whole list, or changes since a revision."""
         if not event.full and event.since > self.revision:
             self._changes_missed(event)
             return
         if not event.full and event.revision < self.revision:
-            return  # an older word than the one we have
+            return  # older than the known revision
         self.revision = event.revision
         entries = [self._entry(node, event.now_unix_us) for node in event.nodes]
         if event.full:
@@ -152,11 +187,11 @@
                 self._remove(missing)
         for node, entry in zip(event.nodes, entries, strict=True):
             self._update_link(node, entry)
-        kept = [e for e in entries if self.links.is_linked(e.id) or e.status is api.NodeStatus.GONE]
-        self._notify_module(api.ListKind.FULL if event.full else api.ListKind.CHANGES, kept)
+        known = [e for e in entries if self.links.is_linked(e.id) or e.status is api.NodeStatus.GONE]
+        self._notify_module(api.ListKind.FULL if event.full else api.ListKind.CHANGES, known)
 
     def _changes_missed(self, event: ev.NodeListReceived) -> None:
-        """Danger: a change was missed; a drain may be among what we do not know."""
+        """Danger: a change was missed; it may be that a node drains."""
         self.context.log("list changes missed", have=self.revision, since=event.since)
         self.revision = 0
         if self.context.now >= self._refetch_at:
@@ -165,12 +200,13 @@
         else:
             self.context.notify_module(api.NodeList(api.ListKind.FAILED))
 
-    def list_failed(self, event: ev.NodeListFailed) -> None:
+    def list_failed(self, _event: ev.NodeListFailed) -> None:
+        """The directory is out of reach."""
         self.context.count("list_failures")
         self.context.notify_module(api.NodeList(api.ListKind.FAILED))
 
     def node_draining(self, node: int) -> None:
-        """The node says so itself, before the list does."""
+        """The node says itself that it drains, before the list does."""
         entry = self.entries.get(node)
         if entry is not None and entry.status is api.NodeStatus.READY:
             self.context.log("node drains by its own word", node=node)
@@ -191,18 +227,9 @@
                 self.attempts.drop_waiting(entry.id)
 
     def _entry(self, node: ev.ListedNode, list_now: int) -> api.NodeEntry:
-        launched = 0
-        if node.started_unix_us:
-            known = self.incarnations.get(node.id)
-            if known is None or known[0] != node.started_unix_us:
-                # The node's start on our clock, by the list's word for now; worked out once a life, so that
-                # it does not seem to change from list to list.
-                age = max(0, list_now - node.started_unix_us)
-                known = self.incarnations[node.id] = (node.started_unix_us, max(1, self.context.now - age))
-            launched = known[1]
         status = node.status
         if status is api.NodeStatus.READY and self.links.is_draining(node.id, node.started_unix_us):
-            status = api.NodeStatus.DRAINING  # its own word beats an older 'ready'
+            status = api.NodeStatus.DRAINING  # what the node said itself is newer
         return api.NodeEntry(
             node.id,
             self.zones.setdefault(node.zone, len(self.zones)),
@@ -211,9 +238,23 @@
             status,
             node.free_cores,
             node.free_memory,
-            launched,
+            self._started_us(node, list_now),
         )
 
+    def _started_us(self, node: ev.ListedNode, list_now: int) -> int:
+        """When the node started by this planner's clock; 0 where the list does not say.
+
+        Worked out once for each incarnation, so that it does not seem to change from list to list.
+        """
+        if not node.started_unix_us:
+            return 0
+        known = self.incarnations.get(node.id)
+        if known is None or known.started_unix_us != node.started_unix_us:
+            age_us = max(0, list_now - node.started_unix_us)
+            started_us = max(1, self.context.now - age_us)
+            known = self.incarnations[node.id] = Incarnation(node.started_unix_us, started_us)
+        return known.started_us
+
     def _update_link(self, node: ev.ListedNode, entry: api.NodeEntry) -> None:
         if entry.status is api.NodeStatus.GONE:
             self._remove(node.id)
--- a/stairplank/planner/node_list_watch.py
+++ b/stairplank/planner/node_list_watch.py
@@ -20,6 +20,7 @@
     """The planner's client of the Directory service; at most one watch is open."""
 
     def __init__(self, process: PlannerProcess) -> None:
+        """No watch is open yet."""
         self._process = process
         self._watch: Any = None  # the greenlet that reads it
 
--- a/stairplank/planner/placement_service.py
+++ b/stairplank/planner/placement_service.py
@@ -51,6 +51,7 @@
     """Serves Placement.Place. Takes streams in, reads their requests, sends the core's messages."""
 
     def __init__(self, process: PlannerProcess) -> None:
+        """No client is connected yet."""
         self._process = process
         self.sessions: dict[int, ClientSession] = {}
         self.epochs = Epochs(max_session_epochs(process.config))
--- a/stairplank/planner/received_messages.py
+++ b/stairplank/planner/received_messages.py
@@ -21,6 +21,7 @@
     """Tracks the numbered messages of one node's incarnation."""
 
     def __init__(self) -> None:
+        """No message has been received yet."""
         self.last_number = 0  # all up to this one were accepted
         self.acknowledged = 0
         self._resend_requested_after = -1  # the last number when messages were requested again
