--- a/stairplank/planner/__init__.py
+++ b/stairplank/planner/__init__.py
@@ -1,6 +1,7 @@
 """The planner: a core without I/O around the decision module, and the daemon that drives it.
 
-``core`` holds what becomes of each task, attempt, link and subscription; ``admission`` what is taken,
-``leftovers`` what becomes of copies that were given up, ``links`` when a node is dialled; ``daemon`` has
-the sockets.
+``core`` routes events between its components: ``client_requests``, ``attempts``, ``node_links``,
+``node_list``, ``grouping`` and ``leases``. ``daemon`` drives it on real sockets: ``placement_service`` has
+the clients' sessions, ``node_connections`` the connections to nodes, ``node_list_watch`` the client of the
+directory.
 """
--- a/tests/planner/test_node_links.py
+++ b/tests/planner/test_node_links.py
@@ -1,4 +1,4 @@
-"""The links' room by itself: every other room is played by hand."""
+"""The links by themselves: every other component is played by hand."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 ID = AttemptId(7, 1, 0)
 
 
-class Room:
+class LinksAlone:
     def __init__(self, nodes: int = 1, **config: Any) -> None:
         self.context = core_context(**config)
         self.links = NodeLinks(self.context, random.Random(1))
@@ -37,67 +37,71 @@
         return [a for a in self.context.actions if isinstance(a, kind)]
 
 
-def test_a_link_that_stands_asks_what_its_node_holds_and_sends_what_waits() -> None:
-    r = Room()
-    r.up()
-    assert r.links.is_up(1) and r.emitted(ev.RequestNodeTasks) and r.attempts.names() == ["send_waiting"]
+def test_a_link_that_is_up_requests_the_node_s_tasks_and_sends_waiting_offers() -> None:
+    alone = LinksAlone()
+    alone.up()
+    assert alone.links.is_up(1)
+    assert alone.emitted(ev.RequestNodeTasks)
+    assert alone.attempts.names() == ["send_waiting"]
 
 
-def test_a_draining_node_gets_nothing_that_waits() -> None:
-    r = Room()
-    r.up(draining=True)
-    assert "send_waiting" not in r.attempts.names() and "drop_waiting" in r.attempts.names()
-    assert r.links.is_draining(1, 0) and not r.links.is_draining(1, 5)  # a newer life, by the list's word
+def test_a_draining_node_gets_no_waiting_offers() -> None:
+    alone = LinksAlone()
+    alone.up(draining=True)
+    assert "send_waiting" not in alone.attempts.names() and "drop_waiting" in alone.attempts.names()
+    assert alone.links.is_draining(1, 0)
+    assert not alone.links.is_draining(1, 5)  # a newer incarnation, by the list
 
 
-def test_only_so_many_are_dialled_at_once() -> None:
-    r = Room(nodes=5, dials_most=2)
-    assert len(r.emitted(ev.Dial)) == 2
-    r.up(1)
-    assert len(r.emitted(ev.Dial)) == 3
+def test_dials_in_progress_are_bounded() -> None:
+    alone = LinksAlone(nodes=5, dials_most=2)
+    assert len(alone.emitted(ev.Dial)) == 2
+    alone.up(1)
+    assert len(alone.emitted(ev.Dial)) == 3
 
 
 @pytest.mark.parametrize("back", [True, False])
 def test_what_is_unsettled_is_settled_once(back: bool) -> None:
-    r = Room()
-    r.up()
-    r.links.link_down(ev.LinkDown(1, frozenset()))
-    assert r.links.links[1].unsettled == {ID}
+    alone = LinksAlone()
+    alone.up()
+    alone.links.link_down(ev.LinkDown(1, frozenset()))
+    assert alone.links.links[1].unsettled == {ID}
     if back:
-        pass_time(r.context, 200_000)
-        r.up()
-        r.links.tasks_reported(ev.NodeTasksReported(1, 0, (), True))
-    pass_time(r.context, 5 * SECOND)
-    settled = [a for a in r.attempts.asked if a[0] in ("not_held", "lose") and a[1]]
+        pass_time(alone.context, 200_000)
+        alone.up()
+        alone.links.tasks_reported(ev.NodeTasksReported(1, 0, (), True))
+    pass_time(alone.context, 5 * SECOND)
+    settled = [a for a in alone.attempts.asked if a[0] in ("not_held", "lose") and a[1]]
     assert settled == ([("not_held", [ID], True)] if back else [("lose", [ID])])
-    assert not r.links.links[1].unsettled
+    assert not alone.links.links[1].unsettled
 
 
-def test_a_node_is_asked_at_most_once_a_second() -> None:
-    r = Room()
-    r.up()
+def test_a_node_is_asked_for_its_tasks_at_most_once_a_second() -> None:
+    alone = LinksAlone()
+    alone.up()
     for _ in range(5):
-        r.links.unknown_attempt_reported(1)
-    assert len(r.emitted(ev.RequestNodeTasks)) == 1
-    again = r.links.request_tasks_since(1, r.context.now + 1)
-    assert again == r.context.now + TASK_REQUEST_INTERVAL_US
-    pass_time(r.context, TASK_REQUEST_INTERVAL_US)
-    assert r.links.request_tasks_since(1, r.context.now) is None and len(r.emitted(ev.RequestNodeTasks)) == 2
-    assert r.links.request_tasks_since(1, r.context.now) is None and len(r.emitted(ev.RequestNodeTasks)) == 2
-
-
-def test_a_link_is_kept_while_something_is_at_its_node() -> None:
-    r = Room()
-    r.up()
-    r.attempts.answers["any_at"] = True
-    r.links.node_unlisted(1)
-    assert r.links.is_linked(1)
-    r.links.node_idle(1)
-    assert not r.links.is_linked(1) and r.emitted(ev.CloseLink)
-
-
-def test_steps_that_cannot_be_are_errors() -> None:
-    r = Room()
+        alone.links.unknown_attempt_reported(1)
+    assert len(alone.emitted(ev.RequestNodeTasks)) == 1
+    again = alone.links.request_tasks_since(1, alone.context.now + 1)
+    assert again == alone.context.now + TASK_REQUEST_INTERVAL_US
+    pass_time(alone.context, TASK_REQUEST_INTERVAL_US)
+    for _ in range(2):
+        assert alone.links.request_tasks_since(1, alone.context.now) is None
+        assert len(alone.emitted(ev.RequestNodeTasks)) == 2
+
+
+def test_a_link_is_kept_while_an_attempt_is_at_its_node() -> None:
+    alone = LinksAlone()
+    alone.up()
+    alone.attempts.answers["any_at"] = True
+    alone.links.node_unlisted(1)
+    assert alone.links.is_linked(1)
+    alone.links.node_idle(1)
+    assert not alone.links.is_linked(1) and alone.emitted(ev.CloseLink)
+
+
+def test_illegal_transitions_are_errors() -> None:
+    alone = LinksAlone()
     with pytest.raises(IllegalTransition, match="link: 'lost' while 'dialling'"):
-        r.links.link_down(ev.LinkDown(1, frozenset()))
-    assert r.links.links[1].state is LinkState.DIALLING
+        alone.links.link_down(ev.LinkDown(1, frozenset()))
+    assert alone.links.links[1].state is LinkState.DIALLING
