--- a/stairplank/planner/attempt_lifecycle.py
+++ b/stairplank/planner/attempt_lifecycle.py
@@ -52,28 +52,28 @@
 class Links(Protocol):
     """What attempts need of the links to nodes."""
 
-    def up(self, node: int) -> bool:
+    def is_up(self, node: int) -> bool:
         """Whether the link to a node is up."""
 
-    def reach(self, node: int) -> bool:
+    def has_addresses(self, node: int) -> bool:
         """Whether the node has addresses to be dialled at."""
 
     def dial_now(self, node: int) -> bool:
         """Dial at once; whether the link is being dialled."""
 
-    def heard(self, node: int, id: AttemptId) -> None:
+    def mark_settled(self, node: int, id: AttemptId) -> None:
         """A message of the node settles this attempt's fate."""
 
-    def unplaced_word(self, node: int) -> None:
+    def unknown_attempt_reported(self, node: int) -> None:
         """The node reported on an attempt that is unknown here."""
 
-    def unsettled(self, node: int, id: AttemptId) -> None:
+    def mark_unsettled(self, node: int, id: AttemptId) -> None:
         """Something is to be sent on this attempt when the link is back."""
 
-    def question(self, node: int, since: int) -> int | None:
+    def request_tasks_since(self, node: int, since: int) -> int | None:
         """Ask what the node holds, unless that was done since; else when to retry, or None."""
 
-    def nothing_at(self, node: int) -> None:
+    def node_idle(self, node: int) -> None:
         """No attempt is at the node any more."""
 
 
@@ -152,10 +152,10 @@
 
     def stop(self, attempt: Attempt, reason: ev.StopReason) -> None:
         """Stop an attempt at its node, now or when its link is back."""
-        if self.links.up(attempt.node):
+        if self.links.is_up(attempt.node):
             self.context.emit(ev.SendStop(attempt.node, attempt.id, reason))
         elif reason is not ev.StopReason.ABANDONED:
-            self.links.unsettled(attempt.node, attempt.id)
+            self.links.mark_unsettled(attempt.node, attempt.id)
 
     def stop_bound(self, placement: Placement, reason: ev.StopReason) -> None:
         """Stop the attempt that runs the task, if one does."""
@@ -240,7 +240,7 @@
         """
         if not self.is_current(attempt) or attempt.accepted:
             return
-        retry_at = self.links.question(attempt.node, offer_expired_at(attempt))
+        retry_at = self.links.request_tasks_since(attempt.node, offer_expired_at(attempt))
         if retry_at is not None:
             self.context.call_at(retry_at, self._request_settlement, attempt)
 
@@ -278,7 +278,7 @@
                 return
         self.requests.forget_if_done(placement)
         if not self.any_at_node(attempt.node):
-            self.links.nothing_at(attempt.node)
+            self.links.node_idle(attempt.node)
 
     def _end_member(self, attempt: Attempt, result: api.Result, reason: api.Reason) -> api.Result:
         """Note how an attempt to place a member ended; the result that the decision module is to get."""
--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -33,8 +33,8 @@
 from .core_config import CoreConfig as CoreConfig
 from .group_requests import GroupRequests
 from .leases import Leases
-from .node_links import Links
-from .nodelist import NodeList
+from .node_links import NodeLinks
+from .node_list import NodeList
 
 
 class Core:
@@ -47,7 +47,7 @@
         self.module = Planner(settings, seed)
         self.requests = ClientRequests(self.context)
         self.attempts = Attempts(self.context)
-        self.links = Links(self.context, random.Random(seed ^ 0x11))
+        self.links = NodeLinks(self.context, random.Random(seed ^ 0x11))
         self.node_list = NodeList(self.context)
         self.leases = Leases(self.context)
         self.groups = GroupRequests(self.context, self.leases, seed ^ 0x6709)
@@ -64,9 +64,9 @@
         self.attempts.links = self.links
         self.attempts.groups = self.groups
         self.links.attempts = self.attempts
-        self.links.requests = self.requests
+        self.links.client_requests = self.requests
         self.links.groups = self.groups
-        self.links.list = self.node_list
+        self.links.node_list = self.node_list
         self.links.leases = self.leases
         self.node_list.links = self.links
         self.node_list.attempts = self.attempts
@@ -84,14 +84,14 @@
             ev.PlacementRequested: self.requests.placement_requested,
             ev.PlacementCancelled: self.requests.placement_cancelled,
             ev.GroupRequested: self.groups.request,
-            ev.NodeListReceived: self.node_list.told,
-            ev.NodeListFailed: self.node_list.failed,
-            ev.LinkUp: self.links.came_up,
-            ev.DialFailed: self.links.failed,
-            ev.LinkDown: self.links.lost,
-            ev.NodeTasksReported: self.links.held_told,
-            ev.NodeTasksFailed: self.links.held_failed,
-            ev.NodeDraining: self.links.drained,
+            ev.NodeListReceived: self.node_list.list_received,
+            ev.NodeListFailed: self.node_list.list_failed,
+            ev.LinkUp: self.links.link_up,
+            ev.DialFailed: self.links.dial_failed,
+            ev.LinkDown: self.links.link_down,
+            ev.NodeTasksReported: self.links.tasks_reported,
+            ev.NodeTasksFailed: self.links.task_report_failed,
+            ev.NodeDraining: self.links.node_draining,
             ev.NodeAccepted: self.attempts.messages.node_accepted,
             ev.NodeReady: self.attempts.messages.node_ready,
             ev.NodeRunning: self.attempts.messages.node_running,
@@ -201,7 +201,7 @@
         self.context.notify_module(api.TimerFired(token))
 
     def _check_health(self, action: api.HealthCheck) -> None:
-        if self.links.up(action.node):
+        if self.links.is_up(action.node):
             self.context.count("probes")
             self.context.emit(ev.CheckHealth(action.node))
         else:
--- a/stairplank/planner/group_members.py
+++ b/stairplank/planner/group_members.py
@@ -58,7 +58,7 @@
         excluded: frozenset[int] = frozenset()
         if self._coordinator.enforces_constraints(number):
             taken = self._taken(record, member)
-            excluded = self._coordinator.excluded_nodes(number, member, taken, self._peers.list.places())
+            excluded = self._coordinator.excluded_nodes(number, member, taken, self._peers.list.ready_nodes())
         # The module gets the group's deadline, not the attempt's: else it would take every member for one
         # that comes too late and keep a reserve from it. Whether a group is attempted again is decided by
         # the coordinator, so that a member does not count as resubmitted either.
@@ -109,7 +109,7 @@
         by_node: dict[int, tuple[AttemptId, ...]] = {}
         for member in members:
             attempt = record.placements[member].bound_attempt
-            if attempt is not None and self._peers.links.up(attempt.node):
+            if attempt is not None and self._peers.links.is_up(attempt.node):
                 by_node[attempt.node] = (*by_node.get(attempt.node, ()), attempt.id)
         return by_node
 
--- a/stairplank/planner/group_peers.py
+++ b/stairplank/planner/group_peers.py
@@ -67,17 +67,17 @@
 class Links(Protocol):
     """What groups need of the links to nodes."""
 
-    def up(self, node: int) -> bool:
+    def is_up(self, node: int) -> bool:
         """Whether the link to this node is up."""
 
 
 class NodeList(Protocol):
     """What groups need of the node list."""
 
-    def room(self) -> ClusterCapacity:
+    def capacity(self) -> ClusterCapacity:
         """Capacity of all listed nodes together."""
 
-    def places(self) -> tuple[NodeCapacity, ...]:
+    def ready_nodes(self) -> tuple[NodeCapacity, ...]:
         """Capacity of each ready node."""
 
     def rack(self, node: int) -> str:
--- a/stairplank/planner/group_requests.py
+++ b/stairplank/planner/group_requests.py
@@ -91,8 +91,8 @@
         self.requests.register_group(event.session, event.request, number)
         self.context.count("groups_taken")
         self.requests.notify_session(event.session, ev.Admitted(event.request, number))
-        nodes = self.list.places() if has_constraints(spec) else ()
-        capacity = self.list.room()
+        nodes = self.list.ready_nodes() if has_constraints(spec) else ()
+        capacity = self.list.capacity()
         self._perform(self.coordinator.request(self.context.now, number, spec, deadline, capacity, nodes))
 
     def client_connected(self, client: str, session: int, is_live: Callable[[int], bool]) -> None:
@@ -182,7 +182,7 @@
     def _advance(self, due: int) -> None:
         if due == self._timer_due:
             self._timer_due = None
-            self._perform(self.coordinator.advance(self.context.now, self.list.room()))
+            self._perform(self.coordinator.advance(self.context.now, self.list.capacity()))
 
     def _perform(self, decided: list[actions.Action]) -> None:
         for action in decided:
--- a/stairplank/planner/node_messages.py
+++ b/stairplank/planner/node_messages.py
@@ -24,14 +24,14 @@
         attempt = self.attempts.find(id)
         if attempt is None or attempt.node != node or attempt.waiting:
             return None
-        self.attempts.links.heard(node, id)
+        self.attempts.links.mark_settled(node, id)
         return attempt
 
     def _receive_start(self, node: int, id: AttemptId) -> Attempt | None:
         """As ``_receive``; a node that holds what is unknown here is asked for all that it holds."""
         attempt = self._receive(node, id)
         if attempt is None:
-            self.attempts.links.unplaced_word(node)
+            self.attempts.links.unknown_attempt_reported(node)
         return attempt
 
     def node_accepted(self, event: ev.NodeAccepted) -> None:
--- a/stairplank/planner/offers.py
+++ b/stairplank/planner/offers.py
@@ -74,9 +74,9 @@
         if context.now >= attempt.deadline:
             # Danger: after a stall, messages of nodes are handled before timers: the task may be too late.
             self.attempts.end(attempt, api.Result.NOT_SENT)
-        elif links.up(attempt.node):
+        elif links.is_up(attempt.node):
             self.send(attempt)
-        elif not links.reach(attempt.node):
+        elif not links.has_addresses(attempt.node):
             self.attempts.end(attempt, api.Result.UNREACHABLE)
         else:
             context.call_at(context.now + context.config.dial_timeout_us, self._dial_timed_out, attempt)
--- a/stairplank/planner/transitions.py
+++ b/stairplank/planner/transitions.py
@@ -9,7 +9,7 @@
 from enum import Enum, StrEnum
 
 from .abandoned_attempts import PlacementState
-from .link_state import State as LinkState
+from .link_state import LinkState
 from .state_table import TransitionTable
 
 
--- a/stairplank/standin/client_pool.py
+++ b/stairplank/standin/client_pool.py
@@ -15,7 +15,8 @@
 from ..fence import Stamp, Stamps
 from ..planner import convert
 from ..planner import events as ev
-from ..planner.daemon import PLACEMENT, now_us
+from ..planner.clock import now_us
+from ..planner.services import PLACEMENT_SERVICE
 from ..proto import caller, placement_pb2
 from ..rpc import Channel, Code, Limits, RpcError
 from .client import CancelTask, Client, ClientAction, ClientModel, SubmitGroup, SubmitTask
@@ -33,11 +34,11 @@
 
 
 def _shed(message: Any) -> ev.ClientMessage:
-    return ev.TaskShed(message.ask, message.retry_after_us, convert.reason_from(message.reason))
+    return ev.TaskShed(message.ask, message.retry_after_us, convert.reason_from_proto(message.reason))
 
 
 def _ended(message: Any) -> ev.ClientMessage:
-    return ev.TaskEnded(message.ask, message.key, message.finished, convert.reason_from(message.reason))
+    return ev.TaskEnded(message.ask, message.key, message.finished, convert.reason_from_proto(message.reason))
 
 
 def _group_placed(message: Any) -> ev.ClientMessage:
@@ -72,12 +73,12 @@
 
 def request_to(do: ClientAction, stamp: Stamp | None) -> Any:
     """The message of an action; ``stamp`` proves its age."""
-    sent = convert.stamp_to(stamp)
+    sent = convert.stamp_to_proto(stamp)
     if isinstance(do, SubmitTask):
-        task = convert.task_to(do.task)
+        task = convert.task_to_proto(do.task)
         return _REQUEST(ask=_REQUEST.Ask(ask=do.request, task=task, wait_us=do.wait_us, sent=sent))
     if isinstance(do, SubmitGroup):
-        members = map(convert.task_to, do.tasks)
+        members = map(convert.task_to_proto, do.tasks)
         return _REQUEST(
             ask_group=_REQUEST.AskGroup(ask=do.request, members=members, wait_us=do.wait_us, sent=sent)
         )
@@ -121,7 +122,7 @@
             channel = self.channels[planner] = Channel(address, limits, 1.0)
             up = False
             try:
-                call = caller(channel, PLACEMENT, "Place")
+                call = caller(channel, PLACEMENT_SERVICE, "Place")
                 self.epoch += 1
                 hello = _REQUEST.Hello(owner=self.model.name, session=self.session, epoch=self.epoch)
                 call.send(_REQUEST(hello=hello))
--- a/stairplank/standin/node_list_server.py
+++ b/stairplank/standin/node_list_server.py
@@ -11,8 +11,9 @@
 
 from .. import interface as api
 from ..planner import convert
-from ..planner.daemon import DIRECTORY, now_us
+from ..planner.clock import now_us
 from ..planner.events import ListedNode
+from ..planner.services import DIRECTORY_SERVICE
 from ..proto import directory_pb2, methods
 from ..rpc import Code, RpcError, Server, ServerCall
 from .config import NodeListConfig, wait_for_begin
@@ -55,7 +56,7 @@
         self.not_hanging = Flag()
         self.not_hanging.set()
         self.updated = Flag()
-        handlers = methods(DIRECTORY, List=self.list, Watch=self.watch, Announce=self.announce)
+        handlers = methods(DIRECTORY_SERVICE, List=self.list, Watch=self.watch, Announce=self.announce)
         self.server = Server(config.listen, handlers)
 
     def start(self) -> None:
@@ -152,7 +153,7 @@
         node = None
         try:
             while (entry := call.recv()) is not None:
-                told = convert.list_from(directory_pb2.NodeList(nodes=[entry]))
+                told = convert.node_list_from_proto(directory_pb2.NodeList(nodes=[entry]))
                 for node in told.nodes:
                     self.directory.announced(now_us(), node)
         finally:
--- a/tests/planner/test_attempts.py
+++ b/tests/planner/test_attempts.py
@@ -23,7 +23,7 @@
         self.attempts = Attempts(self.context)
         self.placement = make_placement(self.context, 1, sort)
         self.requests = ComponentStub(find=lambda n: self.placement if n == self.placement.number else None)
-        self.links = ComponentStub(up=up, reach=True, dial_now=True, **links)
+        self.links = ComponentStub(is_up=up, has_addresses=True, dial_now=True, **links)
         self.attempts.requests = self.requests  # type: ignore[assignment]
         self.attempts.links = self.links  # type: ignore[assignment]
         self.attempts.groups = ComponentStub()  # type: ignore[assignment]
@@ -113,7 +113,10 @@
     fixture = Fixture()
     fixture.bind()
     fixture.attempts.messages.node_running(ev.NodeRunning(2, fixture.attempt.id))  # another node's
-    assert fixture.placement.bound_attempt is None and fixture.links.called_names()[-1] == "unplaced_word"
+    assert (
+        fixture.placement.bound_attempt is None
+        and fixture.links.called_names()[-1] == "unknown_attempt_reported"
+    )
 
 
 def test_an_illegal_step_names_state_and_event() -> None:
