--- a/benchmarks/fence/run.py
+++ b/benchmarks/fence/run.py
@@ -22,7 +22,7 @@
 
 from stairplank.emulator.watch import Watch
 from stairplank.emulator.world import World, WorldConfig
-from stairplank.fence import Grants, Stamps
+from stairplank.fence import GrantIssuer, MessageStamper
 from stairplank.planner import convert
 from stairplank.planner.attempts import Attempts
 from stairplank.proto import common_pb2, node_pb2
@@ -63,9 +63,9 @@
 
 
 def cost() -> dict[str, float]:
-    grants, stamps = Grants(1, random.Random(1)), Stamps()
+    grants, stamps = GrantIssuer(1, random.Random(1)), MessageStamper()
     now = [5 * SECOND]
-    stamps.heard(now[0], grants.give(now[0]))
+    stamps.receive_grant(now[0], grants.issue(now[0]))
     stamp = stamps.stamp(now[0] + 300_000)
 
     def said() -> bytes:
@@ -76,7 +76,7 @@
 
     def heard() -> int | None:
         message = node_pb2.OfferRequest.FromString(with_stamp)
-        return grants.said_at(now[0] + 400_000, convert.stamp_from(message.offer))
+        return grants.earliest_send_time(now[0] + 400_000, convert.stamp_from(message.offer))
 
     with_stamp = offer(convert.stamp_to(stamp)).SerializeToString()
     without = offer(None).SerializeToString()
@@ -103,11 +103,11 @@
 def room(mode: str, hold_s: float, seed: int, still: bool) -> dict[str, Any]:
     """A day on which links hold what is said; ``still``: unnoticed, since pings are answered."""
     scenario = load_scenario(ROOT / "stairplank" / "scenarios" / "drawn-room")
-    owners = owner_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
+    owners = owner_models(scenario.section, scenario.cluster, ["owner-0", "owner-1"], scenario.planners)
     owners = [replace(o, ends_us=DAY_S * SECOND) for o in owners]
     nodes = tuple(n.model for n in scenario.nodes if not n.absent)
     config = WorldConfig(
-        scenario.room, nodes, tuple(owners), scenario.planners, seed,
+        scenario.cluster, nodes, tuple(owners), scenario.planners, seed,
         directory=directory_model(scenario.section), **MODES[mode],
     )  # fmt: skip
     world = World(config)
--- a/benchmarks/wishes.py
+++ b/benchmarks/wishes.py
@@ -98,7 +98,7 @@
 def can(spec: GroupSpec, world: World) -> bool:
     """Whether the wish can be met in what is free now."""
     now = [replace(p, cores=p.free_cores, memory=p.free_memory) for p in places(world)]
-    return impossible(spec, now, world.config.room.settings(3, 0, 0)) is None
+    return impossible(spec, now, world.config.cluster.settings(3, 0, 0)) is None
 
 
 def run(wish: str, size: int, load: float, seed: int, steer: bool) -> dict[str, Any]:
@@ -110,9 +110,9 @@
         rate = load * 20 * 16 * 1.5 / (7 / 6 * 6)
         file.write_text(ROOM.format(rate=f"{rate:.2f}"))
         scenario = load_scenario(file)
-    owners = owner_models(scenario.section, scenario.room, ["crowd"], 3)
+    owners = owner_models(scenario.section, scenario.cluster, ["crowd"], 3)
     config = WorldConfig(
-        scenario.room, tuple(n.model for n in scenario.nodes),
+        scenario.cluster, tuple(n.model for n in scenario.nodes),
         (replace(owners[0], ends_us=55 * SECOND), replace(owners[0], name="groups", ends_us=0)), 3, seed,
         directory=directory_model(scenario.section), groups=GroupConfig(steer=steer),
     )  # fmt: skip
--- a/stairplank/cli/configuration.py
+++ b/stairplank/cli/configuration.py
@@ -10,7 +10,7 @@
 import click
 
 if TYPE_CHECKING:
-    from ..configuration.client import PlannerLine, SiteStatus
+    from ..configuration.client import PlannerSummary, SiteStatus
 
 REPLICAS_MOST = 5  # a planner holds a stream to each
 POLL_S = 0.2  # between looks at the status while waiting
@@ -39,8 +39,8 @@
 @click.option("--beyond-loopback", is_flag=True, help="Allow an address that is not loopback.")
 def serve(listen: tuple[str, ...], state: str, beyond_loopback: bool) -> None:
     """Run one replica until SIGTERM."""
-    from ..configuration.files import FileError
-    from ..configuration.server import Replica
+    from ..configuration.server import ReplicaServer
+    from ..configuration.state_files import StateFileError
     from ..rpc.address import is_loopback
     from .main import _serve
 
@@ -48,8 +48,8 @@
     if outside and not beyond_loopback:
         raise click.UsageError(f"--listen: {outside[0]} is not loopback; --beyond-loopback allows it")
     try:
-        replica = Replica(listen, Path(state), text_faults)
-    except FileError as error:
+        replica = ReplicaServer(listen, Path(state), text_faults)
+    except StateFileError as error:
         raise click.ClickException(str(error)) from None
     except OSError as error:
         raise click.ClickException(f"cannot listen: {error}") from None
@@ -58,8 +58,8 @@
 
 def text_faults(text: str) -> list[str]:
     """One line for each fault of a configuration, none where it is usable."""
-    from ..settings.lines import SettingsError
     from ..settings.site import load_site_text
+    from ..settings.source import SettingsError
 
     try:
         load_site_text(text, "configuration")
@@ -77,7 +77,7 @@
 def publish(file: str, replicas: tuple[str, ...], planners: int, wait_s: float, base: int | None) -> None:
     """Publish FILE as the next revision."""
     from ..configuration import client
-    from ..configuration.publication import Outcome
+    from ..configuration.publication import PublicationOutcome
     from ..settings.site import load_site
 
     _bounded(replicas)
@@ -88,7 +88,7 @@
         click.echo(problem, err=True)
     for address in result.unreachable:
         click.echo(f"{address}: out of reach", err=True)
-    if result.outcome is not Outcome.PUBLISHED:
+    if result.outcome is not PublicationOutcome.PUBLISHED:
         raise click.ClickException(f"revision {result.revision}: {result.outcome.value}")
     click.echo(f"revision {result.revision}: published")
     if wait_s:
@@ -143,7 +143,7 @@
         click.echo(_line(line))
 
 
-def _line(line: PlannerLine) -> str:
+def _line(line: PlannerSummary) -> str:
     parts = [f"planner {line.planner}: {line.in_force}"]
     if line.delay_us is not None:
         parts.append(f"in force {line.delay_us / 1e6:.2f} s after the commit")
--- a/stairplank/cli/main.py
+++ b/stairplank/cli/main.py
@@ -88,10 +88,10 @@
     from ..settings import load_planner
 
     config = load_planner(file)
-    from ..configuration.joining import starting_config
+    from ..configuration.planner_configuration import initial_config
     from ..planner.daemon import Daemon
 
-    config, revision = starting_config(config)
+    config, revision = initial_config(config)
     try:
         daemon = Daemon(config, revision)
     except OSError as error:
@@ -160,13 +160,13 @@
     from ..scale.bounds import load_checked
     from ..scale.plan import SCALE
     from ..settings import load_planner
-    from ..settings.kinds import Schema, another, likely
-    from ..settings.planner import PLANNER
-    from ..settings.schema import lines_of
+    from ..settings.detect import Schema, likely_kinds, wrong_kind_error
+    from ..settings.planner import PLANNER_SCHEMA
+    from ..settings.schema import source_lines
     from ..standin import config
 
     known: dict[str, tuple[Schema, Callable[[str], object]]] = {
-        "planner": (PLANNER, load_planner),
+        "planner": (PLANNER_SCHEMA, load_planner),
         "node": (config.FARM, config.load_farm),
         "directory": (config.LISTING, config.load_listing),
         "owners": (config.CROWD, config.load_crowd),
@@ -174,14 +174,14 @@
         "scale": (SCALE, load_checked),
     }
     schemas = {name: schema for name, (schema, _) in known.items()}
-    lines = lines_of(file)
+    lines = source_lines(file)
     if kind is None:
-        found = likely(lines, schemas)
+        found = likely_kinds(lines, schemas)
         if len(found) > 1:
             which = " or ".join(f"`{name}`" for name in found)
             raise click.ClickException(f"{file} could be a file for {which}: say --as")
         (kind,) = found
-    wrong: SettingsError | None = another(file, kind, lines, schemas)
+    wrong: SettingsError | None = wrong_kind_error(file, kind, lines, schemas)
     if wrong is not None:
         raise wrong
     known[kind][1](file)
--- a/stairplank/cli/place.py
+++ b/stairplank/cli/place.py
@@ -7,7 +7,7 @@
 
 import click
 
-from ..fence import Stamps
+from ..fence import MessageStamper
 from ..proto import caller, common_pb2, placement_pb2
 from ..rpc import Channel, Code, RpcError
 
@@ -51,8 +51,8 @@
         first = call.recv(dial_s)
         if first is None:
             raise RpcError(Code.UNAVAILABLE, "the stream ended at once")
-        stamps = Stamps()
-        stamps.heard(time.monotonic_ns() // 1000, first.grant)
+        stamps = MessageStamper()
+        stamps.receive_grant(time.monotonic_ns() // 1000, first.grant)
         key = int(time.time() * 1e6)
         began = time.monotonic()
         for n in range(1, count + 1):
--- a/stairplank/configuration/live.py
+++ b/stairplank/configuration/changes.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from ..settings.cluster import FIGURES
+from ..settings.cluster import SINGLE_VALUE_FIELDS
 from ..settings.planner import PlannerConfig
 from ..settings.site import TUNABLE_FIELDS
-from .rules import FieldChange, changed_names, changed_settings
+from .field_changes import FieldChange, changed_names, changed_settings
 
 
-class Reach(Enum):
+class ChangeScope(Enum):
     """From when on a changed key counts."""
 
     LIVE = "live"
@@ -20,15 +20,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class LiveChange:
     """A key that may change while the planner runs, and does."""
 
     key: str
-    reach: Reach
+    scope: ChangeScope
 
 
 @dataclass(frozen=True, slots=True)
-class NeedsRestart:
+class RestartRequirement:
     """A key that differs and may not change while the planner runs."""
 
     key: str
@@ -38,39 +38,39 @@
         return f"{self.key}: {self.message}"
 
 
-class NeedsRestartError(Exception):
+class RestartRequiredError(Exception):
     """A configuration that a running planner cannot take: every key at fault, not only the first."""
 
-    def __init__(self, needs_restart: tuple[NeedsRestart, ...]) -> None:
-        self.needs_restart = needs_restart
+    def __init__(self, needs_restart: tuple[RestartRequirement, ...]) -> None:
+        self.requirements = needs_restart
         super().__init__("; ".join(map(str, needs_restart)))
 
 
 @dataclass(frozen=True, slots=True)
-class LiveChanges:
+class ConfigurationChanges:
     """How two configurations of one planner differ."""
 
-    changes: tuple[Change, ...] = ()
-    needs_restart: tuple[NeedsRestart, ...] = ()
+    live_changes: tuple[LiveChange, ...] = ()
+    restart_requirements: tuple[RestartRequirement, ...] = ()
 
     @property
-    def identical(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether nothing differs."""
-        return not self.changes and not self.needs_restart
+        return not self.live_changes and not self.restart_requirements
 
     @property
     def keys(self) -> tuple[str, ...]:
         """The keys that differ and may."""
-        return tuple(change.key for change in self.changes)
+        return tuple(change.key for change in self.live_changes)
 
-    def check(self) -> None:
-        """Raises NeedsRestartError where the planner must be restarted for it: it is refused as a whole."""
-        if self.needs_restart:
-            raise NeedsRestartError(self.needs_restart)
+    def raise_if_restart_required(self) -> None:
+        """Raise RestartRequiredError where any key needs a restart: nothing is applied then."""
+        if self.restart_requirements:
+            raise RestartRequiredError(self.restart_requirements)
 
 
 # A connection's limits are its own: a buffer or a clock of one that stands is not made anew.
-NEW_CONNECTIONS = frozenset({"send-buffer", "message-most", "keepalive"})
+NEW_CONNECTION_KEYS = frozenset({"send-buffer", "message-most", "keepalive"})
 OWN_KEYS: Mapping[str, str] = {
     "listen": "listen",
     "directory": "directory",
@@ -78,7 +78,7 @@
     "configuration": "configuration",
     "configuration_copy": "configuration-copy",
 }
-_OWN_MESSAGE = "it is this planner's own, and read when the process starts"
+_OWN_KEY_REASON = "it is this planner's own, and read when the process starts"
 
 LIST_KEYS: Mapping[str, str] = {
     "classes": "class",
@@ -114,26 +114,26 @@
     "price_health_check": "price probe",
     "price_list": "price list",
     "price_rejection": "price refusal",
-    **{field: key for key, (field, _) in FIGURES.items()},
+    **{field: key for key, (field, _) in SINGLE_VALUE_FIELDS.items()},
 }
 
 
-def live_changes(old: PlannerConfig, new: PlannerConfig) -> LiveChanges:
+def compare_configurations(old: PlannerConfig, new: PlannerConfig) -> ConfigurationChanges:
     """Which keys differ between two configurations, and which of them need a restart."""
     settings = changed_settings(old.settings, new.settings)
     zones = changed_names("zones", old.cluster.zones, new.cluster.zones)
     tenants = changed_names(
         "tenants", [n for n, _ in old.cluster.tenants], [n for n, _ in new.cluster.tenants]
     )
-    found: dict[str, Change | NeedsRestart] = {}
-    for difference in (*_own_differences(old, new), *settings, *zones, *tenants):
-        _keep_stricter(found, _by_key(difference))
+    found: dict[str, LiveChange | RestartRequirement] = {}
+    for difference in (*_own_key_changes(old, new), *settings, *zones, *tenants):
+        _add_stricter(found, _change_of_key(difference))
     for key in _changed_tunables(old, new):
-        reach = Reach.NEW_CONNECTIONS if key in NEW_CONNECTIONS else Reach.LIVE
-        _keep_stricter(found, Change(key, reach))
-    return LiveChanges(
-        tuple(entry for entry in found.values() if isinstance(entry, Change)),
-        tuple(entry for entry in found.values() if isinstance(entry, NeedsRestart)),
+        reach = ChangeScope.NEW_CONNECTIONS if key in NEW_CONNECTION_KEYS else ChangeScope.LIVE
+        _add_stricter(found, LiveChange(key, reach))
+    return ConfigurationChanges(
+        tuple(entry for entry in found.values() if isinstance(entry, LiveChange)),
+        tuple(entry for entry in found.values() if isinstance(entry, RestartRequirement)),
     )
 
 
@@ -146,9 +146,9 @@
     return f"{LIST_KEYS[entries]} {name}: {key}"
 
 
-def _own_differences(old: PlannerConfig, new: PlannerConfig) -> list[FieldChange]:
+def _own_key_changes(old: PlannerConfig, new: PlannerConfig) -> list[FieldChange]:
     differ = [field for field in OWN_KEYS if getattr(old, field) != getattr(new, field)]
-    return [FieldChange((OWN_KEYS[field],), _OWN_MESSAGE) for field in differ]
+    return [FieldChange((OWN_KEYS[field],), _OWN_KEY_REASON) for field in differ]
 
 
 def _changed_tunables(old: PlannerConfig, new: PlannerConfig) -> list[str]:
@@ -159,14 +159,16 @@
     ]
 
 
-def _by_key(difference: FieldChange) -> Change | NeedsRestart:
+def _change_of_key(difference: FieldChange) -> LiveChange | RestartRequirement:
     key = key_of(difference.path)
     if difference.restart_reason is None:
-        return Change(key, Reach.LIVE)
-    return NeedsRestart(key, difference.restart_reason)
+        return LiveChange(key, ChangeScope.LIVE)
+    return RestartRequirement(key, difference.restart_reason)
 
 
-def _keep_stricter(found: dict[str, Change | NeedsRestart], entry: Change | NeedsRestart) -> None:
+def _add_stricter(
+    found: dict[str, LiveChange | RestartRequirement], entry: LiveChange | RestartRequirement
+) -> None:
     """One entry a key. Danger: two fields share a key, and the harmless one would hide the other."""
-    if not isinstance(found.get(entry.key), NeedsRestart):
+    if not isinstance(found.get(entry.key), RestartRequirement):
         found[entry.key] = entry
--- a/stairplank/configuration/client.py
+++ b/stairplank/configuration/client.py
@@ -12,35 +12,35 @@
 from ..proto import path
 from ..rpc import Channel, Limits, RpcError
 from . import publication
-from .convert import SERVICE, revision_from, revision_to, stored_to
-from .publication import Answer, Outcome, Seen
-from .revision import TEXT_MOST, Revision, revision_of
-from .store import Stored
+from .convert import SERVICE, revision_from_message, revision_text_to_message, revision_to_message
+from .publication import PhaseAnswer, PublicationOutcome, ReplicaNumbers
+from .revision import MAX_TEXT_BYTES, Revision, make_revision
+from .store import RevisionText
 
-CALL_S = 5.0
+CALL_TIMEOUT_S = 5.0
 _ANSWERS = {
-    pb.PublicationResponse.RESULT_ACCEPTED: Answer.ACCEPTED,
-    pb.PublicationResponse.RESULT_CONFLICT: Answer.CONFLICT,
-    pb.PublicationResponse.RESULT_INVALID: Answer.INVALID,
+    pb.PublicationResponse.RESULT_ACCEPTED: PhaseAnswer.ACCEPTED,
+    pb.PublicationResponse.RESULT_CONFLICT: PhaseAnswer.CONFLICT,
+    pb.PublicationResponse.RESULT_INVALID: PhaseAnswer.INVALID,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
+class PublicationResult:
     """What became of a publication."""
 
-    outcome: Outcome
+    outcome: PublicationOutcome
     revision: Revision
     problems: tuple[str, ...] = ()
     unreachable: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class PlannerLine:
+class PlannerSummary:
     """A planner's process as the replica that heard it last has it."""
 
     planner: int
-    life: int
+    incarnation: int
     in_force: Revision
     rejected: Revision
     reason: str
@@ -54,7 +54,7 @@
     """The newest committed revision, and all planners that any replica knows."""
 
     committed: Revision
-    planners: tuple[PlannerLine, ...]
+    planners: tuple[PlannerSummary, ...]
     unreachable: tuple[str, ...]
 
     def in_force_everywhere(self, planners: int) -> bool:
@@ -64,20 +64,20 @@
         return len(numbers) >= planners and all(one.in_force == self.committed for one in connected)
 
 
-def _unary(replica: str, method: str, request: Any, answer: Any, timeout_s: float) -> Any:
-    channel = Channel(replica, Limits(message_bytes=2 * TEXT_MOST), timeout_s)
+def _call(replica: str, method: str, request: Any, answer: Any, timeout_s: float) -> Any:
+    channel = Channel(replica, Limits(message_bytes=2 * MAX_TEXT_BYTES), timeout_s)
     try:
         return channel.unary(path(SERVICE, method), request, answer.FromString, timeout_s=timeout_s)
     finally:
         channel.close()
 
 
-def _from_each(replicas: tuple[str, ...], ask: Callable[[str], Any]) -> list[Any]:
+def _call_each(replicas: tuple[str, ...], call: Callable[[str], Any]) -> list[Any]:
     """Each replica's answer, None for one that cannot be reached."""
 
     def one(replica: str) -> Any:
         try:
-            return ask(replica)
+            return call(replica)
         except RpcError:
             return None
 
@@ -87,65 +87,71 @@
 
 
 def publish(
-    replicas: tuple[str, ...], text: str, timeout_s: float = CALL_S, base: int | None = None
-) -> Published:
+    replicas: tuple[str, ...], text: str, timeout_s: float = CALL_TIMEOUT_S, base: int | None = None
+) -> PublicationResult:
     """Publish the text as the next revision. ``base``: fail where another than this number is committed."""
     count = len(replicas)
-    states = _from_each(
-        replicas, lambda replica: _unary(replica, "Status", pb.StatusRequest(), pb.StatusResponse, timeout_s)
+    states = _call_each(
+        replicas, lambda replica: _call(replica, "Status", pb.StatusRequest(), pb.StatusResponse, timeout_s)
     )
     unreachable = tuple(r for r, state in zip(replicas, states, strict=True) if state is None)
-    seen = [Seen(revision_from(s.committed), s.highest_number) for s in states if s is not None]
+    seen = [
+        ReplicaNumbers(revision_from_message(s.committed), s.highest_number) for s in states if s is not None
+    ]
     number = publication.next_number(count, seen)
-    committed = publication.committed_of(seen)
+    committed = publication.newest_committed(seen)
     if number is None:
-        return Published(Outcome.NO_QUORUM, committed, (), unreachable)
+        return PublicationResult(PublicationOutcome.NO_QUORUM, committed, (), unreachable)
     # Danger: two operators who both started from the same text would each undo the other's change.
     if base is not None and base != committed.number:
-        return Published(Outcome.CONFLICT, committed, (f"{committed.number} is committed, not {base}",))
-    revision = revision_of(number, text)
-    proposal = pb.PrepareRequest(proposal=stored_to(Stored(revision, text)))
-    prepared = _from_each(
-        replicas, lambda replica: _unary(replica, "Prepare", proposal, pb.PublicationResponse, timeout_s)
+        return PublicationResult(
+            PublicationOutcome.CONFLICT, committed, (f"{committed.number} is committed, not {base}",)
+        )
+    revision = make_revision(number, text)
+    proposal = pb.PrepareRequest(proposal=revision_text_to_message(RevisionText(revision, text)))
+    prepared = _call_each(
+        replicas, lambda replica: _call(replica, "Prepare", proposal, pb.PublicationResponse, timeout_s)
     )
-    failed = publication.after_prepare(count, [_answer(one) for one in prepared])
+    failed = publication.outcome_after_prepare(count, [_phase_answer(one) for one in prepared])
     problems = next((tuple(one.problems) for one in prepared if one is not None and one.problems), ())
     if failed is not None:
-        return Published(failed, revision, problems, unreachable)
-    request = pb.CommitRequest(revision=revision_to(revision))
-    answers = _from_each(
-        replicas, lambda replica: _unary(replica, "Commit", request, pb.PublicationResponse, timeout_s)
+        return PublicationResult(failed, revision, problems, unreachable)
+    request = pb.CommitRequest(revision=revision_to_message(revision))
+    answers = _call_each(
+        replicas, lambda replica: _call(replica, "Commit", request, pb.PublicationResponse, timeout_s)
     )
-    outcome = publication.after_commit(count, [_answer(one) for one in answers])
-    return Published(outcome, revision, (), unreachable)
+    outcome = publication.outcome_after_commit(count, [_phase_answer(one) for one in answers])
+    return PublicationResult(outcome, revision, (), unreachable)
 
 
-def _answer(response: Any) -> Answer:
-    return Answer.UNREACHABLE if response is None else _ANSWERS.get(response.result, Answer.CONFLICT)
+def _phase_answer(response: Any) -> PhaseAnswer:
+    return (
+        PhaseAnswer.UNREACHABLE if response is None else _ANSWERS.get(response.result, PhaseAnswer.CONFLICT)
+    )
 
 
-def site_status(replicas: tuple[str, ...], timeout_s: float = CALL_S) -> SiteStatus:
+def site_status(replicas: tuple[str, ...], timeout_s: float = CALL_TIMEOUT_S) -> SiteStatus:
     """Ask every replica; of a planner the freshest report counts."""
-    found = _from_each(
-        replicas, lambda replica: _unary(replica, "Status", pb.StatusRequest(), pb.StatusResponse, timeout_s)
+    found = _call_each(
+        replicas, lambda replica: _call(replica, "Status", pb.StatusRequest(), pb.StatusResponse, timeout_s)
     )
-    planners: dict[tuple[int, int], PlannerLine] = {}
-    for line in (_line(one) for status in found if status is not None for one in status.planners):
-        known = planners.get((line.planner, line.life))
+    planners: dict[tuple[int, int], PlannerSummary] = {}
+    for line in (_planner_summary(one) for status in found if status is not None for one in status.planners):
+        known = planners.get((line.planner, line.incarnation))
         if known is None or (line.connected, -line.report_age_us) > (known.connected, -known.report_age_us):
-            planners[line.planner, line.life] = line
-    committed = [revision_from(status.committed) for status in found if status is not None]
+            planners[line.planner, line.incarnation] = line
+    committed = [revision_from_message(status.committed) for status in found if status is not None]
     unreachable = tuple(r for r, status in zip(replicas, found, strict=True) if status is None)
     lines = tuple(planners[key] for key in sorted(planners))
     return SiteStatus(max(committed, default=Revision()), lines, unreachable)
 
 
-def _line(message: Any) -> PlannerLine:
-    return PlannerLine(
+def _planner_summary(message: Any) -> PlannerSummary:
+    return PlannerSummary(
         planner=message.planner,
-        life=message.life,
-        in_force=revision_from(message.in_force),
-        rejected=revision_from(message.rejected),
+        incarnation=message.life,
+        in_force=revision_from_message(message.in_force),
+        rejected=revision_from_message(message.rejected),
         reason=message.reason,
         delay_us=message.delay_us if message.HasField("delay_us") else None,
         connected=message.connected,
--- a/stairplank/configuration/convert.py
+++ b/stairplank/configuration/convert.py
@@ -6,38 +6,38 @@
 
 from ..proto import configuration_pb2 as pb
 from .revision import Revision
-from .store import PlannerStatus, Stored
+from .store import PlannerStatus, RevisionText
 
 SERVICE = pb.DESCRIPTOR.services_by_name["Configuration"]
 
 
-def revision_to(revision: Revision) -> Any:
+def revision_to_message(revision: Revision) -> Any:
     """The message of a revision."""
     return pb.Revision(number=revision.number, digest=revision.digest)
 
 
-def revision_from(message: Any) -> Revision:
+def revision_from_message(message: Any) -> Revision:
     """A revision from its message; an absent one is number 0."""
     return Revision(message.number, message.digest)
 
 
-def stored_to(stored: Stored) -> Any:
+def revision_text_to_message(stored: RevisionText) -> Any:
     """The message of a revision with its text."""
-    return pb.RevisionText(revision=revision_to(stored.revision), text=stored.text)
+    return pb.RevisionText(revision=revision_to_message(stored.revision), text=stored.text)
 
 
-def stored_from(message: Any) -> Stored:
+def revision_text_from_message(message: Any) -> RevisionText:
     """A revision with its text from its message."""
-    return Stored(revision_from(message.revision), message.text)
+    return RevisionText(revision_from_message(message.revision), message.text)
 
 
-def status_to(status: PlannerStatus, now: int) -> Any:
+def planner_status_to_message(status: PlannerStatus, now: int) -> Any:
     """The message of a planner's status at that time."""
     message = pb.PlannerStatus(
         planner=status.planner,
-        life=status.life,
-        in_force=revision_to(status.in_force),
-        rejected=revision_to(status.rejected),
+        life=status.incarnation,
+        in_force=revision_to_message(status.in_force),
+        rejected=revision_to_message(status.rejected),
         reason=status.reason,
         report_age_us=max(0, now - status.reported_at),
         connected=status.connected,
--- a/stairplank/configuration/rules.py
+++ b/stairplank/configuration/field_changes.py
@@ -13,35 +13,37 @@
 
 from .. import interface as api
 
-_EFFECT = "a task in flight was sent under the promise that this makes about a second start"
-_KIND = "the books on nodes of this kind were made with it"
-_PROTOCOL = "it describes what nodes and their list offer, which is agreed on when a connection is made"
+_IDEMPOTENCY_REASON = "a task in flight was sent under the promise that this makes about a second start"
+_NODE_TYPE_REASON = "the books on nodes of this kind were made with it"
+_PROTOCOL_REASON = (
+    "it describes what nodes and their list offer, which is agreed on when a connection is made"
+)
 
 # Danger: a window, group or effect that changes after an attempt has left lets a task run twice; a spread of
 # another scope leaves counts behind that no end of a task takes off again.
 CLASS_NEEDS_RESTART: Mapping[str, str] = {
-    "effect": _EFFECT,
-    "dedup_scope": _EFFECT,
-    "dedup_window_us": _EFFECT,
+    "effect": _IDEMPOTENCY_REASON,
+    "dedup_scope": _IDEMPOTENCY_REASON,
+    "dedup_window_us": _IDEMPOTENCY_REASON,
     "spread": "tasks in flight are counted in places of the former scope",
 }
-KIND_NEEDS_RESTART: Mapping[str, str] = {"cores": _KIND, "memory": _KIND}
+NODE_TYPE_NEEDS_RESTART: Mapping[str, str] = {"cores": _NODE_TYPE_REASON, "memory": _NODE_TYPE_REASON}
 SETTINGS_NEED_RESTART: Mapping[str, str] = {
     "planners": "the planners divide the nodes by it",
     "position": "the planners divide the nodes by it",
     "zone": "a planner's home zone is its own",
     "confirms_running": "it is what Placed promises, and the mean time to an answer was measured with it",
     "overload_window_us": "offers to a node that warms up are counted in slots of this length",
-    "polls_node_list": _PROTOCOL,
-    "lists_free_capacity": _PROTOCOL,
-    "may_check_health": _PROTOCOL,
-    "may_cancel": _PROTOCOL,
-    "report_fields": _PROTOCOL,
-    "reports_in_answers": _PROTOCOL,
+    "polls_node_list": _PROTOCOL_REASON,
+    "lists_free_capacity": _PROTOCOL_REASON,
+    "may_check_health": _PROTOCOL_REASON,
+    "may_cancel": _PROTOCOL_REASON,
+    "report_fields": _PROTOCOL_REASON,
+    "reports_in_answers": _PROTOCOL_REASON,
 }
 
 
-class Named(Protocol):
+class NamedEntry(Protocol):
     """What is known by its place in a list, and has a name."""
 
     @property
@@ -70,7 +72,7 @@
         if name == "classes":
             out += _changed_entries(name, old.classes, new.classes, CLASS_NEEDS_RESTART)
         elif name == "node_types":
-            out += _changed_entries(name, old.node_types, new.node_types, KIND_NEEDS_RESTART)
+            out += _changed_entries(name, old.node_types, new.node_types, NODE_TYPE_NEEDS_RESTART)
         elif getattr(old, name) != getattr(new, name):
             out.append(FieldChange((name,), SETTINGS_NEED_RESTART.get(name)))
     return tuple(out)
@@ -93,22 +95,22 @@
 
 
 def _changed_entries(
-    path: str, old: Sequence[Named], new: Sequence[Named], needs_restart: Mapping[str, str]
+    path: str, old: Sequence[NamedEntry], new: Sequence[NamedEntry], needs_restart: Mapping[str, str]
 ) -> Iterator[FieldChange]:
     """Changes of a list of named entries, and of the entries that are in both."""
-    yield from changed_names(path, _names(old), _names(new))
+    yield from changed_names(path, _entry_names(old), _entry_names(new))
     new_by_name = {entry.name: entry for entry in new}
     for entry in old:
         other = new_by_name.get(entry.name)
         if other is None:
             continue
-        for name in _different_fields(entry, other):
+        for name in _differing_fields(entry, other):
             yield FieldChange((path, entry.name, name), needs_restart.get(name))
 
 
-def _names(entries: Iterable[Named]) -> list[str]:
+def _entry_names(entries: Iterable[NamedEntry]) -> list[str]:
     return [entry.name for entry in entries]
 
 
-def _different_fields(old: Any, new: Any) -> list[str]:
+def _differing_fields(old: Any, new: Any) -> list[str]:
     return [f.name for f in fields(old) if getattr(old, f.name) != getattr(new, f.name)]
--- a/stairplank/configuration/follower.py
+++ b/stairplank/configuration/follower.py
@@ -24,12 +24,12 @@
 
 from .revision import NO_REVISION, Revision, digest_of
 
-FETCH_US = 2_000_000  # a text of the largest size takes far less on a link that works
-RETRY_US = 1_000_000  # between rounds, where no replica gave the text
+FETCH_TIMEOUT_US = 2_000_000  # a text of the largest size takes far less on a link that works
+RETRY_DELAY_US = 1_000_000  # between rounds, where no replica gave the text
 
 
 @dataclass(frozen=True, slots=True)
-class Fetch:
+class FetchText:
     """Ask that replica for the text."""
 
     replica: str
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Check:
+class CheckText:
     """Read the text as a configuration and compare it with the one in force."""
 
     revision: Revision
@@ -45,14 +45,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Apply:
+class ApplyRevision:
     """Put the checked revision into force."""
 
     revision: Revision
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class SendReport:
     """Tell that replica what is in force here."""
 
     replica: str
@@ -61,18 +61,18 @@
     reason: str
 
 
-Action = Fetch | Check | Apply | Report
+Action = FetchText | CheckText | ApplyRevision | SendReport
 
 
 @dataclass(slots=True)
-class _Pending:
+class _PendingRevision:
     """The revision that is on its way into force."""
 
     revision: Revision
     replica: str  # the one that was asked; nothing between two rounds
-    asked_at: int
+    requested_at: int
     checking: bool = False
-    failed: set[str] = field(default_factory=set)  # replicas that did not give the text
+    failed_replicas: set[str] = field(default_factory=set)  # replicas that did not give the text
 
 
 class Follower:
@@ -83,23 +83,23 @@
         self.rejected = NO_REVISION
         self.reason = ""
         self.replicas: dict[str, Revision] = {}  # those that are connected, with what they announce
-        self.pending: _Pending | None = None
+        self.pending: _PendingRevision | None = None
 
     # Events
 
-    def connected(self, now: int, replica: str) -> list[Action]:
+    def on_connected(self, now: int, replica: str) -> list[Action]:
         """A stream to that replica is up."""
         self.replicas[replica] = NO_REVISION
-        return [self._report(replica)]
+        return [self._report_to(replica)]
 
-    def lost(self, now: int, replica: str) -> list[Action]:
+    def on_connection_lost(self, now: int, replica: str) -> list[Action]:
         """That stream has ended, or nothing was heard on it for too long."""
         self.replicas.pop(replica, None)
         if self.pending is None or self.pending.replica != replica or self.pending.checking:
             return []
-        return self._ask_another(now)
+        return self._fetch_from_next_replica(now)
 
-    def announced(self, now: int, replica: str, revision: Revision) -> list[Action]:
+    def on_announced(self, now: int, replica: str, revision: Revision) -> list[Action]:
         """That replica has this revision committed."""
         if replica not in self.replicas:
             return []
@@ -108,90 +108,90 @@
             return []
         if self.pending is not None and self.pending.revision.number >= revision.number:
             waits = self.pending.revision == revision and not self.pending.replica
-            return self._ask_another(now) if waits else []
+            return self._fetch_from_next_replica(now) if waits else []
         # Danger: left to run, a check of the older one could put it into force after this one.
-        self.pending = _Pending(revision, replica, now)
-        return [Fetch(replica, revision)]
+        self.pending = _PendingRevision(revision, replica, now)
+        return [FetchText(replica, revision)]
 
-    def text_arrived(self, now: int, replica: str, revision: Revision, text: str) -> list[Action]:
+    def on_text_received(self, now: int, replica: str, revision: Revision, text: str) -> list[Action]:
         """That replica's answer to a fetch."""
         pending = self.pending
         if pending is None or pending.checking or pending.revision != revision:
             return []
         # Danger: a text that was cut off, or is of another revision, would be in force under this number.
         if digest_of(text) != revision.digest:
-            pending.failed.add(replica)
-            return self._ask_another(now)
+            pending.failed_replicas.add(replica)
+            return self._fetch_from_next_replica(now)
         pending.checking = True
-        return [Check(revision, text)]
+        return [CheckText(revision, text)]
 
-    def accepted(self, now: int, revision: Revision) -> list[Action]:
+    def on_check_passed(self, now: int, revision: Revision) -> list[Action]:
         """The text is a configuration that can come into force now."""
         if self.pending is None or not self.pending.checking or self.pending.revision != revision:
             return []
         self.pending = None
         self.in_force = revision
-        return [Apply(revision), *self._reports()]
+        return [ApplyRevision(revision), *self._report_to_all()]
 
-    def refused(self, now: int, revision: Revision, reason: str) -> list[Action]:
+    def on_check_failed(self, now: int, revision: Revision, reason: str) -> list[Action]:
         """The text cannot come into force; what is in force stays."""
         if self.pending is None or not self.pending.checking or self.pending.revision != revision:
             return []
         self.pending = None
         return self._reject(revision, reason)
 
-    def pass_time(self, now: int) -> list[Action]:
+    def on_timer(self, now: int) -> list[Action]:
         """Ask another replica where the one that was asked has not answered in time."""
-        due = self.next_due()
+        due = self.next_timer()
         if due is None or now < due or self.pending is None:
             return []
         if self.pending.replica:
             # Danger: a replica whose stream is up and which never answers would keep the old one in force.
-            self.pending.failed.add(self.pending.replica)
+            self.pending.failed_replicas.add(self.pending.replica)
         else:
-            self.pending.failed.clear()
-        return self._ask_another(now)
+            self.pending.failed_replicas.clear()
+        return self._fetch_from_next_replica(now)
 
-    def next_due(self) -> int | None:
+    def next_timer(self) -> int | None:
         """When ``pass_time`` is wanted, or None."""
         pending = self.pending
         if pending is None or pending.checking:
             return None
-        return pending.asked_at + (FETCH_US if pending.replica else RETRY_US)
+        return pending.requested_at + (FETCH_TIMEOUT_US if pending.replica else RETRY_DELAY_US)
 
     # Decisions
 
     def _is_wanted(self, revision: Revision) -> bool:
         return revision.number > self.in_force.number and revision.number > self.rejected.number
 
-    def _ask_another(self, now: int) -> list[Action]:
+    def _fetch_from_next_replica(self, now: int) -> list[Action]:
         pending = self.pending
         assert pending is not None
         holders = [name for name, known in self.replicas.items() if known == pending.revision]
         if not holders:
-            return self._ask_for_newest(now)
-        pending.asked_at = now
+            return self._fetch_newest(now)
+        pending.requested_at = now
         # Danger: asked again at once, a replica that always answers wrongly would be asked without a pause.
-        pending.replica = next((name for name in holders if name not in pending.failed), "")
-        return [Fetch(pending.replica, pending.revision)] if pending.replica else []
+        pending.replica = next((name for name in holders if name not in pending.failed_replicas), "")
+        return [FetchText(pending.replica, pending.revision)] if pending.replica else []
 
-    def _ask_for_newest(self, now: int) -> list[Action]:
+    def _fetch_newest(self, now: int) -> list[Action]:
         """No replica holds the pending revision any more: take the newest that one holds, or wait."""
         self.pending = None
         wanted = [(known, name) for name, known in self.replicas.items() if self._is_wanted(known)]
         if not wanted:
             return []
         revision, replica = max(wanted)
-        self.pending = _Pending(revision, replica, now)
-        return [Fetch(replica, revision)]
+        self.pending = _PendingRevision(revision, replica, now)
+        return [FetchText(replica, revision)]
 
     def _reject(self, revision: Revision, reason: str) -> list[Action]:
         self.rejected = revision
         self.reason = reason
-        return list(self._reports())
+        return list(self._report_to_all())
 
-    def _reports(self) -> list[Report]:
-        return [self._report(replica) for replica in self.replicas]
+    def _report_to_all(self) -> list[SendReport]:
+        return [self._report_to(replica) for replica in self.replicas]
 
-    def _report(self, replica: str) -> Report:
-        return Report(replica, self.in_force, self.rejected, self.reason)
+    def _report_to(self, replica: str) -> SendReport:
+        return SendReport(replica, self.in_force, self.rejected, self.reason)
--- a/stairplank/configuration/joining.py
+++ b/stairplank/configuration/planner_configuration.py
@@ -8,84 +8,84 @@
 import structlog
 
 from ..settings import PlannerConfig, SettingsError
-from ..settings.site import load_site_text, with_site
-from . import files, startup
-from .live import NeedsRestartError
+from ..settings.site import load_site_text, merge_site
+from . import startup, state_files
+from .changes import RestartRequiredError
 from .revision import NO_REVISION, Revision
-from .store import Stored
-from .watch import ConfigurationWatch, NotTaken
+from .store import RevisionText
+from .watch import ConfigurationWatch, RevisionRejectedError
 
 
 class ConfiguredPlanner(Protocol):
     """What a configuration is put into force at."""
 
     config: PlannerConfig
-    life: int
+    incarnation: int
 
     def prepare_site(self, text: str, name: str) -> PlannerConfig:
-        """The planner's configuration with that text. Raises SettingsError and NeedsRestartError."""
+        """The planner's configuration with that text. Raises SettingsError and RestartRequiredError."""
 
     def apply_site(self, config: PlannerConfig) -> Any:
         """Put it into force."""
 
 
-def follow(planner: ConfiguredPlanner, in_force: Revision) -> ConfigurationWatch[PlannerConfig]:
+def watch_configuration(planner: ConfiguredPlanner, in_force: Revision) -> ConfigurationWatch[PlannerConfig]:
     """The watch that keeps the planner at the newest revision; ``in_force`` is the one it started with."""
 
     def check(text: str, revision: Revision) -> PlannerConfig:
         try:
-            return planner.prepare_site(text, source_of(revision))
+            return planner.prepare_site(text, source_name(revision))
         except SettingsError as error:
-            raise NotTaken(str(error.problems[0])) from None
-        except NeedsRestartError as error:
-            raise NotTaken(f"needs a restart: {error}", at_start=True) from None
+            raise RevisionRejectedError(str(error.problems[0])) from None
+        except RestartRequiredError as error:
+            raise RevisionRejectedError(f"needs a restart: {error}", usable_after_restart=True) from None
 
     config = planner.config
     return ConfigurationWatch(
         config.configuration,
         config.settings.position,
-        planner.life,
+        planner.incarnation,
         check,
         planner.apply_site,
-        copy_file_of(config),
+        cache_file_of(config),
         in_force,
     )
 
 
-def starting_config(config: PlannerConfig) -> tuple[PlannerConfig, Revision]:
+def initial_config(config: PlannerConfig) -> tuple[PlannerConfig, Revision]:
     """The planner's configuration with the newest usable revision; its own file where there is none."""
     if not config.configuration:
         return config, NO_REVISION
     log = structlog.get_logger("configuration").bind(planner=config.settings.position)
-    copy_file = copy_file_of(config)
-    for stored in startup.candidates(config.configuration, copy_file):
-        source = source_of(stored.revision)
+    copy_file = cache_file_of(config)
+    for stored in startup.startup_candidates(config.configuration, copy_file):
+        source = source_name(stored.revision)
         try:
-            started = with_site(config, load_site_text(stored.text, source), source)
+            started = merge_site(config, load_site_text(stored.text, source), source)
         except SettingsError as error:
             # Danger: a planner that does not start for a text that others have refused serves nobody.
             log.warning("configuration not taken", revision=str(stored.revision), reason=str(error))
         else:
-            _keep_copy(copy_file, stored)
+            _cache_revision(copy_file, stored)
             return started, stored.revision
     return config, NO_REVISION
 
 
-def _keep_copy(copy_file: Path | None, stored: Stored) -> None:
+def _cache_revision(cache_file: Path | None, stored: RevisionText) -> None:
     """Danger: the next start, with no replica within reach, would begin with an older revision."""
-    if copy_file is None:
+    if cache_file is None:
         return
     try:
-        files.write_copy(copy_file, stored)
-    except files.FileError as error:
+        state_files.write_cached_revision(cache_file, stored)
+    except state_files.StateFileError as error:
         structlog.get_logger("configuration").error("copy of the configuration not written", error=str(error))
 
 
-def copy_file_of(config: PlannerConfig) -> Path | None:
+def cache_file_of(config: PlannerConfig) -> Path | None:
     """Where the planner keeps its copy of the revision in force."""
     return Path(config.configuration_copy) if config.configuration_copy else None
 
 
-def source_of(revision: Revision) -> str:
+def source_name(revision: Revision) -> str:
     """What stands for the file in errors of a revision's text."""
     return f"revision-{revision.number}"
--- a/stairplank/configuration/publication.py
+++ b/stairplank/configuration/publication.py
@@ -15,7 +15,7 @@
 from .revision import Revision
 
 
-class Outcome(Enum):
+class PublicationOutcome(Enum):
     """Of a publication."""
 
     PUBLISHED = "published"
@@ -25,7 +25,7 @@
     UNCERTAIN = "uncertain"  # prepared by a majority, committed by fewer
 
 
-class Answer(Enum):
+class PhaseAnswer(Enum):
     """Of one replica to one phase."""
 
     ACCEPTED = "accepted"
@@ -35,41 +35,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ReplicaNumbers:
     """What a replica said about its numbers before the publication."""
 
     committed: Revision
     highest_number: int
 
 
-def majority(replicas: int) -> int:
+def majority_of(replicas: int) -> int:
     """How many of so many replicas are a majority."""
     return replicas // 2 + 1
 
 
-def next_number(replicas: int, seen: list[Seen]) -> int | None:
+def next_number(replicas: int, replica_numbers: list[ReplicaNumbers]) -> int | None:
     """The number of the next publication; None without a majority: a number could be taken twice."""
-    if len(seen) < majority(replicas):
+    if len(replica_numbers) < majority_of(replicas):
         return None
-    return 1 + max(one.highest_number for one in seen)
+    return 1 + max(one.highest_number for one in replica_numbers)
 
 
-def committed_of(seen: list[Seen]) -> Revision:
+def newest_committed(replica_numbers: list[ReplicaNumbers]) -> Revision:
     """The newest committed revision among the replicas that answered."""
-    return max((one.committed for one in seen), default=Revision())
+    return max((one.committed for one in replica_numbers), default=Revision())
 
 
-def after_prepare(replicas: int, answers: list[Answer]) -> Outcome | None:
+def outcome_after_prepare(replicas: int, answers: list[PhaseAnswer]) -> PublicationOutcome | None:
     """None: commit now. Danger: committed with fewer, another publisher may have the number elsewhere."""
-    if Answer.INVALID in answers:
-        return Outcome.INVALID
-    if answers.count(Answer.ACCEPTED) >= majority(replicas):
+    if PhaseAnswer.INVALID in answers:
+        return PublicationOutcome.INVALID
+    if answers.count(PhaseAnswer.ACCEPTED) >= majority_of(replicas):
         return None
-    return Outcome.CONFLICT if Answer.CONFLICT in answers else Outcome.NO_QUORUM
+    return PublicationOutcome.CONFLICT if PhaseAnswer.CONFLICT in answers else PublicationOutcome.NO_QUORUM
 
 
-def after_commit(replicas: int, answers: list[Answer]) -> Outcome:
+def outcome_after_commit(replicas: int, answers: list[PhaseAnswer]) -> PublicationOutcome:
     """Planners take it as soon as one replica has it; it survives the loss of replicas with a majority."""
-    if answers.count(Answer.ACCEPTED) >= majority(replicas):
-        return Outcome.PUBLISHED
-    return Outcome.UNCERTAIN
+    if answers.count(PhaseAnswer.ACCEPTED) >= majority_of(replicas):
+        return PublicationOutcome.PUBLISHED
+    return PublicationOutcome.UNCERTAIN
--- a/stairplank/configuration/revision.py
+++ b/stairplank/configuration/revision.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from hashlib import sha256
 
-TEXT_MOST = 1_000_000  # bytes of a configuration; above it a message would not fit the gRPC limit
+MAX_TEXT_BYTES = 1_000_000  # bytes of a configuration; above it a message would not fit the gRPC limit
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -27,6 +27,6 @@
     return sha256(text.encode()).digest()
 
 
-def revision_of(number: int, text: str) -> Revision:
+def make_revision(number: int, text: str) -> Revision:
     """The identity of this text when it is published under this number."""
     return Revision(number, digest_of(text))
--- a/stairplank/configuration/server.py
+++ b/stairplank/configuration/server.py
@@ -15,31 +15,38 @@
 from ..proto import methods
 from ..proto.standard import Health, Reflection
 from ..rpc import Code, Limits, RpcError, Server, ServerCall
-from . import files
-from .convert import SERVICE, revision_from, revision_to, status_to, stored_from, stored_to
-from .revision import TEXT_MOST
-from .store import Result, State, Store
-
-HEARTBEAT_S = 2.0  # a planner takes a replica that it does not hear for lost after 2.5 of these
-HELLO_S = 5.0  # a planner's stream says whose it is by then
-STREAMS_MOST = 4_096  # each planner has one, and a second for a moment when it dials anew
-REASON_MOST = 500  # characters of a planner's reason that are kept
-CheckText = Callable[[str], list[str]]  # the faults of a text, none where it is usable
+from . import state_files
+from .convert import (
+    SERVICE,
+    planner_status_to_message,
+    revision_from_message,
+    revision_text_from_message,
+    revision_text_to_message,
+    revision_to_message,
+)
+from .revision import MAX_TEXT_BYTES
+from .store import PhaseResult, ReplicaState, RevisionStore
+
+HEARTBEAT_INTERVAL_S = 2.0  # a planner takes a replica that it does not hear for lost after 2.5 of these
+HELLO_TIMEOUT_S = 5.0  # a planner's stream says whose it is by then
+MAX_STREAMS = 4_096  # each planner has one, and a second for a moment when it dials anew
+MAX_REASON_CHARACTERS = 500  # characters of a planner's reason that are kept
+TextChecker = Callable[[str], list[str]]  # the faults of a text, none where it is usable
 
 _RESULTS = {
-    Result.ACCEPTED: pb.PublicationResponse.RESULT_ACCEPTED,
-    Result.CONFLICT: pb.PublicationResponse.RESULT_CONFLICT,
+    PhaseResult.ACCEPTED: pb.PublicationResponse.RESULT_ACCEPTED,
+    PhaseResult.CONFLICT: pb.PublicationResponse.RESULT_CONFLICT,
 }
 
 
-class Replica:
+class ReplicaServer:
     """Serves publications, planners' streams and the status."""
 
-    def __init__(self, listen: tuple[str, ...], state_file: Path, check_text: CheckText) -> None:
-        """Raises files.FileError for a state file that cannot be read."""
+    def __init__(self, listen: tuple[str, ...], state_file: Path, check_text: TextChecker) -> None:
+        """Raises StateFileError for a state file that cannot be read."""
         self.state_file = state_file
         self.check_text = check_text
-        self.store = Store(files.read_state(state_file))
+        self.store = RevisionStore(state_files.read_state(state_file))
         self.log = structlog.get_logger("configuration")
         self._changed = Event()
         self.announcers: set[gevent.Greenlet] = set()  # one a planner's stream
@@ -54,7 +61,9 @@
             Status=self._status,
         )
         served = {**handlers, **health.methods(), **Reflection(names).methods()}
-        limits = Limits(message_bytes=2 * TEXT_MOST, send_bytes=2 * TEXT_MOST, connections=2 * STREAMS_MOST)
+        limits = Limits(
+            message_bytes=2 * MAX_TEXT_BYTES, send_bytes=2 * MAX_TEXT_BYTES, connections=2 * MAX_STREAMS
+        )
         self.server = Server(listen, served, limits)
 
     def start(self) -> None:
@@ -71,7 +80,7 @@
     # Publications
 
     def _prepare(self, request: Any, call: ServerCall) -> Any:
-        proposal = stored_from(request.proposal)
+        proposal = revision_text_from_message(request.proposal)
         problems = self._problems(proposal.text)
         if problems:
             return self._response(pb.PublicationResponse.RESULT_INVALID, problems)
@@ -82,25 +91,25 @@
 
     def _commit(self, request: Any, call: ServerCall) -> Any:
         before = self.store.state
-        result = self.store.commit(now_us(), revision_from(request.revision))
+        result = self.store.commit(now_us(), revision_from_message(request.revision))
         self._persist(before)
         if self.store.state is not before:
             self._announce()
         return self._response(_RESULTS[result])
 
     def _problems(self, text: str) -> list[str]:
-        if len(text.encode()) > TEXT_MOST:
-            return [f"larger than {TEXT_MOST} bytes"]
+        if len(text.encode()) > MAX_TEXT_BYTES:
+            return [f"larger than {MAX_TEXT_BYTES} bytes"]
         # Danger: a long text read in the event loop would keep every planner's heartbeat waiting.
         found: list[str] = gevent.get_hub().threadpool.apply(self.check_text, (text,))
         return found
 
-    def _persist(self, before: State) -> None:
+    def _persist(self, before: ReplicaState) -> None:
         if self.store.state is before:
             return
         try:
-            files.write_state(self.state_file, self.store.state)
-        except files.FileError as error:
+            state_files.write_state(self.state_file, self.store.state)
+        except state_files.StateFileError as error:
             # Danger: kept in memory alone, it would be forgotten with the process though it was promised.
             self.store.state = before
             self.log.error("state not written", error=str(error))
@@ -109,7 +118,7 @@
     def _response(self, result: Any, problems: list[str] | None = None) -> Any:
         return pb.PublicationResponse(
             result=result,
-            committed=revision_to(self.store.committed),
+            committed=revision_to_message(self.store.committed),
             highest_number=self.store.highest_number,
             problems=problems or [],
         )
@@ -120,30 +129,30 @@
         self._changed = Event()
 
     def _get(self, request: Any, call: ServerCall) -> Any:
-        return stored_to(self.store.state.committed)
+        return revision_text_to_message(self.store.state.committed)
 
     # Planners
 
     def _follow(self, call: ServerCall) -> None:
         """A planner's stream."""
-        if len(self.announcers) >= STREAMS_MOST:
-            raise RpcError(Code.RESOURCE_EXHAUSTED, f"{STREAMS_MOST} planners' streams are open already")
-        first = call.recv(HELLO_S)
+        if len(self.announcers) >= MAX_STREAMS:
+            raise RpcError(Code.RESOURCE_EXHAUSTED, f"{MAX_STREAMS} planners' streams are open already")
+        first = call.recv(HELLO_TIMEOUT_S)
         if first is None or first.WhichOneof("kind") != "hello":
             raise RpcError(Code.INVALID_ARGUMENT, "kind: the first message must be hello")
         planner, life = first.hello.planner, first.hello.life
-        self.store.joined(now_us(), planner, life)
+        self.store.stream_opened(now_us(), planner, life)
         announcer = gevent.spawn(self._announce_to, call)
         self.announcers.add(announcer)
         self.stream_opened(planner, call)
         try:
             while (message := call.recv()) is not None:
-                self._take(call, planner, life, message)
+                self._handle_message(call, planner, life, message)
         finally:
             self.announcers.discard(announcer)
             announcer.kill(block=False)
             self.stream_closed(planner, call)
-            self.store.left(now_us(), planner, life)
+            self.store.stream_closed(now_us(), planner, life)
 
     def stream_opened(self, planner: int, call: ServerCall) -> None:
         """A planner's stream has begun; for those that count."""
@@ -155,25 +164,27 @@
         """Announce each committed revision, and repeat the last as a heartbeat."""
         while call.stream.error is None:
             changed = self._changed
-            call.try_send(pb.FollowResponse(announcement=revision_to(self.store.committed)))
-            changed.wait(HEARTBEAT_S)
+            call.try_send(pb.FollowResponse(announcement=revision_to_message(self.store.committed)))
+            changed.wait(HEARTBEAT_INTERVAL_S)
 
-    def _take(self, call: ServerCall, planner: int, life: int, message: Any) -> None:
+    def _handle_message(self, call: ServerCall, planner: int, incarnation: int, message: Any) -> None:
         match message.WhichOneof("kind"):
             case "fetch":
-                wanted = revision_from(message.fetch)
+                wanted = revision_from_message(message.fetch)
                 if wanted == self.store.committed:
-                    call.send(pb.FollowResponse(text=stored_to(self.store.state.committed)), 5.0)
+                    call.send(
+                        pb.FollowResponse(text=revision_text_to_message(self.store.state.committed)), 5.0
+                    )
             case "report":
-                self._take_report(planner, life, message.report)
+                self._handle_report(planner, incarnation, message.report)
             case _:
                 raise RpcError(Code.INVALID_ARGUMENT, "kind: one of fetch, report is needed")
 
-    def _take_report(self, planner: int, life: int, report: Any) -> None:
+    def _handle_report(self, planner: int, incarnation: int, report: Any) -> None:
         before = self.store.state
-        in_force, rejected = revision_from(report.in_force), revision_from(report.rejected)
-        reason = report.reason[:REASON_MOST]
-        if self.store.reported(now_us(), planner, life, in_force, rejected, reason):
+        in_force, rejected = revision_from_message(report.in_force), revision_from_message(report.rejected)
+        reason = report.reason[:MAX_REASON_CHARACTERS]
+        if self.store.record_report(now_us(), planner, incarnation, in_force, rejected, reason):
             self._persist(before)
             self._announce()
 
@@ -181,8 +192,8 @@
         now = now_us()
         age = 0 if self.store.committed_at is None else now - self.store.committed_at
         return pb.StatusResponse(
-            committed=revision_to(self.store.committed),
+            committed=revision_to_message(self.store.committed),
             committed_age_us=age,
-            planners=[status_to(status, now) for status in self.store.statuses(now)],
+            planners=[planner_status_to_message(status, now) for status in self.store.statuses(now)],
             highest_number=self.store.highest_number,
         )
--- /dev/null
+++ b/stairplank/configuration/state_files.py
@@ -0,0 +1,100 @@
+"""Revisions on disk: a replica's state, and a planner's copy of what it has in force."""
+
+from __future__ import annotations
+
+import json
+import os
+from pathlib import Path
+from typing import Any
+
+from .revision import NO_REVISION, make_revision
+from .store import ReplicaState, RevisionText
+
+MAX_FILE_BYTES = 16_000_000  # bytes; two texts of the largest size, escaped
+
+
+class StateFileError(Exception):
+    """The file cannot be read or written; the text names it and says why."""
+
+
+def write_atomically(path: Path, text: str) -> None:
+    """Replace the file, whole and on disk. Raises StateFileError.
+
+    Danger: a replica that answers before its state is on disk may forget, in a power cut, a number for which
+    it was part of a majority, and take another text under it.
+    """
+    scratch = path.with_name(path.name + ".new")
+    try:
+        with open(scratch, "w", encoding="utf-8") as file:
+            file.write(text)
+            file.flush()
+            os.fsync(file.fileno())
+        os.replace(scratch, path)
+        folder = os.open(path.parent, os.O_RDONLY)
+        try:
+            os.fsync(folder)
+        finally:
+            os.close(folder)
+    except OSError as error:
+        raise StateFileError(f"{path}: {error.strerror}") from None
+
+
+def _revision_text_to_json(stored: RevisionText) -> dict[str, Any]:
+    return {"number": stored.revision.number, "text": stored.text}
+
+
+def _revision_text_from_json(value: Any) -> RevisionText:
+    number, text = value["number"], value["text"]
+    if not isinstance(number, int) or not isinstance(text, str) or number < 0:
+        raise ValueError("a number and a text are needed")
+    return RevisionText(make_revision(number, text), text) if number else RevisionText(NO_REVISION, "")
+
+
+def _read_json(path: Path) -> Any | None:
+    try:
+        with open(path, encoding="utf-8") as file:
+            return json.loads(file.read(MAX_FILE_BYTES))
+    except FileNotFoundError:
+        return None
+    except OSError as error:
+        raise StateFileError(f"{path}: {error.strerror}") from None
+    except (ValueError, RecursionError) as error:
+        raise StateFileError(f"{path}: {error}") from None
+
+
+def write_state(path: Path, state: ReplicaState) -> None:
+    """A replica's state. Raises StateFileError."""
+    value = {
+        "committed": _revision_text_to_json(state.committed),
+        "prepared": _revision_text_to_json(state.prepared),
+    }
+    write_atomically(path, json.dumps(value) + "\n")
+
+
+def read_state(path: Path) -> ReplicaState:
+    """A replica's state; an empty one where there is no file. Raises StateFileError."""
+    value = _read_json(path)
+    if value is None:
+        return ReplicaState()
+    try:
+        return ReplicaState(
+            _revision_text_from_json(value["committed"]), _revision_text_from_json(value["prepared"])
+        )
+    except (KeyError, TypeError, ValueError) as error:
+        raise StateFileError(f"{path}: {type(error).__name__}: {error}") from None
+
+
+def write_cached_revision(path: Path, stored: RevisionText) -> None:
+    """A planner's copy of a revision. Raises StateFileError."""
+    write_atomically(path, json.dumps(_revision_text_to_json(stored)) + "\n")
+
+
+def read_cached_revision(path: Path) -> RevisionText | None:
+    """A planner's copy; None where there is no file. Raises StateFileError."""
+    value = _read_json(path)
+    if value is None:
+        return None
+    try:
+        return _revision_text_from_json(value)
+    except (KeyError, TypeError, ValueError) as error:
+        raise StateFileError(f"{path}: {type(error).__name__}: {error}") from None
--- a/stairplank/configuration/store.py
+++ b/stairplank/configuration/store.py
@@ -21,13 +21,13 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from .revision import NO_REVISION, Revision, revision_of
+from .revision import NO_REVISION, Revision, make_revision
 
-PLANNERS_MOST = 8_192
-FORGET_US = 600_000_000  # a planner that was taken out of service leaves the status by then
+MAX_PLANNERS = 8_192
+FORGET_AFTER_US = 600_000_000  # a planner that was taken out of service leaves the status by then
 
 
-class Result(Enum):
+class PhaseResult(Enum):
     """Of a phase of a publication."""
 
     ACCEPTED = "accepted"
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stored:
+class RevisionText:
     """A revision with its text."""
 
     revision: Revision = NO_REVISION
@@ -43,11 +43,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class ReplicaState:
     """What has to survive a restart of the replica."""
 
-    committed: Stored = Stored()
-    prepared: Stored = Stored()
+    committed: RevisionText = RevisionText()
+    prepared: RevisionText = RevisionText()
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     """A planner's process as its last report has it. ``delay_us``: from the commit here to that report."""
 
     planner: int
-    life: int
+    incarnation: int
     in_force: Revision = NO_REVISION
     rejected: Revision = NO_REVISION
     reason: str = ""
@@ -69,14 +69,14 @@
         return self.streams > 0
 
 
-class Store:
+class RevisionStore:
     """One life of a replica."""
 
-    def __init__(self, state: State = State()) -> None:  # noqa: B008 - frozen
+    def __init__(self, state: ReplicaState = ReplicaState()) -> None:  # noqa: B008 - frozen
         self.state = state
         self.committed_at: int | None = None  # in this life of the replica
         self.planners: dict[tuple[int, int], PlannerStatus] = {}  # by planner and life
-        self._lives: dict[int, set[int]] = {}  # of each planner
+        self._incarnations: dict[int, set[int]] = {}  # of each planner
 
     # Publications
 
@@ -89,54 +89,56 @@
         """Of all that was prepared or committed here."""
         return max(self.committed.number, self.state.prepared.revision.number)
 
-    def prepare(self, number: int, text: str) -> Result:
+    def prepare(self, number: int, text: str) -> PhaseResult:
         """Reserve the number for the text."""
-        revision = revision_of(number, text)
+        revision = make_revision(number, text)
         if revision in (self.state.prepared.revision, self.committed):
-            return Result.ACCEPTED
+            return PhaseResult.ACCEPTED
         # Danger: taken for a second text, a number would stand for two configurations.
         if number <= self.highest_number:
-            return Result.CONFLICT
-        self.state = replace(self.state, prepared=Stored(revision, text))
-        return Result.ACCEPTED
+            return PhaseResult.CONFLICT
+        self.state = replace(self.state, prepared=RevisionText(revision, text))
+        return PhaseResult.ACCEPTED
 
-    def commit(self, now: int, revision: Revision) -> Result:
+    def commit(self, now: int, revision: Revision) -> PhaseResult:
         """Announce what was prepared."""
         if revision == self.committed:
-            return Result.ACCEPTED
+            return PhaseResult.ACCEPTED
         # Danger: a commit that was delayed past a later publication would take that one back.
         if self.state.prepared.revision != revision or revision.number <= self.committed.number:
-            return Result.CONFLICT
+            return PhaseResult.CONFLICT
         self.state = replace(self.state, committed=self.state.prepared)
         self.committed_at = now
-        return Result.ACCEPTED
+        return PhaseResult.ACCEPTED
 
     # Planners
 
-    def joined(self, now: int, planner: int, life: int) -> None:
+    def stream_opened(self, now: int, planner: int, incarnation: int) -> None:
         """A stream of that process has begun."""
-        lives = self._lives.setdefault(planner, set())
-        for other in [other for other in lives if other != life]:
+        lives = self._incarnations.setdefault(planner, set())
+        for other in [other for other in lives if other != incarnation]:
             if not self.planners[planner, other].connected:
                 self._remove(planner, other)
-        known = self.planners.get((planner, life), PlannerStatus(planner, life, reported_at=now))
-        self.planners[planner, life] = replace(known, streams=known.streams + 1)
-        self._lives.setdefault(planner, set()).add(life)
-        if len(self.planners) > PLANNERS_MOST:
-            self._make_room()
+        known = self.planners.get(
+            (planner, incarnation), PlannerStatus(planner, incarnation, reported_at=now)
+        )
+        self.planners[planner, incarnation] = replace(known, streams=known.streams + 1)
+        self._incarnations.setdefault(planner, set()).add(incarnation)
+        if len(self.planners) > MAX_PLANNERS:
+            self._evict_disconnected()
 
-    def left(self, now: int, planner: int, life: int) -> None:
+    def stream_closed(self, now: int, planner: int, incarnation: int) -> None:
         """A stream of that process has ended."""
-        known = self.planners.get((planner, life))
+        known = self.planners.get((planner, incarnation))
         if known is not None:
             streams = max(0, known.streams - 1)
-            self.planners[planner, life] = replace(known, streams=streams, reported_at=now)
+            self.planners[planner, incarnation] = replace(known, streams=streams, reported_at=now)
 
-    def reported(
-        self, now: int, planner: int, life: int, in_force: Revision, rejected: Revision, reason: str
+    def record_report(
+        self, now: int, planner: int, incarnation: int, in_force: Revision, rejected: Revision, reason: str
     ) -> bool:
         """Take a planner's report. True where it commits what was prepared here."""
-        known = self.planners.get((planner, life))
+        known = self.planners.get((planner, incarnation))
         if known is None:
             return False
         heals = in_force == self.state.prepared.revision and in_force.number > self.committed.number
@@ -144,34 +146,34 @@
             self.commit(now, in_force)
         delay = known.delay_us
         if in_force != known.in_force:
-            delay = self._delay(now, in_force)
-        self.planners[planner, life] = replace(
+            delay = self._delay_since_commit(now, in_force)
+        self.planners[planner, incarnation] = replace(
             known, in_force=in_force, rejected=rejected, reason=reason, delay_us=delay, reported_at=now
         )
         return heals
 
-    def _delay(self, now: int, in_force: Revision) -> int | None:
+    def _delay_since_commit(self, now: int, in_force: Revision) -> int | None:
         if in_force != self.committed or self.committed_at is None:
             return None
         return max(0, now - self.committed_at)
 
-    def _remove(self, planner: int, life: int) -> None:
-        del self.planners[planner, life]
-        lives = self._lives[planner]
-        lives.discard(life)
+    def _remove(self, planner: int, incarnation: int) -> None:
+        del self.planners[planner, incarnation]
+        lives = self._incarnations[planner]
+        lives.discard(incarnation)
         if not lives:
-            del self._lives[planner]
+            del self._incarnations[planner]
 
-    def _make_room(self) -> None:
+    def _evict_disconnected(self) -> None:
         """Danger: planners that are started under ever new numbers would fill the table."""
         idle = [key for key, status in self.planners.items() if not status.connected]
         idle.sort(key=lambda key: self.planners[key].reported_at)
-        for key in idle[: PLANNERS_MOST // 8]:
+        for key in idle[: MAX_PLANNERS // 8]:
             self._remove(*key)
 
     def statuses(self, now: int) -> tuple[PlannerStatus, ...]:
         """Every known process, by the planner's number."""
         for key, status in list(self.planners.items()):
-            if not status.connected and status.reported_at + FORGET_US <= now:
+            if not status.connected and status.reported_at + FORGET_AFTER_US <= now:
                 self._remove(*key)
         return tuple(self.planners[key] for key in sorted(self.planners))
--- a/stairplank/configuration/watch.py
+++ b/stairplank/configuration/watch.py
@@ -19,54 +19,57 @@
 from ..proto import caller
 from ..proto import configuration_pb2 as pb
 from ..rpc import Call, Channel, Limits, RpcError
-from . import files
-from .convert import SERVICE, revision_from, revision_to
-from .follower import Action, Apply, Check, Fetch, Follower, Report
-from .revision import TEXT_MOST, Revision
-from .server import HEARTBEAT_S
-from .store import Stored
-
-SILENT_S = 2.5 * HEARTBEAT_S
-DIAL_S = 1.0
-REDIAL_S, REDIAL_MOST_S = 0.1, 2.0
+from . import state_files
+from .convert import SERVICE, revision_from_message, revision_to_message
+from .follower import Action, ApplyRevision, CheckText, FetchText, Follower, SendReport
+from .revision import MAX_TEXT_BYTES, Revision
+from .server import HEARTBEAT_INTERVAL_S
+from .store import RevisionText
+
+SILENCE_TIMEOUT_S = 2.5 * HEARTBEAT_INTERVAL_S
+DIAL_TIMEOUT_S = 1.0
+RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.1, 2.0
 Checked = TypeVar("Checked")
 
 
-class NotTaken(Exception):
+class RevisionRejectedError(Exception):
     """A revision cannot come into force now; the text says why. ``at_start``: a restart would take it."""
 
-    def __init__(self, reason: str, at_start: bool = False) -> None:
+    def __init__(self, reason: str, usable_after_restart: bool = False) -> None:
         super().__init__(reason)
-        self.at_start = at_start
+        self.usable_after_restart = usable_after_restart
 
 
 class ConfigurationWatch(Generic[Checked]):
-    """``check`` reads a text in a thread and raises NotTaken; ``apply`` puts its result into force."""
+    """Follows the replicas, checks each newer revision and puts it into force.
+
+    ``check`` reads a text in a thread and raises RevisionRejectedError; ``apply`` puts its result into force.
+    """
 
     def __init__(
         self,
         replicas: tuple[str, ...],
         planner: int,
-        life: int,
+        incarnation: int,
         check: Callable[[str, Revision], Checked],
         apply: Callable[[Checked], None],
-        copy_file: Path | None = None,
+        cache_file: Path | None = None,
         in_force: Revision = Revision(),  # noqa: B008 - frozen
     ) -> None:
         self.replicas = replicas
         self.planner = planner
-        self.life = life
+        self.incarnation = incarnation
         self.check = check
         self.apply = apply
-        self.copy_file = copy_file
+        self.cache_file = cache_file
         self.follower = Follower(in_force)
         self.log = structlog.get_logger("configuration").bind(planner=planner)
         self._calls: dict[str, Call] = {}
         self._checked: tuple[Revision, Checked, str] | None = None
         self._greenlets: list[gevent.Greenlet] = []
         self._timer: gevent.Greenlet | None = None
-        self._copy_wanted: Stored | None = None
-        self._writing_copy = False
+        self._uncached: RevisionText | None = None
+        self._is_writing_cache = False
 
     def start(self) -> None:
         """Follow every replica, each on a stream of its own."""
@@ -81,67 +84,69 @@
     # Streams
 
     def _follow(self, replica: str) -> None:
-        wait = REDIAL_S
+        wait = RECONNECT_DELAY_S
         while True:
-            heard = self._stream(replica)
-            wait = REDIAL_S if heard else min(2 * wait, REDIAL_MOST_S)
+            heard = self._run_stream(replica)
+            wait = RECONNECT_DELAY_S if heard else min(2 * wait, MAX_RECONNECT_DELAY_S)
             gevent.sleep(wait)
 
-    def _stream(self, replica: str) -> bool:
+    def _run_stream(self, replica: str) -> bool:
         """One connection until it ends; whether anything was heard on it."""
-        limits = Limits(message_bytes=2 * TEXT_MOST)
-        channel = Channel(replica, limits, DIAL_S)
+        limits = Limits(message_bytes=2 * MAX_TEXT_BYTES)
+        channel = Channel(replica, limits, DIAL_TIMEOUT_S)
         heard = False
         try:
             call = caller(channel, SERVICE, "Follow")
-            call.send(pb.FollowRequest(hello=pb.FollowRequest.Hello(planner=self.planner, life=self.life)))
+            call.send(
+                pb.FollowRequest(hello=pb.FollowRequest.Hello(planner=self.planner, life=self.incarnation))
+            )
             self._calls[replica] = call
-            self._carry_out(self.follower.connected(now_us(), replica))
-            while (message := call.recv(SILENT_S)) is not None:
+            self._execute(self.follower.on_connected(now_us(), replica))
+            while (message := call.recv(SILENCE_TIMEOUT_S)) is not None:
                 heard = True
-                self._take(replica, message)
+                self._handle_message(replica, message)
         except RpcError as error:
             self.log.debug("configuration replica out of reach", replica=replica, error=str(error))
         finally:
             channel.close()
             if self._calls.pop(replica, None) is not None:
-                self._carry_out(self.follower.lost(now_us(), replica))
+                self._execute(self.follower.on_connection_lost(now_us(), replica))
         return heard
 
-    def _take(self, replica: str, message: Any) -> None:
+    def _handle_message(self, replica: str, message: Any) -> None:
         match message.WhichOneof("kind"):
             case "announcement":
-                revision = revision_from(message.announcement)
-                self._carry_out(self.follower.announced(now_us(), replica, revision))
+                revision = revision_from_message(message.announcement)
+                self._execute(self.follower.on_announced(now_us(), replica, revision))
             case "text":
                 text = message.text
-                revision = revision_from(text.revision)
-                self._carry_out(self.follower.text_arrived(now_us(), replica, revision, text.text))
+                revision = revision_from_message(text.revision)
+                self._execute(self.follower.on_text_received(now_us(), replica, revision, text.text))
 
-    def _arm(self) -> None:
+    def _arm_timer(self) -> None:
         """Danger: without it a fetch that nobody answers would never go to another replica."""
-        due = self.follower.next_due()
+        due = self.follower.next_timer()
         if due is not None and self._timer is None:
-            self._timer = gevent.spawn_later(max(0, due - now_us()) / 1e6, self._pass_time)
+            self._timer = gevent.spawn_later(max(0, due - now_us()) / 1e6, self._on_timer)
 
-    def _pass_time(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        self._carry_out(self.follower.pass_time(now_us()))
+        self._execute(self.follower.on_timer(now_us()))
 
     # Actions
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Fetch():
-                    self._send(action.replica, pb.FollowRequest(fetch=revision_to(action.revision)))
-                case Check():
+                case FetchText():
+                    self._send(action.replica, pb.FollowRequest(fetch=revision_to_message(action.revision)))
+                case CheckText():
                     gevent.spawn(self._check, action)
-                case Apply():
+                case ApplyRevision():
                     self._apply(action.revision)
-                case Report():
-                    self._send(action.replica, pb.FollowRequest(report=_report_to(action)))
-        self._arm()
+                case SendReport():
+                    self._send(action.replica, pb.FollowRequest(report=_report_to_message(action)))
+        self._arm_timer()
 
     def _send(self, replica: str, message: Any) -> None:
         call = self._calls.get(replica)
@@ -152,51 +157,51 @@
         except RpcError:
             pass  # the stream's reader hears of its end
 
-    def _check(self, action: Check) -> None:
+    def _check(self, action: CheckText) -> None:
         revision = action.revision
         try:
             # Danger: read in the event loop, a long text would keep answers and drains waiting.
             checked = gevent.get_hub().threadpool.apply(self.check, (action.text, revision))
-        except NotTaken as error:
-            if error.at_start:
-                self._keep_copy(Stored(revision, action.text))
+        except RevisionRejectedError as error:
+            if error.usable_after_restart:
+                self._cache_revision(RevisionText(revision, action.text))
             self.log.warning("configuration not taken", revision=str(revision), reason=str(error))
-            self._carry_out(self.follower.refused(now_us(), revision, str(error)))
+            self._execute(self.follower.on_check_failed(now_us(), revision, str(error)))
         else:
             self._checked = (revision, checked, action.text)
-            self._carry_out(self.follower.accepted(now_us(), revision))
+            self._execute(self.follower.on_check_passed(now_us(), revision))
 
     def _apply(self, revision: Revision) -> None:
         assert self._checked is not None and self._checked[0] == revision
         _, checked, text = self._checked
         self._checked = None
         self.apply(checked)
-        self._keep_copy(Stored(revision, text))
+        self._cache_revision(RevisionText(revision, text))
         self.log.info("configuration in force", revision=str(revision))
 
-    def _keep_copy(self, stored: Stored) -> None:
+    def _cache_revision(self, stored: RevisionText) -> None:
         """For the next start. Danger: without it a planner that starts while no replica can be reached would
         go back to its own file."""
-        self._copy_wanted = stored
-        if self.copy_file is not None and not self._writing_copy:
-            self._writing_copy = True
-            gevent.spawn(self._write_copies, self.copy_file)
+        self._uncached = stored
+        if self.cache_file is not None and not self._is_writing_cache:
+            self._is_writing_cache = True
+            gevent.spawn(self._write_cache, self.cache_file)
 
-    def _write_copies(self, copy_file: Path) -> None:
+    def _write_cache(self, cache_file: Path) -> None:
         """Danger: written by two threads at once, an older copy could be the one that stays."""
         try:
-            while self._copy_wanted is not None:
-                stored, self._copy_wanted = self._copy_wanted, None
-                gevent.get_hub().threadpool.apply(files.write_copy, (copy_file, stored))
-        except files.FileError as error:
+            while self._uncached is not None:
+                stored, self._uncached = self._uncached, None
+                gevent.get_hub().threadpool.apply(state_files.write_cached_revision, (cache_file, stored))
+        except state_files.StateFileError as error:
             self.log.error("copy of the configuration not written", error=str(error))
         finally:
-            self._writing_copy = False
+            self._is_writing_cache = False
 
 
-def _report_to(report: Report) -> Any:
+def _report_to_message(report: SendReport) -> Any:
     return pb.FollowRequest.Report(
-        in_force=revision_to(report.in_force),
-        rejected=revision_to(report.rejected),
+        in_force=revision_to_message(report.in_force),
+        rejected=revision_to_message(report.rejected),
         reason=report.reason,
     )
--- a/stairplank/emulator/experiment.py
+++ b/stairplank/emulator/experiment.py
@@ -18,10 +18,10 @@
 from typing import Any
 
 from ..groups.coordinator import GroupConfig
-from ..settings import values as v
-from ..settings.cluster import CLUSTER, cluster_from
-from ..settings.lines import Problem, SettingsError
-from ..settings.schema import Block, Key, Section, load
+from ..settings import parsers
+from ..settings.cluster import CLUSTER_SCHEMA, cluster_from
+from ..settings.schema import Block, Key, Section, load_section
+from ..settings.source import SettingsError, SettingsProblem
 from ..standin.config import LIST, MODEL, directory_model, model_from
 from ..standin.node_model import NodeModel
 from ..standin.owner import Demand, OwnerModel
@@ -29,22 +29,28 @@
 
 POLICIES = ("groups", "singles", "blocking")
 EXPERIMENT: tuple[Key | Block, ...] = (
-    *CLUSTER,
+    *CLUSTER_SCHEMA,
     *MODEL,
     *LIST,
-    Key("about", (v.text,)),
-    Key("fleet", (v.name, v.whole(1, 10_000), v.whole(1, 10_000)), True, True, words=("", "nodes", "racks")),
-    Key("load", (), True, rest=v.number(above=True), least_rest=1),
-    Key("planners", (), True, rest=v.whole(1, 1000), least_rest=1),
-    Key("group-size", (), True, rest=v.whole(1, 64), least_rest=1),
-    Key("policy", (), True, rest=v.choice(*POLICIES), least_rest=1),
-    Key("seeds", (), True, rest=v.whole(0), least_rest=1),
-    Key("lasts", (v.positive_duration,), True),
-    Key("single-class", (v.name,), True),
-    Key("group-class", (v.name,), True),
-    Key("group-share", (v.share,), True),
-    Key("size", (v.number(above=True), v.number(above=True)), True),
-    Key("life", (v.span(v.positive_duration),), True),
+    Key("about", (parsers.text,)),
+    Key(
+        "fleet",
+        (parsers.name, parsers.integer(1, 10_000), parsers.integer(1, 10_000)),
+        True,
+        True,
+        separators=("", "nodes", "racks"),
+    ),
+    Key("load", (), True, rest_parser=parsers.number(exclusive=True), min_rest=1),
+    Key("planners", (), True, rest_parser=parsers.integer(1, 1000), min_rest=1),
+    Key("group-size", (), True, rest_parser=parsers.integer(1, 64), min_rest=1),
+    Key("policy", (), True, rest_parser=parsers.choice(*POLICIES), min_rest=1),
+    Key("seeds", (), True, rest_parser=parsers.integer(0), min_rest=1),
+    Key("lasts", (parsers.positive_duration,), True),
+    Key("single-class", (parsers.name,), True),
+    Key("group-class", (parsers.name,), True),
+    Key("group-share", (parsers.fraction,), True),
+    Key("size", (parsers.number(exclusive=True), parsers.number(exclusive=True)), True),
+    Key("life", (parsers.value_range(parsers.positive_duration),), True),
 )
 COLUMNS = (
     "policy", "load", "planners", "group_size", "seed", "groups", "whole_in_time", "whole_ever",
@@ -65,19 +71,21 @@
 
 def cells(path: str) -> list[Cell]:
     """The grid of a file. Raises SettingsError."""
-    section = load(path, EXPERIMENT)
-    room = cluster_from(section)
-    names = [c.name for c in room.classes]
+    section = load_section(path, EXPERIMENT)
+    cluster = cluster_from(section)
+    names = [c.name for c in cluster.classes]
     for key in ("single-class", "group-class"):
-        if section.one(key) not in names:
-            text = f"no class {section.one(key)}; known: {', '.join(names)}"
-            raise SettingsError([Problem(section.place(key), key, text)])
-    for values in section.all("fleet"):
-        if values[0] not in [k.name for k in room.node_types]:
-            raise SettingsError([Problem(section.place("fleet"), "fleet", f"no kind {values[0]}")])
+        if section.value(key) not in names:
+            text = f"no class {section.value(key)}; known: {', '.join(names)}"
+            raise SettingsError([SettingsProblem(section.position_of(key), key, text)])
+    for values in section.all_values("fleet"):
+        if values[0] not in [k.name for k in cluster.node_types]:
+            raise SettingsError(
+                [SettingsProblem(section.position_of("fleet"), "fleet", f"no kind {values[0]}")]
+            )
 
     def many(key: str) -> tuple[Any, ...]:
-        return section.all(key)[0]
+        return section.all_values(key)[0]
 
     grid = itertools.product(
         many("policy"), many("load"), many("planners"), many("group-size"), many("seeds")
@@ -87,13 +95,15 @@
 
 def world_of(cell: Cell, section: Section) -> tuple[World, int]:
     """The world of a cell, and until when new tasks come."""
-    room = cluster_from(section)
-    one = section.one
+    cluster = cluster_from(section)
+    one = section.value
     nodes: list[NodeModel] = []
-    for kind, count, racks in section.all("fleet"):
+    for kind, count, racks in section.all_values("fleet"):
         for i in range(count):
             id = len(nodes) + 1
-            nodes.append(model_from(room, section, id, f"n{id}", kind, room.zones[0], f"{kind}-{i % racks}"))
+            nodes.append(
+                model_from(cluster, section, id, f"n{id}", kind, cluster.zones[0], f"{kind}-{i % racks}")
+            )
     cores, memory = one("size")
     life = one("life")
     mean_life = (life[0] + life[1]) / 2e6
@@ -112,10 +122,10 @@
         ),
     )
     ends = one("lasts")
-    owner = OwnerModel("owner", rate, demands, room.classes, cell.planners, ends_us=ends, wanted_us=ends)
-    owner = replace(owner, owner_wait_us=room.client_wait_us)
+    owner = OwnerModel("owner", rate, demands, cluster.classes, cell.planners, ends_us=ends, wanted_us=ends)
+    owner = replace(owner, owner_wait_us=cluster.client_wait_us)
     config = WorldConfig(
-        room,
+        cluster,
         tuple(nodes),
         (owner,),
         cell.planners,
@@ -129,18 +139,18 @@
 
 def run_cell(cell: Cell) -> dict[str, Any]:
     """One row."""
-    section = load(cell.path, EXPERIMENT)
+    section = load_section(cell.path, EXPERIMENT)
     began = time.perf_counter()
     world, ends = world_of(cell, section)
     first = world.now
     world.run(first + ends + 12_000_000)
-    sort = next(c for c in cluster_from(section).classes if c.name == section.one("group-class"))
-    single = section.one("single-class")
+    sort = next(c for c in cluster_from(section).classes if c.name == section.value("group-class"))
+    single = section.value("single-class")
     groups = world.meter.groups
     owner = world.owners[0]
     counts: Any = owner.tally.by_class.get(single, {})
     took = sorted(owner.tally.latencies.get(single, []))
-    if cell.policy == "singles" and single == section.one("group-class"):
+    if cell.policy == "singles" and single == section.value("group-class"):
         took = []
     in_time = sum(1 for g in groups if g.whole_at and g.whole_at - g.asked <= sort.latency_objective_us)
 
--- a/stairplank/emulator/watch.py
+++ b/stairplank/emulator/watch.py
@@ -46,7 +46,7 @@
         self._members: dict[tuple[int, int], set[AttemptId]] = defaultdict(set)  # running, by group
         self._finished: dict[tuple[int, int], int] = defaultdict(int)
         self._partly: dict[tuple[int, int], int] = {}
-        self._strict = {c.name for c in world.config.room.classes if c.effect is not api.Effect.IDEMPOTENT}
+        self._strict = {c.name for c in world.config.cluster.classes if c.effect is not api.Effect.IDEMPOTENT}
         world.on_offer = self._offered
         world.on_word = self._said
         world.on_death = self.node_died
--- a/stairplank/emulator/wires.py
+++ b/stairplank/emulator/wires.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..fence import Stamp, Stamps
+from ..fence import AgeStamp, MessageStamper
 from ..planner.link_state import Heard
 from ..standin.door import Door
 
@@ -51,7 +51,7 @@
     epoch: int
     life: int  # of the planner
     heard: Heard
-    stamps: Stamps = field(default_factory=Stamps)
+    stamps: MessageStamper = field(default_factory=MessageStamper)
     given_up: bool = False  # by its planner, or reset: nothing more is said on it
     reset: bool = False  # what is still on the way is lost as well
 
@@ -96,7 +96,7 @@
         door = self.door(planner, node)
         unheard = door.opened(self.now, life, self._epoch, heard.number)
         assert unheard is not None and door.grants is not None
-        wire.stamps.heard(self.now, door.grants.give(self.now))
+        wire.stamps.receive_grant(self.now, door.grants.issue(self.now))
         return wire
 
     def replay(self, wire: Wire, feed: Callable[[Any], None]) -> None:
@@ -143,10 +143,10 @@
             return
         call(door)
 
-    def stamp(self, wire: Wire) -> Stamp | None:
+    def stamp(self, wire: Wire) -> AgeStamp | None:
         return wire.stamps.stamp(self.now)
 
-    def said_at(self, door: Door, stamp: Stamp | None) -> int | None:
+    def said_at(self, door: Door, stamp: AgeStamp | None) -> int | None:
         """By the fence; without it, everything is said when it comes."""
         return door.said_at(self.now, stamp) if self.fenced else self.now
 
@@ -165,7 +165,7 @@
     def _hear(self, wire: Wire, event: Any, feed: Callable[[Any], None], grant: int, number: int) -> None:
         if wire.given_up:
             return
-        wire.stamps.heard(self.now, grant)
+        wire.stamps.receive_grant(self.now, grant)
         if number:
             take, again = wire.heard.take(number)
             if again:
--- a/stairplank/emulator/world.py
+++ b/stairplank/emulator/world.py
@@ -33,7 +33,7 @@
 class WorldConfig:
     """Times in microseconds; delays are one way."""
 
-    room: Cluster
+    cluster: Cluster
     nodes: tuple[NodeModel, ...]
     owners: tuple[OwnerModel, ...]
     planners: int
@@ -85,8 +85,8 @@
         self._task_of: dict[ev.AttemptId, ev.TaskSpec] = {}
         self._probes: dict[int, tuple[int, Core, int]] = {}
         self.models = {m.id: m for m in config.nodes}
-        room = config.room
-        self.copies = CopyBook(room.classes)
+        cluster = config.cluster
+        self.copies = CopyBook(cluster.classes)
         self.nodes: dict[int, Node | None] = {}
         self.started: dict[int, int] = {}
         for model in config.nodes:
@@ -105,7 +105,7 @@
         for planner in range(config.planners):
             self.start_planner(planner)
         self._after(DIRECTORY_STEP_US, self._directory_step)
-        self.tenants = tuple(t for t, _ in room.tenants)
+        self.tenants = tuple(t for t, _ in cluster.tenants)
         for i in range(len(self.owners)):
             self._wake_owner(i)
 
@@ -149,16 +149,16 @@
     # Planners
 
     def start_planner(self, planner: int) -> None:
-        room = self.config.room
+        cluster = self.config.cluster
         self.lives += 1
         config = CoreConfig(
             bounds=Bounds(100_000, 100_000, 1_000_000, 3_600_000_000),
-            tenants=tuple(t for t, _ in room.tenants),
-            zones=room.zones,
+            tenants=tuple(t for t, _ in cluster.tenants),
+            zones=cluster.zones,
             groups=self.config.groups,
             proofs=self.config.proofs,
         )
-        settings = room.settings(self.config.planners, planner, planner % len(room.zones))
+        settings = cluster.settings(self.config.planners, planner, planner % len(cluster.zones))
         core = Core(settings, config, self.lives, self.config.seed * 1_000_003 + self.lives)
         self.cores[planner] = core
         self._carry_out(planner, core, core.start(self.now))
@@ -300,7 +300,7 @@
         return reached
 
     def _offer(self, planner: int, offer: ev.SendOffer) -> None:
-        sort = self.config.room.classes[offer.class_index]
+        sort = self.config.cluster.classes[offer.class_index]
         if self.on_offer is not None:
             self.on_offer(offer)
 
--- a/stairplank/fence/__init__.py
+++ b/stairplank/fence/__init__.py
@@ -4,7 +4,14 @@
 docs/design/held-bytes.md has the ways weighed and the proof.
 """
 
-from .epochs import Epochs
-from .grants import DRIFT_PPM, Grants, Stamp, Stamps, StepWatch
+from .epochs import StreamEpochs
+from .grants import MAX_DRIFT_PPM, AgeStamp, ClockStepDetector, GrantIssuer, MessageStamper
 
-__all__ = ["DRIFT_PPM", "Epochs", "Grants", "Stamp", "Stamps", "StepWatch"]
+__all__ = [
+    "MAX_DRIFT_PPM",
+    "AgeStamp",
+    "ClockStepDetector",
+    "GrantIssuer",
+    "MessageStamper",
+    "StreamEpochs",
+]
--- a/stairplank/fence/epochs.py
+++ b/stairplank/fence/epochs.py
@@ -6,30 +6,30 @@
 from collections.abc import Hashable
 
 
-class Epochs:
+class StreamEpochs:
     """The highest epoch seen of each peer.
 
     At the bound the peer that was heard of longest ago is forgotten: its next stream counts as its first.
     """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_peers: int) -> None:
+        self._max_peers = max_peers
         self._highest: OrderedDict[Hashable, int] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._highest)
 
-    def allow(self, most: int) -> None:
+    def raise_limit(self, max_peers: int) -> None:
         """Raise the bound. Danger: by a lower one peers whose streams stand would be forgotten."""
-        self._most = max(self._most, most)
+        self._max_peers = max(self._max_peers, max_peers)
 
-    def take(self, peer: Hashable, epoch: int) -> bool:
+    def accept(self, peer: Hashable, epoch: int) -> bool:
         """Whether a stream with this epoch is newer than all that were seen of this peer."""
         known = self._highest.get(peer, -1)
         if epoch <= known:
             return False
         self._highest[peer] = epoch
         self._highest.move_to_end(peer)
-        if len(self._highest) > self._most:
+        if len(self._highest) > self._max_peers:
             self._highest.popitem(last=False)
         return True
--- a/stairplank/fence/grants.py
+++ b/stairplank/fence/grants.py
@@ -21,63 +21,67 @@
 import random
 from typing import NamedTuple
 
-DRIFT_PPM = 1_000  # two clocks that are off by 500 ppm each, in opposite senses
-EVERY_US = 250_000  # a stream in use is given a new grant so often, with what is said anyway
-IDLE_US = 10_000_000  # one on which nothing is said, so often by itself
-VALID_US = 60_000_000  # a message under an older grant is refused
+MAX_DRIFT_PPM = 1_000  # two clocks that are off by 500 ppm each, in opposite senses
+GRANT_INTERVAL_US = 250_000  # a stream in use is given a new grant so often, with what is said anyway
+IDLE_GRANT_INTERVAL_US = 10_000_000  # one on which nothing is said, so often by itself
+GRANT_VALIDITY_US = 60_000_000  # a message under an older grant is refused
 SALT_BITS = 48  # grants of one stream mean nothing on another
 
 
-class Stamp(NamedTuple):
+class AgeStamp(NamedTuple):
     """What a message carries: a grant, and for how long its sender has had it (microseconds)."""
 
     grant: int
-    since_us: int
+    held_us: int
 
 
-class Grants:
+class GrantIssuer:
     """The receiver's half, for one stream. Times are microseconds of the receiver's clock."""
 
-    __slots__ = ("_base", "_given", "_floor", "steps")
+    __slots__ = ("_base", "_last_issued_at", "_oldest_valid_at", "clock_steps")
 
     def __init__(self, now: int, rng: random.Random) -> None:
         self._base = now - (1 + rng.getrandbits(SALT_BITS))
-        self._given = 0  # when the last one was; 0: none yet
-        self._floor = now  # grants from before are not taken any more
-        self.steps = 0  # of the sender's clock, as they were found out
+        self._last_issued_at = 0  # when the last one was; 0: none yet
+        self._oldest_valid_at = now  # grants from before are not taken any more
+        self.clock_steps = 0  # of the sender's clock, as they were found out
 
-    def give(self, now: int) -> int:
+    def issue(self, now: int) -> int:
         """A new grant, always."""
-        self._given = now
+        self._last_issued_at = now
         return now - self._base
 
-    def give_if_due(self, now: int) -> int:
+    def issue_if_due(self, now: int) -> int:
         """A new grant for a message that is said anyway; 0 where the last is young enough."""
-        return self.give(now) if not self._given or now - self._given >= EVERY_US else 0
+        return (
+            self.issue(now)
+            if not self._last_issued_at or now - self._last_issued_at >= GRANT_INTERVAL_US
+            else 0
+        )
 
     def next_due(self) -> int:
         """When one is to be given even if nothing else is said."""
-        return self._given + IDLE_US
+        return self._last_issued_at + IDLE_GRANT_INTERVAL_US
 
-    def said_at(self, now: int, stamp: Stamp | None) -> int | None:
+    def earliest_send_time(self, now: int, stamp: AgeStamp | None) -> int | None:
         """When a message with this stamp was said at the earliest; None: it proves nothing."""
-        if stamp is None or not stamp.grant or stamp.since_us > VALID_US:
+        if stamp is None or not stamp.grant or stamp.held_us > GRANT_VALIDITY_US:
             return None
         given = self._base + stamp.grant
-        if given < self._floor or given > now:
+        if given < self._oldest_valid_at or given > now:
             return None
-        at = given + stamp.since_us - stamp.since_us * DRIFT_PPM // 1_000_000
+        at = given + stamp.held_us - stamp.held_us * MAX_DRIFT_PPM // 1_000_000
         if at > now:
             # Danger: the sender's clock has run ahead. A message of its own that was held for as long as the
             # step would look fresh: what it says under earlier grants is worth nothing from now on.
-            self._floor = now
-            self._given = 0
-            self.steps += 1
+            self._oldest_valid_at = now
+            self._last_issued_at = 0
+            self.clock_steps += 1
             return None
         return at
 
 
-class Stamps:
+class MessageStamper:
     """The sender's half, for one stream. Times are microseconds of the sender's clock.
 
     Of all grants that were heard the one counts that came by the shortest way: it makes messages look least
@@ -91,25 +95,29 @@
         self._best: tuple[int, int] | None = None  # grant, when heard
         self._newest: tuple[int, int] | None = None
 
-    def heard(self, now: int, grant: int) -> None:
+    def receive_grant(self, now: int, grant: int) -> None:
         """A grant has come, now; 0 is none."""
         if not grant:
             return
         fresh = self._newest = (grant, now)
         best = self._best
-        if best is None or self._worth(fresh) >= self._worth(best) or now - best[1] > VALID_US // 2:
+        if (
+            best is None
+            or self._freshness(fresh) >= self._freshness(best)
+            or now - best[1] > GRANT_VALIDITY_US // 2
+        ):
             self._best = fresh
 
     @staticmethod
-    def _worth(grant: tuple[int, int]) -> int:
+    def _freshness(grant: tuple[int, int]) -> int:
         """By how much messages under it look younger than under another; in millionths of a microsecond."""
-        return grant[0] * 1_000_000 - grant[1] * (1_000_000 - DRIFT_PPM)
+        return grant[0] * 1_000_000 - grant[1] * (1_000_000 - MAX_DRIFT_PPM)
 
-    def stamp(self, now: int) -> Stamp | None:
+    def stamp(self, now: int) -> AgeStamp | None:
         """For a message that is said now; None where no grant is young enough to be named."""
         for known in (self._best, self._newest):
-            if known is not None and 0 <= now - known[1] <= VALID_US:
-                return Stamp(known[0], now - known[1])
+            if known is not None and 0 <= now - known[1] <= GRANT_VALIDITY_US:
+                return AgeStamp(known[0], now - known[1])
         return None
 
     def forget(self) -> None:
@@ -117,22 +125,22 @@
         self._best = self._newest = None
 
 
-class StepWatch:
+class ClockStepDetector:
     """Compares two clocks that should run alike; says when one of them has jumped against the other."""
 
-    __slots__ = ("_last", "_most")
+    __slots__ = ("_last_readings", "_max_step_us")
 
-    def __init__(self, most_us: int = 50_000) -> None:
-        self._last: tuple[int, int] | None = None
-        self._most = most_us
+    def __init__(self, max_step_us: int = 50_000) -> None:
+        self._last_readings: tuple[int, int] | None = None
+        self._max_step_us = max_step_us
 
-    def stepped(self, one: int, other: int) -> bool:
+    def has_stepped(self, first_clock: int, second_clock: int) -> bool:
         """Whether, since the last call, the clocks went apart by more than drift and ``most_us`` explain."""
-        last, self._last = self._last, (one, other)
+        last, self._last_readings = self._last_readings, (first_clock, second_clock)
         if last is None:
             return False
-        went, other_went = one - last[0], other - last[1]
+        went, other_went = first_clock - last[0], second_clock - last[1]
         if went < 0 or other_went < 0:
             return True
-        allowed = self._most + max(went, other_went) * DRIFT_PPM // 1_000_000
+        allowed = self._max_step_us + max(went, other_went) * MAX_DRIFT_PPM // 1_000_000
         return abs(went - other_went) > allowed
--- a/stairplank/planner/convert.py
+++ b/stairplank/planner/convert.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from .. import interface as api
-from ..fence import Stamp
+from ..fence import AgeStamp
 from ..proto import common_pb2, directory_pb2, node_pb2, placement_pb2
 from ..rpc.status import Code
 from . import events as ev
@@ -73,13 +73,13 @@
     )
 
 
-def stamp_from(message: Any) -> Stamp | None:
+def stamp_from(message: Any) -> AgeStamp | None:
     """When a message says that it was said; None where it does not."""
-    return Stamp(message.sent.grant, message.sent.since_us) if message.HasField("sent") else None
+    return AgeStamp(message.sent.grant, message.sent.since_us) if message.HasField("sent") else None
 
 
-def stamp_to(stamp: Stamp | None) -> Any:
-    return None if stamp is None else common_pb2.Sent(grant=stamp.grant, since_us=stamp.since_us)
+def stamp_to(stamp: AgeStamp | None) -> Any:
+    return None if stamp is None else common_pb2.Sent(grant=stamp.grant, since_us=stamp.held_us)
 
 
 def reason_from(reason: int) -> api.Reason:
@@ -145,7 +145,7 @@
     return ev.NodeTasksReported(node, message.started_unix_us, tasks, message.complete, asked_at, finished)
 
 
-def offer_to(offer: ev.SendOffer, sort: api.TaskClass, stamp: Stamp | None) -> Any:
+def offer_to(offer: ev.SendOffer, sort: api.TaskClass, stamp: AgeStamp | None) -> Any:
     return node_pb2.OfferRequest(
         offer=node_pb2.OfferRequest.Offer(
             id=id_to(offer.id),
@@ -160,14 +160,14 @@
     )
 
 
-def commit_to(commit: ev.SendCommit, stamp: Stamp | None) -> Any:
+def commit_to(commit: ev.SendCommit, stamp: AgeStamp | None) -> Any:
     part = node_pb2.OfferRequest.Commit(
         ids=map(id_to, commit.ids), lease_us=commit.lease_us, sent=stamp_to(stamp)
     )
     return node_pb2.OfferRequest(commit=part)
 
 
-def keep_to(keep: ev.SendLeaseRenewal, stamp: Stamp | None) -> Any:
+def keep_to(keep: ev.SendLeaseRenewal, stamp: AgeStamp | None) -> Any:
     part = node_pb2.OfferRequest.Keep(
         ids=map(id_to, keep.ids), lease_us=keep.lease_us, sent=stamp_to(stamp), keep=keep.renewal
     )
--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -20,10 +20,10 @@
 import structlog
 from gevent.event import Event as Flag
 
-from ..configuration.joining import follow
-from ..configuration.live import LiveChanges, live_changes
+from ..configuration.changes import ConfigurationChanges, compare_configurations
+from ..configuration.planner_configuration import watch_configuration
 from ..configuration.revision import NO_REVISION, Revision
-from ..fence import Epochs, Grants, StepWatch
+from ..fence import ClockStepDetector, GrantIssuer, StreamEpochs
 from ..proto import (
     caller,
     directory_pb2,
@@ -60,10 +60,10 @@
         """``revision``: of the site's configuration that ``config`` was made with."""
         self.config = config
         self.position = config.settings.position
-        self.life = int.from_bytes(os.urandom(8), "big") >> 1 or 1
+        self.incarnation = int.from_bytes(os.urandom(8), "big") >> 1 or 1
         self.log = structlog.get_logger("planner").bind(planner=self.position)
-        seed = config.seed if config.seed is not None else self.life
-        self.core = Core(config.settings, core_config(config), self.life, seed)
+        seed = config.seed if config.seed is not None else self.incarnation
+        self.core = Core(config.settings, core_config(config), self.incarnation, seed)
         self.health = Health((PLACEMENT.full_name,))
         names = (PLACEMENT.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
         served = {
@@ -76,11 +76,11 @@
         self.heard: dict[int, tuple[int, Heard]] = {}  # node: its life, and its words so far
         self.owners: dict[int, ServerCall] = {}
         self.peers: dict[int, tuple[str, int]] = {}  # owner's stream: its owner and that one's session
-        self.epochs = Epochs(epochs_most(config))  # of owners' sessions
-        self.grants: dict[int, Grants] = {}  # an owner's stream
+        self.epochs = StreamEpochs(epochs_most(config))  # of owners' sessions
+        self.grants: dict[int, GrantIssuer] = {}  # an owner's stream
         self._rng = random.Random(os.urandom(16))
         self._epoch = 0
-        self._step_watch = StepWatch()
+        self._step_watch = ClockStepDetector()
         self.dropped_words = 0
         self.core_ns = 0  # time spent in the core and the module
         self._session = 0
@@ -91,7 +91,7 @@
         self._armed: int | None = None
         self._watch: Any = None
         self._stop = Flag()
-        self.configuration = follow(self, revision)
+        self.configuration = watch_configuration(self, revision)
 
     # The fence
 
@@ -103,7 +103,7 @@
     def clock_stepped(self) -> bool:
         """Whether the monotonic clock has jumped against the raw one; all grants are forgotten then."""
         before, raw, after = now_us(), raw_us(), now_us()
-        if after - before > 1_000 or not self._step_watch.stepped(before, raw):
+        if after - before > 1_000 or not self._step_watch.has_stepped(before, raw):
             return False  # stood still between the two readings: they say nothing of each other
         for link in self.links.values():
             link.stamps.forget()
@@ -128,7 +128,7 @@
 
     def start(self) -> None:
         self.server.start()
-        self.log.info("planner starts", listen=list(self.server.addresses), life=self.life)
+        self.log.info("planner starts", listen=list(self.server.addresses), life=self.incarnation)
         self._carry_out(self.core.start(now_us()))
         gevent.spawn(self._clock)
         self.pulse.start()
@@ -160,20 +160,20 @@
     def prepare_site(self, text: str, name: str) -> PlannerConfig:
         """This planner's configuration once the site's text is in force; ``name`` stands for its file.
 
-        Changes nothing, and may run in another thread. Raises SettingsError and NeedsRestartError.
+        Changes nothing, and may run in another thread. Raises SettingsError and RestartRequiredError.
         """
         return prepared(self.config, text, name)
 
-    def apply_site(self, config: PlannerConfig) -> LiveChanges:
-        """Put a prepared configuration into force, at once; what has changed. Raises NeedsRestartError."""
+    def apply_site(self, config: PlannerConfig) -> ConfigurationChanges:
+        """Put a prepared configuration into force, at once; what has changed. Raises RestartRequiredError."""
         # Danger: another one may have come into force since it was prepared.
-        changes = live_changes(self.config, config)
-        changes.check()
-        if changes.identical:
+        changes = compare_configurations(self.config, config)
+        changes.raise_if_restart_required()
+        if changes.is_empty:
             return changes
         self.config = config
         self.server.limits = server_limits(config)
-        self.epochs.allow(epochs_most(config))
+        self.epochs.raise_limit(epochs_most(config))
         self.feed(ev.SettingsChanged(config.settings, core_config(config)))
         self.log.info("settings changed", keys=list(changes.keys))
         return changes
@@ -278,14 +278,14 @@
         event = placement_pb2.PlaceEvent
         peer = (owner, first.hello.session)
         if first.hello.session:
-            if not self.epochs.take(peer, first.hello.epoch):
+            if not self.epochs.accept(peer, first.hello.epoch):
                 raise RpcError(Code.ABORTED, "a newer stream of this session has been here")
             self._end_older(peer)
-        grants = self.grants[session] = Grants(now_us(), self._rng)
-        welcome = event.Welcome(planner=self.position, life=self.life)
+        grants = self.grants[session] = GrantIssuer(now_us(), self._rng)
+        welcome = event.Welcome(planner=self.position, life=self.incarnation)
         self.owners[session] = call
         self.peers[session] = peer
-        call.send(event(welcome=welcome, grant=grants.give(now_us())))
+        call.send(event(welcome=welcome, grant=grants.issue(now_us())))
         renewing = gevent.spawn(self._renew, session, grants)
         self.feed(ev.ClientConnected(session, owner))
         try:
@@ -313,7 +313,7 @@
                 call.stream.connection.close(error)
                 self.feed(ev.ClientDisconnected(session))
 
-    def _renew(self, session: int, grants: Grants) -> None:
+    def _renew(self, session: int, grants: GrantIssuer) -> None:
         """A stream on which nothing is said is given a grant all the same, now and then."""
         event = placement_pb2.PlaceEvent
         while session in self.owners:
@@ -321,7 +321,7 @@
             call = self.owners.get(session)
             if call is not None and now_us() >= grants.next_due():
                 with contextlib.suppress(RpcError):
-                    call.try_send(event(renewed=event.Grant(), grant=grants.give(now_us())))
+                    call.try_send(event(renewed=event.Grant(), grant=grants.issue(now_us())))
 
     def _age(self, session: int, message: Any) -> int:
         """How old a message of an owner's is at most; 0 where it does not say when it was said."""
@@ -329,7 +329,7 @@
         if stamp is None:
             return 0
         now = now_us()
-        at = self.grants[session].said_at(now, stamp)
+        at = self.grants[session].earliest_send_time(now, stamp)
         return UNKNOWN_AGE_US if at is None else max(0, now - at)
 
     def _read_owner(self, call: ServerCall, session: int, owner: str) -> None:
@@ -377,7 +377,7 @@
         message = convert.word_to(action.message)
         grants = self.grants.get(action.session)
         if grants is not None:
-            message.grant = grants.give_if_due(now_us())
+            message.grant = grants.issue_if_due(now_us())
         try:
             sent = call.try_send(message)
         except RpcError:
@@ -425,7 +425,7 @@
         return link.channel.unary(path(NODE, method), request, answer.FromString, timeout_s=timeout_us / 1e6)
 
     def _ask_held(self, node: int) -> None:
-        request = node_pb2.HeldRequest(planner=self.position, life=self.life)
+        request = node_pb2.HeldRequest(planner=self.position, life=self.incarnation)
         link, asked_at = self.links.get(node), now_us()
         try:
             told = self._unary(node, "Held", request, node_pb2.HeldResponse, self.config.link_grace_us + 1)
--- a/stairplank/planner/live_settings.py
+++ b/stairplank/planner/live_settings.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from ..configuration.live import live_changes
+from ..configuration.changes import compare_configurations
 from ..rpc import Limits
 from ..settings import PlannerConfig
-from ..settings.site import load_site_text, with_site
+from ..settings.site import load_site_text, merge_site
 from .admission import Bounds
 from .context import CoreConfig
 
@@ -48,8 +48,8 @@
 def prepared(config: PlannerConfig, text: str, name: str) -> PlannerConfig:
     """The configuration of a planner after a site's text comes into force.
 
-    Raises SettingsError where the text is wrong, NeedsRestartError where a running planner cannot take it.
+    Raises SettingsError where the text is wrong, RestartRequiredError where a running planner cannot take it.
     """
-    new = with_site(config, load_site_text(text, name), name)
-    live_changes(config, new).check()
+    new = merge_site(config, load_site_text(text, name), name)
+    compare_configurations(config, new).raise_if_restart_required()
     return new
--- a/stairplank/planner/node_connection.py
+++ b/stairplank/planner/node_connection.py
@@ -7,7 +7,7 @@
 
 import gevent
 
-from ..fence import Stamp, Stamps
+from ..fence import AgeStamp, MessageStamper
 from ..proto import caller, node_pb2
 from ..rpc import Channel, Code, Limits, RpcError
 from ..settings import PlannerConfig
@@ -31,7 +31,7 @@
     @property
     def position(self) -> int: ...
     @property
-    def life(self) -> int: ...
+    def incarnation(self) -> int: ...
     @property
     def log(self) -> Any: ...
     @property
@@ -56,7 +56,7 @@
         self.sent: deque[tuple[int, AttemptId | None]] = deque()  # number of the message; the offer's attempt
         self.closing = False
         self.heard = Heard()
-        self.stamps = Stamps()
+        self.stamps = MessageStamper()
         self._ack_due = False
         self._probe = 0
         self._probes: dict[int, int] = {}  # under way: number, when asked
@@ -103,7 +103,7 @@
         heard = self.host.heard.get(self.node, (0, Heard()))[1].number
         hello = node_pb2.OfferRequest.Hello(
             planner=self.host.position,
-            life=self.host.life,
+            life=self.host.incarnation,
             heard=heard,
             epoch=self.host.next_epoch(),
         )
@@ -115,14 +115,14 @@
         if first.welcome.node != self.node:
             text = f"node {first.welcome.node} answers at the address of node {self.node}"
             raise RpcError(Code.FAILED_PRECONDITION, text, never_ran=True)
-        self.stamps = Stamps()
-        self.stamps.heard(now_us(), first.grant)
+        self.stamps = MessageStamper()
+        self.stamps.receive_grant(now_us(), first.grant)
         return first.welcome
 
     def _read(self) -> None:
         taken = 0
         while (message := self.call.recv()) is not None:
-            self.stamps.heard(now_us(), message.grant)
+            self.stamps.receive_grant(now_us(), message.grant)
             if message.number and not self._numbered(message.number):
                 continue
             event = convert.node_event(self.node, message)
@@ -197,7 +197,7 @@
         handed = self.call.stream.handed
         return frozenset(id for number, id in self.sent if id is not None and number >= handed)
 
-    def stamp(self) -> Stamp | None:
+    def stamp(self) -> AgeStamp | None:
         """For a message that counts from when it is said."""
         if self.host.clock_stepped():
             self.host.log.warning("the clock has jumped: grants are forgotten")
--- a/stairplank/platform/reload.py
+++ b/stairplank/platform/reload.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable, Iterator, Mapping
 
-from ..configuration.rules import FieldChange, changed_names, changed_settings
+from ..configuration.field_changes import FieldChange, changed_names, changed_settings
 from . import events as ev
 from .config import Config, ConfigError, ConfigFile, parse
 from .logs import log
--- a/stairplank/rehearsal/day.py
+++ b/stairplank/rehearsal/day.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..settings.values import as_duration
+from ..settings.parsers import format_duration
 
 EFFECTS = {"safe": "repeatable", "keyed": "keyed", "unsafe": "once"}
 GROUPS = {"all": "all", "zone": "zone", "cell": "rack"}
@@ -107,7 +107,7 @@
 
     def time(self, us: float) -> str:
         """A time of the day, at the speed."""
-        return as_duration(max(1, round(us / self.speed)))
+        return format_duration(max(1, round(us / self.speed)))
 
     def nodes(self, on: list[int]) -> list[int]:
         """Numbers of those nodes that are here; one at least, as a trouble without a node is none."""
@@ -126,7 +126,7 @@
             f"# from a day of {self.day.get('site', 'a site')}, scale {self.scale:g}, speed {self.speed:g}",
             f"seed {self.seed}",
             f"lasts {self.time(self.day['length'] + self._settle_us() * self.speed)}",
-            f"settles {as_duration(self._settle_us())}",
+            f"settles {format_duration(self._settle_us())}",
             f"planners {self.planners}",
             f"owners {min(4, self.planners)}",
         ]
@@ -154,17 +154,17 @@
             out += [
                 f"class {sort['name']}",
                 f"  effect {effect}",
-                f"  aim {as_duration(sort['aim'])}",
-                f"  deadline {as_duration(sort['deadline'])}",
+                f"  aim {format_duration(sort['aim'])}",
+                f"  deadline {format_duration(sort['deadline'])}",
                 f"  worth {sort['worth']}",
                 f"  late-worth {sort.get('late_worth', 0.0)}",
-                f"  start-worth {as_duration(round(use.get('start_s', 0.0) * 1e6))}",
+                f"  start-worth {format_duration(round(use.get('start_s', 0.0) * 1e6))}",
                 f"  priority {use.get('priority', 0)}",
                 f"  calm-until {use.get('calm', 1.0)}",
                 f"  lost-over {use.get('fade', 1.0)}",
             ]
             if effect == "keyed":
-                out += [f"  group {GROUPS[sort['group']]}", f"  window {as_duration(sort['window'])}"]
+                out += [f"  group {GROUPS[sort['group']]}", f"  window {format_duration(sort['window'])}"]
             if use.get("spread") in SPREADS:
                 out.append(f"  spread {SPREADS[use['spread']]} {use['most']}")
             if use.get("on_kind", -1) >= 0:
@@ -190,15 +190,15 @@
             f"confirms {'accepted' if fam.get('at_accept') else 'running'}",
             f"preempts {'yes' if fam.get('preempt') else 'no'}",
             f"max-attempts {allow.get('max_attempts', 3)}",
-            f"answer-slack {as_duration(SLACK_US)}",
-            f"drain-grace {as_duration(day.get('drain_grace', 250_000))}",
+            f"answer-slack {format_duration(SLACK_US)}",
+            f"drain-grace {format_duration(day.get('drain_grace', 250_000))}",
             f"cold-share {tier.get('stated_cold_from', 0.2)}",
-            f"cold-time {as_duration(int(tier.get('stated_cold', 10_000_000)))}",
+            f"cold-time {format_duration(int(tier.get('stated_cold', 10_000_000)))}",
             f"fall-multiple {day.get('fall_multiple', 2.0)}",
-            f"fall-time {as_duration(day.get('fall_for', 1_500_000))}",
+            f"fall-time {format_duration(day.get('fall_for', 1_500_000))}",
             "fresh-offers 30",
-            f"owner-wait {as_duration(int(fam.get('settle', 3_000_000)))}",
-            f"tick {as_duration(TICK_US)}",
+            f"owner-wait {format_duration(int(fam.get('settle', 3_000_000)))}",
+            f"tick {format_duration(TICK_US)}",
             *(f"price {name} {day.get('prices', {}).get(key, 0.0)}" for name, key in PRICES.items()),
         ]
 
@@ -235,10 +235,10 @@
         look = int(fam["admit_us"])
         self.notes.append("speeds of single nodes: all nodes of a kind are alike here")
         return [
-            f"look-time {as_duration(look)}..{as_duration(look)}",
+            f"look-time {format_duration(look)}..{format_duration(look)}",
             f"waiting-most {max(1, int(fam['admit_queue']))}",
             f"starts-at-once {max(1, int(fam['starts']))}",
-            f"start-time {as_duration(max(1000, int(work)))}",
+            f"start-time {format_duration(max(1000, int(work)))}",
             f"from-nothing {max(1.0, fam['setup'])}",
             f"programs-kept {int(fam['kept'])}",
             f"cores-use {sum(u[0] for u in used) / len(used):.4f}",
@@ -259,7 +259,7 @@
         soon = fam.get("move_gap", 50_000)
         out = [
             f"rate {self.rate():.3f}",
-            f"owner-again {as_duration(int(fam['again']))}..{as_duration(int(fam['again'] * 1.5))}",
+            f"owner-again {format_duration(int(fam['again']))}..{format_duration(int(fam['again'] * 1.5))}",
             f"owner-soon {self.time(soon)}..{self.time(soon * 4)}",
             f"owner-wanted {self.time(fam['life_s'] * 1e6 + 10e6)}",
         ]
@@ -334,7 +334,8 @@
             elif key not in CARRIED and key not in BOOKKEEPING:
                 self.notes.append(f"{key}: not known here")
         self.notes.append(
-            f"tick: {as_duration(TICK_US)} in place of the day's; answer slack {as_duration(SLACK_US)}"
+            f"tick: {format_duration(TICK_US)} in place of the day's; "
+            f"answer slack {format_duration(SLACK_US)}"
         )
         self.notes.append("clients: only the wait before they ask again; retries within a try are not made")
 
@@ -354,8 +355,8 @@
 def _pauses(d: _Day, t: dict[str, Any]) -> list[str]:
     nodes = " ".join(map(str, d.nodes(t["on"])))
     length, every = (
-        as_duration(max(1000, int(t["size"] * 1000))),
-        as_duration(max(2000, int(t["extra"] * 1e6))),
+        format_duration(max(1000, int(t["size"] * 1000))),
+        format_duration(max(2000, int(t["extra"] * 1e6))),
     )
     return [f"at {d.time(t['at'])} node {nodes} pauses {length} {every} for {d.time(t['len'])}"]
 
@@ -401,7 +402,7 @@
     for k, planner in enumerate(planners):
         at = t["at"] + (every * k / len(planners) if t.get("how") == "apart" else 0.0)
         while at < t["at"] + t["len"]:
-            out.append(f"at {d.time(at)} planner {planner} pause for {as_duration(int(length))}")
+            out.append(f"at {d.time(at)} planner {planner} pause for {format_duration(int(length))}")
             at += max(every * d.speed, 2 * length * d.speed)
     return out
 
--- a/stairplank/rehearsal/drawn.py
+++ b/stairplank/rehearsal/drawn.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..settings.values import as_duration
+from ..settings.parsers import format_duration
 from ..standin.script import FAULTS
 
 FIRST_US = 1_000_000
@@ -53,7 +53,7 @@
     def span(self, least_us: int, most_us: int) -> str:
         # Short ones are as likely as long ones: what breaks at 200 ms and at 8 s are different things.
         low, high = least_us, min(most_us, LONGEST_US)
-        return as_duration(int(low * (high / low) ** self.rng.random()) // 1000 * 1000 or low)
+        return format_duration(int(low * (high / low) ** self.rng.random()) // 1000 * 1000 or low)
 
     def share(self, low: float, high: float) -> str:
         return f"{round(100 * self.rng.uniform(low, high))}%"
@@ -157,5 +157,5 @@
         text = drawing.line(*rng.choice(every))
         if text is not None:
             at = int(rng.uniform(FIRST_US, space.until_us)) // 1000 * 1000
-            lines.append((at, f"at {as_duration(at)} {text}"))
+            lines.append((at, f"at {format_duration(at)} {text}"))
     return [line for _, line in sorted(lines)]
--- a/stairplank/rehearsal/report.py
+++ b/stairplank/rehearsal/report.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..settings.values import said
+from ..settings.parsers import round_durations
 from .checker import Breach, Checker
 from .run import Result
 
@@ -135,7 +135,7 @@
         "breaches": [asdict(b) for b in result.checker.breaches],
         "problems": result.problems,
         "unclean": result.unclean,
-        "script": [((at - result.begin_us) / 1e6, said(what)) for at, what in result.script],
+        "script": [((at - result.begin_us) / 1e6, round_durations(what)) for at, what in result.script],
     }
 
 
@@ -158,7 +158,7 @@
     for i, (at, what) in enumerate(w for w in result.script if not w[1].startswith(("over:", "begin "))):
         x = (at - begin) / 1e6
         axes.axvline(x, color="grey", linewidth=0.7, linestyle=":")
-        what = said(what)
+        what = round_durations(what)
         label = what if len(what) <= 44 else what[:43] + "…"
         axes.text(x, top * (0.98 - 0.055 * (i % 7)), label, fontsize=7, va="top")
     for breach in result.checker.breaches:
--- a/stairplank/rehearsal/rules/owners.py
+++ b/stairplank/rehearsal/rules/owners.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ...settings.values import duration
+from ...settings.parsers import duration
 from ..decode import Message
 from .groups import GroupRules
 from .seen import (
--- a/stairplank/rehearsal/run.py
+++ b/stairplank/rehearsal/run.py
@@ -17,8 +17,8 @@
 import gevent.subprocess
 
 from ..planner.clock import now_us
-from ..settings.cluster import CLUSTER
-from ..settings.values import said
+from ..settings.cluster import CLUSTER_SCHEMA
+from ..settings.parsers import round_durations
 from ..standin.config import LIST, MODEL, OWNERS
 from ..standin.script import Fault
 from . import capture
@@ -133,9 +133,9 @@
 
     def _prepare(self, recorder: Recorder) -> None:
         scenario = self.scenario
-        room = lines_for(scenario, names(CLUSTER), {"class"})
+        room = lines_for(scenario, names(CLUSTER_SCHEMA), {"class"})
         common = [f"begin {self.work}/begin", f"seed {scenario.seed}"]
-        zones = scenario.room.zones
+        zones = scenario.cluster.zones
         lists: dict[str, str] = {}
         # Each zone has a node list of its own, which gives its planners addresses of their own: so the links
         # between two zones can be cut without touching the others.
@@ -168,7 +168,7 @@
         self._child("nodes", "node", [*lines, *self._faults("node")])
 
         owners = [*room, *lines_for(scenario, names(OWNERS), {"demand"}), *common]
-        if scenario.section.one("asks-end") is None:
+        if scenario.section.value("asks-end") is None:
             owners.append(f"asks-end {max(1, scenario.lasts_us - scenario.settles_us)}us")
         for i in range(scenario.planners):
             here = self._socket(f"p{i}")
@@ -199,7 +199,7 @@
             recorder = Recorder(capture.Writer(file, facts))
             try:
                 self._prepare(recorder)
-                zones = scenario.room.zones
+                zones = scenario.cluster.zones
                 for name in (*(f"list {zone}" for zone in zones), "nodes"):
                     self.children[name].start()
                 first = [f"list-{zone}" for zone in zones]
@@ -269,13 +269,13 @@
             return
         text = fault.line().split(" ", 2)[2]
         recorder.note(text)
-        self.progress(f"{fault.at_us / 1e6:>6.1f} s: {said(text)}")
+        self.progress(f"{fault.at_us / 1e6:>6.1f} s: {round_durations(text)}")
         if fault.target == "planner":
             for i in fault.which:
                 gevent.spawn(self._planner_fault, fault, i, recorder)
         elif fault.target == "node" and fault.what == "cut":
             for i in fault.which:
-                for zone in self.scenario.room.zones:
+                for zone in self.scenario.cluster.zones:
                     recorder.relays[f"node {i} {zone}"].cut()
         elif fault.target == "farm":
             gevent.spawn(self._pause, self.children["nodes"], fault.for_us)
@@ -302,7 +302,7 @@
 
     def _touched(self, fault: Fault) -> list[str]:
         """The relays that a fault is about."""
-        zones = self.scenario.room.zones
+        zones = self.scenario.cluster.zones
         if fault.target == "zone":
             return self._between(fault.name)
         if fault.target != "links":
@@ -324,7 +324,7 @@
         return [
             f"node {n.model.id} {zone}"
             for n in self.scenario.nodes
-            for zone in self.scenario.room.zones
+            for zone in self.scenario.cluster.zones
             if (zone == cut) != (n.model.zone == cut)
         ]
 
--- a/stairplank/rehearsal/scenario.py
+++ b/stairplank/rehearsal/scenario.py
@@ -7,24 +7,24 @@
 from pathlib import Path
 from typing import Any
 
-from ..settings import values as v
-from ..settings.cluster import CLUSTER, Cluster, cluster_from
-from ..settings.lines import Problem, SettingsError
-from ..settings.schema import Block, Key, Section, load
+from ..settings import parsers
+from ..settings.cluster import CLUSTER_SCHEMA, Cluster, cluster_from
+from ..settings.schema import Block, Key, Section, load_section
+from ..settings.source import SettingsError, SettingsProblem
 from ..standin.config import COMMON, LIST, MODEL, OWNERS, demands_from, faults_from, model_from
 from ..standin.node_model import NodeModel
 from ..standin.script import Fault
 
 FLEET = Block(
     "fleet",
-    (v.name,),
+    (parsers.name,),
     (
-        Key("kind", (v.name,), True),
-        Key("zone", (v.name,), True),
-        Key("racks", (v.whole(1, 10_000),), True),
-        Key("rack", (v.name,)),  # one rack's name, in place of names made from the fleet's
-        Key("nodes", (v.whole(0, 10_000),), True),
-        Key("absent", (v.whole(0, 10_000),)),
+        Key("kind", (parsers.name,), True),
+        Key("zone", (parsers.name,), True),
+        Key("racks", (parsers.integer(1, 10_000),), True),
+        Key("rack", (parsers.name,)),  # one rack's name, in place of names made from the fleet's
+        Key("nodes", (parsers.integer(0, 10_000),), True),
+        Key("absent", (parsers.integer(0, 10_000),)),
     ),
     True,
 )
@@ -41,18 +41,18 @@
     "keepalive",
 )
 SCENARIO: tuple[Key | Block, ...] = (
-    *CLUSTER,
+    *CLUSTER_SCHEMA,
     *COMMON,
     *MODEL,
     *LIST,
     *OWNERS,
     FLEET,
-    Key("planners", (v.whole(1, 1000),), True),
-    Key("owners", (v.whole(1, 1000),)),
-    Key("lasts", (v.positive_duration,), True),
-    Key("settles", (v.positive_duration,)),
-    Key("about", (), rest=v.text),
-    *(Key(name, (), rest=v.text, least_rest=1) for name in PLANNER_KEYS),
+    Key("planners", (parsers.integer(1, 1000),), True),
+    Key("owners", (parsers.integer(1, 1000),)),
+    Key("lasts", (parsers.positive_duration,), True),
+    Key("settles", (parsers.positive_duration,)),
+    Key("about", (), rest_parser=parsers.text),
+    *(Key(name, (), rest_parser=parsers.text, min_rest=1) for name in PLANNER_KEYS),
 )
 
 
@@ -69,7 +69,7 @@
     path: str
     text: str
     about: str
-    room: Cluster
+    cluster: Cluster
     nodes: tuple[FleetNode, ...]
     planners: int
     owners: int
@@ -88,41 +88,41 @@
 
 def load_scenario(path: str | Path, seed: int | None = None) -> Scenario:
     """Raises SettingsError."""
-    section = load(path, SCENARIO)
-    room = cluster_from(section)
-    one = section.one
+    section = load_section(path, SCENARIO)
+    cluster = cluster_from(section)
+    one = section.value
     seed = seed if seed is not None else one("seed", 1)
-    problems: list[Problem] = []
+    problems: list[SettingsProblem] = []
     nodes: list[FleetNode] = []
     for block in section.blocks["fleet"]:
         (name,) = block.values
-        kind, zone = block.one("kind"), block.one("zone")
-        if kind not in [k.name for k in room.node_types]:
-            problems.append(Problem(block.place("kind"), "kind", f"no kind {kind}"))
+        kind, zone = block.value("kind"), block.value("zone")
+        if kind not in [k.name for k in cluster.node_types]:
+            problems.append(SettingsProblem(block.position_of("kind"), "kind", f"no kind {kind}"))
             continue
-        if zone not in room.zones:
-            problems.append(Problem(block.place("zone"), "zone", f"no zone {zone}"))
+        if zone not in cluster.zones:
+            problems.append(SettingsProblem(block.position_of("zone"), "zone", f"no zone {zone}"))
             continue
-        count, absent = block.one("nodes"), block.one("absent", 0)
+        count, absent = block.value("nodes"), block.value("absent", 0)
         for i in range(count + absent):
             id = len(nodes) + 1
-            rack = block.one("rack") or f"{name}-{i % block.one('racks')}"
-            model = model_from(room, section, id, f"{name}-{i}", kind, zone, rack)
+            rack = block.value("rack") or f"{name}-{i % block.value('racks')}"
+            model = model_from(cluster, section, id, f"{name}-{i}", kind, zone, rack)
             nodes.append(FleetNode(model, i >= count))
     if not any(not n.absent for n in nodes) and not problems:
-        problems.append(Problem(section.at, "fleet", "no node is there when the day begins"))
+        problems.append(SettingsProblem(section.position, "fleet", "no node is there when the day begins"))
     if problems:
         raise SettingsError(problems)
-    demands_from(section, room)
+    demands_from(section, cluster)
     faults = _drawn(section, faults_from(section), nodes, one("planners"), random.Random(seed ^ 0xFA17))
     lasts = one("lasts")
     return Scenario(
         str(path),
         Path(path).read_text(),
         " ".join(
-            section.one("about", ("",)) if isinstance(section.one("about"), tuple) else [one("about", "")]
+            section.value("about", ("",)) if isinstance(section.value("about"), tuple) else [one("about", "")]
         ),
-        room,
+        cluster,
         tuple(nodes),
         one("planners"),
         one("owners", 1),
@@ -140,10 +140,10 @@
     """Name what shares and counts leave open, under the seed."""
     drawn: set[int] = set()
     out: list[Fault] = []
-    problems: list[Problem] = []
+    problems: list[SettingsProblem] = []
     for fault in faults:
-        if fault.target == "zone" and (fault.name,) not in section.all("zone"):
-            problems.append(Problem(section.place("at"), "at", f"no zone {fault.name}"))
+        if fault.target == "zone" and (fault.name,) not in section.all_values("zone"):
+            problems.append(SettingsProblem(section.position_of("at"), "at", f"no zone {fault.name}"))
         if fault.kind not in ("node", "planner"):
             out.append(fault)
             continue
@@ -153,7 +153,7 @@
             unknown = [n for n in fault.which if n not in every]
             if unknown:
                 text = f"no {fault.kind} {unknown[0]}; they run from {every[0]} to {every[-1]}"
-                problems.append(Problem(section.place("at"), "at", text))
+                problems.append(SettingsProblem(section.position_of("at"), "at", text))
             out.append(fault)
             continue
         if fault.what == "grow":
@@ -162,7 +162,7 @@
         count = fault.count or max(1, round(fault.share * len(here)))
         if count > len(pool):
             text = f"{count} {fault.kind}s wanted, {len(pool)} are there to draw from"
-            problems.append(Problem(section.place("at"), "at", text))
+            problems.append(SettingsProblem(section.position_of("at"), "at", text))
             continue
         which = tuple(sorted(rng.sample(pool, count)))
         if fault.target == "node" and fault.what in ("drain", "leave", "kill"):
@@ -203,7 +203,7 @@
 
 def described(scenario: Scenario) -> dict[str, Any]:
     """What a rule checker needs to know beside the traffic: the figures of the rules."""
-    room = scenario.room
+    cluster = scenario.cluster
     return {
         "classes": [
             {
@@ -216,16 +216,16 @@
                 "spread": c.spread.value,
                 "spread_most": c.max_per_place,
             }
-            for c in room.classes
+            for c in cluster.classes
         ],
-        "answer_slack_us": room.answer_slack_us,
-        "drain_grace_us": room.drain_grace_us,
-        "cold_us": room.slow_start_us,
-        "cold_share": room.slow_start_share,
-        "fall_us": room.overload_window_us,
-        "fall_multiple": room.overload_multiple,
-        "fresh_offers": room.slow_start_offers,
-        "max_attempts": room.max_attempts,
+        "answer_slack_us": cluster.answer_slack_us,
+        "drain_grace_us": cluster.drain_grace_us,
+        "cold_us": cluster.slow_start_us,
+        "cold_share": cluster.slow_start_share,
+        "fall_us": cluster.overload_window_us,
+        "fall_multiple": cluster.overload_multiple,
+        "fresh_offers": cluster.slow_start_offers,
+        "max_attempts": cluster.max_attempts,
         "planners": scenario.planners,
         "starts_per_s": {
             str(n.model.id): n.model.starts_at_once / (n.model.start_us / 1e6) for n in scenario.nodes
--- a/stairplank/rehearsal/series.py
+++ b/stairplank/rehearsal/series.py
@@ -75,8 +75,8 @@
         sum(not n.absent for n in scenario.nodes),
         sum(n.absent for n in scenario.nodes),
         scenario.planners,
-        scenario.room.zones,
-        tuple(c.name for c in scenario.room.classes),
+        scenario.cluster.zones,
+        tuple(c.name for c in scenario.cluster.classes),
         scenario.lasts_us - scenario.settles_us - 2_000_000,
     )
 
--- a/stairplank/scale/bounds.py
+++ b/stairplank/scale/bounds.py
@@ -8,7 +8,7 @@
 
 import psutil
 
-from ..settings.lines import Problem, SettingsError
+from ..settings.source import SettingsError, SettingsProblem
 from .plan import GRPC, Plan, SampleSpec, load_plan
 
 MEGABYTE = 2**20
@@ -88,11 +88,11 @@
 
 def check(plan: Plan) -> None:
     """Raises SettingsError for each sample that asks for more than the machine or the file allows."""
-    problems: dict[str, Problem] = {}
+    problems: dict[str, SettingsProblem] = {}
     for spec in plan.samples:
         needed = estimate(spec, real_planners_of(plan, spec))
         for text in _faults(plan, spec, needed):
-            problems.setdefault(f"{spec.at}: {text}", Problem(spec.at, "", text))
+            problems.setdefault(f"{spec.at}: {text}", SettingsProblem(spec.at, "", text))
     if problems:
         raise SettingsError(list(problems.values()))
 
--- a/stairplank/scale/grpc_clients.py
+++ b/stairplank/scale/grpc_clients.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from ..fence import Stamps
+from ..fence import MessageStamper
 from ..planner.convert import stamp_to
 from ..planner.daemon import PLACEMENT
 from ..proto import caller, common_pb2, placement_pb2
@@ -32,7 +32,7 @@
         super().__init__(where, seed)
         self._traffic = SocketTraffic()
         self._call: Any = None
-        self._stamps = Stamps()
+        self._stamps = MessageStamper()
         gevent.spawn(self._run)
 
     def ask(self, life_s: float) -> None:
@@ -60,8 +60,8 @@
         call.send(REQUEST(hello=REQUEST.Hello(owner="scale")))
         welcome = call.recv(WELCOME_TIMEOUT_S)
         self._traffic.opened(call.stream.connection)
-        self._stamps = Stamps()
-        self._stamps.heard(_now_us(), welcome.grant)
+        self._stamps = MessageStamper()
+        self._stamps.receive_grant(_now_us(), welcome.grant)
         self._call = call
         for number, life_s in list(self.waiting.items()):
             self._send(int(number), life_s)
@@ -88,7 +88,7 @@
 
     def _read(self) -> None:
         while (event := self._call.recv()) is not None:
-            self._stamps.heard(_now_us(), event.grant)
+            self._stamps.receive_grant(_now_us(), event.grant)
             kind = event.WhichOneof("kind")
             if kind == "renewed":
                 continue
--- a/stairplank/scale/grpc_replicas.py
+++ b/stairplank/scale/grpc_replicas.py
@@ -8,14 +8,14 @@
 
 from ..cli.configuration import text_faults
 from ..configuration import client
-from ..configuration.publication import Outcome
-from ..configuration.server import Replica
+from ..configuration.publication import PublicationOutcome
+from ..configuration.server import ReplicaServer
 from ..rpc import ServerCall
 from .counts import Counts
 from .socket_bytes import TrafficByPlanner
 
 
-class _CountedReplica(Replica):
+class _CountedReplica(ReplicaServer):
     def __init__(self, state_file: Path) -> None:
         super().__init__(("127.0.0.1:0",), state_file, text_faults)
         self.traffic = TrafficByPlanner()
@@ -45,7 +45,7 @@
     def publish(self, text: str) -> int:
         """Publish it; the number of the revision. Raises RuntimeError where it was not published."""
         result = client.publish(self._addresses, text)
-        if result.outcome is not Outcome.PUBLISHED:
+        if result.outcome is not PublicationOutcome.PUBLISHED:
             raise RuntimeError(f"{result.outcome.value}: {result.problems}")
         return result.revision.number
 
--- a/stairplank/scale/plan.py
+++ b/stairplank/scale/plan.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import Any
 
-from ..settings import values as v
-from ..settings.lines import Position, Problem, SettingsError
-from ..settings.schema import Block, Key, Section, load
+from ..settings import parsers
+from ..settings.schema import Block, Key, Section, load_section
+from ..settings.source import SettingsError, SettingsProblem, SourcePosition
 from . import event_names as names
 from .figures import IDLE, PEAK, PLAIN_LOADS, STEADY
 from .results import Size
@@ -39,51 +39,60 @@
 SECOND_US = 1_000_000
 SPAN_US, SETTLE_US, TIME_MOST_US = 6 * SECOND_US, 3 * SECOND_US, 900 * SECOND_US
 
-_WORKERS = v.whole(1, WORKERS_MOST)
-_PLANNERS = v.whole(1, PLANNERS_MOST)
-_RUNNING = v.whole(0, RUNNING_MOST)
-_STARTS = v.number(0, STARTS_MOST)
+_WORKERS = parsers.integer(1, WORKERS_MOST)
+_PLANNERS = parsers.integer(1, PLANNERS_MOST)
+_RUNNING = parsers.integer(0, RUNNING_MOST)
+_STARTS = parsers.number(0, STARTS_MOST)
 
 
-def _many(name: str, value: v.Value, required: bool = False) -> Key:
-    return Key(name, required=required, rest=value, least_rest=1)
+def _many(name: str, value: parsers.ValueParser, required: bool = False) -> Key:
+    return Key(name, required=required, rest_parser=value, min_rest=1)
 
 
 SERIES = Block(
     "series",
-    (v.name,),
+    (parsers.name,),
     (
-        _many("form", v.choice(*FORMS)),
+        _many("form", parsers.choice(*FORMS)),
         _many("workers", _WORKERS),
         _many("planners", _PLANNERS),
-        _many("load", v.choice(*PLAIN_LOADS)),
+        _many("load", parsers.choice(*PLAIN_LOADS)),
         _many("starts", _STARTS),
         _many("running", _RUNNING),
-        _many("list-changes", v.number(0, 1000)),
-        Key("span", (v.positive_duration,)),  # in place of the file's
+        _many("list-changes", parsers.number(0, 1000)),
+        Key("span", (parsers.positive_duration,)),  # in place of the file's
     ),
 )
 SCALE: tuple[Key | Block, ...] = (
     Key(
         "target",
-        (_WORKERS, _PLANNERS, v.number(0, STARTS_MOST, above=True), v.whole(1, RUNNING_MOST)),
+        (
+            _WORKERS,
+            _PLANNERS,
+            parsers.number(0, STARTS_MOST, exclusive=True),
+            parsers.integer(1, RUNNING_MOST),
+        ),
         required=True,
-        words=("workers", "planners", "starts", "running"),
+        separators=("workers", "planners", "starts", "running"),
     ),
-    Key("steady", (v.number(0, STARTS_MOST, above=True),)),  # starts a second of the target, off the peak
-    Key("span", (v.positive_duration,)),
-    Key("settle", (v.positive_duration,)),
-    Key("repeat", (v.whole(1, 100),)),
-    Key("real-planners", (v.whole(1, REAL_PLANNERS_MOST),)),
-    Key("zones", (v.whole(1, 100),)),
-    Key("rack", (v.whole(1, 1000),)),  # workers in one
-    Key("restarted", (v.whole(1, WORKERS_MOST),)),  # workers of the event `restarts`
-    Key("descriptors", (v.whole(64, 1_000_000),)),  # of a planner
-    Key("processes-most", (v.whole(5, PROCESSES_MOST),)),
-    Key("memory-most", (v.size,)),
-    Key("time-most", (v.positive_duration,)),
+    Key(
+        "steady", (parsers.number(0, STARTS_MOST, exclusive=True),)
+    ),  # starts a second of the target, off the peak
+    Key("span", (parsers.positive_duration,)),
+    Key("settle", (parsers.positive_duration,)),
+    Key("repeat", (parsers.integer(1, 100),)),
+    Key("real-planners", (parsers.integer(1, REAL_PLANNERS_MOST),)),
+    Key("zones", (parsers.integer(1, 100),)),
+    Key("rack", (parsers.integer(1, 1000),)),  # workers in one
+    Key("restarted", (parsers.integer(1, WORKERS_MOST),)),  # workers of the event `restarts`
+    Key("descriptors", (parsers.integer(64, 1_000_000),)),  # of a planner
+    Key("processes-most", (parsers.integer(5, PROCESSES_MOST),)),
+    Key("memory-most", (parsers.size,)),
+    Key("time-most", (parsers.positive_duration,)),
     SERIES,
-    Key("event", (v.choice(*EVENTS),), False, True, rest=_PLANNERS),  # with so many planners, each
+    Key(
+        "event", (parsers.choice(*EVENTS),), False, True, rest_parser=_PLANNERS
+    ),  # with so many planners, each
 )
 
 
@@ -107,7 +116,7 @@
     size: Size
     list_changes_per_s: float
     span_s: float
-    at: Position
+    at: SourcePosition
     repeat: int = 0
 
     @property
@@ -136,13 +145,13 @@
 
 def load_plan(path: str | Path) -> Plan:
     """Raises SettingsError."""
-    section = load(path, SCALE)
-    one = section.one
+    section = load_section(path, SCALE)
+    one = section.value
     target = _target(section)
     repeats = one("repeat", 1)
     asked = [*_series(section, target), *_events(section, target)]
     if not asked:
-        raise SettingsError([Problem(section.at, "series", "a series or an event is needed")])
+        raise SettingsError([SettingsProblem(section.position, "series", "a series or an event is needed")])
     return Plan(
         name=Path(path).stem,
         target=target,
@@ -158,33 +167,33 @@
 def _layout(section: Section) -> Layout:
     default = Layout()
     return Layout(
-        section.one("real-planners", default.real_planners),
-        section.one("zones", default.zones),
-        section.one("rack", default.rack_size),
-        section.one("descriptors", default.descriptors),
-        section.one("restarted", default.restarted),
+        section.value("real-planners", default.real_planners),
+        section.value("zones", default.zones),
+        section.value("rack", default.rack_size),
+        section.value("descriptors", default.descriptors),
+        section.value("restarted", default.restarted),
     )
 
 
 def _target(section: Section) -> Size:
-    workers, planners, starts, running = section.one("target")
+    workers, planners, starts, running = section.value("target")
     return Size(workers, planners, starts, running)
 
 
 def _values(block: Section, key: str, default: tuple[Any, ...]) -> tuple[Any, ...]:
-    found = block.all(key)
+    found = block.all_values(key)
     return found[0] if found else default
 
 
 def _series(section: Section, target: Size) -> list[SampleSpec]:
-    steady = section.one("steady", target.starts_per_s * STEADY_SHARE)
+    steady = section.value("steady", target.starts_per_s * STEADY_SHARE)
     out: list[SampleSpec] = []
     for block in section.blocks.get("series", ()):
         forms = _values(block, "form", (PLATFORM,))
         workers = _values(block, "workers", (target.workers,))
         planners = _values(block, "planners", (target.planners,))
-        span_s = block.one("span", _span_s(section) * SECOND_US) / SECOND_US
-        place = block.place("workers" if "workers" in block.keys else "planners")
+        span_s = block.value("span", _span_s(section) * SECOND_US) / SECOND_US
+        place = block.position_of("workers" if "workers" in block.keys else "planners")
         for form, worker_count, planner_count in itertools.product(forms, workers, planners):
             for load_name, starts, running, changes in _loads(block, target, steady, worker_count):
                 size = Size(worker_count, planner_count, starts, running)
@@ -198,20 +207,22 @@
     if "load" in block.keys:
         both = next((key for key in grid if key in block.keys), None)
         if both is not None:
-            problem = Problem(block.place(both), both, "cannot stand beside `load`, which says it already")
+            problem = SettingsProblem(
+                block.position_of(both), both, "cannot stand beside `load`, which says it already"
+            )
             raise SettingsError([problem])
-        return [_named_load(name, target, steady, workers) for name in block.all("load")[0]]
+        return [_named_load(name, target, steady, workers) for name in block.all_values("load")[0]]
     starts = _values(block, "starts", (0.0,))
     running = _values(block, "running", (0,))
     changes = _values(block, "list-changes", (0.0,))
     combined = list(itertools.product(starts, running, changes))
     if any(changes) and GRPC in _values(block, "form", ()):
         text = "is for the platform form alone"
-        raise SettingsError([Problem(block.place("list-changes"), "list-changes", text)])
+        raise SettingsError([SettingsProblem(block.position_of("list-changes"), "list-changes", text)])
     for rate, count, _ in combined:
         if rate and not count:
             text = "tasks that start also run: `running` above 0 is needed"
-            raise SettingsError([Problem(block.place("starts"), "starts", text)])
+            raise SettingsError([SettingsProblem(block.position_of("starts"), "starts", text)])
     return [(_name_of(rate, per_s, target), rate, count, per_s) for rate, count, per_s in combined]
 
 
@@ -232,7 +243,7 @@
 
 
 def _events(section: Section, target: Size) -> list[SampleSpec]:
-    steady = section.one("steady", target.starts_per_s * STEADY_SHARE)
+    steady = section.value("steady", target.starts_per_s * STEADY_SHARE)
     _, starts, running, _ = _named_load(STEADY, target, steady, target.workers)
     size = Size(target.workers, target.planners, starts, running)
     out: list[SampleSpec] = []
@@ -245,14 +256,14 @@
     return out
 
 
-def _settings_events(planners: int, span_s: float, place: Position) -> list[SampleSpec]:
+def _settings_events(planners: int, span_s: float, place: SourcePosition) -> list[SampleSpec]:
     """A change of the settings needs no workers and no tasks: planners of the gRPC form alone."""
     size = Size(0, planners, 0.0, 0)
     return [SampleSpec(GRPC, load_name, size, 0.0, span_s, place) for load_name in names.SETTINGS_EVENTS]
 
 
 def _span_s(section: Section) -> float:
-    return float(section.one("span", SPAN_US)) / SECOND_US
+    return float(section.value("span", SPAN_US)) / SECOND_US
 
 
 def _repeated(asked: list[SampleSpec], repeats: int) -> tuple[SampleSpec, ...]:
--- a/stairplank/scale/target.py
+++ b/stairplank/scale/target.py
@@ -6,33 +6,33 @@
 from enum import Enum
 from pathlib import Path
 
-from ..settings import values as v
-from ..settings.schema import Block, Key, Section, load
+from ..settings import parsers
+from ..settings.schema import Block, Key, Section, load_section
 
 SHIPPED = Path(__file__).resolve().parents[1] / "scales" / "target.conf"
 
 TARGET: tuple[Key | Block, ...] = (
-    Key("workers", (v.whole(1),), True),
-    Key("accelerators", (v.whole(0),), True),
-    Key("jobs-per-day", (v.whole(0),), True),
-    Key("starts-per-second", (v.number(above=True),), True),
-    Key("running", (v.whole(1),), True),
-    Key("gang-most", (v.whole(1),), True),
-    Key("teams", (v.whole(0),), True),
-    Key("urgent-start", (v.positive_duration,), True),
-    Key("regions", (v.whole(1),), True),
-    Key("zones", (v.whole(1),), True),
-    Key("configuration-changes-per-day", (v.whole(0),), True),
-    Key("configuration-in-force", (v.positive_duration,), True),
-    Key("control-cores", (v.share,), True),
-    Key("control-memory-mb", (v.number(above=True),), True),
-    Key("control-bytes-per-second", (v.number(above=True),), True),
-    Key("planner-machines", (v.whole(1),), True),
-    Key("machine-failures-per-day", (v.number(),), True),
-    Key("machine-restarts-per-day", (v.number(),), True),
-    Key("rack-failures-per-year", (v.span(v.number()),), True),
-    Key("zone-failures-per-year", (v.span(v.number()),), True),
-    Key("region-cut", (v.positive_duration,), True),
+    Key("workers", (parsers.integer(1),), True),
+    Key("accelerators", (parsers.integer(0),), True),
+    Key("jobs-per-day", (parsers.integer(0),), True),
+    Key("starts-per-second", (parsers.number(exclusive=True),), True),
+    Key("running", (parsers.integer(1),), True),
+    Key("gang-most", (parsers.integer(1),), True),
+    Key("teams", (parsers.integer(0),), True),
+    Key("urgent-start", (parsers.positive_duration,), True),
+    Key("regions", (parsers.integer(1),), True),
+    Key("zones", (parsers.integer(1),), True),
+    Key("configuration-changes-per-day", (parsers.integer(0),), True),
+    Key("configuration-in-force", (parsers.positive_duration,), True),
+    Key("control-cores", (parsers.fraction,), True),
+    Key("control-memory-mb", (parsers.number(exclusive=True),), True),
+    Key("control-bytes-per-second", (parsers.number(exclusive=True),), True),
+    Key("planner-machines", (parsers.integer(1),), True),
+    Key("machine-failures-per-day", (parsers.number(),), True),
+    Key("machine-restarts-per-day", (parsers.number(),), True),
+    Key("rack-failures-per-year", (parsers.value_range(parsers.number()),), True),
+    Key("zone-failures-per-year", (parsers.value_range(parsers.number()),), True),
+    Key("region-cut", (parsers.positive_duration,), True),
 )
 
 
@@ -82,12 +82,12 @@
 
 def load_target(path: str | Path = SHIPPED) -> Target:
     """Read, check and type a target file. Raises SettingsError."""
-    return target_from(load(path, TARGET))
+    return target_from(load_section(path, TARGET))
 
 
 def target_from(section: Section) -> Target:
     """The typed figures of a section that was checked against ``TARGET``."""
-    one = section.one
+    one = section.value
     return Target(
         workers=one("workers"),
         accelerators=one("accelerators"),
--- a/stairplank/settings/__init__.py
+++ b/stairplank/settings/__init__.py
@@ -1,22 +1,23 @@
 """Settings files: ``keyword value ...`` a line, ``#`` comments, blocks that an ``end`` closes.
 
-``lines`` reads the form, ``schema`` checks it, ``room`` and ``planner`` turn it into
-typed settings. Every error names file, line, column and key.
+``source`` splits the text into words, ``schema`` checks them, ``cluster``, ``site`` and ``planner`` turn them
+into typed settings, ``detect`` tells which kind of file a text is. Every error names file, line, column and
+key.
 """
 
-from .lines import Position, Problem, SettingsError
 from .planner import PlannerConfig, load_planner
-from .schema import Block, Key, Section, load, load_text
+from .schema import Block, Key, Section, load_section, load_section_text
+from .source import SettingsError, SettingsProblem, SourcePosition
 
 __all__ = [
     "Block",
     "Key",
     "PlannerConfig",
-    "Position",
-    "Problem",
     "Section",
     "SettingsError",
-    "load",
+    "SettingsProblem",
+    "SourcePosition",
     "load_planner",
-    "load_text",
+    "load_section",
+    "load_section_text",
 ]
--- a/stairplank/settings/cluster.py
+++ b/stairplank/settings/cluster.py
@@ -7,65 +7,70 @@
 from typing import Any
 
 from .. import interface as api
-from . import values as v
-from .lines import Problem, SettingsError
+from . import parsers
 from .schema import Block, Key, Section
+from .source import SettingsError, SettingsProblem
 
-CLASS = Block(
+CLASS_BLOCK = Block(
     "class",
-    (v.name,),
+    (parsers.name,),
     (
-        Key("effect", (v.choice("repeatable", "keyed", "once"),), required=True),
-        Key("group", (v.choice("node", "rack", "zone", "all"),)),
-        Key("window", (v.positive_duration,)),
-        Key("aim", (v.positive_duration,), required=True),
-        Key("deadline", (v.positive_duration,), required=True),
-        Key("worth", (v.number(above=True),)),
-        Key("start-worth", (v.duration,)),
-        Key("late-worth", (v.share,)),
-        Key("spread", (v.choice("node", "rack", "zone"), v.whole(1, 1_000_000))),
-        Key("kind", (v.name,)),
-        Key("priority", (v.whole(0, 3),)),
-        Key("calm-until", (v.number(above=True),)),
-        Key("lost-over", (v.number(),)),
+        Key("effect", (parsers.choice("repeatable", "keyed", "once"),), required=True),
+        Key("group", (parsers.choice("node", "rack", "zone", "all"),)),
+        Key("window", (parsers.positive_duration,)),
+        Key("aim", (parsers.positive_duration,), required=True),
+        Key("deadline", (parsers.positive_duration,), required=True),
+        Key("worth", (parsers.number(exclusive=True),)),
+        Key("start-worth", (parsers.duration,)),
+        Key("late-worth", (parsers.fraction,)),
+        Key("spread", (parsers.choice("node", "rack", "zone"), parsers.integer(1, 1_000_000))),
+        Key("kind", (parsers.name,)),
+        Key("priority", (parsers.integer(0, 3),)),
+        Key("calm-until", (parsers.number(exclusive=True),)),
+        Key("lost-over", (parsers.number(),)),
     ),
     required=True,
 )
 
-CLUSTER: tuple[Key | Block, ...] = (
-    CLASS,
+CLUSTER_SCHEMA: tuple[Key | Block, ...] = (
+    CLASS_BLOCK,
     Key(
         "kind",
-        (v.name, v.number(above=True), v.number(above=True)),
+        (parsers.name, parsers.number(exclusive=True), parsers.number(exclusive=True)),
         True,
         True,
-        words=("", "cores", "memory"),
+        separators=("", "cores", "memory"),
     ),
-    Key("zone", (v.name,), True, True),
-    Key("tenant", (v.name, v.number(above=True)), False, True, words=("", "share")),
-    Key("mean-cores", (v.number(above=True),), True),
-    Key("mean-memory", (v.number(above=True),), True),
-    Key("cores-limit", (v.number(above=True),)),
-    Key("memory-limit", (v.number(above=True),)),
-    Key("confirms", (v.choice("running", "accepted"),)),
-    Key("preempts", (v.flag,)),
-    Key("max-attempts", (v.whole(1, 100),)),
-    Key("answer-slack", (v.positive_duration,)),
-    Key("drain-grace", (v.positive_duration,)),
-    Key("cold-share", (v.number(0, 1, above=True),)),
-    Key("cold-time", (v.duration,)),
-    Key("fall-multiple", (v.number(above=True),)),
-    Key("fall-time", (v.positive_duration,)),
-    Key("fresh-offers", (v.number(),)),
-    Key("retry-after-most", (v.duration,)),
-    Key("owner-wait", (v.duration,)),
-    Key("list-ask-within", (v.positive_duration,)),
-    Key("price", (v.choice("fleet", "move", "waste", "probe", "list", "refusal"), v.number()), False, True),
-    Key("tick", (v.positive_duration,)),
+    Key("zone", (parsers.name,), True, True),
+    Key("tenant", (parsers.name, parsers.number(exclusive=True)), False, True, separators=("", "share")),
+    Key("mean-cores", (parsers.number(exclusive=True),), True),
+    Key("mean-memory", (parsers.number(exclusive=True),), True),
+    Key("cores-limit", (parsers.number(exclusive=True),)),
+    Key("memory-limit", (parsers.number(exclusive=True),)),
+    Key("confirms", (parsers.choice("running", "accepted"),)),
+    Key("preempts", (parsers.boolean,)),
+    Key("max-attempts", (parsers.integer(1, 100),)),
+    Key("answer-slack", (parsers.positive_duration,)),
+    Key("drain-grace", (parsers.positive_duration,)),
+    Key("cold-share", (parsers.number(0, 1, exclusive=True),)),
+    Key("cold-time", (parsers.duration,)),
+    Key("fall-multiple", (parsers.number(exclusive=True),)),
+    Key("fall-time", (parsers.positive_duration,)),
+    Key("fresh-offers", (parsers.number(),)),
+    Key("retry-after-most", (parsers.duration,)),
+    Key("owner-wait", (parsers.duration,)),
+    Key("list-ask-within", (parsers.positive_duration,)),
+    Key(
+        "price",
+        (parsers.choice("fleet", "move", "waste", "probe", "list", "refusal"), parsers.number()),
+        False,
+        True,
+    ),
+    Key("tick", (parsers.positive_duration,)),
 )
 
 # Keys with one value: the field, which has the same name in `Room` and `api.Settings`, and its default.
-FIGURES: Mapping[str, tuple[str, Any]] = {
+SINGLE_VALUE_FIELDS: Mapping[str, tuple[str, Any]] = {
     "mean-cores": ("mean_cores", None),
     "mean-memory": ("mean_memory", None),
     "cores-limit": ("cores_limit", 1.0),
@@ -85,8 +90,13 @@
     "tick": ("tick_us", 10_000),
 }
 
-_EFFECTS = {e.value: e for e in api.Effect}
-_SCOPES = {"node": api.Scope.NODE, "rack": api.Scope.GROUP, "zone": api.Scope.ZONE, "all": api.Scope.ALL}
+_EFFECT_BY_KEYWORD = {e.value: e for e in api.Effect}
+_SCOPE_BY_KEYWORD = {
+    "node": api.Scope.NODE,
+    "rack": api.Scope.GROUP,
+    "zone": api.Scope.ZONE,
+    "all": api.Scope.ALL,
+}
 
 
 @dataclass(frozen=True)
@@ -161,59 +171,63 @@
 
 def cluster_from(section: Section) -> Cluster:
     """Raises SettingsError for what contradicts itself."""
-    problems: list[Problem] = []
-    kinds = tuple(api.NodeType(*values) for values in section.all("kind"))
+    problems: list[SettingsProblem] = []
+    kinds = tuple(api.NodeType(*values) for values in section.all_values("kind"))
     kind_names = [k.name for k in kinds]
-    classes = tuple(_class(block, kind_names, problems) for block in section.blocks["class"])
+    classes = tuple(_task_class(block, kind_names, problems) for block in section.blocks["class"])
     for key, names in (
         ("class", [c.name for c in classes]),
         ("kind", kind_names),
-        ("zone", [z for (z,) in section.all("zone")]),
-        ("tenant", [t for t, _ in section.all("tenant")]),
+        ("zone", [z for (z,) in section.all_values("zone")]),
+        ("tenant", [t for t, _ in section.all_values("tenant")]),
     ):
         twice = next((n for i, n in enumerate(names) if n in names[:i]), None)
         if twice is not None:
-            problems.append(Problem(section.place(key), key, f"{twice} is there twice"))
+            problems.append(SettingsProblem(section.position_of(key), key, f"{twice} is there twice"))
     if problems:
         raise SettingsError(problems)
     return Cluster(
         classes=classes,
         node_types=kinds,
-        zones=tuple(z for (z,) in section.all("zone")),
-        tenants=tuple((t, s) for t, s in section.all("tenant")),
-        confirms_running=section.one("confirms", "running") == "running",
-        prices=dict(section.all("price")),
-        **{field: section.one(key, default) for key, (field, default) in FIGURES.items()},
+        zones=tuple(z for (z,) in section.all_values("zone")),
+        tenants=tuple((t, s) for t, s in section.all_values("tenant")),
+        confirms_running=section.value("confirms", "running") == "running",
+        prices=dict(section.all_values("price")),
+        **{field: section.value(key, default) for key, (field, default) in SINGLE_VALUE_FIELDS.items()},
     )
 
 
-def _class(block: Section, kinds: list[str], problems: list[Problem]) -> api.TaskClass:
-    one = block.one
+def _task_class(block: Section, kinds: list[str], problems: list[SettingsProblem]) -> api.TaskClass:
+    one = block.value
     (name,) = block.values
-    effect = _EFFECTS[one("effect")]
+    effect = _EFFECT_BY_KEYWORD[one("effect")]
     keyed = effect is api.Effect.IDEMPOTENT_BY_KEY
     for key in ("group", "window"):
         if keyed and key not in block.keys:
-            problems.append(Problem(block.at, key, f"class {name} is keyed: it needs a {key}"))
+            problems.append(SettingsProblem(block.position, key, f"class {name} is keyed: it needs a {key}"))
         if not keyed and key in block.keys:
-            problems.append(Problem(block.place(key), key, f"class {name} is {effect.value}, not keyed"))
+            problems.append(
+                SettingsProblem(block.position_of(key), key, f"class {name} is {effect.value}, not keyed")
+            )
     if one("aim") > one("deadline"):
-        problems.append(Problem(block.place("aim"), "aim", "lies behind the deadline"))
+        problems.append(SettingsProblem(block.position_of("aim"), "aim", "lies behind the deadline"))
     kind = one("kind")
     if kind is not None and kind not in kinds:
-        problems.append(Problem(block.place("kind"), "kind", f"no kind {kind}; known: {', '.join(kinds)}"))
+        problems.append(
+            SettingsProblem(block.position_of("kind"), "kind", f"no kind {kind}; known: {', '.join(kinds)}")
+        )
     place, most = one("spread", (None, 0))
     return api.TaskClass(
         name=name,
         effect=effect,
-        dedup_scope=_SCOPES[one("group", "all")],
+        dedup_scope=_SCOPE_BY_KEYWORD[one("group", "all")],
         dedup_window_us=one("window", 0),
         latency_objective_us=one("aim"),
         deadline_us=one("deadline"),
         priority_weight=one("worth", 1.0),
         start_bonus_s=one("start-worth", 0) / 1e6,
         late_start_weight=one("late-worth", 0.0),
-        spread=_SCOPES[place] if place else api.Scope.NONE,
+        spread=_SCOPE_BY_KEYWORD[place] if place else api.Scope.NONE,
         max_per_place=most,
         node_type=kinds.index(kind) if kind in kinds else None,
         priority=one("priority", 0),
--- a/stairplank/settings/values.py
+++ b/stairplank/settings/parsers.py
@@ -9,9 +9,9 @@
 
 from ..rpc import address as addresses
 
-Value = Callable[[str], Any]
+ValueParser = Callable[[str], Any]
 _DURATION = re.compile(r"(\d+(?:\.\d+)?)(us|ms|s|m|h)")
-_US = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
+_UNIT_US = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
 _SIZE = re.compile(r"(\d+)(k|m|g)?")
 _NAME = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_.\-]{0,99}")
 
@@ -21,31 +21,31 @@
     match = _DURATION.fullmatch(text)
     if match is None:
         raise ValueError(f"{text!r} is not a time such as 250ms, 3.5s or 2m")
-    return round(float(match[1]) * _US[match[2]])
+    return round(float(match[1]) * _UNIT_US[match[2]])
 
 
-def as_duration(us: int) -> str:
+def format_duration(duration_us: int) -> str:
     """The same time as a word, in the largest unit that gives a whole number."""
     for unit in ("h", "m", "s", "ms"):
-        if us and us % _US[unit] == 0:
-            return f"{us // _US[unit]}{unit}"
-    return f"{us}us"
+        if duration_us and duration_us % _UNIT_US[unit] == 0:
+            return f"{duration_us // _UNIT_US[unit]}{unit}"
+    return f"{duration_us}us"
 
 
-def said_duration(us: int) -> str:
+def format_duration_rounded(duration_us: int) -> str:
     """A time as people write it: three digits, 12.1s, 350ms."""
-    if us < 1_000:
-        return f"{us}us"
-    if us < 1_000_000:
-        return f"{us / 1e3:.3g}ms"
-    if us < 600_000_000:
-        return f"{us / 1e6:.3g}s" if us < 100_000_000 else f"{us / 1e6:.0f}s"
-    return f"{us / 60e6:.3g}m"
+    if duration_us < 1_000:
+        return f"{duration_us}us"
+    if duration_us < 1_000_000:
+        return f"{duration_us / 1e3:.3g}ms"
+    if duration_us < 600_000_000:
+        return f"{duration_us / 1e6:.3g}s" if duration_us < 100_000_000 else f"{duration_us / 1e6:.0f}s"
+    return f"{duration_us / 60e6:.3g}m"
 
 
-def said(text: str) -> str:
+def round_durations(text: str) -> str:
     """A line with its exact times as people write them; for charts and logs, not to be read back."""
-    return re.sub(r"\b(\d+)us\b", lambda match: said_duration(int(match[1])), text)
+    return re.sub(r"\b(\d+)us\b", lambda match: format_duration_rounded(int(match[1])), text)
 
 
 def positive_duration(text: str) -> int:
@@ -55,45 +55,47 @@
     return value
 
 
-def whole(least: int = 0, most: int = 2**63) -> Value:
+def integer(minimum: int = 0, maximum: int = 2**63) -> ValueParser:
     def read(text: str) -> int:
         if not re.fullmatch(r"-?\d+", text):
             raise ValueError(f"{text!r} is not a whole number")
         value = int(text)
-        if not least <= value <= most:
-            raise ValueError(f"{value} is not within {least} to {most}")
+        if not minimum <= value <= maximum:
+            raise ValueError(f"{value} is not within {minimum} to {maximum}")
         return value
 
     return read
 
 
-def number(least: float = 0.0, most: float = math.inf, above: bool = False) -> Value:
+def number(minimum: float = 0.0, maximum: float = math.inf, exclusive: bool = False) -> ValueParser:
     def read(text: str) -> float:
         try:
             value = float(text)
         except ValueError:
             raise ValueError(f"{text!r} is not a number") from None
-        if not math.isfinite(value) or value < least or value > most or (above and value <= least):
-            bound = f"above {least:g}" if above else f"at least {least:g}"
-            raise ValueError(f"{text} is not {bound}" + (f" and at most {most:g}" if most < math.inf else ""))
+        if not math.isfinite(value) or value < minimum or value > maximum or (exclusive and value <= minimum):
+            bound = f"above {minimum:g}" if exclusive else f"at least {minimum:g}"
+            raise ValueError(
+                f"{text} is not {bound}" + (f" and at most {maximum:g}" if maximum < math.inf else "")
+            )
         return value
 
     return read
 
 
-def share(text: str) -> float:
+def fraction(text: str) -> float:
     if text.endswith("%"):
         return float(number(0, 100)(text[:-1])) / 100
     return float(number(0, 1)(text))
 
 
-def flag(text: str) -> bool:
+def boolean(text: str) -> bool:
     if text not in ("yes", "no"):
         raise ValueError(f"{text!r} is neither yes nor no")
     return text == "yes"
 
 
-def choice(*names: str) -> Value:
+def choice(*names: str) -> ValueParser:
     def read(text: str) -> str:
         if text not in names:
             raise ValueError(f"{text!r} is none of {', '.join(names)}")
@@ -125,12 +127,12 @@
     return text
 
 
-def span(of: Value) -> Value:
+def value_range(parse_bound: ValueParser) -> ValueParser:
     """``A..B`` or a single value: a pair."""
 
     def read(text: str) -> tuple[Any, Any]:
         low, dots, high = text.partition("..")
-        pair = (of(low), of(high if dots else low))
+        pair = (parse_bound(low), parse_bound(high if dots else low))
         if pair[0] > pair[1]:
             raise ValueError(f"{text!r} runs backwards")
         return pair
--- a/stairplank/settings/planner.py
+++ b/stairplank/settings/planner.py
@@ -7,24 +7,24 @@
 
 from .. import interface as api
 from ..rpc.address import is_loopback
-from . import values as v
+from . import parsers
 from .cluster import Cluster, cluster_from
-from .lines import Problem, SettingsError
-from .schema import Block, Key, Section, load
-from .site import SITE, SiteSettings, site_fields, tunable_problems, typed_site
+from .schema import Block, Key, Section, load_section
+from .site import SITE_SCHEMA, SiteSettings, checked_site, site_fields, tunable_problems
+from .source import SettingsError, SettingsProblem
 
-OWN: tuple[Key | Block, ...] = (
-    Key("planner", (v.whole(0, 65_535), v.whole(1, 65_536)), True, words=("", "of")),
-    Key("home-zone", (v.name,)),
-    Key("listen", (v.address,), True, True),
-    Key("directory", (v.address,), True),
-    Key("configuration", (v.address,), False, True),
-    Key("configuration-copy", (v.text,)),
-    Key("beyond-loopback", (v.flag,)),
-    Key("seed", (v.whole(0, 2**64 - 1),)),
+OWN_SCHEMA: tuple[Key | Block, ...] = (
+    Key("planner", (parsers.integer(0, 65_535), parsers.integer(1, 65_536)), True, separators=("", "of")),
+    Key("home-zone", (parsers.name,)),
+    Key("listen", (parsers.address,), True, True),
+    Key("directory", (parsers.address,), True),
+    Key("configuration", (parsers.address,), False, True),
+    Key("configuration-copy", (parsers.text,)),
+    Key("beyond-loopback", (parsers.boolean,)),
+    Key("seed", (parsers.integer(0, 2**64 - 1),)),
 )
-PLANNER: tuple[Key | Block, ...] = SITE + OWN
-REPLICAS_MOST = 5  # of the configuration service: a planner holds a stream to each
+PLANNER_SCHEMA: tuple[Key | Block, ...] = SITE_SCHEMA + OWN_SCHEMA
+MAX_REPLICAS = 5  # of the configuration service: a planner holds a stream to each
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -41,47 +41,51 @@
 
 def load_planner(path: str | Path) -> PlannerConfig:
     """Read, check and type a planner's file. Raises SettingsError."""
-    return planner_from(load(path, PLANNER))
+    return planner_from(load_section(path, PLANNER_SCHEMA))
 
 
 def planner_from(section: Section) -> PlannerConfig:
     """The typed settings of a planner's section. Raises SettingsError for what contradicts itself."""
-    room = cluster_from(section)
-    problems = _own_problems(section, room) + tunable_problems(section)
+    cluster = cluster_from(section)
+    problems = _own_problems(section, cluster) + tunable_problems(section)
     if problems:
         raise SettingsError(problems)
-    site = typed_site(section, room)
-    position, planners = section.one("planner")
-    zone = site.cluster.zones.index(section.one("home-zone", site.cluster.zones[0]))
+    site = checked_site(section, cluster)
+    position, planners = section.value("planner")
+    zone = site.cluster.zones.index(section.value("home-zone", site.cluster.zones[0]))
     return PlannerConfig(
         settings=site.cluster.settings(planners, position, zone),
-        listen=tuple(address for (address,) in section.all("listen")),
-        directory=section.one("directory"),
-        seed=section.one("seed"),
-        configuration=tuple(address for (address,) in section.all("configuration")),
-        configuration_copy=section.one("configuration-copy"),
+        listen=tuple(address for (address,) in section.all_values("listen")),
+        directory=section.value("directory"),
+        seed=section.value("seed"),
+        configuration=tuple(address for (address,) in section.all_values("configuration")),
+        configuration_copy=section.value("configuration-copy"),
         **site_fields(site),
     )
 
 
-def _own_problems(section: Section, room: Cluster) -> list[Problem]:
+def _own_problems(section: Section, cluster: Cluster) -> list[SettingsProblem]:
     """What is wrong with the keys of this planner alone."""
-    problems: list[Problem] = []
-    position, planners = section.one("planner")
+    problems: list[SettingsProblem] = []
+    position, planners = section.value("planner")
     if position >= planners:
-        problems.append(Problem(section.place("planner"), "planner", f"{position} is not below {planners}"))
-    zone = section.one("home-zone", room.zones[0])
-    if zone not in room.zones:
-        known = ", ".join(room.zones)
-        problems.append(Problem(section.place("home-zone"), "home-zone", f"no zone {zone}; known: {known}"))
+        problems.append(
+            SettingsProblem(section.position_of("planner"), "planner", f"{position} is not below {planners}")
+        )
+    zone = section.value("home-zone", cluster.zones[0])
+    if zone not in cluster.zones:
+        known = ", ".join(cluster.zones)
+        problems.append(
+            SettingsProblem(section.position_of("home-zone"), "home-zone", f"no zone {zone}; known: {known}")
+        )
     replicas = section.keys.get("configuration", [])
-    if len(replicas) > REPLICAS_MOST:
-        text = f"{len(replicas)} replicas are given, at most {REPLICAS_MOST} are allowed"
-        problems.append(Problem(replicas[REPLICAS_MOST][0], "configuration", text))
-    if section.one("beyond-loopback", False):
+    if len(replicas) > MAX_REPLICAS:
+        text = f"{len(replicas)} replicas are given, at most {MAX_REPLICAS} are allowed"
+        problems.append(SettingsProblem(replicas[MAX_REPLICAS][0], "configuration", text))
+    if section.value("beyond-loopback", False):
         return problems
     for place, (address,) in section.keys["listen"]:
         if not is_loopback(address):
             text = f"{address} is not loopback; `beyond-loopback yes` allows it"
-            problems.append(Problem(place, "listen", text))
+            problems.append(SettingsProblem(place, "listen", text))
     return problems
--- a/stairplank/settings/site.py
+++ b/stairplank/settings/site.py
@@ -11,33 +11,33 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from . import values as v
-from .cluster import CLUSTER, Cluster, cluster_from
-from .lines import Position, Problem, SettingsError
-from .schema import Block, Key, Section, load, load_text
+from . import parsers
+from .cluster import CLUSTER_SCHEMA, Cluster, cluster_from
+from .schema import Block, Key, Section, load_section, load_section_text
+from .source import SettingsError, SettingsProblem, SourcePosition
 
 if TYPE_CHECKING:
     from .planner import PlannerConfig
 
-TUNABLES: tuple[Key, ...] = (
-    Key("dial-timeout", (v.positive_duration,)),
-    Key("dial-retry", (v.positive_duration, v.positive_duration)),
-    Key("link-grace", (v.duration,)),
-    Key("probe-timeout", (v.positive_duration,)),
-    Key("list-silence", (v.positive_duration,)),
-    Key("stop-grace", (v.duration,)),
-    Key("open-most", (v.whole(1, 10_000_000),)),
-    Key("owner-open-most", (v.whole(1, 10_000_000),)),
-    Key("running-most", (v.whole(1, 10_000_000),)),
-    Key("owners-most", (v.whole(1, 65_536),)),
-    Key("nodes-most", (v.whole(1, 1_000_000),)),
-    Key("dials-most", (v.whole(1, 100_000),)),
-    Key("wait-most", (v.positive_duration,)),
-    Key("send-buffer", (v.size,)),
-    Key("message-most", (v.size,)),
-    Key("keepalive", (v.positive_duration, v.positive_duration)),
+TUNABLE_KEYS: tuple[Key, ...] = (
+    Key("dial-timeout", (parsers.positive_duration,)),
+    Key("dial-retry", (parsers.positive_duration, parsers.positive_duration)),
+    Key("link-grace", (parsers.duration,)),
+    Key("probe-timeout", (parsers.positive_duration,)),
+    Key("list-silence", (parsers.positive_duration,)),
+    Key("stop-grace", (parsers.duration,)),
+    Key("open-most", (parsers.integer(1, 10_000_000),)),
+    Key("owner-open-most", (parsers.integer(1, 10_000_000),)),
+    Key("running-most", (parsers.integer(1, 10_000_000),)),
+    Key("owners-most", (parsers.integer(1, 65_536),)),
+    Key("nodes-most", (parsers.integer(1, 1_000_000),)),
+    Key("dials-most", (parsers.integer(1, 100_000),)),
+    Key("wait-most", (parsers.positive_duration,)),
+    Key("send-buffer", (parsers.size,)),
+    Key("message-most", (parsers.size,)),
+    Key("keepalive", (parsers.positive_duration, parsers.positive_duration)),
 )
-SITE: tuple[Key | Block, ...] = CLUSTER + TUNABLES
+SITE_SCHEMA: tuple[Key | Block, ...] = CLUSTER_SCHEMA + TUNABLE_KEYS
 
 # The fields that each key sets. A key with one field gives it all its values, as a tuple where there are
 # several; a key with several fields gives one value to each.
@@ -87,12 +87,12 @@
 
 def load_site(path: str | Path) -> SiteSettings:
     """Read, check and type a site file. Raises SettingsError."""
-    return site_from(load(path, SITE))
+    return site_from(load_section(path, SITE_SCHEMA))
 
 
 def load_site_text(text: str, name: str = "<site>") -> SiteSettings:
     """The same for a text; ``name`` stands for the file in errors. Raises SettingsError."""
-    return site_from(load_text(text, SITE, name))
+    return site_from(load_section_text(text, SITE_SCHEMA, name))
 
 
 def site_from(section: Section) -> SiteSettings:
@@ -100,31 +100,33 @@
 
     Raises SettingsError for what contradicts itself.
     """
-    room = cluster_from(section)
+    cluster = cluster_from(section)
     problems = tunable_problems(section)
     if problems:
         raise SettingsError(problems)
-    return typed_site(section, room)
+    return checked_site(section, cluster)
 
 
-def tunable_problems(section: Section) -> list[Problem]:
+def tunable_problems(section: Section) -> list[SettingsProblem]:
     """What the tunables of a section say that contradicts itself."""
-    first, most = section.one("dial-retry", (0, 0))
+    first, most = section.value("dial-retry", (0, 0))
     if first <= most:
         return []
-    return [Problem(section.place("dial-retry"), "dial-retry", "the first wait is the longer one")]
+    return [
+        SettingsProblem(section.position_of("dial-retry"), "dial-retry", "the first wait is the longer one")
+    ]
 
 
-def typed_site(section: Section, room: Cluster) -> SiteSettings:
+def checked_site(section: Section, cluster: Cluster) -> SiteSettings:
     """The typed settings of a section that was checked, with the room that was read from it."""
-    return SiteSettings(cluster=room, **_given_tunables(section))
+    return SiteSettings(cluster=cluster, **_given_tunables(section))
 
 
 def _given_tunables(section: Section) -> dict[str, Any]:
     """The fields whose keys are in the section; the others keep their defaults."""
     given: dict[str, Any] = {}
     for key, names in TUNABLE_FIELDS.items():
-        value = section.one(key)
+        value = section.value(key)
         if value is None:
             continue
         given.update(zip(names, value if len(names) > 1 else (value,), strict=True))
@@ -136,7 +138,7 @@
     return {field.name: getattr(site, field.name) for field in fields(SiteSettings)}
 
 
-def with_site(config: PlannerConfig, site: SiteSettings, name: str = "<site>") -> PlannerConfig:
+def merge_site(config: PlannerConfig, site: SiteSettings, name: str = "<site>") -> PlannerConfig:
     """A planner's configuration with the site's settings in place of its own.
 
     What says which planner it is and where it listens stays. Raises SettingsError where the site has no zone
@@ -145,7 +147,7 @@
     home_zone = config.cluster.zones[config.settings.zone]
     if home_zone not in site.cluster.zones:
         message = f"no zone {home_zone}, in which this planner runs; known: {', '.join(site.cluster.zones)}"
-        raise SettingsError([Problem(Position(name, 1, 1), "zone", message)])
+        raise SettingsError([SettingsProblem(SourcePosition(name, 1, 1), "zone", message)])
     zone = site.cluster.zones.index(home_zone)
     own = config.settings
     settings = site.cluster.settings(own.planners, own.position, zone)
--- a/stairplank/settings/lines.py
+++ b/stairplank/settings/source.py
@@ -17,11 +17,11 @@
 %ignore /#[^\n]*/
 """
 _PARSER = Lark(_GRAMMAR, parser="lalr")
-MOST_BYTES = 4 << 20
+MAX_FILE_BYTES = 4 << 20
 
 
 @dataclass(frozen=True, slots=True)
-class Position:
+class SourcePosition:
     file: str
     line: int  # from 1
     column: int  # from 1
@@ -31,49 +31,53 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Problem:
-    at: Position
+class SettingsProblem:
+    position: SourcePosition
     key: str
     message: str
 
     def __str__(self) -> str:
-        return f"{self.at}: {self.key}: {self.message}" if self.key else f"{self.at}: {self.message}"
+        return (
+            f"{self.position}: {self.key}: {self.message}" if self.key else f"{self.position}: {self.message}"
+        )
 
 
 class SettingsError(Exception):
     """What is wrong with a file: all of it, not only the first."""
 
-    def __init__(self, problems: list[Problem]) -> None:
+    def __init__(self, problems: list[SettingsProblem]) -> None:
         self.problems = tuple(problems)
         super().__init__("\n".join(map(str, problems)))
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class SourceWord:
     text: str
-    at: Position
+    position: SourcePosition
 
 
-def read_lines(text: str, file: str) -> list[list[Word]]:
+def read_lines(text: str, file: str) -> list[list[SourceWord]]:
     """The words of each line that has any. Raises SettingsError at the first place that cannot be read."""
-    if len(text) > MOST_BYTES:
-        raise SettingsError([Problem(Position(file, 1, 1), "", f"larger than {MOST_BYTES} bytes")])
+    if len(text) > MAX_FILE_BYTES:
+        raise SettingsError(
+            [SettingsProblem(SourcePosition(file, 1, 1), "", f"larger than {MAX_FILE_BYTES} bytes")]
+        )
     if "\0" in text:
         before = text[: text.index("\0")]
-        at = Position(file, before.count("\n") + 1, len(before) - before.rfind("\n"))
-        raise SettingsError([Problem(at, "", "a NUL byte: this is no settings file")])
+        at = SourcePosition(file, before.count("\n") + 1, len(before) - before.rfind("\n"))
+        raise SettingsError([SettingsProblem(at, "", "a NUL byte: this is no settings file")])
     try:
         tree = _PARSER.parse(text)
     except UnexpectedInput as error:
         line, column = max(error.line, 1), max(error.column, 1)
         rest = text.split("\n")[line - 1][column - 1 :] if line <= text.count("\n") + 1 else ""
         what = "a quote that is not closed" if rest.startswith('"') else f"cannot read {rest[:20]!r}"
-        raise SettingsError([Problem(Position(file, line, column), "", what)]) from None
-    return [[_word(t, file) for t in line.children] for line in tree.children]  # type: ignore[union-attr,arg-type]
+        raise SettingsError([SettingsProblem(SourcePosition(file, line, column), "", what)]) from None
+    return [[_source_word(t, file) for t in line.children] for line in tree.children]  # type: ignore[union-attr,arg-type]
 
 
-def _word(token: Token, file: str) -> Word:
+def _source_word(token: Token, file: str) -> SourceWord:
     text = str(token)
     if token.type == "QUOTED":
         text = text[1:-1].replace('\\"', '"').replace("\\\\", "\\")
-    return Word(text, Position(file, token.line or 1, token.column or 1))
+    return SourceWord(text, SourcePosition(file, token.line or 1, token.column or 1))
