--- a/stairplank/standin/config.py
+++ b/stairplank/standin/config.py
@@ -10,92 +10,94 @@
 
 from .. import interface as api
 from ..planner.clock import now_us
-from ..settings import values as v
-from ..settings.cluster import CLUSTER, Cluster, cluster_from
-from ..settings.lines import Problem, SettingsError
-from ..settings.schema import Block, Key, Section, load
+from ..settings import parsers
+from ..settings.cluster import CLUSTER_SCHEMA, Cluster, cluster_from
+from ..settings.schema import Block, Key, Section, load_section
+from ..settings.source import SettingsError, SettingsProblem
 from .directory import DirectoryModel
 from .node_model import NodeModel
 from .owner import Demand, OwnerModel
 from .script import Fault, parse
 
 COMMON: tuple[Key | Block, ...] = (
-    Key("seed", (v.whole(),)),
-    Key("begin", (v.text,)),  # a file that will hold the zero of the script, in monotonic microseconds
-    Key("at", (), False, True, rest=v.text, least_rest=1),
+    Key("seed", (parsers.integer(),)),
+    Key("begin", (parsers.text,)),  # a file that will hold the zero of the script, in monotonic microseconds
+    Key("at", (), False, True, rest_parser=parsers.text, min_rest=1),
 )
 MODEL: tuple[Key | Block, ...] = (
-    Key("look-time", (v.span(v.positive_duration),)),
-    Key("waiting-most", (v.whole(1, 1_000_000),)),
-    Key("starts-at-once", (v.whole(1, 1_000_000),)),
-    Key("start-time", (v.positive_duration,)),
-    Key("from-nothing", (v.number(1),)),
-    Key("programs-kept", (v.whole(0, 100_000),)),
-    Key("cores-use", (v.number(),)),
-    Key("memory-use", (v.number(),)),
+    Key("look-time", (parsers.value_range(parsers.positive_duration),)),
+    Key("waiting-most", (parsers.integer(1, 1_000_000),)),
+    Key("starts-at-once", (parsers.integer(1, 1_000_000),)),
+    Key("start-time", (parsers.positive_duration,)),
+    Key("from-nothing", (parsers.number(1),)),
+    Key("programs-kept", (parsers.integer(0, 100_000),)),
+    Key("cores-use", (parsers.number(),)),
+    Key("memory-use", (parsers.number(),)),
 )
 LIST: tuple[Key | Block, ...] = (
-    Key("list-notice", (v.duration,)),
-    Key("list-silent", (v.duration,)),
-    Key("list-period", (v.positive_duration,)),
+    Key("list-notice", (parsers.duration,)),
+    Key("list-silent", (parsers.duration,)),
+    Key("list-period", (parsers.positive_duration,)),
 )
 DEMAND = Block(
     "demand",
-    (v.name,),
+    (parsers.name,),
     (
-        Key("share", (v.share,), True),
-        Key("size", (v.number(above=True), v.number(above=True)), True, True),
-        Key("life", (v.span(v.positive_duration),), True),
-        Key("batch", (v.span(v.whole(1, 10_000)),)),
-        Key("services", (v.whole(1, 1_000_000),)),
-        Key("service-most", (v.whole(1, 1_000_000),)),
-        Key("group", (v.flag,)),
+        Key("share", (parsers.fraction,), True),
+        Key("size", (parsers.number(exclusive=True), parsers.number(exclusive=True)), True, True),
+        Key("life", (parsers.value_range(parsers.positive_duration),), True),
+        Key("batch", (parsers.value_range(parsers.integer(1, 10_000)),)),
+        Key("services", (parsers.integer(1, 1_000_000),)),
+        Key("service-most", (parsers.integer(1, 1_000_000),)),
+        Key("group", (parsers.boolean,)),
     ),
 )
 OWNERS: tuple[Key | Block, ...] = (
     DEMAND,
-    Key("rate", (v.number(above=True),)),
-    Key("owner-again", (v.span(v.positive_duration),)),
-    Key("owner-soon", (v.span(v.positive_duration),)),
-    Key("owner-wanted", (v.positive_duration,)),
-    Key("asks-end", (v.positive_duration,)),
-    Key("tasks-most", (v.whole(0),)),
+    Key("rate", (parsers.number(exclusive=True),)),
+    Key("owner-again", (parsers.value_range(parsers.positive_duration),)),
+    Key("owner-soon", (parsers.value_range(parsers.positive_duration),)),
+    Key("owner-wanted", (parsers.positive_duration,)),
+    Key("asks-end", (parsers.positive_duration,)),
+    Key("tasks-most", (parsers.integer(0),)),
 )
 NODE = Block(
     "node",
-    (v.whole(0, 2**32 - 1), v.name),
+    (parsers.integer(0, 2**32 - 1), parsers.name),
     (
-        Key("kind", (v.name,), True),
-        Key("zone", (v.name,), True),
-        Key("rack", (v.name,), True),
-        Key("listen", (v.address,), True, True),
-        Key("advertise", (v.address,), False, True, rest=v.name),  # for one directory, by its name
-        Key("absent", (v.flag,)),
-        Key("cold", (v.flag,)),
+        Key("kind", (parsers.name,), True),
+        Key("zone", (parsers.name,), True),
+        Key("rack", (parsers.name,), True),
+        Key("listen", (parsers.address,), True, True),
+        Key(
+            "advertise", (parsers.address,), False, True, rest_parser=parsers.name
+        ),  # for one directory, by its name
+        Key("absent", (parsers.boolean,)),
+        Key("cold", (parsers.boolean,)),
     ),
     True,
 )
 FARM = (
-    CLUSTER
+    CLUSTER_SCHEMA
     + COMMON
     + MODEL
     + (
         NODE,
-        Key("directory", (v.address,), False, True, rest=v.name),
+        Key("directory", (parsers.address,), False, True, rest_parser=parsers.name),
         Key(
-            "on-signal", (), False, True, rest=v.text, least_rest=1
+            "on-signal", (), False, True, rest_parser=parsers.text, min_rest=1
         ),  # done at SIGUSR1: a fault without a time
     )
 )
-LISTING = COMMON + LIST + (Key("listen", (v.address,), True, True),)
+LISTING = COMMON + LIST + (Key("listen", (parsers.address,), True, True),)
 CROWD = (
-    CLUSTER
+    CLUSTER_SCHEMA
     + COMMON
     + OWNERS
     + (
-        Key("owner", (v.name,), True, True),
-        Key("planner", (v.whole(), v.address), True, True),
-        Key("report", (v.text,)),
+        Key("owner", (parsers.name,), True, True),
+        Key("planner", (parsers.integer(), parsers.address), True, True),
+        Key("report", (parsers.text,)),
     )
 )
 
@@ -150,13 +152,13 @@
 
 def faults_from(section: Section) -> tuple[Fault, ...]:
     """Raises SettingsError with the place of a line that cannot be read."""
-    problems: list[Problem] = []
+    problems: list[SettingsProblem] = []
     out: list[Fault] = []
     for place, words in section.keys.get("at", ()):
         try:
             out.append(parse(list(words)))
         except ValueError as error:
-            problems.append(Problem(place, "at", str(error)))
+            problems.append(SettingsProblem(place, "at", str(error)))
     if problems:
         raise SettingsError(problems)
     return tuple(sorted(out, key=lambda f: f.at_us))
@@ -166,7 +168,7 @@
     room: Cluster, section: Section, id: int, name: str, kind: str, zone: str, rack: str
 ) -> NodeModel:
     sort = next(k for k in room.node_types if k.name == kind)
-    one = section.one
+    one = section.value
     changes: dict[str, Any] = {
         "look_us": one("look-time"),
         "waiting_most": one("waiting-most"),
@@ -198,79 +200,81 @@
 
 
 def load_farm(path: str | Path) -> FarmConfig:
-    section = load(path, FARM)
+    section = load_section(path, FARM)
     room = cluster_from(section)
-    problems: list[Problem] = []
+    problems: list[SettingsProblem] = []
     nodes: list[NodeConfig] = []
     ids: set[int] = set()
     for block in section.blocks["node"]:
         id, name = block.values
-        kind, zone = block.one("kind"), block.one("zone")
+        kind, zone = block.value("kind"), block.value("zone")
         if id in ids:
-            problems.append(Problem(block.at, "node", f"{id} is there twice"))
+            problems.append(SettingsProblem(block.position, "node", f"{id} is there twice"))
         ids.add(id)
         if kind not in [k.name for k in room.node_types]:
-            problems.append(Problem(block.place("kind"), "kind", f"no kind {kind}"))
+            problems.append(SettingsProblem(block.position_of("kind"), "kind", f"no kind {kind}"))
             continue
         if zone not in room.zones:
-            problems.append(Problem(block.place("zone"), "zone", f"no zone {zone}"))
-        listen = tuple(a for (a,) in block.all("listen"))
+            problems.append(SettingsProblem(block.position_of("zone"), "zone", f"no zone {zone}"))
+        listen = tuple(a for (a,) in block.all_values("listen"))
         advertise: dict[str, tuple[str, ...]] = {}
-        for address, *rest in block.all("advertise"):
+        for address, *rest in block.all_values("advertise"):
             label = rest[0] if rest else ""
             advertise[label] = (*advertise.get(label, ()), address)
         nodes.append(
             NodeConfig(
-                model_from(room, section, id, name, kind, zone, block.one("rack")),
+                model_from(room, section, id, name, kind, zone, block.value("rack")),
                 listen,
                 advertise,
-                block.one("absent", False),
-                block.one("cold", False),
+                block.value("absent", False),
+                block.value("cold", False),
             )
         )
     if problems:
         raise SettingsError(problems)
     return FarmConfig(
         tuple(nodes),
-        tuple((a, rest[0] if rest else "") for a, *rest in section.all("directory")),
-        section.one("seed", 1),
-        section.one("begin"),
+        tuple((a, rest[0] if rest else "") for a, *rest in section.all_values("directory")),
+        section.value("seed", 1),
+        section.value("begin"),
         faults_from(section),
         room.classes,
-        tuple(parse(["0s", *words]) for words in section.all("on-signal")),
+        tuple(parse(["0s", *words]) for words in section.all_values("on-signal")),
     )
 
 
 def directory_model(section: Section) -> DirectoryModel:
     base = DirectoryModel()
     return DirectoryModel(
-        section.one("list-notice", base.notice_us),
-        section.one("list-silent", base.silent_us),
-        section.one("list-period", base.period_us),
+        section.value("list-notice", base.notice_us),
+        section.value("list-silent", base.silent_us),
+        section.value("list-period", base.period_us),
     )
 
 
 def load_listing(path: str | Path) -> ListingConfig:
-    section = load(path, LISTING)
-    listen = tuple(a for (a,) in section.all("listen"))
-    return ListingConfig(listen, directory_model(section), section.one("begin"), faults_from(section))
+    section = load_section(path, LISTING)
+    listen = tuple(a for (a,) in section.all_values("listen"))
+    return ListingConfig(listen, directory_model(section), section.value("begin"), faults_from(section))
 
 
 def demands_from(section: Section, room: Cluster) -> tuple[Demand, ...]:
-    problems: list[Problem] = []
+    problems: list[SettingsProblem] = []
     out: list[Demand] = []
     names = [c.name for c in room.classes]
     for block in section.blocks.get("demand", ()):
         (name,) = block.values
         if name not in names:
-            problems.append(Problem(block.at, "demand", f"no class {name}; known: {', '.join(names)}"))
+            problems.append(
+                SettingsProblem(block.position, "demand", f"no class {name}; known: {', '.join(names)}")
+            )
             continue
-        one = block.one
+        one = block.value
         out.append(
             Demand(
                 name,
                 one("share"),
-                tuple((c, m) for c, m in block.all("size")),
+                tuple((c, m) for c, m in block.all_values("size")),
                 one("life"),
                 one("batch", (1, 1)),
                 one("services", 20),
@@ -279,14 +283,14 @@
             )
         )
     if not out and not problems:
-        problems.append(Problem(section.at, "demand", "is required"))
+        problems.append(SettingsProblem(section.position, "demand", "is required"))
     if problems:
         raise SettingsError(problems)
     return tuple(out)
 
 
 def owner_models(section: Section, room: Cluster, names: list[str], planners: int) -> tuple[OwnerModel, ...]:
-    one = section.one
+    one = section.value
     demands = demands_from(section, room)
     base = OwnerModel("", 1.0, demands, room.classes, planners)
     tenants = [t for t, _ in room.tenants]
@@ -310,16 +314,16 @@
 
 
 def load_crowd(path: str | Path) -> CrowdConfig:
-    section = load(path, CROWD)
+    section = load_section(path, CROWD)
     room = cluster_from(section)
-    planners = dict(section.all("planner"))
-    names = [n for (n,) in section.all("owner")]
+    planners = dict(section.all_values("planner"))
+    names = [n for (n,) in section.all_values("owner")]
     return CrowdConfig(
         room,
         owner_models(section, room, names, len(planners)),
         planners,
-        section.one("seed", 1),
-        section.one("begin"),
+        section.value("seed", 1),
+        section.value("begin"),
         faults_from(section),
-        section.one("report"),
+        section.value("report"),
     )
--- a/stairplank/standin/crowd.py
+++ b/stairplank/standin/crowd.py
@@ -11,7 +11,7 @@
 import structlog
 from gevent.event import Event as Flag
 
-from ..fence import Stamp, Stamps
+from ..fence import AgeStamp, MessageStamper
 from ..planner import convert
 from ..planner import events as ev
 from ..planner.daemon import PLACEMENT, now_us
@@ -63,7 +63,7 @@
     return None
 
 
-def request_of(do: Do, stamp: Stamp | None) -> Any:
+def request_of(do: Do, stamp: AgeStamp | None) -> Any:
     sent = convert.stamp_to(stamp)
     if isinstance(do, Ask):
         task = convert.task_to(do.task)
@@ -86,7 +86,7 @@
         self.owner = Owner(model, seed, begin)
         self.calls: dict[int, Any] = {}
         self.channels: dict[int, Channel] = {}
-        self.stamps: dict[int, Stamps] = {}
+        self.stamps: dict[int, MessageStamper] = {}
         self.session = random.Random(seed ^ 0x5E55).getrandbits(63) | 1
         self.epoch = 0
         self.wake = Flag()
@@ -118,13 +118,13 @@
                 welcome = call.recv(2.0)
                 if welcome is None:
                     raise RpcError(Code.UNAVAILABLE, "no welcome")
-                stamps = self.stamps[planner] = Stamps()
-                stamps.heard(now_us(), welcome.grant)
+                stamps = self.stamps[planner] = MessageStamper()
+                stamps.receive_grant(now_us(), welcome.grant)
                 up = True
                 self.calls[planner] = call
                 self.do(self.owner.connected(now_us(), planner))
                 while (event := call.recv()) is not None:
-                    stamps.heard(now_us(), event.grant)
+                    stamps.receive_grant(now_us(), event.grant)
                     word = word_from(event)
                     if word is not None:
                         self.do(self.owner.heard(now_us(), planner, word))
--- a/stairplank/standin/door.py
+++ b/stairplank/standin/door.py
@@ -12,7 +12,7 @@
 import random
 from typing import Any
 
-from ..fence import Grants, Stamp
+from ..fence import AgeStamp, GrantIssuer
 from .outbox import Outbox
 
 
@@ -23,7 +23,7 @@
         self.life = 0
         self.epoch = 0
         self.box = Outbox(0, most)
-        self.grants: Grants | None = None
+        self.grants: GrantIssuer | None = None
         self.too_old = 0  # words that came too late, or proved nothing
         self._rng = rng
         self._most = most
@@ -36,18 +36,18 @@
             self.box = Outbox(life, self._most)
         self.life, self.epoch = life, epoch
         self.box.heard(heard)
-        self.grants = Grants(now, self._rng)
+        self.grants = GrantIssuer(now, self._rng)
         return self.box.after(heard)
 
-    def said_at(self, now: int, stamp: Stamp | None) -> int | None:
+    def said_at(self, now: int, stamp: AgeStamp | None) -> int | None:
         """The earliest moment at which a word with this stamp can have been said; None: nobody can tell."""
-        at = None if self.grants is None else self.grants.said_at(now, stamp)
+        at = None if self.grants is None else self.grants.earliest_send_time(now, stamp)
         self.too_old += at is None
         return at
 
     def grant(self, now: int) -> int:
         """For what is said anyway: a grant, or 0 where none is due."""
-        return 0 if self.grants is None else self.grants.give_if_due(now)
+        return 0 if self.grants is None else self.grants.issue_if_due(now)
 
     def complete_for(self, life: int) -> bool:
         """Whether what this life of the planner has not heard of was never seen."""
--- a/stairplank/standin/farm.py
+++ b/stairplank/standin/farm.py
@@ -188,7 +188,7 @@
         if older is not None:
             older.stream.connection.close(RpcError(Code.ABORTED, "a newer stream of this planner is here"))
         self.calls[planner] = call
-        call.send(_EVENT(welcome=welcome, grant=door.grants.give(now_us())))
+        call.send(_EVENT(welcome=welcome, grant=door.grants.issue(now_us())))
         for _, event in unheard:
             self.put(call, event, planner)
         renewing = gevent.spawn(self.renew, call, planner, door)
--- a/stairplank/standin/script.py
+++ b/stairplank/standin/script.py
@@ -18,41 +18,46 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..settings import values as v
+from ..settings import parsers
 
-DIRECTION = v.choice("there", "back", "both")
+DIRECTION = parsers.choice("there", "back", "both")
 # target: fault: kinds of its values. A fault with ``for`` ends by itself.
-FAULTS: dict[str, dict[str, tuple[tuple[v.Value, ...], str]]] = {
+FAULTS: dict[str, dict[str, tuple[tuple[parsers.ValueParser, ...], str]]] = {
     "node": {
-        "fail-starts": ((v.share,), "for"),
-        "refuse": ((v.share,), "for"),
-        "slow": ((v.number(1, 1000),), "for"),
-        "pauses": ((v.positive_duration, v.positive_duration), "for"),  # how long, how often
-        "turn-away": ((v.name, v.share), "for"),  # a class
-        "lose-answers": ((v.share, v.choice("silence", "reset")), "for"),
+        "fail-starts": ((parsers.fraction,), "for"),
+        "refuse": ((parsers.fraction,), "for"),
+        "slow": ((parsers.number(1, 1000),), "for"),
+        "pauses": ((parsers.positive_duration, parsers.positive_duration), "for"),  # how long, how often
+        "turn-away": ((parsers.name, parsers.fraction), "for"),  # a class
+        "lose-answers": ((parsers.fraction, parsers.choice("silence", "reset")), "for"),
         "silent": ((), "for"),
         "hang": ((), "for"),
         "drain": ((), ""),
-        "leave": ((v.duration,), ""),  # drain, and be gone for good after that time
+        "leave": ((parsers.duration,), ""),  # drain, and be gone for good after that time
         "kill": ((), "for"),
         "cut": ((), ""),
         "grow": ((), ""),
     },
-    "list": {"behind": ((v.duration,), "for"), "away": ((), "for"), "hang": ((), "for"), "forget": ((), "")},
+    "list": {
+        "behind": ((parsers.duration,), "for"),
+        "away": ((), "for"),
+        "hang": ((), "for"),
+        "forget": ((), ""),
+    },
     "planner": {"kill": ((), "for"), "pause": ((), "for"), "cut": ((), "")},
     "zone": {"cut": ((), "for")},
     # Done by relays: ``there`` is the direction from who dials, ``back`` the one to it.
     "links": {
         "hold": ((DIRECTION,), "for"),  # and deliver it all when it ends
         "hold-reset": ((DIRECTION,), "for"),  # and lose it all, resetting the links
-        "delay": ((DIRECTION, v.positive_duration), "for"),
-        "rate": ((DIRECTION, v.whole(1, 10**9)), "for"),  # bytes a second
+        "delay": ((DIRECTION, parsers.positive_duration), "for"),
+        "rate": ((DIRECTION, parsers.integer(1, 10**9)), "for"),  # bytes a second
         "half-open": ((), "for"),  # links are accepted with nobody behind
         "cut": ((), ""),
     },
     "farm": {"pause": ((), "for")},  # the process of all stand-in nodes is stopped
-    "owners": {"restart-services": ((v.share, v.duration), ""), "cut": ((), "")},
-    "demand": {"times": ((v.number(0, 1000, above=True),), "for")},
+    "owners": {"restart-services": ((parsers.fraction, parsers.duration), ""), "cut": ((), "")},
+    "demand": {"times": ((parsers.number(0, 1000, exclusive=True),), "for")},
 }
 
 
@@ -78,7 +83,7 @@
 
     def line(self) -> str:
         """The line again, with what was drawn by name."""
-        words = ["at", v.as_duration(self.at_us)]
+        words = ["at", parsers.format_duration(self.at_us)]
         if self.target == "links":
             words += ["links", self.name, *map(str, self.which)]
         elif self.target in ("node", "planner") and self.which:
@@ -88,9 +93,13 @@
         if self.target != "demand":
             words.append(self.what)
         for kind, value in zip(FAULTS[self.target][self.what][0], self.values, strict=True):
-            words.append(v.as_duration(value) if kind in (v.duration, v.positive_duration) else str(value))
+            words.append(
+                parsers.format_duration(value)
+                if kind in (parsers.duration, parsers.positive_duration)
+                else str(value)
+            )
         if self.for_us:
-            words += ["for", v.as_duration(self.for_us)]
+            words += ["for", parsers.format_duration(self.for_us)]
         return " ".join(words)
 
 
@@ -98,7 +107,7 @@
     """A line without its ``at``. Raises ValueError."""
     if len(words) < 2:
         raise ValueError("TIME TARGET FAULT is needed")
-    at = v.duration(words[0])
+    at = parsers.duration(words[0])
     target, rest = words[1], words[2:]
     which: tuple[int, ...] = ()
     count, share, avoid, name = 0, 0.0, False, ""
@@ -116,7 +125,7 @@
         if rest[0].isdigit():
             count = int(rest[0])
         else:
-            share = v.share(rest[0])
+            share = parsers.fraction(rest[0])
         rest = rest[1:]
     elif target in ("node", "planner"):
         digits = next((i for i, word in enumerate(rest) if not word.isdigit()), len(rest))
@@ -128,7 +137,7 @@
     elif target == "zone":
         if not rest:
             raise ValueError("the zone's name is needed")
-        name, rest = v.name(rest[0]), rest[1:]
+        name, rest = parsers.name(rest[0]), rest[1:]
     if links:
         target, name = "links", target
     if target not in FAULTS:
@@ -146,7 +155,7 @@
     if lasts:
         if len(rest) != 2 or rest[0] != "for":
             raise ValueError(f"{what} needs `for TIME` at its end")
-        for_us = v.positive_duration(rest[1])
+        for_us = parsers.positive_duration(rest[1])
     elif rest:
         raise ValueError(f"{rest[0]!r} is one word too many")
     return Fault(at, target, what, values, for_us, which, count, share, avoid, name)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -166,18 +166,18 @@
 
 
 def test_a_file_that_could_be_two_things_is_said_to_be() -> None:
-    from stairplank.settings import values as v
-    from stairplank.settings.kinds import likely
-    from stairplank.settings.lines import read_lines
+    from stairplank.settings import parsers
+    from stairplank.settings.detect import likely_kinds
     from stairplank.settings.schema import Key
+    from stairplank.settings.source import read_lines
 
     schemas = {
-        "one": (Key("port", (v.whole(),), True), Key("speed", (v.whole(),))),
-        "two": (Key("port", (v.whole(),), True), Key("colour", (v.name,))),
+        "one": (Key("port", (parsers.integer(),), True), Key("speed", (parsers.integer(),))),
+        "two": (Key("port", (parsers.integer(),), True), Key("colour", (parsers.name,))),
     }
-    assert likely(read_lines("port 3", "f"), schemas) == ["one", "two"]
-    assert likely(read_lines("port 3\ncolour red", "f"), schemas) == ["two"]
-    assert likely(read_lines("port x\nspeed 4", "f"), schemas) == ["one"]
+    assert likely_kinds(read_lines("port 3", "f"), schemas) == ["one", "two"]
+    assert likely_kinds(read_lines("port 3\ncolour red", "f"), schemas) == ["two"]
+    assert likely_kinds(read_lines("port x\nspeed 4", "f"), schemas) == ["one"]
 
 
 def test_the_platforms_planner_names_what_is_wrong_with_its_file(tmp_path: Path) -> None:
--- a/tests/configuration/test_live.py
+++ b/tests/configuration/test_changes.py
@@ -8,21 +8,21 @@
 import pytest
 
 from stairplank import interface as api
-from stairplank.configuration.live import (
+from stairplank.configuration.changes import (
     CLASS_KEYS,
-    NEW_CONNECTIONS,
+    NEW_CONNECTION_KEYS,
     SETTINGS_KEYS,
-    Change,
-    LiveChanges,
-    NeedsRestart,
-    NeedsRestartError,
-    Reach,
-    live_changes,
+    ChangeScope,
+    ConfigurationChanges,
+    LiveChange,
+    RestartRequiredError,
+    RestartRequirement,
+    compare_configurations,
 )
-from stairplank.configuration.rules import changed_names, changed_settings
+from stairplank.configuration.field_changes import changed_names, changed_settings
 from stairplank.settings import PlannerConfig, load_planner
-from stairplank.settings.cluster import CLUSTER
-from stairplank.settings.site import TUNABLES
+from stairplank.settings.cluster import CLUSTER_SCHEMA
+from stairplank.settings.site import TUNABLE_KEYS
 
 TEXT = """\
 planner 1 of 3
@@ -76,9 +76,9 @@
 
 
 def test_the_same_configuration_changes_nothing(old: PlannerConfig, tmp_path: Path) -> None:
-    found = live_changes(old, read(tmp_path, TEXT))
-    assert found == LiveChanges()
-    assert found.identical
+    found = compare_configurations(old, read(tmp_path, TEXT))
+    assert found == ConfigurationChanges()
+    assert found.is_empty
 
 
 LIVE = [
@@ -144,9 +144,9 @@
 def test_what_may_change_while_a_planner_runs(
     old: PlannerConfig, tmp_path: Path, before: str, after: str, key: str
 ) -> None:
-    found = live_changes(old, changed(tmp_path, (before, after)))
-    assert found == LiveChanges((Change(key, Reach.LIVE),))
-    found.check()
+    found = compare_configurations(old, changed(tmp_path, (before, after)))
+    assert found == ConfigurationChanges((LiveChange(key, ChangeScope.LIVE),))
+    found.raise_if_restart_required()
 
 
 NEW = [("send-buffer", "64k"), ("message-most", "64k"), ("keepalive", "4s 1s")]
@@ -156,8 +156,10 @@
 def test_what_connections_are_made_with_counts_for_new_ones(
     old: PlannerConfig, tmp_path: Path, key: str, value: str
 ) -> None:
-    found = live_changes(old, changed(tmp_path, ("mean-cores 0.5", f"mean-cores 0.5\n{key} {value}")))
-    assert found == LiveChanges((Change(key, Reach.NEW_CONNECTIONS),))
+    found = compare_configurations(
+        old, changed(tmp_path, ("mean-cores 0.5", f"mean-cores 0.5\n{key} {value}"))
+    )
+    assert found == ConfigurationChanges((LiveChange(key, ChangeScope.NEW_CONNECTIONS),))
 
 
 RESTART = [
@@ -196,57 +198,59 @@
 def test_what_needs_a_restart(
     old: PlannerConfig, tmp_path: Path, before: str, after: str, key: str, why: str
 ) -> None:
-    found = live_changes(old, changed(tmp_path, (before, after)))
-    asked = {entry.key: entry.message for entry in found.needs_restart}
+    found = compare_configurations(old, changed(tmp_path, (before, after)))
+    asked = {entry.key: entry.message for entry in found.restart_requirements}
     assert key in asked
     assert why in asked[key]
-    with pytest.raises(NeedsRestartError, match=key):
-        found.check()
+    with pytest.raises(RestartRequiredError, match=key):
+        found.raise_if_restart_required()
 
 
 def test_classes_that_change_places_are_refused(old: PlannerConfig) -> None:
     """Danger: a task in flight is known by its class's number, and would turn into one of the other class."""
     turned = replace(old, settings=replace(old.settings, classes=old.settings.classes[::-1]))
-    (found,) = live_changes(old, turned).needs_restart
+    (found,) = compare_configurations(old, turned).restart_requirements
     assert (found.key, "order would change" in found.message) == ("class", True)
 
 
 def test_a_class_between_others_is_refused(old: PlannerConfig) -> None:
     first, second = old.settings.classes
     settings = replace(old.settings, classes=(first, replace(first, name="new"), second))
-    (found,) = live_changes(old, replace(old, settings=settings)).needs_restart
+    (found,) = compare_configurations(old, replace(old, settings=settings)).restart_requirements
     assert (found.key, "order would change" in found.message) == ("class", True)
 
 
 def test_one_key_that_needs_a_restart_holds_all_back(old: PlannerConfig, tmp_path: Path) -> None:
     pairs = (("deadline 7s", "deadline 6s"), ("window 8s", "window 9s"), ("cores 64", "cores 32"))
-    found = live_changes(old, changed(tmp_path, *pairs))
+    found = compare_configurations(old, changed(tmp_path, *pairs))
     assert found.keys == ("class worker: deadline",)
-    with pytest.raises(NeedsRestartError) as caught:
-        found.check()
-    assert [entry.key for entry in caught.value.needs_restart] == ["class ingest: window", "kind big: cores"]
+    with pytest.raises(RestartRequiredError) as caught:
+        found.raise_if_restart_required()
+    assert [entry.key for entry in caught.value.requirements] == ["class ingest: window", "kind big: cores"]
     assert "class ingest: window" in str(caught.value)
 
 
 def test_a_scope_is_not_hidden_by_the_number_beside_it(old: PlannerConfig, tmp_path: Path) -> None:
-    found = live_changes(old, changed(tmp_path, ("spread node 2", "spread rack 3")))
-    assert [type(entry) for entry in (*found.changes, *found.needs_restart)] == [NeedsRestart]
+    found = compare_configurations(old, changed(tmp_path, ("spread node 2", "spread rack 3")))
+    assert [type(entry) for entry in (*found.live_changes, *found.restart_requirements)] == [
+        RestartRequirement
+    ]
 
 
 def test_a_new_class_of_a_new_kind_comes_with_it(old: PlannerConfig, tmp_path: Path) -> None:
     fresh = "class fresh\n effect once\n aim 1s\n deadline 2s\n kind huge\nend\nkind small cores"
     pairs = (("kind small cores", fresh), ("zone a", "kind huge cores 128 memory 512\nzone a"))
-    found = live_changes(old, changed(tmp_path, *pairs))
-    assert (sorted(found.keys), found.needs_restart) == (["class", "kind"], ())
+    found = compare_configurations(old, changed(tmp_path, *pairs))
+    assert (sorted(found.keys), found.restart_requirements) == (["class", "kind"], ())
 
 
 def test_every_key_of_a_file_has_a_case_here() -> None:
     """A key that is added to the schema is to be judged here too."""
     cases = {key for _, _, key in LIVE} | {key for key, _ in NEW} | {key for _, _, key, _ in RESTART}
     heads = {key.split(":")[0].split()[0] for key in cases}
-    assert {item.name for item in (*CLUSTER, *TUNABLES)} <= heads
+    assert {item.name for item in (*CLUSTER_SCHEMA, *TUNABLE_KEYS)} <= heads
     of_class = {key.partition(": ")[2] for key in cases if key.startswith("class ")}
-    (block,) = (item for item in CLUSTER if item.name == "class")
+    (block,) = (item for item in CLUSTER_SCHEMA if item.name == "class")
     assert {key.name for key in block.keys} <= of_class
 
 
@@ -258,7 +262,7 @@
     known = {field.name for field in fields(api.Settings)} - {"classes", "node_types"}
     assert set(SETTINGS_KEYS) == known - not_in_the_file
     assert set(CLASS_KEYS) == {field.name for field in fields(api.TaskClass)} - {"name"}
-    assert {key for key, _ in NEW} == NEW_CONNECTIONS
+    assert {key for key, _ in NEW} == NEW_CONNECTION_KEYS
 
 
 def test_names_may_only_grow_at_the_end() -> None:
--- a/tests/configuration/test_configuration_service.py
+++ b/tests/configuration/test_configuration_service.py
@@ -10,14 +10,14 @@
 import gevent
 import pytest
 
-from stairplank.configuration import client, files, startup, watch
+from stairplank.configuration import client, startup, state_files, watch
 from stairplank.configuration.convert import SERVICE
-from stairplank.configuration.follower import FETCH_US
-from stairplank.configuration.publication import Outcome
-from stairplank.configuration.revision import NO_REVISION, TEXT_MOST, Revision, revision_of
-from stairplank.configuration.server import Replica
-from stairplank.configuration.store import State, Stored
-from stairplank.configuration.watch import ConfigurationWatch, NotTaken
+from stairplank.configuration.follower import FETCH_TIMEOUT_US
+from stairplank.configuration.publication import PublicationOutcome
+from stairplank.configuration.revision import MAX_TEXT_BYTES, NO_REVISION, Revision, make_revision
+from stairplank.configuration.server import ReplicaServer
+from stairplank.configuration.store import ReplicaState, RevisionText
+from stairplank.configuration.watch import ConfigurationWatch, RevisionRejectedError
 from stairplank.proto import caller, path
 from stairplank.proto import configuration_pb2 as pb
 from stairplank.rpc import Channel, RpcError
@@ -49,8 +49,8 @@
         self.addresses = tuple(replica.server.addresses[0] for replica in self.replicas)
         self.planners: list[Planner] = []
 
-    def started(self, number: int, listen: str = "127.0.0.1:0") -> Replica:
-        replica = Replica((listen,), self.folder / f"replica-{number}.json", faults)
+    def started(self, number: int, listen: str = "127.0.0.1:0") -> ReplicaServer:
+        replica = ReplicaServer((listen,), self.folder / f"replica-{number}.json", faults)
         replica.start()
         return replica
 
@@ -60,7 +60,7 @@
     def restart(self, number: int) -> None:
         self.replicas[number] = until(lambda: self._restarted(number))
 
-    def _restarted(self, number: int) -> Replica | None:
+    def _restarted(self, number: int) -> ReplicaServer | None:
         try:
             return self.started(number, self.addresses[number])
         except OSError:
@@ -89,7 +89,7 @@
     @staticmethod
     def check(text: str, revision: Revision) -> str:
         if text.startswith("restart"):
-            raise NotTaken("classes may only be added at the end", at_start=True)
+            raise RevisionRejectedError("classes may only be added at the end", usable_after_restart=True)
         return text
 
     @property
@@ -106,7 +106,7 @@
 
 def published(site: Site, text: str, **more: Any) -> Revision:
     result = client.publish(site.addresses, text, **more)
-    assert result.outcome is Outcome.PUBLISHED, result
+    assert result.outcome is PublicationOutcome.PUBLISHED, result
     return result.revision
 
 
@@ -116,7 +116,7 @@
     until(lambda: all(planner.in_force == revision for planner in planners))
     assert all(planner.texts == ["first"] for planner in planners), "applied once, by one of three replicas"
     status = until(lambda: _everywhere(site, 7))
-    assert status.committed == revision == revision_of(1, "first")
+    assert status.committed == revision == make_revision(1, "first")
     assert len(status.planners) == 7
     assert all(line.delay_us is not None and line.delay_us < ALLOWED_S * 1e6 for line in status.planners)
 
@@ -160,7 +160,7 @@
     site.kill(1)
     site.kill(2)
     result = client.publish(site.addresses, "first", timeout_s=1.0)
-    assert result.outcome is Outcome.NO_QUORUM
+    assert result.outcome is PublicationOutcome.NO_QUORUM
     assert set(result.unreachable) == set(site.addresses[1:])
     assert planner.in_force == NO_REVISION and site.replicas[0].store.committed == NO_REVISION
 
@@ -188,88 +188,88 @@
 def test_a_replica_keeps_what_it_promised_over_a_restart(site: Site) -> None:
     published(site, "first")
     site.replicas[0].store.prepare(9, "reserved")
-    files.write_state(site.replicas[0].state_file, site.replicas[0].store.state)
+    state_files.write_state(site.replicas[0].state_file, site.replicas[0].store.state)
     site.kill(0)
     site.restart(0)
-    assert site.replicas[0].store.committed == revision_of(1, "first")
+    assert site.replicas[0].store.committed == make_revision(1, "first")
     assert published(site, "second").number == 10, "a reserved number is not used again"
 
 
 def test_a_replica_that_cannot_write_its_state_promises_nothing(tmp_path: Path) -> None:
-    replica = Replica(("127.0.0.1:0",), tmp_path / "missing" / "state.json", faults)
+    replica = ReplicaServer(("127.0.0.1:0",), tmp_path / "missing" / "state.json", faults)
     replica.start()
     try:
         result = client.publish((replica.server.addresses[0],), "first", timeout_s=2.0)
-        assert result.outcome is Outcome.NO_QUORUM
-        assert replica.store.state == State()
+        assert result.outcome is PublicationOutcome.NO_QUORUM
+        assert replica.store.state == ReplicaState()
     finally:
         replica.server.stop(0.0)
 
 
 def test_a_text_with_faults_is_refused_before_anybody_hears_of_it(site: Site) -> None:
     result = client.publish(site.addresses, "bad text")
-    assert result.outcome is Outcome.INVALID
+    assert result.outcome is PublicationOutcome.INVALID
     assert result.problems == ("1:1: bad",)
-    assert all(replica.store.state == State() for replica in site.replicas)
+    assert all(replica.store.state == ReplicaState() for replica in site.replicas)
 
 
 def test_a_text_that_is_too_large_is_refused(site: Site) -> None:
-    result = client.publish(site.addresses, "x" * (TEXT_MOST + 1))
-    assert result.outcome is Outcome.INVALID
+    result = client.publish(site.addresses, "x" * (MAX_TEXT_BYTES + 1))
+    assert result.outcome is PublicationOutcome.INVALID
 
 
 def test_a_change_from_an_old_base_is_refused(site: Site) -> None:
     published(site, "first", base=0)
     result = client.publish(site.addresses, "second", base=0)
-    assert result.outcome is Outcome.CONFLICT
+    assert result.outcome is PublicationOutcome.CONFLICT
     assert published(site, "second", base=1).number == 2
 
 
 def test_what_needs_a_restart_is_reported_and_taken_at_the_next_start(site: Site, tmp_path: Path) -> None:
     copy_file = tmp_path / "copy.json"
-    planner = site.planner(0, copy_file=copy_file)
+    planner = site.planner(0, cache_file=copy_file)
     revision = published(site, "restart me")
     line = until(lambda: next((p for p in client.site_status(site.addresses).planners if p.reason), None))
     assert line.rejected == revision and "added at the end" in line.reason
     assert planner.in_force == NO_REVISION
-    copy = until(lambda: files.read_copy(copy_file))
-    assert copy == Stored(revision, "restart me")
-    assert startup.candidates((), copy_file)[0].revision == revision
+    copy = until(lambda: state_files.read_cached_revision(copy_file))
+    assert copy == RevisionText(revision, "restart me")
+    assert startup.startup_candidates((), copy_file)[0].revision == revision
 
 
 def test_the_copy_is_the_last_one_in_force(site: Site, tmp_path: Path) -> None:
     copy_file = tmp_path / "copy.json"
-    planner = site.planner(0, copy_file=copy_file)
+    planner = site.planner(0, cache_file=copy_file)
     for number in range(5):
         revision = published(site, f"text {number}")
     until(lambda: planner.in_force == revision)
-    until(lambda: files.read_copy(copy_file) == Stored(revision, "text 4"))
+    until(lambda: state_files.read_cached_revision(copy_file) == RevisionText(revision, "text 4"))
 
 
 def test_a_planner_that_starts_prefers_the_newest_and_bears_replicas_out_of_reach(
     site: Site, tmp_path: Path
 ) -> None:
     copy_file = tmp_path / "copy.json"
-    files.write_copy(copy_file, Stored(revision_of(1, "old"), "old"))
+    state_files.write_cached_revision(copy_file, RevisionText(make_revision(1, "old"), "old"))
     began = time.monotonic()
-    assert [s.text for s in startup.candidates(("127.0.0.1:1",), copy_file)] == ["old"]
-    assert time.monotonic() - began < 2 * startup.WAIT_S
+    assert [s.text for s in startup.startup_candidates(("127.0.0.1:1",), copy_file)] == ["old"]
+    assert time.monotonic() - began < 2 * startup.LOOKUP_TIMEOUT_S
     published(site, "first")
     published(site, "second")
-    assert [s.text for s in startup.candidates(site.addresses, copy_file)] == ["second", "old"]
+    assert [s.text for s in startup.startup_candidates(site.addresses, copy_file)] == ["second", "old"]
 
 
 def test_a_damaged_copy_is_passed_over(tmp_path: Path) -> None:
     copy_file = tmp_path / "copy.json"
     copy_file.write_text('{"number": "1"')
-    assert startup.candidates((), copy_file) == []
+    assert startup.startup_candidates((), copy_file) == []
 
 
 def test_a_replica_that_falls_silent_is_dialled_anew_within_the_time_allowed(
     site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A stream that stays open and says nothing hides every change."""
-    monkeypatch.setattr(watch, "SILENT_S", 0.5)
+    monkeypatch.setattr(watch, "SILENCE_TIMEOUT_S", 0.5)
     planner = site.planner(0)
     until(lambda: len(planner.watch.follower.replicas) == 3)
     for replica in site.replicas:
@@ -280,8 +280,8 @@
 
 def test_the_bounds_on_time_add_up_to_less_than_is_allowed() -> None:
     """A stream that has just fallen silent, a dial that fails, its repeat, and a fetch without an answer."""
-    dials_s = watch.DIAL_S + watch.REDIAL_MOST_S + watch.DIAL_S
-    assert watch.SILENT_S + dials_s + FETCH_US / 1e6 + TICK_S < ALLOWED_S
+    dials_s = watch.DIAL_TIMEOUT_S + watch.MAX_RECONNECT_DELAY_S + watch.DIAL_TIMEOUT_S
+    assert watch.SILENCE_TIMEOUT_S + dials_s + FETCH_TIMEOUT_US / 1e6 + TICK_S < ALLOWED_S
 
 
 def test_a_stream_must_say_whose_it_is(site: Site) -> None:
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -4,139 +4,147 @@
 
 import random
 
-from stairplank.configuration.follower import FETCH_US, RETRY_US, Apply, Check, Fetch, Follower, Report
-from stairplank.configuration.revision import NO_REVISION, Revision, revision_of
-from stairplank.configuration.store import Result, Store
+from stairplank.configuration.follower import (
+    FETCH_TIMEOUT_US,
+    RETRY_DELAY_US,
+    ApplyRevision,
+    CheckText,
+    FetchText,
+    Follower,
+    SendReport,
+)
+from stairplank.configuration.revision import NO_REVISION, Revision, make_revision
+from stairplank.configuration.store import PhaseResult, RevisionStore
 
 
 def taken(follower: Follower, replica: str, revision: Revision, text: str) -> list[object]:
     """Announce, fetch, check and accept, without a fault."""
     actions: list[object] = []
-    actions += follower.announced(0, replica, revision)
-    actions += follower.text_arrived(0, replica, revision, text)
-    actions += follower.accepted(0, revision)
+    actions += follower.on_announced(0, replica, revision)
+    actions += follower.on_text_received(0, replica, revision, text)
+    actions += follower.on_check_passed(0, revision)
     return actions
 
 
 def connected(*replicas: str, in_force: Revision = NO_REVISION) -> Follower:
     follower = Follower(in_force)
     for replica in replicas:
-        follower.connected(0, replica)
+        follower.on_connected(0, replica)
     return follower
 
 
-FIRST, SECOND, THIRD = (revision_of(n, f"text {n}") for n in (1, 2, 3))
+FIRST, SECOND, THIRD = (make_revision(n, f"text {n}") for n in (1, 2, 3))
 
 
 def test_a_revision_is_fetched_checked_applied_and_reported() -> None:
     follower = connected("a", "b")
-    assert follower.announced(0, "a", FIRST) == [Fetch("a", FIRST)]
-    assert follower.announced(0, "b", FIRST) == []
-    assert follower.text_arrived(0, "a", FIRST, "text 1") == [Check(FIRST, "text 1")]
-    assert follower.accepted(0, FIRST) == [
-        Apply(FIRST),
-        Report("a", FIRST, NO_REVISION, ""),
-        Report("b", FIRST, NO_REVISION, ""),
+    assert follower.on_announced(0, "a", FIRST) == [FetchText("a", FIRST)]
+    assert follower.on_announced(0, "b", FIRST) == []
+    assert follower.on_text_received(0, "a", FIRST, "text 1") == [CheckText(FIRST, "text 1")]
+    assert follower.on_check_passed(0, FIRST) == [
+        ApplyRevision(FIRST),
+        SendReport("a", FIRST, NO_REVISION, ""),
+        SendReport("b", FIRST, NO_REVISION, ""),
     ]
-    assert follower.next_due() is None
+    assert follower.next_timer() is None
 
 
 def test_a_replica_that_lags_takes_nothing_back() -> None:
     follower = connected("a", "b")
     taken(follower, "a", SECOND, "text 2")
-    assert follower.announced(0, "b", FIRST) == []
+    assert follower.on_announced(0, "b", FIRST) == []
     assert follower.in_force == SECOND
 
 
 def test_another_text_under_the_number_in_force_is_not_fetched() -> None:
     follower = connected("a", "b")
     taken(follower, "a", FIRST, "text 1")
-    assert follower.announced(0, "b", revision_of(1, "other")) == []
+    assert follower.on_announced(0, "b", make_revision(1, "other")) == []
 
 
 def test_a_text_that_is_not_the_announced_one_is_asked_of_another_replica() -> None:
     follower = connected("a", "b")
-    follower.announced(0, "a", FIRST)
-    follower.announced(0, "b", FIRST)
-    assert follower.text_arrived(5, "a", FIRST, "text") == [Fetch("b", FIRST)]
-    assert follower.text_arrived(6, "b", FIRST, "text 1") == [Check(FIRST, "text 1")]
+    follower.on_announced(0, "a", FIRST)
+    follower.on_announced(0, "b", FIRST)
+    assert follower.on_text_received(5, "a", FIRST, "text") == [FetchText("b", FIRST)]
+    assert follower.on_text_received(6, "b", FIRST, "text 1") == [CheckText(FIRST, "text 1")]
 
 
 def test_where_every_replica_has_failed_there_is_a_pause_before_the_next_round() -> None:
     follower = connected("a")
-    follower.announced(0, "a", FIRST)
-    assert follower.text_arrived(5, "a", FIRST, "wrong") == []
-    assert follower.next_due() == 5 + RETRY_US
-    assert follower.pass_time(5 + RETRY_US) == [Fetch("a", FIRST)]
+    follower.on_announced(0, "a", FIRST)
+    assert follower.on_text_received(5, "a", FIRST, "wrong") == []
+    assert follower.next_timer() == 5 + RETRY_DELAY_US
+    assert follower.on_timer(5 + RETRY_DELAY_US) == [FetchText("a", FIRST)]
 
 
 def test_a_replica_that_never_answers_is_passed_over() -> None:
     follower = connected("a", "b")
-    follower.announced(0, "a", FIRST)
-    follower.announced(0, "b", FIRST)
-    assert follower.pass_time(FETCH_US - 1) == []
-    assert follower.pass_time(FETCH_US) == [Fetch("b", FIRST)]
+    follower.on_announced(0, "a", FIRST)
+    follower.on_announced(0, "b", FIRST)
+    assert follower.on_timer(FETCH_TIMEOUT_US - 1) == []
+    assert follower.on_timer(FETCH_TIMEOUT_US) == [FetchText("b", FIRST)]
 
 
 def test_a_replica_that_is_lost_during_the_fetch_is_replaced() -> None:
     follower = connected("a", "b")
-    follower.announced(0, "a", FIRST)
-    follower.announced(0, "b", FIRST)
-    assert follower.lost(1, "a") == [Fetch("b", FIRST)]
-    assert follower.lost(2, "b") == []
+    follower.on_announced(0, "a", FIRST)
+    follower.on_announced(0, "b", FIRST)
+    assert follower.on_connection_lost(1, "a") == [FetchText("b", FIRST)]
+    assert follower.on_connection_lost(2, "b") == []
     assert follower.pending is None and not follower.replicas
-    follower.connected(3, "a")
-    assert follower.announced(3, "a", FIRST) == [Fetch("a", FIRST)]
+    follower.on_connected(3, "a")
+    assert follower.on_announced(3, "a", FIRST) == [FetchText("a", FIRST)]
 
 
 def test_a_newer_revision_replaces_the_check_that_is_under_way() -> None:
     follower = connected("a")
-    follower.announced(0, "a", FIRST)
-    follower.text_arrived(0, "a", FIRST, "text 1")
-    assert follower.announced(1, "a", SECOND) == [Fetch("a", SECOND)]
-    assert follower.accepted(2, FIRST) == []
+    follower.on_announced(0, "a", FIRST)
+    follower.on_text_received(0, "a", FIRST, "text 1")
+    assert follower.on_announced(1, "a", SECOND) == [FetchText("a", SECOND)]
+    assert follower.on_check_passed(2, FIRST) == []
     assert follower.in_force == NO_REVISION
-    assert follower.text_arrived(3, "a", FIRST, "text 1") == []
-    follower.text_arrived(3, "a", SECOND, "text 2")
-    assert follower.refused(3, FIRST, "late result") == []
-    assert follower.accepted(4, SECOND)[0] == Apply(SECOND)
+    assert follower.on_text_received(3, "a", FIRST, "text 1") == []
+    follower.on_text_received(3, "a", SECOND, "text 2")
+    assert follower.on_check_failed(3, FIRST, "late result") == []
+    assert follower.on_check_passed(4, SECOND)[0] == ApplyRevision(SECOND)
 
 
 def test_an_older_replica_does_not_replace_a_newer_fetch() -> None:
     follower = connected("a", "b")
-    follower.announced(0, "a", SECOND)
-    assert follower.announced(1, "b", FIRST) == []
-    assert follower.lost(2, "a") == [Fetch("b", FIRST)], "the newest that can be had"
+    follower.on_announced(0, "a", SECOND)
+    assert follower.on_announced(1, "b", FIRST) == []
+    assert follower.on_connection_lost(2, "a") == [FetchText("b", FIRST)], "the newest that can be had"
 
 
 def test_a_rejected_revision_is_reported_and_not_fetched_again() -> None:
     follower = connected("a", "b")
-    follower.announced(0, "a", FIRST)
-    follower.text_arrived(0, "a", FIRST, "text 1")
-    reports = follower.refused(0, FIRST, "line 3: no number")
-    assert reports == [Report(r, NO_REVISION, FIRST, "line 3: no number") for r in ("a", "b")]
-    assert follower.announced(1, "b", FIRST) == []
-    assert follower.announced(1, "b", SECOND) == [Fetch("b", SECOND)]
+    follower.on_announced(0, "a", FIRST)
+    follower.on_text_received(0, "a", FIRST, "text 1")
+    reports = follower.on_check_failed(0, FIRST, "line 3: no number")
+    assert reports == [SendReport(r, NO_REVISION, FIRST, "line 3: no number") for r in ("a", "b")]
+    assert follower.on_announced(1, "b", FIRST) == []
+    assert follower.on_announced(1, "b", SECOND) == [FetchText("b", SECOND)]
 
 
 def test_a_replica_that_connects_hears_what_is_in_force() -> None:
     follower = connected("a", in_force=SECOND)
-    assert follower.connected(0, "b") == [Report("b", SECOND, NO_REVISION, "")]
-    assert follower.announced(0, "b", FIRST) == []
+    assert follower.on_connected(0, "b") == [SendReport("b", SECOND, NO_REVISION, "")]
+    assert follower.on_announced(0, "b", FIRST) == []
 
 
 def test_an_announcement_of_a_stream_that_has_ended_changes_nothing() -> None:
     follower = connected("a")
-    follower.lost(0, "a")
-    assert follower.announced(1, "a", FIRST) == []
+    follower.on_connection_lost(0, "a")
+    assert follower.on_announced(1, "a", FIRST) == []
     assert not follower.replicas
 
 
 def test_a_fetch_can_wait_for_a_replica_that_announces_it_later() -> None:
     follower = connected("a", "b")
-    follower.announced(0, "a", FIRST)
-    follower.text_arrived(0, "a", FIRST, "wrong")
-    assert follower.announced(1, "b", FIRST) == [Fetch("b", FIRST)]
+    follower.on_announced(0, "a", FIRST)
+    follower.on_text_received(0, "a", FIRST, "wrong")
+    assert follower.on_announced(1, "b", FIRST) == [FetchText("b", FIRST)]
 
 
 def test_drawn_fleets_come_to_the_newest_revision_and_never_go_back() -> None:
@@ -147,7 +155,7 @@
 
 
 def _drawn_fleet(rng: random.Random) -> None:
-    replicas = {name: Store() for name in ("a", "b", "c")}
+    replicas = {name: RevisionStore() for name in ("a", "b", "c")}
     planners = [Follower() for _ in range(4)]
     waiting: list[tuple[int, object]] = []
     now, number = 0, 0
@@ -158,9 +166,9 @@
             number += 1
             reached = rng.sample(sorted(replicas), rng.choice((2, 3)))
             for name in reached:
-                assert replicas[name].prepare(number, f"text {number}") is Result.ACCEPTED
+                assert replicas[name].prepare(number, f"text {number}") is PhaseResult.ACCEPTED
             for name in reached:
-                replicas[name].commit(now, revision_of(number, f"text {number}"))
+                replicas[name].commit(now, make_revision(number, f"text {number}"))
         index = rng.randrange(len(planners))
         planner = planners[index]
         before = planner.in_force
@@ -169,7 +177,7 @@
             waiting = [entry for entry in waiting if entry[0] != index]
             continue
         actions = _event(rng, now, planner, replicas, calm)
-        actions += planner.pass_time(now)
+        actions += planner.on_timer(now)
         waiting += [(index, action) for action in actions]
         rng.shuffle(waiting)
         later: list[tuple[int, object]] = []
@@ -183,26 +191,26 @@
 
 
 def _event(
-    rng: random.Random, now: int, planner: Follower, replicas: dict[str, Store], calm: bool
+    rng: random.Random, now: int, planner: Follower, replicas: dict[str, RevisionStore], calm: bool
 ) -> list[object]:
     name = rng.choice(sorted(replicas))
     if name not in planner.replicas:
-        return list(planner.connected(now, name))
+        return list(planner.on_connected(now, name))
     if not calm and rng.random() < 0.2:
-        return list(planner.lost(now, name))
-    return list(planner.announced(now, name, replicas[name].committed))
+        return list(planner.on_connection_lost(now, name))
+    return list(planner.on_announced(now, name, replicas[name].committed))
 
 
 def _carry_out(
     rng: random.Random,
     now: int,
     planner: Follower,
-    replicas: dict[str, Store],
+    replicas: dict[str, RevisionStore],
     action: object,
     calm: bool,
 ) -> list[object]:
     match action:
-        case Fetch(replica, revision):
+        case FetchText(replica, revision):
             stored = replicas[replica].state.committed
             if replica not in planner.replicas or stored.revision != revision:
                 return []
@@ -210,8 +218,8 @@
                 return []
             damaged = not calm and rng.random() < 0.2
             text = stored.text[:-1] if damaged else stored.text
-            return list(planner.text_arrived(now, replica, revision, text))
-        case Check(revision, text):
-            assert revision == revision_of(revision.number, text)
-            return list(planner.accepted(now, revision))
+            return list(planner.on_text_received(now, replica, revision, text))
+        case CheckText(revision, text):
+            assert revision == make_revision(revision.number, text)
+            return list(planner.on_check_passed(now, revision))
     return []
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -45,9 +45,9 @@
 def small_day(**changes: object) -> WorldConfig:
     """The tests' short day, as it runs on real processes."""
     scenario = load_scenario(ROOT / "tests" / "rehearsal" / "small-day")
-    owners = owner_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
+    owners = owner_models(scenario.section, scenario.cluster, ["owner-0", "owner-1"], scenario.planners)
     config = WorldConfig(
-        scenario.room,
+        scenario.cluster,
         tuple(n.model for n in scenario.nodes if not n.absent),
         tuple(replace(o, ends_us=5 * SECOND) for o in owners),
         scenario.planners,
@@ -199,8 +199,10 @@
         for i in range(2)
     )
     nodes = config.nodes[:3]  # room for 15 such tasks: not for two groups of eight
-    room = replace(config.room, classes=tuple(replace(c, spread=api.Scope.NONE) for c in config.room.classes))
-    world = World(replace(config, room=room, owners=owners, nodes=nodes, planners=2))
+    room = replace(
+        config.cluster, classes=tuple(replace(c, spread=api.Scope.NONE) for c in config.cluster.classes)
+    )
+    world = World(replace(config, cluster=room, owners=owners, nodes=nodes, planners=2))
     world.run(110 * SECOND)
     assert [bool(g.whole_at) for g in world.meter.groups] == [True, True]
     assert all(g.partly_most <= 2 * SECOND for g in world.meter.groups)
--- a/tests/emulator/test_held.py
+++ b/tests/emulator/test_held.py
@@ -220,11 +220,11 @@
 def grouped(seed: int) -> tuple[World, Watch]:
     """The room of drawn scenarios, groups among its tasks, for ten seconds of asking."""
     scenario = load_scenario(ROOT / "stairplank" / "scenarios" / "drawn-room")
-    owners = owner_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
+    owners = owner_models(scenario.section, scenario.cluster, ["owner-0", "owner-1"], scenario.planners)
     nodes = tuple(n.model for n in scenario.nodes if not n.absent)
     config = WorldConfig(
-        scenario.room, nodes, tuple(replace(o, ends_us=10 * SECOND) for o in owners), scenario.planners, seed,
-        directory=directory_model(scenario.section),
+        scenario.cluster, nodes, tuple(replace(o, ends_us=10 * SECOND) for o in owners),
+        scenario.planners, seed, directory=directory_model(scenario.section),
     )  # fmt: skip
     world = World(config)
     return world, Watch(world)
--- a/tests/fence/test_grants.py
+++ b/tests/fence/test_grants.py
@@ -8,8 +8,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stairplank.fence import DRIFT_PPM, Epochs, Grants, Stamp, Stamps, StepWatch
-from stairplank.fence.grants import EVERY_US, IDLE_US, VALID_US
+from stairplank.fence import (
+    MAX_DRIFT_PPM,
+    AgeStamp,
+    ClockStepDetector,
+    GrantIssuer,
+    MessageStamper,
+    StreamEpochs,
+)
+from stairplank.fence.grants import GRANT_INTERVAL_US, GRANT_VALIDITY_US, IDLE_GRANT_INTERVAL_US
 
 MS = 1_000
 SECOND = 1_000_000
@@ -31,20 +38,20 @@
 
     def __init__(self, sender: Clock, receiver: Clock, true: int = 10 * SECOND) -> None:
         self.sender, self.receiver, self.true = sender, receiver, true
-        self.grants = Grants(receiver.at(true), random.Random(7))
-        self.stamps = Stamps()
+        self.grants = GrantIssuer(receiver.at(true), random.Random(7))
+        self.stamps = MessageStamper()
 
     def grant(self, way: int = 0) -> None:
-        number = self.grants.give(self.receiver.at(self.true))
-        self.stamps.heard(self.sender.at(self.true + way), number)
+        number = self.grants.issue(self.receiver.at(self.true))
+        self.stamps.receive_grant(self.sender.at(self.true + way), number)
 
-    def stamp(self) -> Stamp | None:
+    def stamp(self) -> AgeStamp | None:
         return self.stamps.stamp(self.sender.at(self.true))
 
-    def age(self, stamp: Stamp | None, true: int) -> int | None:
+    def age(self, stamp: AgeStamp | None, true: int) -> int | None:
         """How old a message that comes at a true time is taken to be."""
         now = self.receiver.at(true)
-        at = self.grants.said_at(now, stamp)
+        at = self.grants.earliest_send_time(now, stamp)
         return None if at is None else now - at
 
 
@@ -73,15 +80,17 @@
 
 
 def test_nothing_is_proven_without_a_grant_of_this_stream() -> None:
-    pair, other = Pair(Clock(), Clock()), Grants(10 * SECOND, random.Random(8))
+    pair, other = Pair(Clock(), Clock()), GrantIssuer(10 * SECOND, random.Random(8))
     pair.grant()
     now = pair.true + SECOND
-    assert pair.grants.said_at(now, None) is None
-    assert pair.grants.said_at(now, Stamp(0, 5)) is None
-    assert other.said_at(now, pair.stamp()) is None  # of another stream
-    first = pair.grants.give(now) - 5 * SECOND
-    assert pair.grants.said_at(now, Stamp(first, SECOND)) is None  # from before this one began
-    assert pair.grants.said_at(now, Stamp(pair.grants.give(now) + 1, 0)) is None  # not given yet
+    assert pair.grants.earliest_send_time(now, None) is None
+    assert pair.grants.earliest_send_time(now, AgeStamp(0, 5)) is None
+    assert other.earliest_send_time(now, pair.stamp()) is None  # of another stream
+    first = pair.grants.issue(now) - 5 * SECOND
+    assert pair.grants.earliest_send_time(now, AgeStamp(first, SECOND)) is None  # from before this one began
+    assert (
+        pair.grants.earliest_send_time(now, AgeStamp(pair.grants.issue(now) + 1, 0)) is None
+    )  # not given yet
 
 
 def test_old_grants_are_named_no_more() -> None:
@@ -89,18 +98,18 @@
     pair.grant()
     stamp = pair.stamp()
     assert stamp is not None
-    pair.true += VALID_US + 1
+    pair.true += GRANT_VALIDITY_US + 1
     assert pair.stamp() is None
-    assert pair.grants.said_at(pair.true, Stamp(stamp.grant, VALID_US + 1)) is None
+    assert pair.grants.earliest_send_time(pair.true, AgeStamp(stamp.grant, GRANT_VALIDITY_US + 1)) is None
     pair.grant()
     assert pair.stamp() is not None
 
 
 def test_grants_are_given_with_what_is_said_and_by_themselves_when_nothing_is() -> None:
-    grants = Grants(SECOND, random.Random(1))
-    given_at = [at for at in range(SECOND, 2 * SECOND, 10 * MS) if grants.give_if_due(at)]
-    assert given_at == list(range(SECOND, 2 * SECOND, EVERY_US))
-    assert grants.next_due() == given_at[-1] + IDLE_US
+    grants = GrantIssuer(SECOND, random.Random(1))
+    given_at = [at for at in range(SECOND, 2 * SECOND, 10 * MS) if grants.issue_if_due(at)]
+    assert given_at == list(range(SECOND, 2 * SECOND, GRANT_INTERVAL_US))
+    assert grants.next_due() == given_at[-1] + IDLE_GRANT_INTERVAL_US
 
 
 def test_a_sender_s_clock_that_steps_forward_is_found_out() -> None:
@@ -111,7 +120,7 @@
     pair.sender.offset += 5 * SECOND  # unseen by the sender
     held = pair.stamp()  # said now, and kept by the network
     assert pair.age(pair.stamp(), pair.true + MS) is None  # from the future: the step is known
-    assert pair.grants.steps == 1
+    assert pair.grants.clock_steps == 1
     assert pair.age(held, pair.true + 5 * SECOND) is None  # under an earlier grant: worth nothing
     pair.grant()
     pair.true += MS
@@ -147,7 +156,7 @@
     worst = 0
     while pair.true < end:
         pair.grant(way=rng.randint(100, 500))
-        pair.true += rng.randint(MS, IDLE_US)
+        pair.true += rng.randint(MS, IDLE_GRANT_INTERVAL_US)
         stamp, way = pair.stamp(), rng.randint(50, 500)
         age = pair.age(stamp, pair.true + way)
         assert age is not None and age >= way  # never younger than true
@@ -155,7 +164,7 @@
         held = pair.age(stamp, pair.true + 4 * SECOND)
         assert held is not None and held >= 4 * SECOND * (1_000_000 - 500) // 1_000_000
     # No older than the way of a grant and the allowance for drift since it was given.
-    assert worst <= 500 + IDLE_US * 2 * DRIFT_PPM // 1_000_000 + MS
+    assert worst <= 500 + IDLE_GRANT_INTERVAL_US * 2 * MAX_DRIFT_PPM // 1_000_000 + MS
 
 
 WAYS = st.one_of(st.integers(0, 2_000), st.integers(0, 15 * SECOND))
@@ -175,33 +184,33 @@
     for pause, renew, way, back in steps:
         pair.true += pause
         if renew:
-            number = pair.grants.give(pair.receiver.at(pair.true))
+            number = pair.grants.issue(pair.receiver.at(pair.true))
             grants.append((pair.true + way, number))
         for heard, number in sorted(g for g in grants if g[0] <= pair.true):
-            pair.stamps.heard(pair.sender.at(heard), number)
+            pair.stamps.receive_grant(pair.sender.at(heard), number)
         grants = [g for g in grants if g[0] > pair.true]
         stamp = pair.stamp()
         if stamp is not None:
             age = pair.age(stamp, pair.true + back)
             true_age = pair.receiver.at(pair.true + back) - pair.receiver.at(pair.true)
             assert age is None or age >= true_age - 2
-            assert age is not None or stamp.since_us > VALID_US
+            assert age is not None or stamp.held_us > GRANT_VALIDITY_US
 
 
 def test_two_clocks_that_go_apart() -> None:
-    watch = StepWatch()
-    assert not watch.stepped(1_000, 5_000)
-    assert not watch.stepped(1_000 + HOUR, 5_000 + HOUR + HOUR // 2_000)  # drift
-    assert watch.stepped(2_000 + HOUR + 2 * SECOND, 6_000 + HOUR + HOUR // 2_000)
-    assert not watch.stepped(3_000 + HOUR + 2 * SECOND, 7_000 + HOUR + HOUR // 2_000)  # from there on
-    assert watch.stepped(0, 8_000 + HOUR + HOUR // 2_000)
+    watch = ClockStepDetector()
+    assert not watch.has_stepped(1_000, 5_000)
+    assert not watch.has_stepped(1_000 + HOUR, 5_000 + HOUR + HOUR // 2_000)  # drift
+    assert watch.has_stepped(2_000 + HOUR + 2 * SECOND, 6_000 + HOUR + HOUR // 2_000)
+    assert not watch.has_stepped(3_000 + HOUR + 2 * SECOND, 7_000 + HOUR + HOUR // 2_000)  # from there on
+    assert watch.has_stepped(0, 8_000 + HOUR + HOUR // 2_000)
 
 
 def test_epochs_order_streams_and_are_bounded() -> None:
-    epochs = Epochs(2)
-    assert epochs.take("a", 1) and epochs.take("a", 3)
-    assert not epochs.take("a", 3) and not epochs.take("a", 2)
-    assert epochs.take("b", 0) and epochs.take("c", 5)
+    epochs = StreamEpochs(2)
+    assert epochs.accept("a", 1) and epochs.accept("a", 3)
+    assert not epochs.accept("a", 3) and not epochs.accept("a", 2)
+    assert epochs.accept("b", 0) and epochs.accept("c", 5)
     assert len(epochs) == 2
-    assert epochs.take("a", 1)  # forgotten at the bound: as if for the first time
-    assert not epochs.take("c", 5)
+    assert epochs.accept("a", 1)  # forgotten at the bound: as if for the first time
+    assert not epochs.accept("c", 5)
--- a/tests/golden/golden_grpc_days.py
+++ b/tests/golden/golden_grpc_days.py
@@ -38,7 +38,7 @@
             case ev.SendToClient(session, word):
                 self.trace.add(*head, "client", session, convert.word_to(word).SerializeToString())
             case ev.SendOffer(node=node):
-                task_class = self.config.room.classes[action.class_index]
+                task_class = self.config.cluster.classes[action.class_index]
                 message = convert.offer_to(action, task_class, None)
                 self.trace.add(*head, "node", node, message.SerializeToString())
             case ev.SendCommit(node=node):
@@ -68,10 +68,10 @@
 def play(scenario_name: str, seed: int, trace: Trace) -> None:
     """A day of 60 simulated seconds with faults drawn from the seed; at its end the planners shut down."""
     scenario = load_scenario(SCENARIOS / scenario_name)
-    clients = owner_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
+    clients = owner_models(scenario.section, scenario.cluster, ["owner-0", "owner-1"], scenario.planners)
     nodes = tuple(node.model for node in scenario.nodes if not node.absent)
     config = WorldConfig(
-        scenario.room,
+        scenario.cluster,
         nodes,
         tuple(replace(client, ends_us=25 * SECOND) for client in clients),
         scenario.planners,
--- a/tests/planner/recorded_days.py
+++ b/tests/planner/recorded_days.py
@@ -29,11 +29,11 @@
         return core
 
     scenario = load_scenario(ROOT / "stairplank" / "scenarios" / room)
-    owners = owner_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
+    owners = owner_models(scenario.section, scenario.cluster, ["owner-0", "owner-1"], scenario.planners)
     nodes = tuple(n.model for n in scenario.nodes if not n.absent)
     config = emulated.WorldConfig(
-        scenario.room, nodes, tuple(replace(o, ends_us=25 * SECOND) for o in owners), scenario.planners, seed,
-        directory=directory_model(scenario.section),
+        scenario.cluster, nodes, tuple(replace(o, ends_us=25 * SECOND) for o in owners),
+        scenario.planners, seed, directory=directory_model(scenario.section),
     )  # fmt: skip
     emulated.Core = recorded  # type: ignore[assignment,misc]
     try:
--- a/tests/planner/test_daemon_configuration.py
+++ b/tests/planner/test_daemon_configuration.py
@@ -17,9 +17,9 @@
 
 from stairplank.cli.configuration import text_faults
 from stairplank.configuration import client
-from stairplank.configuration.publication import Outcome
+from stairplank.configuration.publication import PublicationOutcome
 from stairplank.configuration.revision import Revision
-from stairplank.configuration.server import Replica
+from stairplank.configuration.server import ReplicaServer
 from stairplank.planner.daemon import PLACEMENT
 from stairplank.proto import caller, common_pb2, placement_pb2
 from stairplank.rpc import Channel, RpcError
@@ -61,8 +61,8 @@
         self.addresses = tuple(replica.server.addresses[0] for replica in self.replicas)
         self.planners: dict[int, subprocess.Popen[bytes]] = {}
 
-    def _replica(self, number: int) -> Replica:
-        replica = Replica(("127.0.0.1:0",), self.folder / f"replica-{number}.json", text_faults)
+    def _replica(self, number: int) -> ReplicaServer:
+        replica = ReplicaServer(("127.0.0.1:0",), self.folder / f"replica-{number}.json", text_faults)
         replica.start()
         return replica
 
@@ -92,7 +92,7 @@
 
     def publish(self, more: str = "") -> Revision:
         result = client.publish(self.addresses, SITE.format(more=more))
-        assert result.outcome is Outcome.PUBLISHED, result
+        assert result.outcome is PublicationOutcome.PUBLISHED, result
         return result.revision
 
     def everywhere(self, planners: int = PLANNERS) -> client.SiteStatus | None:
@@ -173,7 +173,7 @@
     until(lambda: site.everywhere(1))
     text = SITE.format(more="").replace(SITE[: SITE.index("{more}")], "\n" + KEYED)
     result = client.publish(site.addresses, text)
-    assert result.outcome is Outcome.PUBLISHED
+    assert result.outcome is PublicationOutcome.PUBLISHED
     line = until(lambda: next((p for p in client.site_status(site.addresses).planners if p.reason), None))
     assert line.rejected == result.revision and "needs a restart" in line.reason and "effect" in line.reason
     site.kill(0)
--- a/tests/planner/test_daemon_settings.py
+++ b/tests/planner/test_daemon_settings.py
@@ -10,7 +10,7 @@
 import pytest
 from test_daemon import _REQUEST, ROOM, WAIT, World, ask, word
 
-from stairplank.configuration.live import NeedsRestartError
+from stairplank.configuration.changes import RestartRequiredError
 from stairplank.planner import events as ev
 from stairplank.planner.daemon import PLACEMENT
 from stairplank.proto import caller
@@ -72,7 +72,7 @@
     daemon = world.daemon
     before = (daemon.config, daemon.core.context.settings, daemon.core.module.s, daemon.server.limits)
     report = "class report\n    effect once\n    aim 1s\n    deadline 6s\nend\n"
-    with pytest.raises(NeedsRestartError, match="class: report would be removed"):
+    with pytest.raises(RestartRequiredError, match="class: report would be removed"):
         world.daemon.prepare_site(text((report, ""), ("open-most 50", "open-most 1")), "revision-1")
     assert (daemon.config, daemon.core.context.settings, daemon.core.module.s, daemon.server.limits) == before
     call = world.owner()
@@ -91,7 +91,7 @@
     first = world.daemon.prepare_site(text(("kind std", FRESH)), "revision-1")
     second = world.daemon.prepare_site(text(("kind std", FRESH.replace("fresh", "other"))), "revision-2")
     world.daemon.apply_site(first)
-    with pytest.raises(NeedsRestartError, match="fresh would be removed"):
+    with pytest.raises(RestartRequiredError, match="fresh would be removed"):
         world.daemon.apply_site(second)
     assert world.daemon.config is first
 
@@ -138,8 +138,8 @@
     for call in calls:
         assert call.recv(WAIT).WhichOneof("kind") == "welcome"
     apply(world, ("owners-most 4", "owners-most 1"))
-    world.daemon.epochs.take(("other", 1), 1)
-    assert [world.daemon.epochs.take(("o", session), 5) for session in range(1, 9)] == [False] * 8
+    world.daemon.epochs.accept(("other", 1), 1)
+    assert [world.daemon.epochs.accept(("o", session), 5) for session in range(1, 9)] == [False] * 8
 
 
 def test_what_a_connection_was_made_with_stays_with_it(world: World) -> None:
--- a/tests/scale/test_scaling_counts_grpc.py
+++ b/tests/scale/test_scaling_counts_grpc.py
@@ -11,8 +11,8 @@
 from stairplank.planner import events as ev
 from stairplank.planner.core import Core
 from stairplank.planner.link_state import State
-from stairplank.settings.cluster import CLUSTER, cluster_from
-from stairplank.settings.schema import load_text
+from stairplank.settings.cluster import CLUSTER_SCHEMA, cluster_from
+from stairplank.settings.schema import load_section_text
 from stairplank.standin.node_model import NodeModel
 
 SECOND = 1_000_000
@@ -48,7 +48,7 @@
     def __init__(self, workers: int) -> None:
         self.dials = 0
         self.to_nodes = 0
-        section = load_text(SITE, CLUSTER)
+        section = load_section_text(SITE, CLUSTER_SCHEMA)
         nodes = tuple(
             NodeModel(number, f"n{number}", "std", "hall", f"rack-{number // 40}", cores=8.0, memory=16.0)
             for number in range(1, workers + 1)
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -7,8 +7,7 @@
 import pytest
 
 from stairplank import interface as api
-from stairplank.settings import Block, Key, SettingsError, load_planner, load_text
-from stairplank.settings import values as v
+from stairplank.settings import Block, Key, SettingsError, load_planner, load_section_text, parsers
 
 GOOD = """\
 # A planner of a small room.
@@ -120,7 +119,7 @@
         load_planner(path)
     found = [p for p in caught.value.problems if p.key == key and says in p.message]
     assert found, f"{[str(p) for p in caught.value.problems]}"
-    assert (found[0].at.line, found[0].at.column) == (line, column)
+    assert (found[0].position.line, found[0].position.column) == (line, column)
     assert str(found[0]).startswith(f"{path}:{line}:{column}: ")
 
 
@@ -128,7 +127,7 @@
     text = GOOD.replace("seed 7", "sead 7").replace("aim 3.5s", "aim x").replace("zone a", "zone ?")
     with pytest.raises(SettingsError) as caught:
         load_planner(written(tmp_path, text))
-    assert [p.at.line for p in caught.value.problems] == [7, 13, 28]
+    assert [p.position.line for p in caught.value.problems] == [7, 13, 28]
 
 
 @pytest.mark.parametrize("content", [b"\xff\xfe", b"a\0b", b""])
@@ -147,23 +146,26 @@
 
 
 def test_blocks_and_rests() -> None:
-    schema = (Block("b", (v.name,), (Key("k", (v.whole(),), rest=v.duration),)), Key("flag", (v.flag,)))
-    section = load_text('b one # x\n k 5 1s 2ms\nend\nb "two"\nend\nflag yes', schema)
+    schema = (
+        Block("b", (parsers.name,), (Key("k", (parsers.integer(),), rest_parser=parsers.duration),)),
+        Key("flag", (parsers.boolean,)),
+    )
+    section = load_section_text('b one # x\n k 5 1s 2ms\nend\nb "two"\nend\nflag yes', schema)
     assert [b.values for b in section.blocks["b"]] == [("one",), ("two",)]
-    assert section.blocks["b"][0].one("k") == (5, 1_000_000, 2_000) and section.one("flag") is True
+    assert section.blocks["b"][0].value("k") == (5, 1_000_000, 2_000) and section.value("flag") is True
     with pytest.raises(SettingsError, match="<text>:1:5: b: nothing|unknown|end"):
-        load_text("end", schema)
+        load_section_text("end", schema)
 
 
 @pytest.mark.parametrize("us", [0, 1, 250_000, 3_500_000, 60_000_000, 7_200_000_000, 1234567])
 def test_durations_come_back(us: int) -> None:
-    assert v.duration(v.as_duration(us)) == us
+    assert parsers.duration(parsers.format_duration(us)) == us
 
 
 def test_spans_and_shares() -> None:
-    assert v.span(v.duration)("1s..2s") == (1_000_000, 2_000_000)
-    assert v.span(v.whole())("4") == (4, 4)
-    assert v.share("25%") == 0.25 and v.share("0.5") == 0.5
+    assert parsers.value_range(parsers.duration)("1s..2s") == (1_000_000, 2_000_000)
+    assert parsers.value_range(parsers.integer())("4") == (4, 4)
+    assert parsers.fraction("25%") == 0.25 and parsers.fraction("0.5") == 0.5
     for bad in ("2s..1s", "x"):
         with pytest.raises(ValueError):
-            v.span(v.duration)(bad)
+            parsers.value_range(parsers.duration)(bad)
--- a/tests/settings/test_site.py
+++ b/tests/settings/test_site.py
@@ -8,15 +8,15 @@
 import pytest
 
 from stairplank.settings import PlannerConfig, SettingsError, load_planner
-from stairplank.settings.planner import OWN, PLANNER
+from stairplank.settings.planner import OWN_SCHEMA, PLANNER_SCHEMA
 from stairplank.settings.site import (
-    SITE,
+    SITE_SCHEMA,
     TUNABLE_FIELDS,
-    TUNABLES,
+    TUNABLE_KEYS,
     SiteSettings,
     load_site,
     load_site_text,
-    with_site,
+    merge_site,
 )
 
 SITE_TEXT = """\
@@ -93,7 +93,7 @@
 
 
 def test_the_table_of_fields_has_every_tunable_and_no_other_key() -> None:
-    assert list(TUNABLE_FIELDS) == [key.name for key in TUNABLES]
+    assert list(TUNABLE_FIELDS) == [key.name for key in TUNABLE_KEYS]
 
 
 def test_keys_that_are_not_given_keep_their_defaults() -> None:
@@ -104,7 +104,7 @@
 
 
 def test_a_planners_file_is_a_site_file_and_its_own_keys(tmp_path: Path) -> None:
-    assert PLANNER == SITE + OWN
+    assert PLANNER_SCHEMA == SITE_SCHEMA + OWN_SCHEMA
     config = planner(tmp_path, OWN_TEXT + SITE_TEXT)
     site = load_site_text(SITE_TEXT)
     assert {f.name: getattr(config, f.name) for f in fields(SiteSettings)} == {
@@ -115,7 +115,7 @@
 def test_a_site_takes_the_place_of_what_a_planner_had(tmp_path: Path) -> None:
     old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
     changed = SITE_TEXT.replace("max-attempts 4", "max-attempts 5").replace("open-most 100", "open-most 7", 1)
-    new = with_site(old, load_site_text(changed))
+    new = merge_site(old, load_site_text(changed))
     assert new == planner(tmp_path, OWN_TEXT + changed)
     assert new.settings.max_attempts == 5
     assert new.open_most == 7
@@ -123,7 +123,7 @@
 
 def test_what_names_the_planner_stays_with_it(tmp_path: Path) -> None:
     old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
-    new = with_site(old, load_site_text(SITE_TEXT))
+    new = merge_site(old, load_site_text(SITE_TEXT))
     assert new == old
     assert (new.settings.position, new.settings.planners, new.settings.zone) == (1, 3, 1)
     assert (new.listen, new.directory, new.seed) == (("127.0.0.1:7400",), "127.0.0.1:7300", 7)
@@ -132,14 +132,14 @@
 def test_the_home_zone_is_found_by_its_name(tmp_path: Path) -> None:
     old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
     turned = SITE_TEXT.replace("zone a\nzone b\n", "zone b\nzone a\n")
-    assert with_site(old, load_site_text(turned)).settings.zone == 0
+    assert merge_site(old, load_site_text(turned)).settings.zone == 0
 
 
 def test_a_site_without_the_home_zone_is_no_site_of_this_planner(tmp_path: Path) -> None:
     old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
     site = load_site_text(SITE_TEXT.replace("zone b\n", "zone c\n"))
     with pytest.raises(SettingsError, match=r"site\.conf:1:1: zone: no zone b.*known: a, c"):
-        with_site(old, site, "site.conf")
+        merge_site(old, site, "site.conf")
 
 
 @pytest.mark.parametrize(
@@ -157,7 +157,7 @@
     with pytest.raises(SettingsError) as caught:
         load_site_text(f"{line}\n{SITE_TEXT}", "site.conf")
     (problem,) = caught.value.problems
-    assert str(problem.at) == "site.conf:1:1"
+    assert str(problem.position) == "site.conf:1:1"
     assert (problem.key, "unknown keyword" in problem.message) == (key, True)
 
 
--- a/tests/standin/test_node_fenced.py
+++ b/tests/standin/test_node_fenced.py
@@ -7,7 +7,7 @@
 import pytest
 from test_standins import MS, SECOND, Host
 
-from stairplank.fence import Stamp
+from stairplank.fence import AgeStamp
 from stairplank.planner.events import AttemptId, GroupTag, TaskSpec
 from stairplank.standin.door import Door
 from stairplank.standin.node_events import Said
@@ -124,9 +124,9 @@
     assert door.opened(SECOND, 7, 2, 0) == []
     grant = door.grant(SECOND)
     assert door.opened(2 * SECOND, 7, 1, 0) is None  # it lay on the way while a newer one came
-    assert door.said_at(2 * SECOND, Stamp(grant, 10 * MS)) is not None  # the newer one goes on
+    assert door.said_at(2 * SECOND, AgeStamp(grant, 10 * MS)) is not None  # the newer one goes on
     assert door.opened(3 * SECOND, 8, 1, 0) == []  # another life counts anew
-    assert door.said_at(3 * SECOND, Stamp(grant, 10 * MS)) is None and door.too_old == 1
+    assert door.said_at(3 * SECOND, AgeStamp(grant, 10 * MS)) is None and door.too_old == 1
 
 
 def test_a_door_keeps_last_words_until_they_are_heard() -> None:
--- a/tests/stored/test_stored_data.py
+++ b/tests/stored/test_stored_data.py
@@ -19,8 +19,8 @@
 from google.protobuf.json_format import MessageToDict
 
 from stairplank.cli import main
-from stairplank.configuration import files as configuration_files
 from stairplank.configuration import startup
+from stairplank.configuration import state_files as configuration_files
 from stairplank.rehearsal import capture, decode
 from stairplank.scale import results
 
@@ -69,17 +69,17 @@
 
 
 def test_a_planner_s_copy_is_read_and_is_what_it_starts_with() -> None:
-    copy = configuration_files.read_copy(DATA / "planner-copy.json")
+    copy = configuration_files.read_cached_revision(DATA / "planner-copy.json")
     assert copy is not None
     assert revision_and_text(copy) == numbered(6, COMMITTED_TEXT)
-    (candidate,) = startup.candidates((), DATA / "planner-copy.json")
+    (candidate,) = startup.startup_candidates((), DATA / "planner-copy.json")
     assert revision_and_text(candidate) == numbered(6, COMMITTED_TEXT)
 
 
 def test_a_planner_s_copy_is_written_back_with_the_same_bytes(tmp_path: Path) -> None:
-    copy = configuration_files.read_copy(DATA / "planner-copy.json")
+    copy = configuration_files.read_cached_revision(DATA / "planner-copy.json")
     assert copy is not None
-    configuration_files.write_copy(tmp_path / "copy", copy)
+    configuration_files.write_cached_revision(tmp_path / "copy", copy)
     assert (tmp_path / "copy").read_bytes() == (DATA / "planner-copy.json").read_bytes()
 
 
--- a/tests/stored/test_stored_settings.py
+++ b/tests/stored/test_stored_settings.py
@@ -18,15 +18,15 @@
 from stairplank.platform import config as platform_config
 from stairplank.rehearsal.scenario import SCENARIO, load_scenario
 from stairplank.scale.plan import SCALE, load_plan
-from stairplank.settings import load, load_planner
-from stairplank.settings.planner import PLANNER
-from stairplank.settings.site import SITE, load_site
+from stairplank.settings import load_planner, load_section
+from stairplank.settings.planner import PLANNER_SCHEMA
+from stairplank.settings.site import SITE_SCHEMA, load_site
 from stairplank.standin.config import CROWD, FARM, LISTING, load_crowd, load_farm, load_listing
 
 DATA = Path(__file__).parent / "data"
 SCHEMAS = {
-    "planner.conf": PLANNER,
-    "site.conf": SITE,
+    "planner.conf": PLANNER_SCHEMA,
+    "site.conf": SITE_SCHEMA,
     "node.conf": FARM,
     "directory.conf": LISTING,
     "owners.conf": CROWD,
@@ -209,12 +209,12 @@
 @pytest.mark.parametrize("name", SCHEMAS)
 def test_every_keyword_is_read(name: str) -> None:
     wanted = json.loads((DATA / "settings.expected.json").read_text(encoding="utf-8"))
-    assert keywords(load(DATA / name, SCHEMAS[name])) == wanted[name]
+    assert keywords(load_section(DATA / name, SCHEMAS[name])) == wanted[name]
 
 
 @pytest.mark.parametrize("name", SCHEMAS)
 def test_the_file_has_every_keyword_of_its_kind(name: str) -> None:
-    given = keywords(load(DATA / name, SCHEMAS[name]))
+    given = keywords(load_section(DATA / name, SCHEMAS[name]))
     assert {item.name for item in SCHEMAS[name]} == set(given)
 
 
@@ -343,7 +343,7 @@
 
 def test_a_scenario_file_is_typed() -> None:
     scenario = load_scenario(DATA / "scenario.conf")
-    assert_room(scenario.room)
+    assert_room(scenario.cluster)
     assert (scenario.name, scenario.about) == ("data", "a room for the test")  # named by its folder
     assert (scenario.planners, scenario.owners, scenario.seed) == (2, 3, 5)
     assert (scenario.lasts_us, scenario.settles_us) == (8_000_000, 6_000_000)
--- a/tests/surface/test_surface.py
+++ b/tests/surface/test_surface.py
@@ -33,8 +33,8 @@
 from stairplank.rehearsal.scenario import SCENARIO
 from stairplank.scale.plan import SCALE
 from stairplank.settings import Block, Key
-from stairplank.settings.planner import PLANNER
-from stairplank.settings.site import SITE
+from stairplank.settings.planner import PLANNER_SCHEMA
+from stairplank.settings.site import SITE_SCHEMA
 from stairplank.standin.config import CROWD, FARM, LISTING
 
 HERE = Path(__file__).parent
@@ -45,8 +45,8 @@
 PROCESSES = 4  # stands for the machine's processors where they are a default
 NAME = "stairplank"
 SCHEMAS = {
-    "planner": PLANNER,
-    "site": SITE,
+    "planner": PLANNER_SCHEMA,
+    "site": SITE_SCHEMA,
     "node": FARM,
     "directory": LISTING,
     "owners": CROWD,
@@ -162,12 +162,12 @@
 
 def described(item: Key | Block, kinds: list[Any]) -> dict[str, Any]:
     """A keyword with its values, each by its place among the kinds of values."""
-    out: dict[str, Any] = {"values": [kind_number(value, kinds) for value in item.values]}
+    out: dict[str, Any] = {"values": [kind_number(value, kinds) for value in item.value_parsers]}
     if isinstance(item, Block):
         out["keywords"] = {key.name: described(key, kinds) for key in item.keys}
     else:
-        out["repeat"], out["least rest"], out["words"] = item.repeat, item.least_rest, list(item.words)
-        out["rest"] = None if item.rest is None else kind_number(item.rest, kinds)
+        out["repeat"], out["least rest"], out["words"] = item.repeat, item.min_rest, list(item.separators)
+        out["rest"] = None if item.rest_parser is None else kind_number(item.rest_parser, kinds)
     return out | {"required": item.required}
 
 
