--- a/stairplank/cli/configuration.py
+++ b/stairplank/cli/configuration.py
@@ -39,8 +39,9 @@
 @click.option("--beyond-loopback", is_flag=True, help="Allow an address that is not loopback.")
 def serve(listen: tuple[str, ...], state: str, beyond_loopback: bool) -> None:
     """Run one replica until SIGTERM."""
+    from ..configuration.errors import StateFileError
     from ..configuration.server import ReplicaServer
-    from ..configuration.state_files import StateFileError
+    from ..configuration.validation import text_problems
     from ..rpc.address import is_loopback
     from .main import _serve
 
@@ -48,7 +49,7 @@
     if outside and not beyond_loopback:
         raise click.UsageError(f"--listen: {outside[0]} is not loopback; --beyond-loopback allows it")
     try:
-        replica = ReplicaServer(listen, Path(state), text_faults)
+        replica = ReplicaServer(listen, Path(state), text_problems)
     except StateFileError as error:
         raise click.ClickException(str(error)) from None
     except OSError as error:
@@ -56,18 +57,6 @@
     _serve(replica.start, replica.stop)
 
 
-def text_faults(text: str) -> list[str]:
-    """One line for each fault of a configuration, none where it is usable."""
-    from ..settings.site import load_site_text
-    from ..settings.source import SettingsError
-
-    try:
-        load_site_text(text, "configuration")
-    except SettingsError as error:
-        return [str(problem) for problem in error.problems]
-    return []
-
-
 @configuration.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 @replicas_option
--- a/stairplank/configuration/changes.py
+++ b/stairplank/configuration/changes.py
@@ -9,14 +9,15 @@
 from ..settings.cluster import SINGLE_VALUE_FIELDS
 from ..settings.planner import PlannerConfig
 from ..settings.site import TUNABLE_FIELDS
+from .errors import ConfigurationError
 from .field_changes import FieldChange, changed_names, changed_settings
 
 
 class ChangeScope(Enum):
-    """From when on a changed key counts."""
+    """Which connections a changed key applies to."""
 
     LIVE = "live"
-    NEW_CONNECTIONS = "new connections"  # those that stand keep what they were made with
+    NEW_CONNECTIONS = "new connections"  # open ones keep what they were made with
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,13 +36,15 @@
     message: str
 
     def __str__(self) -> str:
+        """Return the key and the reason as one line."""
         return f"{self.key}: {self.message}"
 
 
-class RestartRequiredError(Exception):
+class RestartRequiredError(ConfigurationError):
     """A configuration that a running planner cannot take: every key at fault, not only the first."""
 
     def __init__(self, needs_restart: tuple[RestartRequirement, ...]) -> None:
+        """Name every key and its reason in the text."""
         self.requirements = needs_restart
         super().__init__("; ".join(map(str, needs_restart)))
 
@@ -55,7 +58,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing differs."""
+        """Whether the configurations are the same."""
         return not self.live_changes and not self.restart_requirements
 
     @property
@@ -69,7 +72,7 @@
             raise RestartRequiredError(self.restart_requirements)
 
 
-# A connection's limits are its own: a buffer or a clock of one that stands is not made anew.
+# A connection's limits are its own: a buffer or a timer of an open one is not made anew.
 NEW_CONNECTION_KEYS = frozenset({"send-buffer", "message-most", "keepalive"})
 OWN_KEYS: Mapping[str, str] = {
     "listen": "listen",
@@ -119,7 +122,7 @@
 
 
 def compare_configurations(old: PlannerConfig, new: PlannerConfig) -> ConfigurationChanges:
-    """Which keys differ between two configurations, and which of them need a restart."""
+    """Return which keys differ between two configurations, and which of them need a restart."""
     settings = changed_settings(old.settings, new.settings)
     zones = changed_names("zones", old.cluster.zones, new.cluster.zones)
     tenants = changed_names(
@@ -138,7 +141,7 @@
 
 
 def key_of(path: tuple[str, ...]) -> str:
-    """The key of a planner's file that sets a field."""
+    """Return the key of a planner's file that sets a field."""
     if len(path) == 1:
         return LIST_KEYS.get(path[0]) or SETTINGS_KEYS.get(path[0], path[0])
     entries, name, field = path
@@ -169,6 +172,9 @@
 def _add_stricter(
     found: dict[str, LiveChange | RestartRequirement], entry: LiveChange | RestartRequirement
 ) -> None:
-    """One entry a key. Danger: two fields share a key, and the harmless one would hide the other."""
+    """Record one entry a key, the stricter one.
+
+    Danger: two fields share a key, and the harmless one would hide the other.
+    """
     if not isinstance(found.get(entry.key), RestartRequirement):
         found[entry.key] = entry
--- a/stairplank/configuration/client.py
+++ b/stairplank/configuration/client.py
@@ -1,8 +1,7 @@
-"""The operator's side: publishes a text at the replicas, and asks which revision is in force where."""
+"""The operator's side: publishes a text at the replicas, and collects which revision is in force where."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
@@ -14,7 +13,7 @@
 from . import publication
 from .convert import SERVICE, revision_from_message, revision_text_to_message, revision_to_message
 from .publication import PhaseAnswer, PublicationOutcome, ReplicaNumbers
-from .revision import MAX_TEXT_BYTES, Revision, make_revision
+from .revision import MAX_TEXT_BYTES, NO_REVISION, Revision, make_revision
 from .store import RevisionText
 
 CALL_TIMEOUT_S = 5.0
@@ -37,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerSummary:
-    """A planner's process as the replica that heard it last has it."""
+    """A planner's process by its newest report. Times in microseconds."""
 
     planner: int
     incarnation: int
@@ -59,69 +58,91 @@
 
     def in_force_everywhere(self, planners: int) -> bool:
         """Whether at least so many planners are connected, and each of them has the committed revision."""
-        connected = [one for one in self.planners if one.connected]
-        numbers = {one.planner for one in connected}
-        return len(numbers) >= planners and all(one.in_force == self.committed for one in connected)
+        connected = [planner for planner in self.planners if planner.connected]
+        positions = {planner.planner for planner in connected}
+        are_current = all(planner.in_force == self.committed for planner in connected)
+        return len(positions) >= planners and are_current
 
 
-def _call(replica: str, method: str, request: Any, answer: Any, timeout_s: float) -> Any:
+def _call(replica: str, method: str, request: Any, response_type: Any, timeout_s: float) -> Any:
     channel = Channel(replica, Limits(message_bytes=2 * MAX_TEXT_BYTES), timeout_s)
     try:
-        return channel.unary(path(SERVICE, method), request, answer.FromString, timeout_s=timeout_s)
+        return channel.unary(path(SERVICE, method), request, response_type.FromString, timeout_s=timeout_s)
     finally:
         channel.close()
 
 
-def _call_each(replicas: tuple[str, ...], call: Callable[[str], Any]) -> list[Any]:
-    """Each replica's answer, None for one that cannot be reached."""
+def _call_all(
+    replicas: tuple[str, ...], method: str, request: Any, response_type: Any, timeout_s: float
+) -> list[Any]:
+    """Call every replica at the same time; None stands for one that cannot be reached."""
 
-    def one(replica: str) -> Any:
+    def response_of(replica: str) -> Any:
         try:
-            return call(replica)
+            return _call(replica, method, request, response_type, timeout_s)
         except RpcError:
             return None
 
-    asked = [gevent.spawn(one, replica) for replica in replicas]
-    gevent.joinall(asked)
-    return [one.value for one in asked]
+    calls = [gevent.spawn(response_of, replica) for replica in replicas]
+    gevent.joinall(calls)
+    return [call.value for call in calls]
+
+
+def _statuses(replicas: tuple[str, ...], timeout_s: float) -> list[Any]:
+    return _call_all(replicas, "Status", pb.StatusRequest(), pb.StatusResponse, timeout_s)
+
+
+def _unreachable(replicas: tuple[str, ...], statuses: list[Any]) -> tuple[str, ...]:
+    pairs = zip(replicas, statuses, strict=True)
+    return tuple(replica for replica, status in pairs if status is None)
 
 
 def publish(
     replicas: tuple[str, ...], text: str, timeout_s: float = CALL_TIMEOUT_S, base: int | None = None
 ) -> PublicationResult:
-    """Publish the text as the next revision. ``base``: fail where another than this number is committed."""
+    """Publish the text as the next revision.
+
+    Args:
+        replicas: Addresses of all replicas of the site.
+        text: The configuration.
+        timeout_s: For each of the three rounds of calls, in seconds.
+        base: The number that has to be the committed one; None for any.
+    """
     count = len(replicas)
-    states = _call_each(
-        replicas, lambda replica: _call(replica, "Status", pb.StatusRequest(), pb.StatusResponse, timeout_s)
-    )
-    unreachable = tuple(r for r, state in zip(replicas, states, strict=True) if state is None)
-    seen = [
-        ReplicaNumbers(revision_from_message(s.committed), s.highest_number) for s in states if s is not None
+    statuses = _statuses(replicas, timeout_s)
+    unreachable = _unreachable(replicas, statuses)
+    numbers = [
+        ReplicaNumbers(revision_from_message(status.committed), status.highest_number)
+        for status in statuses
+        if status is not None
     ]
-    number = publication.next_number(count, seen)
-    committed = publication.newest_committed(seen)
+    number = publication.next_number(count, numbers)
+    committed = publication.newest_committed(numbers)
     if number is None:
         return PublicationResult(PublicationOutcome.NO_QUORUM, committed, (), unreachable)
     # Danger: two operators who both started from the same text would each undo the other's change.
     if base is not None and base != committed.number:
-        return PublicationResult(
-            PublicationOutcome.CONFLICT, committed, (f"{committed.number} is committed, not {base}",)
-        )
-    revision = make_revision(number, text)
-    proposal = pb.PrepareRequest(proposal=revision_text_to_message(RevisionText(revision, text)))
-    prepared = _call_each(
-        replicas, lambda replica: _call(replica, "Prepare", proposal, pb.PublicationResponse, timeout_s)
-    )
-    failed = publication.outcome_after_prepare(count, [_phase_answer(one) for one in prepared])
-    problems = next((tuple(one.problems) for one in prepared if one is not None and one.problems), ())
-    if failed is not None:
-        return PublicationResult(failed, revision, problems, unreachable)
-    request = pb.CommitRequest(revision=revision_to_message(revision))
-    answers = _call_each(
-        replicas, lambda replica: _call(replica, "Commit", request, pb.PublicationResponse, timeout_s)
-    )
-    outcome = publication.outcome_after_commit(count, [_phase_answer(one) for one in answers])
-    return PublicationResult(outcome, revision, (), unreachable)
+        problem = f"{committed.number} is committed, not {base}"
+        return PublicationResult(PublicationOutcome.CONFLICT, committed, (problem,))
+    proposal = RevisionText(make_revision(number, text), text)
+    outcome, problems = _publish_proposal(replicas, proposal, timeout_s)
+    return PublicationResult(outcome, proposal.revision, problems, unreachable)
+
+
+def _publish_proposal(
+    replicas: tuple[str, ...], proposal: RevisionText, timeout_s: float
+) -> tuple[PublicationOutcome, tuple[str, ...]]:
+    """Prepare and commit at all replicas; return the outcome and the problems of the text."""
+    count = len(replicas)
+    prepare = pb.PrepareRequest(proposal=revision_text_to_message(proposal))
+    prepared = _call_all(replicas, "Prepare", prepare, pb.PublicationResponse, timeout_s)
+    failure = publication.outcome_after_prepare(count, [_phase_answer(one) for one in prepared])
+    if failure is not None:
+        problems = (tuple(one.problems) for one in prepared if one is not None and one.problems)
+        return failure, next(problems, ())
+    commit = pb.CommitRequest(revision=revision_to_message(proposal.revision))
+    committed = _call_all(replicas, "Commit", commit, pb.PublicationResponse, timeout_s)
+    return publication.outcome_after_commit(count, [_phase_answer(one) for one in committed]), ()
 
 
 def _phase_answer(response: Any) -> PhaseAnswer:
@@ -131,19 +152,23 @@
 
 
 def site_status(replicas: tuple[str, ...], timeout_s: float = CALL_TIMEOUT_S) -> SiteStatus:
-    """Ask every replica; of a planner the freshest report counts."""
-    found = _call_each(
-        replicas, lambda replica: _call(replica, "Status", pb.StatusRequest(), pb.StatusResponse, timeout_s)
-    )
+    """Collect the status of every replica; of a planner the newest report counts."""
+    found = _statuses(replicas, timeout_s)
+    statuses = [status for status in found if status is not None]
     planners: dict[tuple[int, int], PlannerSummary] = {}
-    for line in (_planner_summary(one) for status in found if status is not None for one in status.planners):
-        known = planners.get((line.planner, line.incarnation))
-        if known is None or (line.connected, -line.report_age_us) > (known.connected, -known.report_age_us):
-            planners[line.planner, line.incarnation] = line
-    committed = [revision_from_message(status.committed) for status in found if status is not None]
-    unreachable = tuple(r for r, status in zip(replicas, found, strict=True) if status is None)
-    lines = tuple(planners[key] for key in sorted(planners))
-    return SiteStatus(max(committed, default=Revision()), lines, unreachable)
+    for summary in (_planner_summary(message) for status in statuses for message in status.planners):
+        process = summary.planner, summary.incarnation
+        known = planners.get(process)
+        if known is None or _freshness(summary) > _freshness(known):
+            planners[process] = summary
+    committed = [revision_from_message(status.committed) for status in statuses]
+    summaries = tuple(planners[process] for process in sorted(planners))
+    return SiteStatus(max(committed, default=NO_REVISION), summaries, _unreachable(replicas, found))
+
+
+def _freshness(summary: PlannerSummary) -> tuple[bool, int]:
+    """Return what is larger for a later report; a connected planner's goes before all others."""
+    return summary.connected, -summary.report_age_us
 
 
 def _planner_summary(message: Any) -> PlannerSummary:
--- a/stairplank/configuration/convert.py
+++ b/stairplank/configuration/convert.py
@@ -1,4 +1,4 @@
-"""Between the messages of the configuration service and this package's types."""
+"""Conversion between the messages of the configuration service and this package's types."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 def revision_to_message(revision: Revision) -> Any:
-    """The message of a revision."""
+    """Return the message of a revision."""
     return pb.Revision(number=revision.number, digest=revision.digest)
 
 
 def revision_from_message(message: Any) -> Revision:
-    """A revision from its message; an absent one is number 0."""
+    """Return a revision from its message; an absent one is number 0."""
     return Revision(message.number, message.digest)
 
 
 def revision_text_to_message(stored: RevisionText) -> Any:
-    """The message of a revision with its text."""
+    """Return the message of a revision with its text."""
     return pb.RevisionText(revision=revision_to_message(stored.revision), text=stored.text)
 
 
 def revision_text_from_message(message: Any) -> RevisionText:
-    """A revision with its text from its message."""
+    """Return a revision with its text from its message."""
     return RevisionText(revision_from_message(message.revision), message.text)
 
 
 def planner_status_to_message(status: PlannerStatus, now: int) -> Any:
-    """The message of a planner's status at that time."""
+    """Return the message of a planner's status at that time."""
     message = pb.PlannerStatus(
         planner=status.planner,
         life=status.incarnation,
--- a/stairplank/configuration/field_changes.py
+++ b/stairplank/configuration/field_changes.py
@@ -1,8 +1,8 @@
 """Which settings of the decision module may change while a planner runs. No I/O or clock.
 
-A planner knows classes, kinds, zones and tenants by their numbers, and keeps books that were made with some
-of the settings: what would make a number or a book mean something else needs a restart. Everything else is
-read by the module at each use, and may change between two of its decisions.
+A planner knows classes, node types, zones and tenants by their numbers, and holds records that were made with
+some of the settings: what would make a number or a record mean something else needs a restart. Everything
+else is read by the module at each use, and may change between two of its decisions.
 """
 
 from __future__ import annotations
@@ -47,7 +47,8 @@
     """What is known by its place in a list, and has a name."""
 
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """Its name, unique in the list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,42 +63,43 @@
     restart_reason: str | None = None  # why it may not change while the planner runs
 
     def __str__(self) -> str:
+        """Return the path with dots."""
         return ".".join(self.path)
 
 
 def changed_settings(old: api.Settings, new: api.Settings) -> tuple[FieldChange, ...]:
-    """Every field that differs between two settings, in the order of the fields."""
-    out: list[FieldChange] = []
+    """Return every field that differs between two settings, in the order of the fields."""
+    changes: list[FieldChange] = []
     for name in (field.name for field in fields(api.Settings)):
         if name == "classes":
-            out += _changed_entries(name, old.classes, new.classes, CLASS_NEEDS_RESTART)
+            changes += _changed_entries(name, old.classes, new.classes, CLASS_NEEDS_RESTART)
         elif name == "node_types":
-            out += _changed_entries(name, old.node_types, new.node_types, NODE_TYPE_NEEDS_RESTART)
+            changes += _changed_entries(name, old.node_types, new.node_types, NODE_TYPE_NEEDS_RESTART)
         elif getattr(old, name) != getattr(new, name):
-            out.append(FieldChange((name,), SETTINGS_NEED_RESTART.get(name)))
-    return tuple(out)
+            changes.append(FieldChange((name,), SETTINGS_NEED_RESTART.get(name)))
+    return tuple(changes)
 
 
 def changed_names(path: str, old: Sequence[str], new: Sequence[str]) -> tuple[FieldChange, ...]:
-    """Whether a list of names has changed, and whether it has only grown at its end.
+    """Return how a list of names has changed; one that has only grown at its end needs no restart.
 
     Danger: tasks and nodes in flight are known by the number of the class, kind, zone or tenant; after a
     removal or a change of order the number would mean another one.
     """
     if list(old) == list(new):
         return ()
-    kept = list(new[: len(old)])
-    if kept == list(old):
+    has_only_grown = list(new[: len(old)]) == list(old)
+    if has_only_grown:
         return (FieldChange((path,)),)
-    gone = [name for name in old if name not in new]
-    what = f"{', '.join(gone)} would be removed" if gone else "the order would change"
+    removed = [name for name in old if name not in new]
+    what = f"{', '.join(removed)} would be removed" if removed else "the order would change"
     return (FieldChange((path,), f"{what}; tasks and nodes are known by their number: add at the end only"),)
 
 
 def _changed_entries(
     path: str, old: Sequence[NamedEntry], new: Sequence[NamedEntry], needs_restart: Mapping[str, str]
 ) -> Iterator[FieldChange]:
-    """Changes of a list of named entries, and of the entries that are in both."""
+    """Yield the changes of a list of named entries, and of the entries that are in both."""
     yield from changed_names(path, _entry_names(old), _entry_names(new))
     new_by_name = {entry.name: entry for entry in new}
     for entry in old:
@@ -113,4 +115,4 @@
 
 
 def _differing_fields(old: Any, new: Any) -> list[str]:
-    return [f.name for f in fields(old) if getattr(old, f.name) != getattr(new, f.name)]
+    return [field.name for field in fields(old) if getattr(old, field.name) != getattr(new, field.name)]
--- a/stairplank/configuration/follower.py
+++ b/stairplank/configuration/follower.py
@@ -1,17 +1,17 @@
 """How a planner follows the configuration: which revision it fetches, checks and takes. No I/O or clock.
 
 A planner watches every replica of the configuration service. Each method takes the time and an event and
-returns the actions to carry out; ``next_due`` says when ``pass_time`` wants to be called.
+returns the actions to carry out; ``next_timer`` says when ``on_timer`` wants to be called.
 
 Invariants (tests/configuration/test_follower.py):
 
-1. The number in force never decreases within a life: a replica that lags, or an announcement that was
+1. The number in force never decreases within an incarnation: a replica that lags, or an announcement that was
    delayed, changes nothing.
 2. A text is checked only if it has the digest that was announced, and applied only if its check passed.
 3. A revision that was rejected is not fetched again; a later one is.
 4. A newer announcement replaces a fetch or a check that is under way; the result of the older is dropped.
-5. A fetch that is not answered within ``FETCH_US``, or whose replica is lost, goes to another replica that
-   announces the revision. Where each of them has failed, ``RETRY_US`` pass before the next round.
+5. A fetch that is not answered within ``FETCH_TIMEOUT_US``, or whose replica is lost, goes to another replica
+   that announces the revision. Where each of them has failed, ``RETRY_DELAY_US`` pass before the next round.
 6. What is in force, and what was rejected, is reported to every connected replica after each change and to a
    replica when it connects.
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchText:
-    """Ask that replica for the text."""
+    """Request the text from that replica."""
 
     replica: str
     revision: Revision
@@ -69,16 +69,17 @@
     """The revision that is on its way into force."""
 
     revision: Revision
-    replica: str  # the one that was asked; nothing between two rounds
+    replica: str  # the one it is fetched from; empty between two rounds
     requested_at: int
     checking: bool = False
     failed_replicas: set[str] = field(default_factory=set)  # replicas that did not give the text
 
 
 class Follower:
-    """One life of a planner. ``in_force``: the revision that it started with."""
+    """The revision in force at one planner's process, and the one that is on its way there."""
 
     def __init__(self, in_force: Revision = NO_REVISION) -> None:
+        """Begin with the revision that the planner has started with."""
         self.in_force = in_force
         self.rejected = NO_REVISION
         self.reason = ""
@@ -87,34 +88,34 @@
 
     # Events
 
-    def on_connected(self, now: int, replica: str) -> list[Action]:
-        """A stream to that replica is up."""
+    def on_connected(self, now: int, replica: str) -> list[Action]:  # noqa: ARG002 - as every event
+        """Report to a replica whose stream has come up."""
         self.replicas[replica] = NO_REVISION
         return [self._report_to(replica)]
 
     def on_connection_lost(self, now: int, replica: str) -> list[Action]:
-        """That stream has ended, or nothing was heard on it for too long."""
+        """Fetch elsewhere: that stream has ended, or was silent for too long."""
         self.replicas.pop(replica, None)
         if self.pending is None or self.pending.replica != replica or self.pending.checking:
             return []
         return self._fetch_from_next_replica(now)
 
     def on_announced(self, now: int, replica: str, revision: Revision) -> list[Action]:
-        """That replica has this revision committed."""
+        """Fetch a revision that the replica has committed, if it is newer than all others known here."""
         if replica not in self.replicas:
             return []
         self.replicas[replica] = revision
         if not self._is_wanted(revision):
             return []
         if self.pending is not None and self.pending.revision.number >= revision.number:
-            waits = self.pending.revision == revision and not self.pending.replica
-            return self._fetch_from_next_replica(now) if waits else []
+            is_between_rounds = self.pending.revision == revision and not self.pending.replica
+            return self._fetch_from_next_replica(now) if is_between_rounds else []
         # Danger: left to run, a check of the older one could put it into force after this one.
         self.pending = _PendingRevision(revision, replica, now)
         return [FetchText(replica, revision)]
 
     def on_text_received(self, now: int, replica: str, revision: Revision, text: str) -> list[Action]:
-        """That replica's answer to a fetch."""
+        """Check a replica's answer to a fetch against the digest that was announced."""
         pending = self.pending
         if pending is None or pending.checking or pending.revision != revision:
             return []
@@ -125,23 +126,23 @@
         pending.checking = True
         return [CheckText(revision, text)]
 
-    def on_check_passed(self, now: int, revision: Revision) -> list[Action]:
-        """The text is a configuration that can come into force now."""
+    def on_check_passed(self, now: int, revision: Revision) -> list[Action]:  # noqa: ARG002 - as every event
+        """Apply the revision whose text can come into force now."""
         if self.pending is None or not self.pending.checking or self.pending.revision != revision:
             return []
         self.pending = None
         self.in_force = revision
         return [ApplyRevision(revision), *self._report_to_all()]
 
-    def on_check_failed(self, now: int, revision: Revision, reason: str) -> list[Action]:
-        """The text cannot come into force; what is in force stays."""
+    def on_check_failed(self, now: int, revision: Revision, reason: str) -> list[Action]:  # noqa: ARG002 - as every event
+        """Reject the revision whose text cannot come into force; the one in force stays."""
         if self.pending is None or not self.pending.checking or self.pending.revision != revision:
             return []
         self.pending = None
         return self._reject(revision, reason)
 
     def on_timer(self, now: int) -> list[Action]:
-        """Ask another replica where the one that was asked has not answered in time."""
+        """Fetch from another replica where one has not answered in time."""
         due = self.next_timer()
         if due is None or now < due or self.pending is None:
             return []
@@ -153,7 +154,7 @@
         return self._fetch_from_next_replica(now)
 
     def next_timer(self) -> int | None:
-        """When ``pass_time`` is wanted, or None."""
+        """Return when ``on_timer`` is wanted, or None."""
         pending = self.pending
         if pending is None or pending.checking:
             return None
@@ -171,12 +172,12 @@
         if not holders:
             return self._fetch_newest(now)
         pending.requested_at = now
-        # Danger: asked again at once, a replica that always answers wrongly would be asked without a pause.
+        # Danger: without the pause a replica that always answers wrongly would be requested in a loop.
         pending.replica = next((name for name in holders if name not in pending.failed_replicas), "")
         return [FetchText(pending.replica, pending.revision)] if pending.replica else []
 
     def _fetch_newest(self, now: int) -> list[Action]:
-        """No replica holds the pending revision any more: take the newest that one holds, or wait."""
+        """Fetch the newest revision on offer: no replica has the pending one any more."""
         self.pending = None
         wanted = [(known, name) for name, known in self.replicas.items() if self._is_wanted(known)]
         if not wanted:
@@ -188,7 +189,7 @@
     def _reject(self, revision: Revision, reason: str) -> list[Action]:
         self.rejected = revision
         self.reason = reason
-        return list(self._report_to_all())
+        return [*self._report_to_all()]
 
     def _report_to_all(self) -> list[SendReport]:
         return [self._report_to(replica) for replica in self.replicas]
--- a/stairplank/configuration/planner_configuration.py
+++ b/stairplank/configuration/planner_configuration.py
@@ -11,26 +11,27 @@
 from ..settings.site import load_site_text, merge_site
 from . import startup, state_files
 from .changes import RestartRequiredError
+from .errors import RevisionRejectedError, StateFileError
 from .revision import NO_REVISION, Revision
 from .store import RevisionText
-from .watch import ConfigurationWatch, RevisionRejectedError
+from .watch import ConfigurationWatch
 
 
 class ConfiguredPlanner(Protocol):
-    """What a configuration is put into force at."""
+    """The planner that a configuration is put into force at."""
 
     config: PlannerConfig
     incarnation: int
 
     def prepare_site(self, text: str, name: str) -> PlannerConfig:
-        """The planner's configuration with that text. Raises SettingsError and RestartRequiredError."""
+        """Return the configuration with that text. Raises SettingsError and RestartRequiredError."""
 
     def apply_site(self, config: PlannerConfig) -> Any:
         """Put it into force."""
 
 
 def watch_configuration(planner: ConfiguredPlanner, in_force: Revision) -> ConfigurationWatch[PlannerConfig]:
-    """The watch that keeps the planner at the newest revision; ``in_force`` is the one it started with."""
+    """Make the watch that keeps the planner at the newest revision; it has started with ``in_force``."""
 
     def check(text: str, revision: Revision) -> PlannerConfig:
         try:
@@ -53,39 +54,42 @@
 
 
 def initial_config(config: PlannerConfig) -> tuple[PlannerConfig, Revision]:
-    """The planner's configuration with the newest usable revision; its own file where there is none."""
+    """Return the configuration with the newest usable revision; the planner's own where there is none."""
     if not config.configuration:
         return config, NO_REVISION
     log = structlog.get_logger("configuration").bind(planner=config.settings.position)
-    copy_file = cache_file_of(config)
-    for stored in startup.startup_candidates(config.configuration, copy_file):
+    cache_file = cache_file_of(config)
+    for stored in startup.startup_candidates(config.configuration, cache_file):
         source = source_name(stored.revision)
         try:
             started = merge_site(config, load_site_text(stored.text, source), source)
         except SettingsError as error:
-            # Danger: a planner that does not start for a text that others have refused serves nobody.
+            # Danger: a planner that does not start for a text that others have rejected serves nobody.
             log.warning("configuration not taken", revision=str(stored.revision), reason=str(error))
         else:
-            _cache_revision(copy_file, stored)
+            _cache_revision(cache_file, stored)
             return started, stored.revision
     return config, NO_REVISION
 
 
 def _cache_revision(cache_file: Path | None, stored: RevisionText) -> None:
-    """Danger: the next start, with no replica within reach, would begin with an older revision."""
+    """Write the revision for the next start.
+
+    Danger: without it the next start, with no replica within reach, would begin with an older revision.
+    """
     if cache_file is None:
         return
     try:
         state_files.write_cached_revision(cache_file, stored)
-    except state_files.StateFileError as error:
+    except StateFileError as error:
         structlog.get_logger("configuration").error("copy of the configuration not written", error=str(error))
 
 
 def cache_file_of(config: PlannerConfig) -> Path | None:
-    """Where the planner keeps its copy of the revision in force."""
+    """Return where the planner caches the revision in force."""
     return Path(config.configuration_copy) if config.configuration_copy else None
 
 
 def source_name(revision: Revision) -> str:
-    """What stands for the file in errors of a revision's text."""
+    """Return what stands for the file in errors of a revision's text."""
     return f"revision-{revision.number}"
--- a/stairplank/configuration/publication.py
+++ b/stairplank/configuration/publication.py
@@ -16,7 +16,7 @@
 
 
 class PublicationOutcome(Enum):
-    """Of a publication."""
+    """Of a publication at all replicas."""
 
     PUBLISHED = "published"
     NO_QUORUM = "no quorum"
@@ -26,7 +26,7 @@
 
 
 class PhaseAnswer(Enum):
-    """Of one replica to one phase."""
+    """Of one replica to one phase of a publication."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -36,31 +36,34 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaNumbers:
-    """What a replica said about its numbers before the publication."""
+    """The numbers that a replica has reported before the publication."""
 
     committed: Revision
     highest_number: int
 
 
 def majority_of(replicas: int) -> int:
-    """How many of so many replicas are a majority."""
+    """Return how many of so many replicas are a majority."""
     return replicas // 2 + 1
 
 
 def next_number(replicas: int, replica_numbers: list[ReplicaNumbers]) -> int | None:
-    """The number of the next publication; None without a majority: a number could be taken twice."""
+    """Return the number of the next publication; None without a majority: a number could be taken twice."""
     if len(replica_numbers) < majority_of(replicas):
         return None
     return 1 + max(one.highest_number for one in replica_numbers)
 
 
 def newest_committed(replica_numbers: list[ReplicaNumbers]) -> Revision:
-    """The newest committed revision among the replicas that answered."""
+    """Return the newest committed revision among the replicas that answered."""
     return max((one.committed for one in replica_numbers), default=Revision())
 
 
 def outcome_after_prepare(replicas: int, answers: list[PhaseAnswer]) -> PublicationOutcome | None:
-    """None: commit now. Danger: committed with fewer, another publisher may have the number elsewhere."""
+    """Return None where the publication may be committed now, else how it has failed.
+
+    Danger: committed with fewer, another publisher may have the number elsewhere.
+    """
     if PhaseAnswer.INVALID in answers:
         return PublicationOutcome.INVALID
     if answers.count(PhaseAnswer.ACCEPTED) >= majority_of(replicas):
@@ -69,7 +72,10 @@
 
 
 def outcome_after_commit(replicas: int, answers: list[PhaseAnswer]) -> PublicationOutcome:
-    """Planners take it as soon as one replica has it; it survives the loss of replicas with a majority."""
+    """Return how the publication has ended.
+
+    Planners apply it as soon as one replica has it; it survives the loss of replicas with a majority.
+    """
     if answers.count(PhaseAnswer.ACCEPTED) >= majority_of(replicas):
         return PublicationOutcome.PUBLISHED
     return PublicationOutcome.UNCERTAIN
--- a/stairplank/configuration/revision.py
+++ b/stairplank/configuration/revision.py
@@ -16,6 +16,7 @@
     digest: bytes = b""
 
     def __str__(self) -> str:
+        """Return the number and the start of the digest, as logs and the status show them."""
         return f"{self.number} ({self.digest.hex()[:12]})" if self.number else "0 (own file)"
 
 
@@ -23,10 +24,10 @@
 
 
 def digest_of(text: str) -> bytes:
-    """SHA-256 of the text in UTF-8."""
+    """Return the SHA-256 of the text in UTF-8."""
     return sha256(text.encode()).digest()
 
 
 def make_revision(number: int, text: str) -> Revision:
-    """The identity of this text when it is published under this number."""
+    """Return the identity of this text when it is published under this number."""
     return Revision(number, digest_of(text))
--- a/stairplank/configuration/server.py
+++ b/stairplank/configuration/server.py
@@ -1,4 +1,4 @@
-"""One replica of the configuration service on its sockets. What it keeps is decided by ``store``."""
+"""One replica of the configuration service on its sockets; ``store`` decides what it stores."""
 
 from __future__ import annotations
 
@@ -24,14 +24,15 @@
     revision_text_to_message,
     revision_to_message,
 )
+from .errors import StateFileError
 from .revision import MAX_TEXT_BYTES
 from .store import PhaseResult, ReplicaState, RevisionStore
 
-HEARTBEAT_INTERVAL_S = 2.0  # a planner takes a replica that it does not hear for lost after 2.5 of these
-HELLO_TIMEOUT_S = 5.0  # a planner's stream says whose it is by then
-MAX_STREAMS = 4_096  # each planner has one, and a second for a moment when it dials anew
-MAX_REASON_CHARACTERS = 500  # characters of a planner's reason that are kept
-TextChecker = Callable[[str], list[str]]  # the faults of a text, none where it is usable
+HEARTBEAT_INTERVAL_S = 2.0  # a planner takes a replica that sends nothing for 2.5 of these for lost
+HELLO_TIMEOUT_S = 5.0  # until a planner's stream has named its planner
+MAX_STREAMS = 4_096  # each planner has one, and a second for a moment when it reconnects
+MAX_REASON_CHARACTERS = 500  # of a planner's reason that are stored
+TextChecker = Callable[[str], list[str]]  # the problems of a text, none where it is usable
 
 _RESULTS = {
     PhaseResult.ACCEPTED: pb.PublicationResponse.RESULT_ACCEPTED,
@@ -43,13 +44,19 @@
     """Serves publications, planners' streams and the status."""
 
     def __init__(self, listen: tuple[str, ...], state_file: Path, check_text: TextChecker) -> None:
-        """Raises StateFileError for a state file that cannot be read."""
+        """Read the state and make the server. Raises StateFileError.
+
+        Args:
+            listen: Addresses to serve on.
+            state_file: Where the state is stored between two runs.
+            check_text: Returns the problems of a text, none for a usable one.
+        """
         self.state_file = state_file
         self.check_text = check_text
         self.store = RevisionStore(state_files.read_state(state_file))
         self.log = structlog.get_logger("configuration")
         self._changed = Event()
-        self.announcers: set[gevent.Greenlet] = set()  # one a planner's stream
+        self.announcers: set[gevent.Greenlet[..., Any]] = set()  # one a planner's stream
         health = Health((SERVICE.full_name,))
         names = (SERVICE.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
         handlers = methods(
@@ -79,7 +86,7 @@
 
     # Publications
 
-    def _prepare(self, request: Any, call: ServerCall) -> Any:
+    def _prepare(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - as every handler
         proposal = revision_text_from_message(request.proposal)
         problems = self._problems(proposal.text)
         if problems:
@@ -89,7 +96,7 @@
         self._persist(before)
         return self._response(_RESULTS[result])
 
-    def _commit(self, request: Any, call: ServerCall) -> Any:
+    def _commit(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - as every handler
         before = self.store.state
         result = self.store.commit(now_us(), revision_from_message(request.revision))
         self._persist(before)
@@ -109,10 +116,10 @@
             return
         try:
             state_files.write_state(self.state_file, self.store.state)
-        except state_files.StateFileError as error:
+        except StateFileError as error:
             # Danger: kept in memory alone, it would be forgotten with the process though it was promised.
             self.store.state = before
-            self.log.error("state not written", error=str(error))
+            self.log.error("state not written", error=str(error))  # noqa: TRY400 - the reason says enough
             raise RpcError(Code.UNAVAILABLE, "the state cannot be written") from None
 
     def _response(self, result: Any, problems: list[str] | None = None) -> Any:
@@ -128,7 +135,7 @@
         self._changed.set()
         self._changed = Event()
 
-    def _get(self, request: Any, call: ServerCall) -> Any:
+    def _get(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - as every handler
         return revision_text_to_message(self.store.state.committed)
 
     # Planners
@@ -140,25 +147,26 @@
         first = call.recv(HELLO_TIMEOUT_S)
         if first is None or first.WhichOneof("kind") != "hello":
             raise RpcError(Code.INVALID_ARGUMENT, "kind: the first message must be hello")
-        planner, life = first.hello.planner, first.hello.life
-        self.store.stream_opened(now_us(), planner, life)
+        planner = first.hello.planner
+        incarnation = first.hello.life
+        self.store.stream_opened(now_us(), planner, incarnation)
         announcer = gevent.spawn(self._announce_to, call)
         self.announcers.add(announcer)
         self.stream_opened(planner, call)
         try:
             while (message := call.recv()) is not None:
-                self._handle_message(call, planner, life, message)
+                self._handle_message(call, planner, incarnation, message)
         finally:
             self.announcers.discard(announcer)
             announcer.kill(block=False)
             self.stream_closed(planner, call)
-            self.store.stream_closed(now_us(), planner, life)
+            self.store.stream_closed(now_us(), planner, incarnation)
 
     def stream_opened(self, planner: int, call: ServerCall) -> None:
-        """A planner's stream has begun; for those that count."""
+        """Count a planner's stream that has begun; does nothing here."""
 
     def stream_closed(self, planner: int, call: ServerCall) -> None:
-        """A planner's stream has ended."""
+        """Count a planner's stream that has ended; does nothing here."""
 
     def _announce_to(self, call: ServerCall) -> None:
         """Announce each committed revision, and repeat the last as a heartbeat."""
@@ -182,13 +190,14 @@
 
     def _handle_report(self, planner: int, incarnation: int, report: Any) -> None:
         before = self.store.state
-        in_force, rejected = revision_from_message(report.in_force), revision_from_message(report.rejected)
+        in_force = revision_from_message(report.in_force)
+        rejected = revision_from_message(report.rejected)
         reason = report.reason[:MAX_REASON_CHARACTERS]
         if self.store.record_report(now_us(), planner, incarnation, in_force, rejected, reason):
             self._persist(before)
             self._announce()
 
-    def _status(self, request: Any, call: ServerCall) -> Any:
+    def _status(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - as every handler
         now = now_us()
         age = 0 if self.store.committed_at is None else now - self.store.committed_at
         return pb.StatusResponse(
--- a/stairplank/configuration/startup.py
+++ b/stairplank/configuration/startup.py
@@ -1,4 +1,4 @@
-"""The revision that a planner starts with: the newest that a replica has committed, else its own copy."""
+"""The revision that a planner starts with: the newest that a replica has committed, else a cached one."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 from ..rpc import Channel, Limits, RpcError
 from . import state_files
 from .convert import SERVICE, revision_text_from_message
+from .errors import StateFileError
 from .revision import MAX_TEXT_BYTES, NO_REVISION, digest_of
 from .store import RevisionText
 
@@ -23,15 +24,17 @@
 def startup_candidates(
     replicas: tuple[str, ...], cache_file: Path | None, timeout_s: float = LOOKUP_TIMEOUT_S
 ) -> list[RevisionText]:
-    """What the planner may start with, the newest first. At its start nothing is in flight, so it may take
-    also what a running planner may not."""
+    """Return what the planner may start with, the newest first.
+
+    At its start nothing is in flight, so it may take also what a running planner may not.
+    """
     found = [gevent.spawn(_fetch_committed, replica, timeout_s) for replica in replicas]
     gevent.joinall(found, timeout=timeout_s)
     gevent.killall(found, block=False)
     known = [one.value for one in found if isinstance(one.value, RevisionText)]
-    copy = _read_cache(cache_file)
-    if copy is not None:
-        known.append(copy)
+    cached = _read_cache(cache_file)
+    if cached is not None:
+        known.append(cached)
     by_revision = {stored.revision: stored for stored in known if stored.revision != NO_REVISION}
     return [by_revision[revision] for revision in sorted(by_revision, reverse=True)]
 
@@ -55,6 +58,6 @@
         return None
     try:
         return state_files.read_cached_revision(cache_file)
-    except state_files.StateFileError as error:
+    except StateFileError as error:
         structlog.get_logger("configuration").warning("copy not used", error=str(error))
         return None
--- a/stairplank/configuration/state_files.py
+++ b/stairplank/configuration/state_files.py
@@ -1,4 +1,4 @@
-"""Revisions on disk: a replica's state, and a planner's copy of what it has in force."""
+"""Revisions on disk: a replica's state, and the revision that a planner caches for its next start."""
 
 from __future__ import annotations
 
@@ -7,36 +7,37 @@
 from pathlib import Path
 from typing import Any
 
+from .errors import StateFileError
 from .revision import NO_REVISION, make_revision
 from .store import ReplicaState, RevisionText
 
 MAX_FILE_BYTES = 16_000_000  # bytes; two texts of the largest size, escaped
 
 
-class StateFileError(Exception):
-    """The file cannot be read or written; the text names it and says why."""
-
-
 def write_atomically(path: Path, text: str) -> None:
-    """Replace the file, whole and on disk. Raises StateFileError.
+    """Replace the file completely and durably. Raises StateFileError.
 
     Danger: a replica that answers before its state is on disk may forget, in a power cut, a number for which
     it was part of a majority, and take another text under it.
     """
-    scratch = path.with_name(path.name + ".new")
+    temporary = path.with_name(path.name + ".new")
     try:
-        with open(scratch, "w", encoding="utf-8") as file:
+        with open(temporary, "w", encoding="utf-8") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(scratch, path)
-        folder = os.open(path.parent, os.O_RDONLY)
-        try:
-            os.fsync(folder)
-        finally:
-            os.close(folder)
+        os.replace(temporary, path)
+        _sync_directory(path.parent)
     except OSError as error:
-        raise StateFileError(f"{path}: {error.strerror}") from None
+        raise StateFileError(path, error.strerror) from None
+
+
+def _sync_directory(directory: Path) -> None:
+    descriptor = os.open(directory, os.O_RDONLY)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
 
 
 def _revision_text_to_json(stored: RevisionText) -> dict[str, Any]:
@@ -57,13 +58,13 @@
     except FileNotFoundError:
         return None
     except OSError as error:
-        raise StateFileError(f"{path}: {error.strerror}") from None
+        raise StateFileError(path, error.strerror) from None
     except (ValueError, RecursionError) as error:
-        raise StateFileError(f"{path}: {error}") from None
+        raise StateFileError(path, str(error)) from None
 
 
 def write_state(path: Path, state: ReplicaState) -> None:
-    """A replica's state. Raises StateFileError."""
+    """Write a replica's state. Raises StateFileError."""
     value = {
         "committed": _revision_text_to_json(state.committed),
         "prepared": _revision_text_to_json(state.prepared),
@@ -72,7 +73,7 @@
 
 
 def read_state(path: Path) -> ReplicaState:
-    """A replica's state; an empty one where there is no file. Raises StateFileError."""
+    """Read a replica's state; an empty one where there is no file. Raises StateFileError."""
     value = _read_json(path)
     if value is None:
         return ReplicaState()
@@ -81,20 +82,20 @@
             _revision_text_from_json(value["committed"]), _revision_text_from_json(value["prepared"])
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise StateFileError(f"{path}: {type(error).__name__}: {error}") from None
+        raise StateFileError(path, f"{type(error).__name__}: {error}") from None
 
 
 def write_cached_revision(path: Path, stored: RevisionText) -> None:
-    """A planner's copy of a revision. Raises StateFileError."""
+    """Write the revision that a planner caches. Raises StateFileError."""
     write_atomically(path, json.dumps(_revision_text_to_json(stored)) + "\n")
 
 
 def read_cached_revision(path: Path) -> RevisionText | None:
-    """A planner's copy; None where there is no file. Raises StateFileError."""
+    """Read the revision that a planner has cached; None where there is no file. Raises StateFileError."""
     value = _read_json(path)
     if value is None:
         return None
     try:
         return _revision_text_from_json(value)
     except (KeyError, TypeError, ValueError) as error:
-        raise StateFileError(f"{path}: {type(error).__name__}: {error}") from None
+        raise StateFileError(path, f"{type(error).__name__}: {error}") from None
--- a/stairplank/configuration/store.py
+++ b/stairplank/configuration/store.py
@@ -1,5 +1,7 @@
-"""What one replica of the configuration service keeps: the committed revision, the prepared one, and which
-planner has which revision in force. No I/O or clock; the caller persists ``state`` before it answers.
+"""What one replica of the configuration service stores.
+
+That is the committed revision, the prepared one, and which planner has which revision in force. No I/O or
+clock; the caller persists ``state`` before it answers.
 
 A publication has two phases. ``prepare`` reserves a number for one text; ``commit`` follows once a majority
 of the replicas has prepared. So one number has at most one committed text at a site, whoever publishes at
@@ -50,9 +52,23 @@
     prepared: RevisionText = RevisionText()
 
 
+EMPTY_STATE = ReplicaState()
+
+
 @dataclass(frozen=True, slots=True)
 class PlannerStatus:
-    """A planner's process as its last report has it. ``delay_us``: from the commit here to that report."""
+    """A planner's process as its last report has it.
+
+    Attributes:
+        planner: Position among the planners of the site.
+        incarnation: Identity of the process.
+        in_force: The revision that it applies.
+        rejected: The newest revision that it has rejected.
+        reason: Why it has rejected that one.
+        delay_us: From the commit at this replica to the report that the revision is in force.
+        reported_at: Time of the last report, in microseconds.
+        streams: How many streams of it are open here.
+    """
 
     planner: int
     incarnation: int
@@ -70,23 +86,25 @@
 
 
 class RevisionStore:
-    """One life of a replica."""
+    """The state of one replica's process."""
 
-    def __init__(self, state: ReplicaState = ReplicaState()) -> None:  # noqa: B008 - frozen
+    def __init__(self, state: ReplicaState = EMPTY_STATE) -> None:
+        """Begin with the state that an earlier process has persisted."""
         self.state = state
-        self.committed_at: int | None = None  # in this life of the replica
-        self.planners: dict[tuple[int, int], PlannerStatus] = {}  # by planner and life
+        self.committed_at: int | None = None  # by this process
+        self.planners: dict[tuple[int, int], PlannerStatus] = {}  # by planner and incarnation
         self._incarnations: dict[int, set[int]] = {}  # of each planner
 
     # Publications
 
     @property
     def committed(self) -> Revision:
+        """The newest committed revision."""
         return self.state.committed.revision
 
     @property
     def highest_number(self) -> int:
-        """Of all that was prepared or committed here."""
+        """The highest number that was prepared or committed here."""
         return max(self.committed.number, self.state.prepared.revision.number)
 
     def prepare(self, number: int, text: str) -> PhaseResult:
@@ -101,7 +119,7 @@
         return PhaseResult.ACCEPTED
 
     def commit(self, now: int, revision: Revision) -> PhaseResult:
-        """Announce what was prepared."""
+        """Commit what was prepared under this revision."""
         if revision == self.committed:
             return PhaseResult.ACCEPTED
         # Danger: a commit that was delayed past a later publication would take that one back.
@@ -114,9 +132,9 @@
     # Planners
 
     def stream_opened(self, now: int, planner: int, incarnation: int) -> None:
-        """A stream of that process has begun."""
-        lives = self._incarnations.setdefault(planner, set())
-        for other in [other for other in lives if other != incarnation]:
+        """Count a stream of that process that has begun."""
+        incarnations = self._incarnations.setdefault(planner, set())
+        for other in [other for other in incarnations if other != incarnation]:
             if not self.planners[planner, other].connected:
                 self._remove(planner, other)
         known = self.planners.get(
@@ -128,7 +146,7 @@
             self._evict_disconnected()
 
     def stream_closed(self, now: int, planner: int, incarnation: int) -> None:
-        """A stream of that process has ended."""
+        """Count a stream of that process that has ended."""
         known = self.planners.get((planner, incarnation))
         if known is not None:
             streams = max(0, known.streams - 1)
@@ -137,12 +155,14 @@
     def record_report(
         self, now: int, planner: int, incarnation: int, in_force: Revision, rejected: Revision, reason: str
     ) -> bool:
-        """Take a planner's report. True where it commits what was prepared here."""
+        """Record a planner's report; return whether it commits what was prepared here."""
         known = self.planners.get((planner, incarnation))
         if known is None:
             return False
-        heals = in_force == self.state.prepared.revision and in_force.number > self.committed.number
-        if heals:
+        is_missed_commit = (
+            in_force == self.state.prepared.revision and in_force.number > self.committed.number
+        )
+        if is_missed_commit:
             self.commit(now, in_force)
         delay = known.delay_us
         if in_force != known.in_force:
@@ -150,7 +170,7 @@
         self.planners[planner, incarnation] = replace(
             known, in_force=in_force, rejected=rejected, reason=reason, delay_us=delay, reported_at=now
         )
-        return heals
+        return is_missed_commit
 
     def _delay_since_commit(self, now: int, in_force: Revision) -> int | None:
         if in_force != self.committed or self.committed_at is None:
@@ -159,20 +179,23 @@
 
     def _remove(self, planner: int, incarnation: int) -> None:
         del self.planners[planner, incarnation]
-        lives = self._incarnations[planner]
-        lives.discard(incarnation)
-        if not lives:
+        incarnations = self._incarnations[planner]
+        incarnations.discard(incarnation)
+        if not incarnations:
             del self._incarnations[planner]
 
     def _evict_disconnected(self) -> None:
-        """Danger: planners that are started under ever new numbers would fill the table."""
+        """Forget those that are disconnected for longest.
+
+        Danger: planners that are started under ever new numbers would fill the table.
+        """
         idle = [key for key, status in self.planners.items() if not status.connected]
         idle.sort(key=lambda key: self.planners[key].reported_at)
         for key in idle[: MAX_PLANNERS // 8]:
             self._remove(*key)
 
     def statuses(self, now: int) -> tuple[PlannerStatus, ...]:
-        """Every known process, by the planner's number."""
+        """Forget what has expired; return every known process, by the planner's number."""
         for key, status in list(self.planners.items()):
             if not status.connected and status.reported_at + FORGET_AFTER_US <= now:
                 self._remove(*key)
--- a/stairplank/configuration/watch.py
+++ b/stairplank/configuration/watch.py
@@ -1,9 +1,11 @@
-"""A planner's streams to the replicas of the configuration service. What is fetched, checked and taken is
-decided by ``follower``; how a text is checked and put into force is the planner's.
+"""A planner's streams to the replicas of the configuration service.
+
+``follower`` decides what is fetched, checked and applied; the planner itself checks a text and puts it into
+force.
 
 What bounds the time until a revision is in force: an announcement leaves a replica at the commit; a stream
-that is silent for ``SILENT_S`` is dialled anew, at most ``REDIAL_MOST_S`` after a dial that failed; a fetch
-that is not answered goes to another replica after ``follower.FETCH_US``.
+that is silent for ``SILENCE_TIMEOUT_S`` is connected anew, at most ``MAX_RECONNECT_DELAY_S`` after an attempt
+that failed; a fetch that is not answered goes to another replica after ``follower.FETCH_TIMEOUT_US``.
 """
 
 from __future__ import annotations
@@ -21,25 +23,19 @@
 from ..rpc import Call, Channel, Limits, RpcError
 from . import state_files
 from .convert import SERVICE, revision_from_message, revision_to_message
+from .errors import RevisionRejectedError, StateFileError
 from .follower import Action, ApplyRevision, CheckText, FetchText, Follower, SendReport
-from .revision import MAX_TEXT_BYTES, Revision
+from .revision import MAX_TEXT_BYTES, NO_REVISION, Revision
 from .server import HEARTBEAT_INTERVAL_S
 from .store import RevisionText
 
 SILENCE_TIMEOUT_S = 2.5 * HEARTBEAT_INTERVAL_S
 DIAL_TIMEOUT_S = 1.0
-RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.1, 2.0
+RECONNECT_DELAY_S = 0.1  # after a connection that carried messages; doubled after each that did not
+MAX_RECONNECT_DELAY_S = 2.0
 Checked = TypeVar("Checked")
 
 
-class RevisionRejectedError(Exception):
-    """A revision cannot come into force now; the text says why. ``at_start``: a restart would take it."""
-
-    def __init__(self, reason: str, usable_after_restart: bool = False) -> None:
-        super().__init__(reason)
-        self.usable_after_restart = usable_after_restart
-
-
 class ConfigurationWatch(Generic[Checked]):
     """Follows the replicas, checks each newer revision and puts it into force.
 
@@ -54,8 +50,19 @@
         check: Callable[[str, Revision], Checked],
         apply: Callable[[Checked], None],
         cache_file: Path | None = None,
-        in_force: Revision = Revision(),  # noqa: B008 - frozen
+        in_force: Revision = NO_REVISION,
     ) -> None:
+        """Make the watch; ``start`` connects it.
+
+        Args:
+            replicas: Addresses of the configuration service.
+            planner: Position of this planner among those of the site.
+            incarnation: Identity of this planner's process.
+            check: Reads and checks a text, in a thread. Raises RevisionRejectedError.
+            apply: Puts the result of a check into force.
+            cache_file: Where the revision for the next start is written; None for nowhere.
+            in_force: The revision that the planner has started with.
+        """
         self.replicas = replicas
         self.planner = planner
         self.incarnation = incarnation
@@ -66,8 +73,8 @@
         self.log = structlog.get_logger("configuration").bind(planner=planner)
         self._calls: dict[str, Call] = {}
         self._checked: tuple[Revision, Checked, str] | None = None
-        self._greenlets: list[gevent.Greenlet] = []
-        self._timer: gevent.Greenlet | None = None
+        self._greenlets: list[gevent.Greenlet[..., Any]] = []
+        self._timer: gevent.Greenlet[..., Any] | None = None
         self._uncached: RevisionText | None = None
         self._is_writing_cache = False
 
@@ -84,17 +91,17 @@
     # Streams
 
     def _follow(self, replica: str) -> None:
-        wait = RECONNECT_DELAY_S
+        backoff_s = RECONNECT_DELAY_S
         while True:
-            heard = self._run_stream(replica)
-            wait = RECONNECT_DELAY_S if heard else min(2 * wait, MAX_RECONNECT_DELAY_S)
-            gevent.sleep(wait)
+            received_any = self._run_stream(replica)
+            backoff_s = RECONNECT_DELAY_S if received_any else min(2 * backoff_s, MAX_RECONNECT_DELAY_S)
+            gevent.sleep(backoff_s)
 
     def _run_stream(self, replica: str) -> bool:
-        """One connection until it ends; whether anything was heard on it."""
+        """Serve one connection until it ends; return whether any message was received on it."""
         limits = Limits(message_bytes=2 * MAX_TEXT_BYTES)
         channel = Channel(replica, limits, DIAL_TIMEOUT_S)
-        heard = False
+        received_any = False
         try:
             call = caller(channel, SERVICE, "Follow")
             call.send(
@@ -103,7 +110,7 @@
             self._calls[replica] = call
             self._execute(self.follower.on_connected(now_us(), replica))
             while (message := call.recv(SILENCE_TIMEOUT_S)) is not None:
-                heard = True
+                received_any = True
                 self._handle_message(replica, message)
         except RpcError as error:
             self.log.debug("configuration replica out of reach", replica=replica, error=str(error))
@@ -111,7 +118,7 @@
             channel.close()
             if self._calls.pop(replica, None) is not None:
                 self._execute(self.follower.on_connection_lost(now_us(), replica))
-        return heard
+        return received_any
 
     def _handle_message(self, replica: str, message: Any) -> None:
         match message.WhichOneof("kind"):
@@ -124,7 +131,10 @@
                 self._execute(self.follower.on_text_received(now_us(), replica, revision, text.text))
 
     def _arm_timer(self) -> None:
-        """Danger: without it a fetch that nobody answers would never go to another replica."""
+        """Wake when the follower next wants the time.
+
+        Danger: without it a fetch that nobody answers would never go to another replica.
+        """
         due = self.follower.next_timer()
         if due is not None and self._timer is None:
             self._timer = gevent.spawn_later(max(0, due - now_us()) / 1e6, self._on_timer)
@@ -155,7 +165,7 @@
         try:
             call.try_send(message)
         except RpcError:
-            pass  # the stream's reader hears of its end
+            pass  # the stream's reader sees that it has ended
 
     def _check(self, action: CheckText) -> None:
         revision = action.revision
@@ -180,21 +190,27 @@
         self.log.info("configuration in force", revision=str(revision))
 
     def _cache_revision(self, stored: RevisionText) -> None:
-        """For the next start. Danger: without it a planner that starts while no replica can be reached would
-        go back to its own file."""
+        """Write the revision for the next start.
+
+        Danger: without it a planner that starts while no replica can be reached would go back to its own
+        file.
+        """
         self._uncached = stored
         if self.cache_file is not None and not self._is_writing_cache:
             self._is_writing_cache = True
             gevent.spawn(self._write_cache, self.cache_file)
 
     def _write_cache(self, cache_file: Path) -> None:
-        """Danger: written by two threads at once, an older copy could be the one that stays."""
+        """Write the newest revision until none is left.
+
+        Danger: written by two threads at once, an older revision could be the one that stays.
+        """
         try:
             while self._uncached is not None:
                 stored, self._uncached = self._uncached, None
                 gevent.get_hub().threadpool.apply(state_files.write_cached_revision, (cache_file, stored))
-        except state_files.StateFileError as error:
-            self.log.error("copy of the configuration not written", error=str(error))
+        except StateFileError as error:
+            self.log.error("copy of the configuration not written", error=str(error))  # noqa: TRY400 - the reason says enough
         finally:
             self._is_writing_cache = False
 
--- a/stairplank/scale/grpc_replicas.py
+++ b/stairplank/scale/grpc_replicas.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 from typing import Any
 
-from ..cli.configuration import text_faults
 from ..configuration import client
 from ..configuration.publication import PublicationOutcome
 from ..configuration.server import ReplicaServer
+from ..configuration.validation import text_problems
 from ..rpc import ServerCall
 from .counts import Counts
 from .socket_bytes import TrafficByPlanner
@@ -17,7 +17,7 @@
 
 class _CountedReplica(ReplicaServer):
     def __init__(self, state_file: Path) -> None:
-        super().__init__(("127.0.0.1:0",), state_file, text_faults)
+        super().__init__(("127.0.0.1:0",), state_file, text_problems)
         self.traffic = TrafficByPlanner()
 
     def stream_opened(self, planner: int, call: ServerCall) -> None:
--- a/tests/configuration/test_configuration_service.py
+++ b/tests/configuration/test_configuration_service.py
@@ -12,12 +12,13 @@
 
 from stairplank.configuration import client, startup, state_files, watch
 from stairplank.configuration.convert import SERVICE
+from stairplank.configuration.errors import RevisionRejectedError
 from stairplank.configuration.follower import FETCH_TIMEOUT_US
 from stairplank.configuration.publication import PublicationOutcome
 from stairplank.configuration.revision import MAX_TEXT_BYTES, NO_REVISION, Revision, make_revision
 from stairplank.configuration.server import ReplicaServer
 from stairplank.configuration.store import ReplicaState, RevisionText
-from stairplank.configuration.watch import ConfigurationWatch, RevisionRejectedError
+from stairplank.configuration.watch import ConfigurationWatch
 from stairplank.proto import caller, path
 from stairplank.proto import configuration_pb2 as pb
 from stairplank.rpc import Channel, RpcError
--- a/tests/planner/test_daemon_configuration.py
+++ b/tests/planner/test_daemon_configuration.py
@@ -15,11 +15,11 @@
 import gevent
 import pytest
 
-from stairplank.cli.configuration import text_faults
 from stairplank.configuration import client
 from stairplank.configuration.publication import PublicationOutcome
 from stairplank.configuration.revision import Revision
 from stairplank.configuration.server import ReplicaServer
+from stairplank.configuration.validation import text_problems
 from stairplank.planner.daemon import PLACEMENT
 from stairplank.proto import caller, common_pb2, placement_pb2
 from stairplank.rpc import Channel, RpcError
@@ -62,7 +62,7 @@
         self.planners: dict[int, subprocess.Popen[bytes]] = {}
 
     def _replica(self, number: int) -> ReplicaServer:
-        replica = ReplicaServer(("127.0.0.1:0",), self.folder / f"replica-{number}.json", text_faults)
+        replica = ReplicaServer(("127.0.0.1:0",), self.folder / f"replica-{number}.json", text_problems)
         replica.start()
         return replica
 
--- a/tests/planner/test_daemon_settings.py
+++ b/tests/planner/test_daemon_settings.py
@@ -101,7 +101,7 @@
     feed = world.daemon.feed
     world.daemon.feed = lambda event: (fed.append(event), feed(event))[0]  # type: ignore[assignment,func-returns-value]
     before = world.daemon.config
-    assert apply(world).identical
+    assert apply(world).is_empty
     assert world.daemon.config is before
     assert [e for e in fed if isinstance(e, ev.SettingsChanged)] == []
 
