--- a/stairplank/cli/main.py
+++ b/stairplank/cli/main.py
@@ -160,9 +160,9 @@
     from ..scale.bounds import load_checked
     from ..scale.plan import SCALE
     from ..settings import load_planner
-    from ..settings.detect import Schema, likely_kinds, wrong_kind_error
+    from ..settings.detect import likely_kinds, wrong_kind_error
     from ..settings.planner import PLANNER_SCHEMA
-    from ..settings.schema import source_lines
+    from ..settings.schema import Schema, source_lines
     from ..standin import config
 
     known: dict[str, tuple[Schema, Callable[[str], object]]] = {
--- a/stairplank/configuration/planner_configuration.py
+++ b/stairplank/configuration/planner_configuration.py
@@ -8,7 +8,8 @@
 import structlog
 
 from ..settings import PlannerConfig, SettingsError
-from ..settings.site import load_site_text, merge_site
+from ..settings.planner import merge_site
+from ..settings.site import load_site_text
 from . import startup, state_files
 from .changes import RestartRequiredError
 from .errors import RevisionRejectedError, StateFileError
--- a/stairplank/planner/live_settings.py
+++ b/stairplank/planner/live_settings.py
@@ -5,7 +5,8 @@
 from ..configuration.changes import compare_configurations
 from ..rpc import Limits
 from ..settings import PlannerConfig
-from ..settings.site import load_site_text, merge_site
+from ..settings.planner import merge_site
+from ..settings.site import load_site_text
 from .admission import Bounds
 from .context import CoreConfig
 
--- a/stairplank/settings/cluster.py
+++ b/stairplank/settings/cluster.py
@@ -1,4 +1,4 @@
-"""What all programs of one room agree on: classes, kinds, zones, tenants, the figures of the rules."""
+"""What all programs of one site agree on: classes, node types, zones, tenants, limits and times."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
     Key("tick", (parsers.positive_duration,)),
 )
 
-# Keys with one value: the field, which has the same name in `Room` and `api.Settings`, and its default.
+# Keys with one value: the field, which has the same name in `Cluster` and `api.Settings`, and its default.
 SINGLE_VALUE_FIELDS: Mapping[str, tuple[str, Any]] = {
     "mean-cores": ("mean_cores", None),
     "mean-memory": ("mean_memory", None),
@@ -90,7 +90,7 @@
     "tick": ("tick_us", 10_000),
 }
 
-_EFFECT_BY_KEYWORD = {e.value: e for e in api.Effect}
+_EFFECT_BY_KEYWORD = {effect.value: effect for effect in api.Effect}
 _SCOPE_BY_KEYWORD = {
     "node": api.Scope.NODE,
     "rack": api.Scope.GROUP,
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True)
 class Cluster:
-    """Typed; times in microseconds."""
+    """The settings that planners, nodes and clients of a site share; times in microseconds."""
 
     classes: tuple[api.TaskClass, ...]
     node_types: tuple[api.NodeType, ...]
@@ -128,7 +128,7 @@
     prices: dict[str, float]
 
     def settings(self, planners: int, position: int, zone: int) -> api.Settings:
-        """What the decision module of one planner is told."""
+        """Return the settings of one planner's decision module; ``zone`` is the index of its home zone."""
         return api.Settings(
             planners=planners,
             position=position,
@@ -170,67 +170,86 @@
 
 
 def cluster_from(section: Section) -> Cluster:
-    """Raises SettingsError for what contradicts itself."""
-    problems: list[SettingsProblem] = []
-    kinds = tuple(api.NodeType(*values) for values in section.all_values("kind"))
-    kind_names = [k.name for k in kinds]
-    classes = tuple(_task_class(block, kind_names, problems) for block in section.blocks["class"])
+    """Return the typed settings of a section. Raises SettingsError for what contradicts itself."""
+    node_types = tuple(api.NodeType(*values) for values in section.all_values("kind"))
+    kinds = [node_type.name for node_type in node_types]
+    zones = tuple(zone for (zone,) in section.all_values("zone"))
+    tenants = tuple((tenant, share) for tenant, share in section.all_values("tenant"))
+    blocks = section.blocks["class"]
+    problems = [problem for block in blocks for problem in _class_problems(block, kinds)]
     for key, names in (
-        ("class", [c.name for c in classes]),
-        ("kind", kind_names),
-        ("zone", [z for (z,) in section.all_values("zone")]),
-        ("tenant", [t for t, _ in section.all_values("tenant")]),
+        ("class", [block.values[0] for block in blocks]),
+        ("kind", kinds),
+        ("zone", list(zones)),
+        ("tenant", [tenant for tenant, _ in tenants]),
     ):
-        twice = next((n for i, n in enumerate(names) if n in names[:i]), None)
-        if twice is not None:
-            problems.append(SettingsProblem(section.position_of(key), key, f"{twice} is there twice"))
+        problems += _duplicate_problems(section, key, names)
     if problems:
         raise SettingsError(problems)
     return Cluster(
-        classes=classes,
-        node_types=kinds,
-        zones=tuple(z for (z,) in section.all_values("zone")),
-        tenants=tuple((t, s) for t, s in section.all_values("tenant")),
+        classes=tuple(_task_class(block, kinds) for block in blocks),
+        node_types=node_types,
+        zones=zones,
+        tenants=tenants,
         confirms_running=section.value("confirms", "running") == "running",
         prices=dict(section.all_values("price")),
         **{field: section.value(key, default) for key, (field, default) in SINGLE_VALUE_FIELDS.items()},
     )
 
 
-def _task_class(block: Section, kinds: list[str], problems: list[SettingsProblem]) -> api.TaskClass:
-    one = block.value
+def _duplicate_problems(section: Section, key: str, names: list[str]) -> list[SettingsProblem]:
+    """Return one problem for the first name that is there twice."""
+    duplicate = next((name for i, name in enumerate(names) if name in names[:i]), None)
+    if duplicate is None:
+        return []
+    return [SettingsProblem(section.position_of(key), key, f"{duplicate} is there twice")]
+
+
+def _class_problems(block: Section, kinds: list[str]) -> list[SettingsProblem]:
+    """Return what contradicts itself in a class, or names a kind that is not there."""
+    problems = _idempotency_problems(block)
+    if block.value("aim") > block.value("deadline"):
+        problems.append(SettingsProblem(block.position_of("aim"), "aim", "lies behind the deadline"))
+    kind = block.value("kind")
+    if kind is not None and kind not in kinds:
+        message = f"no kind {kind}; known: {', '.join(kinds)}"
+        problems.append(SettingsProblem(block.position_of("kind"), "kind", message))
+    return problems
+
+
+def _idempotency_problems(block: Section) -> list[SettingsProblem]:
+    """Return where a scope or a window of deduplication is missing, or given to a class without a key."""
+    problems: list[SettingsProblem] = []
     (name,) = block.values
-    effect = _EFFECT_BY_KEYWORD[one("effect")]
-    keyed = effect is api.Effect.IDEMPOTENT_BY_KEY
+    effect = _EFFECT_BY_KEYWORD[block.value("effect")]
+    has_idempotency_key = effect is api.Effect.IDEMPOTENT_BY_KEY
     for key in ("group", "window"):
-        if keyed and key not in block.keys:
+        if has_idempotency_key and key not in block.keys:
             problems.append(SettingsProblem(block.position, key, f"class {name} is keyed: it needs a {key}"))
-        if not keyed and key in block.keys:
-            problems.append(
-                SettingsProblem(block.position_of(key), key, f"class {name} is {effect.value}, not keyed")
-            )
-    if one("aim") > one("deadline"):
-        problems.append(SettingsProblem(block.position_of("aim"), "aim", "lies behind the deadline"))
-    kind = one("kind")
-    if kind is not None and kind not in kinds:
-        problems.append(
-            SettingsProblem(block.position_of("kind"), "kind", f"no kind {kind}; known: {', '.join(kinds)}")
-        )
-    place, most = one("spread", (None, 0))
+        if not has_idempotency_key and key in block.keys:
+            message = f"class {name} is {effect.value}, not keyed"
+            problems.append(SettingsProblem(block.position_of(key), key, message))
+    return problems
+
+
+def _task_class(block: Section, kinds: list[str]) -> api.TaskClass:
+    (name,) = block.values
+    spread_scope, max_per_place = block.value("spread", (None, 0))
+    kind = block.value("kind")
     return api.TaskClass(
         name=name,
-        effect=effect,
-        dedup_scope=_SCOPE_BY_KEYWORD[one("group", "all")],
-        dedup_window_us=one("window", 0),
-        latency_objective_us=one("aim"),
-        deadline_us=one("deadline"),
-        priority_weight=one("worth", 1.0),
-        start_bonus_s=one("start-worth", 0) / 1e6,
-        late_start_weight=one("late-worth", 0.0),
-        spread=_SCOPE_BY_KEYWORD[place] if place else api.Scope.NONE,
-        max_per_place=most,
-        node_type=kinds.index(kind) if kind in kinds else None,
-        priority=one("priority", 0),
-        full_service_utilization=one("calm-until", 1.0),
-        service_loss_range=one("lost-over", 1.0),
+        effect=_EFFECT_BY_KEYWORD[block.value("effect")],
+        dedup_scope=_SCOPE_BY_KEYWORD[block.value("group", "all")],
+        dedup_window_us=block.value("window", 0),
+        latency_objective_us=block.value("aim"),
+        deadline_us=block.value("deadline"),
+        priority_weight=block.value("worth", 1.0),
+        start_bonus_s=block.value("start-worth", 0) / 1e6,
+        late_start_weight=block.value("late-worth", 0.0),
+        spread=_SCOPE_BY_KEYWORD[spread_scope] if spread_scope else api.Scope.NONE,
+        max_per_place=max_per_place,
+        node_type=None if kind is None else kinds.index(kind),
+        priority=block.value("priority", 0),
+        full_service_utilization=block.value("calm-until", 1.0),
+        service_loss_range=block.value("lost-over", 1.0),
     )
--- a/stairplank/settings/parsers.py
+++ b/stairplank/settings/parsers.py
@@ -1,4 +1,4 @@
-"""Kinds of values: each reads one word, or raises ValueError with what would be right."""
+"""Parsers of values: each reads one word, or raises ValueError with what would be right."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def duration(text: str) -> int:
-    """Microseconds."""
+    """Return a time in microseconds: 250ms, 3.5s, 2m."""
     match = _DURATION.fullmatch(text)
     if match is None:
         raise ValueError(f"{text!r} is not a time such as 250ms, 3.5s or 2m")
@@ -25,7 +25,7 @@
 
 
 def format_duration(duration_us: int) -> str:
-    """The same time as a word, in the largest unit that gives a whole number."""
+    """Return a time as a word that ``duration`` reads back, in the largest unit that gives a whole number."""
     for unit in ("h", "m", "s", "ms"):
         if duration_us and duration_us % _UNIT_US[unit] == 0:
             return f"{duration_us // _UNIT_US[unit]}{unit}"
@@ -33,7 +33,7 @@
 
 
 def format_duration_rounded(duration_us: int) -> str:
-    """A time as people write it: three digits, 12.1s, 350ms."""
+    """Return a time with three digits for charts and logs: 12.1s, 350ms."""
     if duration_us < 1_000:
         return f"{duration_us}us"
     if duration_us < 1_000_000:
@@ -44,11 +44,12 @@
 
 
 def round_durations(text: str) -> str:
-    """A line with its exact times as people write them; for charts and logs, not to be read back."""
+    """Return a line with its exact times rounded; for charts and logs, not to be read back."""
     return re.sub(r"\b(\d+)us\b", lambda match: format_duration_rounded(int(match[1])), text)
 
 
 def positive_duration(text: str) -> int:
+    """Return a time above 0 in microseconds."""
     value = duration(text)
     if value <= 0:
         raise ValueError("a time above 0 is needed")
@@ -56,7 +57,9 @@
 
 
 def integer(minimum: int = 0, maximum: int = 2**63) -> ValueParser:
-    def read(text: str) -> int:
+    """Return a parser of whole numbers within the bounds."""
+
+    def parse(text: str) -> int:
         if not re.fullmatch(r"-?\d+", text):
             raise ValueError(f"{text!r} is not a whole number")
         value = int(text)
@@ -64,11 +67,13 @@
             raise ValueError(f"{value} is not within {minimum} to {maximum}")
         return value
 
-    return read
+    return parse
 
 
 def number(minimum: float = 0.0, maximum: float = math.inf, exclusive: bool = False) -> ValueParser:
-    def read(text: str) -> float:
+    """Return a parser of numbers within the bounds; ``exclusive`` excludes the minimum itself."""
+
+    def parse(text: str) -> float:
         try:
             value = float(text)
         except ValueError:
@@ -80,42 +85,48 @@
             )
         return value
 
-    return read
+    return parse
 
 
 def fraction(text: str) -> float:
+    """Return a fraction from 0 to 1; 25% is 0.25."""
     if text.endswith("%"):
         return float(number(0, 100)(text[:-1])) / 100
     return float(number(0, 1)(text))
 
 
 def boolean(text: str) -> bool:
+    """Return whether the word is yes; it has to be yes or no."""
     if text not in ("yes", "no"):
         raise ValueError(f"{text!r} is neither yes nor no")
     return text == "yes"
 
 
 def choice(*names: str) -> ValueParser:
-    def read(text: str) -> str:
+    """Return a parser that takes one of the words."""
+
+    def parse(text: str) -> str:
         if text not in names:
             raise ValueError(f"{text!r} is none of {', '.join(names)}")
         return text
 
-    return read
+    return parse
 
 
 def name(text: str) -> str:
+    """Return a name of letters, digits, ``_``, ``.`` and ``-``."""
     if not _NAME.fullmatch(text):
         raise ValueError(f"{text!r} is not a name of letters, digits, _ . - (100 at most)")
     return text
 
 
 def text(value: str) -> str:
+    """Return the word as it is."""
     return value
 
 
 def size(text: str) -> int:
-    """Bytes: 4096, 64k, 8m, 1g."""
+    """Return a size in bytes: 4096, 64k, 8m, 1g."""
     match = _SIZE.fullmatch(text)
     if match is None:
         raise ValueError(f"{text!r} is not a size such as 4096, 64k or 8m")
@@ -123,18 +134,19 @@
 
 
 def address(text: str) -> str:
+    """Return an address that ``rpc.address`` can parse, as it is."""
     addresses.parse(text)
     return text
 
 
 def value_range(parse_bound: ValueParser) -> ValueParser:
-    """``A..B`` or a single value: a pair."""
+    """Return a parser of ``A..B``, or of a single value for both ends, that returns a pair."""
 
-    def read(text: str) -> tuple[Any, Any]:
+    def parse(text: str) -> tuple[Any, Any]:
         low, dots, high = text.partition("..")
         pair = (parse_bound(low), parse_bound(high if dots else low))
         if pair[0] > pair[1]:
             raise ValueError(f"{text!r} runs backwards")
         return pair
 
-    return read
+    return parse
--- a/stairplank/settings/planner.py
+++ b/stairplank/settings/planner.py
@@ -1,8 +1,8 @@
-"""The planner's settings file."""
+"""A planner's settings file: a site's settings and the keys of this planner alone."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from pathlib import Path
 
 from .. import interface as api
@@ -11,7 +11,7 @@
 from .cluster import Cluster, cluster_from
 from .schema import Block, Key, Section, load_section
 from .site import SITE_SCHEMA, SiteSettings, checked_site, site_fields, tunable_problems
-from .source import SettingsError, SettingsProblem
+from .source import SettingsError, SettingsProblem, SourcePosition
 
 OWN_SCHEMA: tuple[Key | Block, ...] = (
     Key("planner", (parsers.integer(0, 65_535), parsers.integer(1, 65_536)), True, separators=("", "of")),
@@ -45,7 +45,7 @@
 
 
 def planner_from(section: Section) -> PlannerConfig:
-    """The typed settings of a planner's section. Raises SettingsError for what contradicts itself."""
+    """Return the typed settings of a planner's section. Raises SettingsError for what contradicts itself."""
     cluster = cluster_from(section)
     problems = _own_problems(section, cluster) + tunable_problems(section)
     if problems:
@@ -64,28 +64,62 @@
     )
 
 
+def merge_site(config: PlannerConfig, site: SiteSettings, name: str = "<site>") -> PlannerConfig:
+    """Return a planner's configuration with the site's settings in place of its own.
+
+    What identifies the planner and where it listens stay. Raises SettingsError where the site has no zone
+    of the name of the planner's home zone; ``name`` stands for the site's file.
+    """
+    home_zone = config.cluster.zones[config.settings.zone]
+    if home_zone not in site.cluster.zones:
+        message = f"no zone {home_zone}, in which this planner runs; known: {', '.join(site.cluster.zones)}"
+        raise SettingsError([SettingsProblem(SourcePosition(name, 1, 1), "zone", message)])
+    zone = site.cluster.zones.index(home_zone)
+    own = config.settings
+    settings = site.cluster.settings(own.planners, own.position, zone)
+    return replace(config, settings=settings, **site_fields(site))
+
+
 def _own_problems(section: Section, cluster: Cluster) -> list[SettingsProblem]:
-    """What is wrong with the keys of this planner alone."""
-    problems: list[SettingsProblem] = []
+    """Return the problems of the keys of this planner alone."""
+    return [
+        *_position_problems(section),
+        *_home_zone_problems(section, cluster),
+        *_replica_problems(section),
+        *_listen_problems(section),
+    ]
+
+
+def _position_problems(section: Section) -> list[SettingsProblem]:
     position, planners = section.value("planner")
-    if position >= planners:
-        problems.append(
-            SettingsProblem(section.position_of("planner"), "planner", f"{position} is not below {planners}")
-        )
+    if position < planners:
+        return []
+    message = f"{position} is not below {planners}"
+    return [SettingsProblem(section.position_of("planner"), "planner", message)]
+
+
+def _home_zone_problems(section: Section, cluster: Cluster) -> list[SettingsProblem]:
     zone = section.value("home-zone", cluster.zones[0])
-    if zone not in cluster.zones:
-        known = ", ".join(cluster.zones)
-        problems.append(
-            SettingsProblem(section.position_of("home-zone"), "home-zone", f"no zone {zone}; known: {known}")
-        )
+    if zone in cluster.zones:
+        return []
+    message = f"no zone {zone}; known: {', '.join(cluster.zones)}"
+    return [SettingsProblem(section.position_of("home-zone"), "home-zone", message)]
+
+
+def _replica_problems(section: Section) -> list[SettingsProblem]:
     replicas = section.keys.get("configuration", [])
-    if len(replicas) > MAX_REPLICAS:
-        text = f"{len(replicas)} replicas are given, at most {MAX_REPLICAS} are allowed"
-        problems.append(SettingsProblem(replicas[MAX_REPLICAS][0], "configuration", text))
+    if len(replicas) <= MAX_REPLICAS:
+        return []
+    first_excess, _ = replicas[MAX_REPLICAS]
+    message = f"{len(replicas)} replicas are given, at most {MAX_REPLICAS} are allowed"
+    return [SettingsProblem(first_excess, "configuration", message)]
+
+
+def _listen_problems(section: Section) -> list[SettingsProblem]:
     if section.value("beyond-loopback", False):
-        return problems
-    for place, (address,) in section.keys["listen"]:
-        if not is_loopback(address):
-            text = f"{address} is not loopback; `beyond-loopback yes` allows it"
-            problems.append(SettingsProblem(place, "listen", text))
-    return problems
+        return []
+    return [
+        SettingsProblem(position, "listen", f"{address} is not loopback; `beyond-loopback yes` allows it")
+        for position, (address,) in section.keys["listen"]
+        if not is_loopback(address)
+    ]
--- a/stairplank/settings/schema.py
+++ b/stairplank/settings/schema.py
@@ -1,4 +1,4 @@
-"""What a file may hold, and its check against that: unknown keys, counts and kinds of values, blocks."""
+"""Which keywords a file may have, and its check against that: unknown ones, counts and types of values."""
 
 from __future__ import annotations
 
@@ -10,10 +10,22 @@
 from .parsers import ValueParser
 from .source import SettingsError, SettingsProblem, SourcePosition, SourceWord, read_lines
 
+_INVALID = object()  # in place of a value that cannot be parsed
+
 
 @dataclass(frozen=True)
 class Key:
-    """A keyword with its values. ``rest`` reads further words; ``words`` must stand between the values."""
+    """A keyword with its values.
+
+    Attributes:
+        name: The keyword.
+        value_parsers: One for each value that every line has.
+        required: Whether the keyword must be there.
+        repeat: Whether it may be there more than once.
+        rest_parser: Of all further words; None where there may be none.
+        min_rest: How many further words there must be.
+        separators: Words before the values, empty for none; ("", "of") reads ``planner 0 of 3``.
+    """
 
     name: str
     value_parsers: tuple[ValueParser, ...] = ()
@@ -21,7 +33,7 @@
     repeat: bool = False
     rest_parser: ValueParser | None = None
     min_rest: int = 0
-    separators: tuple[str, ...] = ()  # for instance ("", "of"): `planner 0 of 3`
+    separators: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True)
@@ -34,9 +46,12 @@
     required: bool = False
 
 
+Schema = tuple[Key | Block, ...]
+
+
 @dataclass
 class Section:
-    """What was read: values by keyword, with places."""
+    """What was read of a file or a block: values by keyword, with positions."""
 
     position: SourcePosition
     values: tuple[Any, ...] = ()
@@ -44,7 +59,7 @@
     blocks: dict[str, list[Section]] = field(default_factory=dict)
 
     def value(self, key: str, default: Any = None) -> Any:
-        """The value of a keyword with one value, or a tuple of several; ``default`` where it is not given."""
+        """Return the value of a keyword, or a tuple of several; ``default`` where it is not given."""
         found = self.keys.get(key)
         if not found:
             return default
@@ -52,9 +67,11 @@
         return values[0] if len(values) == 1 else values
 
     def all_values(self, key: str) -> list[tuple[Any, ...]]:
+        """Return the values of every line with this keyword."""
         return [values for _, values in self.keys.get(key, ())]
 
     def position_of(self, key: str) -> SourcePosition:
+        """Return where a keyword stands first; where the section begins if it is not there."""
         found = self.keys.get(key)
         return found[0][0] if found else self.position
 
@@ -68,124 +85,145 @@
 
 
 def source_lines(path: str | Path) -> list[list[SourceWord]]:
-    """The words of each line of a file. Raises SettingsError."""
+    """Return the words of each line of a file. Raises SettingsError."""
     return read_lines(_read_text(path), str(path))
 
 
-def load_section(path: str | Path, schema: tuple[Key | Block, ...]) -> Section:
+def load_section(path: str | Path, schema: Schema) -> Section:
     """Read and check a file. Raises SettingsError, also where the file cannot be read."""
     return load_section_text(_read_text(path), schema, str(path))
 
 
-def load_section_text(text: str, schema: tuple[Key | Block, ...], file: str = "<text>") -> Section:
-    """The same for text."""
-    reader = _SectionReader(read_lines(text, file), file)
-    section = reader.section(schema, Section(SourcePosition(file, 1, 1)), None)
+def load_section_text(text: str, schema: Schema, file: str = "<text>") -> Section:
+    """Read and check a text; ``file`` stands for it in errors. Raises SettingsError."""
+    reader = _SectionReader(read_lines(text, file))
+    section = reader.read_section(schema, Section(SourcePosition(file, 1, 1)), None)
     if reader.problems:
-        raise SettingsError(sorted(reader.problems, key=lambda p: (p.position.line, p.position.column)))
+        raise SettingsError(sorted(reader.problems, key=_place_in_file))
     return section
 
 
+def _place_in_file(problem: SettingsProblem) -> tuple[int, int]:
+    return problem.position.line, problem.position.column
+
+
 class _SectionReader:
-    def __init__(self, lines: list[list[SourceWord]], file: str) -> None:
-        self.lines = lines
-        self.next = 0
+    """Reads the lines of one file; collects the problems in place of stopping at the first."""
+
+    def __init__(self, lines: list[list[SourceWord]]) -> None:
         self.problems: list[SettingsProblem] = []
-        self.file = file
-
-    def wrong(self, at: SourcePosition, key: str, message: str) -> None:
-        self.problems.append(SettingsProblem(at, key, message))
-
-    def section(self, schema: tuple[Key | Block, ...], section: Section, inside: str | None) -> Section:
-        known = {item.name: item for item in schema}
-        closed = inside is None
-        while self.next < len(self.lines):
-            words = self.lines[self.next]
-            self.next += 1
-            head = words[0]
-            if head.text == "end" and inside is not None:
+        self._lines = lines
+        self._next_line = 0
+
+    def read_section(self, schema: Schema, section: Section, block: str | None) -> Section:
+        """Read lines into the section up to its end; ``block`` is its keyword, None for the whole file."""
+        items = {item.name: item for item in schema}
+        is_closed = block is None
+        while self._next_line < len(self._lines):
+            words = self._lines[self._next_line]
+            self._next_line += 1
+            if block is not None and words[0].text == "end":
                 if len(words) > 1:
-                    self.wrong(words[1].position, "end", "nothing may follow it")
-                closed = True
+                    self._report(words[1].position, "end", "nothing may follow it")
+                is_closed = True
                 break
-            item = known.get(head.text)
-            if item is None:
-                self._unknown(head, tuple(known), inside)
-            elif isinstance(item, Block):
-                values = self._values(item.name, item.value_parsers, words, None, 0, ())
-                block = self.section(item.keys, Section(head.position, values or ()), item.name)
-                if values is not None:
-                    section.blocks.setdefault(item.name, []).append(block)
-            else:
-                self._key(item, words, section)
-        if not closed:
-            self.wrong(section.position, inside or "", "this block is not closed by `end`")
-        for item in schema:
-            given = section.blocks if isinstance(item, Block) else section.keys
-            # A key that is there but wrong was reported already.
-            if item.required and item.name not in given and not self._tried(item.name, section):
-                self.wrong(section.position, item.name, "is required" + (f" in {inside}" if inside else ""))
+            self._read_line(words, items, section, block)
+        if not is_closed:
+            self._report(section.position, block or "", "this block is not closed by `end`")
+        self._report_missing(schema, section, block)
         return section
 
-    def _tried(self, name: str, section: Section) -> bool:
-        return any(p.key == name and p.position.line >= section.position.line for p in self.problems)
-
-    def _unknown(self, head: SourceWord, known: tuple[str, ...], inside: str | None) -> None:
-        near = difflib.get_close_matches(head.text, known, n=1, cutoff=0.5)
-        where = f" in {inside}" if inside else ""
-        hint = f"; did you mean {near[0]}?" if near else f"; known: {', '.join(sorted(known))}"
-        self.wrong(head.position, head.text, f"unknown keyword{where}{hint}")
+    def _read_line(
+        self, words: list[SourceWord], items: dict[str, Key | Block], section: Section, block: str | None
+    ) -> None:
+        item = items.get(words[0].text)
+        if item is None:
+            self._report_unknown(words[0], tuple(items), block)
+        elif isinstance(item, Block):
+            self._read_block(item, words, section)
+        else:
+            self._read_key(item, words, section)
+
+    def _read_block(self, block: Block, words: list[SourceWord], section: Section) -> None:
+        # The lines of a block are read also where its own values are wrong: for their problems.
+        values = self._read_values(Key(block.name, block.value_parsers), words)
+        inner = self.read_section(block.keys, Section(words[0].position, values or ()), block.name)
+        if values is not None:
+            section.blocks.setdefault(block.name, []).append(inner)
 
-    def _key(self, key: Key, words: list[SourceWord], section: Section) -> None:
+    def _read_key(self, key: Key, words: list[SourceWord], section: Section) -> None:
         if key.name in section.keys and not key.repeat:
-            first = section.keys[key.name][0][0]
-            self.wrong(words[0].position, key.name, f"given twice; first in line {first.line}")
+            first, _ = section.keys[key.name][0]
+            self._report(words[0].position, key.name, f"given twice; first in line {first.line}")
             return
-        values = self._values(
-            key.name, key.value_parsers, words, key.rest_parser, key.min_rest, key.separators
-        )
+        values = self._read_values(key, words)
         if values is not None:
             section.keys.setdefault(key.name, []).append((words[0].position, values))
 
-    def _values(
-        self,
-        name: str,
-        kinds: tuple[ValueParser, ...],
-        words: list[SourceWord],
-        rest: ValueParser | None,
-        least_rest: int,
-        between: tuple[str, ...],
-    ) -> tuple[Any, ...] | None:
-        out: list[Any] = []
-        given = words[1:]
-        good = True
-        for i, kind in enumerate(kinds):
-            if i < len(between) and between[i]:
-                if not given or given[0].text != between[i]:
-                    at = given[0].position if given else words[0].position
-                    self.wrong(at, name, f"the word {between[i]!r} is needed here")
-                    return None
-                given = given[1:]
-            if not given:
-                self.wrong(words[0].position, name, f"value {i + 1} of {len(kinds)} is missing")
-                return None
-            good &= self._value(name, kind, given[0], out)
-            given = given[1:]
-        if rest is None and given:
-            self.wrong(given[0].position, name, f"{given[0].text!r} is one value too many")
+    def _read_values(self, key: Key, words: list[SourceWord]) -> tuple[Any, ...] | None:
+        """Return the values of a line, None where it has a problem."""
+        values: list[Any] = []
+        rest = self._read_fixed_values(key, words, values)
+        if rest is None:
             return None
-        if len(given) < least_rest:
-            self.wrong(words[0].position, name, "a further value is missing")
+        if key.rest_parser is None and rest:
+            self._report(rest[0].position, key.name, f"{rest[0].text!r} is one value too many")
             return None
-        for word in given:
-            assert rest is not None
-            good &= self._value(name, rest, word, out)
-        return tuple(out) if good else None
+        if len(rest) < key.min_rest:
+            self._report(words[0].position, key.name, "a further value is missing")
+            return None
+        if key.rest_parser is not None:
+            values += [self._parse(key, key.rest_parser, word) for word in rest]
+        return None if any(value is _INVALID for value in values) else tuple(values)
+
+    def _read_fixed_values(
+        self, key: Key, words: list[SourceWord], values: list[Any]
+    ) -> list[SourceWord] | None:
+        """Append the values that every line has; return the words after them, None where one is missing."""
+        rest = words[1:]
+        for i, parser in enumerate(key.value_parsers):
+            separator = key.separators[i] if i < len(key.separators) else ""
+            if separator:
+                if not rest or rest[0].text != separator:
+                    position = rest[0].position if rest else words[0].position
+                    self._report(position, key.name, f"the word {separator!r} is needed here")
+                    return None
+                rest = rest[1:]
+            if not rest:
+                message = f"value {i + 1} of {len(key.value_parsers)} is missing"
+                self._report(words[0].position, key.name, message)
+                return None
+            values.append(self._parse(key, parser, rest[0]))
+            rest = rest[1:]
+        return rest
 
-    def _value(self, name: str, kind: ValueParser, word: SourceWord, out: list[Any]) -> bool:
+    def _parse(self, key: Key, parser: ValueParser, word: SourceWord) -> Any:
+        """Return the value of a word, _INVALID where it has none."""
         try:
-            out.append(kind(word.text))
+            return parser(word.text)
         except ValueError as error:
-            self.wrong(word.position, name, str(error))
-            return False
-        return True
+            self._report(word.position, key.name, str(error))
+            return _INVALID
+
+    def _report(self, position: SourcePosition, key: str, message: str) -> None:
+        self.problems.append(SettingsProblem(position, key, message))
+
+    def _report_unknown(self, head: SourceWord, known: tuple[str, ...], block: str | None) -> None:
+        near = difflib.get_close_matches(head.text, known, n=1, cutoff=0.5)
+        where = f" in {block}" if block else ""
+        hint = f"; did you mean {near[0]}?" if near else f"; known: {', '.join(sorted(known))}"
+        self._report(head.position, head.text, f"unknown keyword{where}{hint}")
+
+    def _report_missing(self, schema: Schema, section: Section, block: str | None) -> None:
+        for item in schema:
+            given = section.blocks if isinstance(item, Block) else section.keys
+            # A keyword that is there but wrong was reported already.
+            if item.required and item.name not in given and not self._is_reported(item.name, section):
+                message = "is required" + (f" in {block}" if block else "")
+                self._report(section.position, item.name, message)
+
+    def _is_reported(self, name: str, section: Section) -> bool:
+        return any(
+            problem.key == name and problem.position.line >= section.position.line
+            for problem in self.problems
+        )
--- a/stairplank/settings/site.py
+++ b/stairplank/settings/site.py
@@ -7,17 +7,14 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, fields, replace
+from dataclasses import dataclass, fields
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from . import parsers
 from .cluster import CLUSTER_SCHEMA, Cluster, cluster_from
 from .schema import Block, Key, Section, load_section, load_section_text
-from .source import SettingsError, SettingsProblem, SourcePosition
-
-if TYPE_CHECKING:
-    from .planner import PlannerConfig
+from .source import SettingsError, SettingsProblem
 
 TUNABLE_KEYS: tuple[Key, ...] = (
     Key("dial-timeout", (parsers.positive_duration,)),
@@ -91,12 +88,12 @@
 
 
 def load_site_text(text: str, name: str = "<site>") -> SiteSettings:
-    """The same for a text; ``name`` stands for the file in errors. Raises SettingsError."""
+    """Read, check and type a text; ``name`` stands for the file in errors. Raises SettingsError."""
     return site_from(load_section_text(text, SITE_SCHEMA, name))
 
 
 def site_from(section: Section) -> SiteSettings:
-    """The typed settings of a section that was read by SITE, or by a schema that contains it.
+    """Return the typed settings of a section that was read by SITE, or by a schema that contains it.
 
     Raises SettingsError for what contradicts itself.
     """
@@ -108,7 +105,7 @@
 
 
 def tunable_problems(section: Section) -> list[SettingsProblem]:
-    """What the tunables of a section say that contradicts itself."""
+    """Return the problems of the tunables of a section."""
     first, most = section.value("dial-retry", (0, 0))
     if first <= most:
         return []
@@ -118,12 +115,12 @@
 
 
 def checked_site(section: Section, cluster: Cluster) -> SiteSettings:
-    """The typed settings of a section that was checked, with the room that was read from it."""
+    """Return the typed settings of a section that was checked, with the cluster that was read from it."""
     return SiteSettings(cluster=cluster, **_given_tunables(section))
 
 
 def _given_tunables(section: Section) -> dict[str, Any]:
-    """The fields whose keys are in the section; the others keep their defaults."""
+    """Return the fields whose keys are in the section; the others keep their defaults."""
     given: dict[str, Any] = {}
     for key, names in TUNABLE_FIELDS.items():
         value = section.value(key)
@@ -134,21 +131,5 @@
 
 
 def site_fields(site: SiteSettings) -> dict[str, Any]:
-    """The settings by field; of a planner's configuration only those that all planners share."""
+    """Return the settings by field; of a planner's configuration only those that all planners share."""
     return {field.name: getattr(site, field.name) for field in fields(SiteSettings)}
-
-
-def merge_site(config: PlannerConfig, site: SiteSettings, name: str = "<site>") -> PlannerConfig:
-    """A planner's configuration with the site's settings in place of its own.
-
-    What says which planner it is and where it listens stays. Raises SettingsError where the site has no zone
-    of the name of the planner's home zone; ``name`` stands for the site's file.
-    """
-    home_zone = config.cluster.zones[config.settings.zone]
-    if home_zone not in site.cluster.zones:
-        message = f"no zone {home_zone}, in which this planner runs; known: {', '.join(site.cluster.zones)}"
-        raise SettingsError([SettingsProblem(SourcePosition(name, 1, 1), "zone", message)])
-    zone = site.cluster.zones.index(home_zone)
-    own = config.settings
-    settings = site.cluster.settings(own.planners, own.position, zone)
-    return replace(config, settings=settings, **site_fields(site))
--- a/stairplank/settings/source.py
+++ b/stairplank/settings/source.py
@@ -1,4 +1,4 @@
-"""The form of a settings file: lines of words with their places."""
+"""The form of a settings file: lines of words with their positions."""
 
 from __future__ import annotations
 
@@ -22,58 +22,72 @@
 
 @dataclass(frozen=True, slots=True)
 class SourcePosition:
+    """A place in a file; line and column count from 1."""
+
     file: str
-    line: int  # from 1
-    column: int  # from 1
+    line: int
+    column: int
 
     def __str__(self) -> str:
+        """Return ``file:line:column``."""
         return f"{self.file}:{self.line}:{self.column}"
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsProblem:
+    """One fault of a file, with the keyword that it is about; empty where it is about none."""
+
     position: SourcePosition
     key: str
     message: str
 
     def __str__(self) -> str:
+        """Return the problem as one line, as users see it."""
         return (
             f"{self.position}: {self.key}: {self.message}" if self.key else f"{self.position}: {self.message}"
         )
 
 
 class SettingsError(Exception):
-    """What is wrong with a file: all of it, not only the first."""
+    """A file cannot be used.
+
+    Attributes:
+        problems: All that is wrong with it, not only the first fault.
+    """
 
     def __init__(self, problems: list[SettingsProblem]) -> None:
+        """Take the problems as the text, each on a line of its own."""
         self.problems = tuple(problems)
         super().__init__("\n".join(map(str, problems)))
 
 
 @dataclass(frozen=True, slots=True)
 class SourceWord:
+    """A word of a line, without the quotes that it may stand in."""
+
     text: str
     position: SourcePosition
 
 
 def read_lines(text: str, file: str) -> list[list[SourceWord]]:
-    """The words of each line that has any. Raises SettingsError at the first place that cannot be read."""
+    """Return the words of each line that has any. Raises SettingsError where one cannot be read."""
     if len(text) > MAX_FILE_BYTES:
         raise SettingsError(
             [SettingsProblem(SourcePosition(file, 1, 1), "", f"larger than {MAX_FILE_BYTES} bytes")]
         )
     if "\0" in text:
         before = text[: text.index("\0")]
-        at = SourcePosition(file, before.count("\n") + 1, len(before) - before.rfind("\n"))
-        raise SettingsError([SettingsProblem(at, "", "a NUL byte: this is no settings file")])
+        position = SourcePosition(file, before.count("\n") + 1, len(before) - before.rfind("\n"))
+        raise SettingsError([SettingsProblem(position, "", "a NUL byte: this is no settings file")])
     try:
         tree = _PARSER.parse(text)
     except UnexpectedInput as error:
-        line, column = max(error.line, 1), max(error.column, 1)
+        line = max(error.line, 1)
+        column = max(error.column, 1)
         rest = text.split("\n")[line - 1][column - 1 :] if line <= text.count("\n") + 1 else ""
         what = "a quote that is not closed" if rest.startswith('"') else f"cannot read {rest[:20]!r}"
         raise SettingsError([SettingsProblem(SourcePosition(file, line, column), "", what)]) from None
-    return [[_source_word(t, file) for t in line.children] for line in tree.children]  # type: ignore[union-attr,arg-type]
+    return [[_source_word(token, file) for token in line.children] for line in tree.children]  # type: ignore[union-attr,arg-type]
 
 
 def _source_word(token: Token, file: str) -> SourceWord:
--- a/stairplank/standin/config.py
+++ b/stairplank/standin/config.py
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True)
 class CrowdConfig:
-    room: Cluster
+    cluster: Cluster
     owners: tuple[OwnerModel, ...]
     planners: dict[int, str]
     seed: int
@@ -165,9 +165,9 @@
 
 
 def model_from(
-    room: Cluster, section: Section, id: int, name: str, kind: str, zone: str, rack: str
+    cluster: Cluster, section: Section, id: int, name: str, kind: str, zone: str, rack: str
 ) -> NodeModel:
-    sort = next(k for k in room.node_types if k.name == kind)
+    sort = next(k for k in cluster.node_types if k.name == kind)
     one = section.value
     changes: dict[str, Any] = {
         "look_us": one("look-time"),
@@ -187,21 +187,21 @@
         rack=rack,
         cores=sort.cores,
         memory=sort.memory,
-        cores_limit=room.cores_limit,
-        memory_limit=room.memory_limit,
-        slow_start_share=room.slow_start_share,
-        slow_start_us=room.slow_start_us,
-        overload_multiple=room.overload_multiple,
-        overload_window_us=room.overload_window_us,
-        slow_start_offers=room.slow_start_offers,
-        preempts=room.preempts,
+        cores_limit=cluster.cores_limit,
+        memory_limit=cluster.memory_limit,
+        slow_start_share=cluster.slow_start_share,
+        slow_start_us=cluster.slow_start_us,
+        overload_multiple=cluster.overload_multiple,
+        overload_window_us=cluster.overload_window_us,
+        slow_start_offers=cluster.slow_start_offers,
+        preempts=cluster.preempts,
         **{k: value for k, value in changes.items() if value is not None},
     )
 
 
 def load_farm(path: str | Path) -> FarmConfig:
     section = load_section(path, FARM)
-    room = cluster_from(section)
+    cluster = cluster_from(section)
     problems: list[SettingsProblem] = []
     nodes: list[NodeConfig] = []
     ids: set[int] = set()
@@ -211,10 +211,10 @@
         if id in ids:
             problems.append(SettingsProblem(block.position, "node", f"{id} is there twice"))
         ids.add(id)
-        if kind not in [k.name for k in room.node_types]:
+        if kind not in [k.name for k in cluster.node_types]:
             problems.append(SettingsProblem(block.position_of("kind"), "kind", f"no kind {kind}"))
             continue
-        if zone not in room.zones:
+        if zone not in cluster.zones:
             problems.append(SettingsProblem(block.position_of("zone"), "zone", f"no zone {zone}"))
         listen = tuple(a for (a,) in block.all_values("listen"))
         advertise: dict[str, tuple[str, ...]] = {}
@@ -223,7 +223,7 @@
             advertise[label] = (*advertise.get(label, ()), address)
         nodes.append(
             NodeConfig(
-                model_from(room, section, id, name, kind, zone, block.value("rack")),
+                model_from(cluster, section, id, name, kind, zone, block.value("rack")),
                 listen,
                 advertise,
                 block.value("absent", False),
@@ -238,7 +238,7 @@
         section.value("seed", 1),
         section.value("begin"),
         faults_from(section),
-        room.classes,
+        cluster.classes,
         tuple(parse(["0s", *words]) for words in section.all_values("on-signal")),
     )
 
@@ -258,10 +258,10 @@
     return ListingConfig(listen, directory_model(section), section.value("begin"), faults_from(section))
 
 
-def demands_from(section: Section, room: Cluster) -> tuple[Demand, ...]:
+def demands_from(section: Section, cluster: Cluster) -> tuple[Demand, ...]:
     problems: list[SettingsProblem] = []
     out: list[Demand] = []
-    names = [c.name for c in room.classes]
+    names = [c.name for c in cluster.classes]
     for block in section.blocks.get("demand", ()):
         (name,) = block.values
         if name not in names:
@@ -289,22 +289,24 @@
     return tuple(out)
 
 
-def owner_models(section: Section, room: Cluster, names: list[str], planners: int) -> tuple[OwnerModel, ...]:
+def owner_models(
+    section: Section, cluster: Cluster, names: list[str], planners: int
+) -> tuple[OwnerModel, ...]:
     one = section.value
-    demands = demands_from(section, room)
-    base = OwnerModel("", 1.0, demands, room.classes, planners)
-    tenants = [t for t, _ in room.tenants]
+    demands = demands_from(section, cluster)
+    base = OwnerModel("", 1.0, demands, cluster.classes, planners)
+    tenants = [t for t, _ in cluster.tenants]
     return tuple(
         OwnerModel(
             name=name,
             rate=one("rate", 10.0) / len(names),
             demands=demands,
-            classes=room.classes,
+            classes=cluster.classes,
             planners=planners,
             tenant=tenants[i % len(tenants)] if tenants else "",
             again_us=one("owner-again", base.again_us),
             soon_us=one("owner-soon", base.soon_us),
-            owner_wait_us=room.client_wait_us,
+            owner_wait_us=cluster.client_wait_us,
             wanted_us=one("owner-wanted", base.wanted_us),
             ends_us=one("asks-end", base.ends_us),
             total=one("tasks-most", 0) // len(names),
@@ -315,12 +317,12 @@
 
 def load_crowd(path: str | Path) -> CrowdConfig:
     section = load_section(path, CROWD)
-    room = cluster_from(section)
+    cluster = cluster_from(section)
     planners = dict(section.all_values("planner"))
     names = [n for (n,) in section.all_values("owner")]
     return CrowdConfig(
-        room,
-        owner_models(section, room, names, len(planners)),
+        cluster,
+        owner_models(section, cluster, names, len(planners)),
         planners,
         section.value("seed", 1),
         section.value("begin"),
--- a/stairplank/standin/crowd.py
+++ b/stairplank/standin/crowd.py
@@ -205,7 +205,7 @@
         return {"total": total, "classes": counts, "latencies_us": latencies, "aims_us": self.aims()}
 
     def aims(self) -> dict[str, int]:
-        return {c.name: c.latency_objective_us for c in self.config.room.classes}
+        return {c.name: c.latency_objective_us for c in self.config.cluster.classes}
 
     def write_report(self) -> None:
         if self.config.report is not None:
--- a/tests/settings/test_site.py
+++ b/tests/settings/test_site.py
@@ -8,7 +8,7 @@
 import pytest
 
 from stairplank.settings import PlannerConfig, SettingsError, load_planner
-from stairplank.settings.planner import OWN_SCHEMA, PLANNER_SCHEMA
+from stairplank.settings.planner import OWN_SCHEMA, PLANNER_SCHEMA, merge_site
 from stairplank.settings.site import (
     SITE_SCHEMA,
     TUNABLE_FIELDS,
@@ -16,7 +16,6 @@
     SiteSettings,
     load_site,
     load_site_text,
-    merge_site,
 )
 
 SITE_TEXT = """\
--- a/tests/stored/test_stored_settings.py
+++ b/tests/stored/test_stored_settings.py
@@ -313,7 +313,7 @@
 
 def test_an_owners_file_is_typed() -> None:
     crowd = load_crowd(DATA / "owners.conf")
-    assert_room(crowd.room)
+    assert_room(crowd.cluster)
     anna, ben = crowd.owners
     assert figures(anna, OWNER_FIGURES) == OWNER_FIGURES
     assert (ben.name, ben.tenant) == ("ben", "blue")
