--- a/stairplank/fence/__init__.py
+++ b/stairplank/fence/__init__.py
@@ -1,7 +1,7 @@
-"""How old a message is, known without a common clock; which of two connections is the newer. No I/O.
+"""How old a message is, without a common clock; which of two connections is the newer. No I/O.
 
-``grants`` is the receiver's half and the sender's half of the fence by age, ``epochs`` the order of streams.
-docs/design/held-bytes.md has the ways weighed and the proof.
+``grants`` has the receiver's and the sender's half of the fence by age, ``epochs`` the order of streams.
+docs/design/held-bytes.md compares the alternatives and has the proof.
 """
 
 from .epochs import StreamEpochs
