--- a/benchmarks/path/counted_planner.py
+++ b/benchmarks/path/counted_planner.py
@@ -28,7 +28,7 @@
 import h2.connection
 import structlog
 
-from stairplank.cli.main import _end_with_stdin
+from stairplank.cli.processes import end_with_stdin
 from stairplank.planner import events as ev
 from stairplank.planner.daemon import Daemon
 from stairplank.planner.node_connection import NodeLink
@@ -188,7 +188,7 @@
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),  # as the command does by default
         cache_logger_on_first_use=True,
     )
-    _end_with_stdin()
+    end_with_stdin()
     counts = Counts()
     count_events(counts)
     count_transport(counts)
--- a/benchmarks/path/nodes.py
+++ b/benchmarks/path/nodes.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from stairplank.cli.main import _end_with_stdin
+from stairplank.cli.processes import end_with_stdin
 from stairplank.planner.daemon import DIRECTORY
 from stairplank.proto import caller
 from stairplank.rpc import Channel
@@ -18,7 +18,7 @@
 
 def main() -> None:
     first, count, life_ms, directory = int(sys.argv[1]), int(sys.argv[2]), float(sys.argv[3]), sys.argv[4]
-    _end_with_stdin()
+    end_with_stdin()
     nodes = [LightNode(first + i, life_ms / 1e3) for i in range(count)]
     channel = Channel(directory)
     calls = []
--- a/benchmarks/path/timed_planner.py
+++ b/benchmarks/path/timed_planner.py
@@ -14,7 +14,7 @@
 
 import structlog
 
-from stairplank.cli.main import _end_with_stdin
+from stairplank.cli.processes import end_with_stdin
 from stairplank.planner.daemon import Daemon
 from stairplank.settings import load_planner
 
@@ -25,7 +25,7 @@
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),  # as the command does by default
         cache_logger_on_first_use=True,
     )
-    _end_with_stdin()
+    end_with_stdin()
     daemon = Daemon(load_planner(sys.argv[1]))
     handle = daemon.core.module.handle
     spent = [0]
--- a/stairplank/cli/configuration.py
+++ b/stairplank/cli/configuration.py
@@ -9,11 +9,13 @@
 
 import click
 
+from ..settings.planner import MAX_REPLICAS
+from .processes import serve_until_signal
+
 if TYPE_CHECKING:
     from ..configuration.client import PlannerSummary, SiteStatus
 
-REPLICAS_MOST = 5  # a planner holds a stream to each
-POLL_S = 0.2  # between looks at the status while waiting
+POLL_INTERVAL_S = 0.2  # between looks at the status while waiting
 
 replicas_option = click.option(
     "--replica", "replicas", multiple=True, required=True, help="Address of a replica; name all of them."
@@ -43,7 +45,6 @@
     from ..configuration.server import ReplicaServer
     from ..configuration.validation import text_problems
     from ..rpc.address import is_loopback
-    from .main import _serve
 
     outside = [address for address in listen if not is_loopback(address)]
     if outside and not beyond_loopback:
@@ -54,7 +55,7 @@
         raise click.ClickException(str(error)) from None
     except OSError as error:
         raise click.ClickException(f"cannot listen: {error}") from None
-    _serve(replica.start, replica.stop)
+    serve_until_signal(replica.start, replica.stop)
 
 
 @configuration.command()
@@ -69,7 +70,7 @@
     from ..configuration.publication import PublicationOutcome
     from ..settings.site import load_site
 
-    _bounded(replicas)
+    _check_replica_count(replicas)
     load_site(file)  # its faults are printed with file, line and column
     text = Path(file).read_text(encoding="utf-8")
     result = client.publish(replicas, text, base=base)
@@ -81,7 +82,7 @@
         raise click.ClickException(f"revision {result.revision}: {result.outcome.value}")
     click.echo(f"revision {result.revision}: published")
     if wait_s:
-        _wait(replicas, planners, wait_s)
+        _wait_until_in_force(replicas, planners, wait_s)
 
 
 @configuration.command()
@@ -92,23 +93,23 @@
     """Show which revision is in force where. Exit code 1 where it is not in force everywhere."""
     from ..configuration import client
 
-    _bounded(replicas)
+    _check_replica_count(replicas)
     if wait_s:
-        _wait(replicas, planners, wait_s)
+        _wait_until_in_force(replicas, planners, wait_s)
         return
     found = client.site_status(replicas)
-    _show(found)
+    _print_status(found)
     if len(found.unreachable) == len(replicas):
         raise click.ClickException("no replica can be reached")
     sys.exit(0 if found.in_force_everywhere(planners) else 1)
 
 
-def _bounded(replicas: tuple[str, ...]) -> None:
-    if len(replicas) > REPLICAS_MOST:
-        raise click.UsageError(f"--replica: {len(replicas)} are given, at most {REPLICAS_MOST} are allowed")
+def _check_replica_count(replicas: tuple[str, ...]) -> None:
+    if len(replicas) > MAX_REPLICAS:
+        raise click.UsageError(f"--replica: {len(replicas)} are given, at most {MAX_REPLICAS} are allowed")
 
 
-def _wait(replicas: tuple[str, ...], planners: int, wait_s: float) -> None:
+def _wait_until_in_force(replicas: tuple[str, ...], planners: int, wait_s: float) -> None:
     from ..configuration import client
 
     began = time.monotonic()
@@ -119,25 +120,25 @@
             click.echo(f"in force at {len(found.planners)} planners after {took:.1f} s")
             return
         if took >= wait_s:
-            _show(found)
+            _print_status(found)
             raise click.ClickException(f"not in force everywhere after {took:.1f} s")
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
-def _show(found: SiteStatus) -> None:
+def _print_status(found: SiteStatus) -> None:
     click.echo(f"committed: {found.committed}")
     for address in found.unreachable:
         click.echo(f"replica {address}: out of reach")
-    for line in found.planners:
-        click.echo(_line(line))
-
-
-def _line(line: PlannerSummary) -> str:
-    parts = [f"planner {line.planner}: {line.in_force}"]
-    if line.delay_us is not None:
-        parts.append(f"in force {line.delay_us / 1e6:.2f} s after the commit")
-    if line.rejected.number > line.in_force.number:
-        parts.append(f"{line.rejected.number} not taken: {line.reason}")
-    if not line.connected:
-        parts.append(f"not connected, last heard {line.report_age_us / 1e6:.0f} s ago")
+    for planner in found.planners:
+        click.echo(_planner_line(planner))
+
+
+def _planner_line(planner: PlannerSummary) -> str:
+    parts = [f"planner {planner.planner}: {planner.in_force}"]
+    if planner.delay_us is not None:
+        parts.append(f"in force {planner.delay_us / 1e6:.2f} s after the commit")
+    if planner.rejected.number > planner.in_force.number:
+        parts.append(f"{planner.rejected.number} not taken: {planner.reason}")
+    if not planner.connected:
+        parts.append(f"not connected, last heard {planner.report_age_us / 1e6:.0f} s ago")
     return ", ".join(parts)
--- /dev/null
+++ b/stairplank/cli/experiments.py
@@ -0,0 +1,28 @@
+"""``stairplank experiment``: a grid of simulated clusters."""
+
+from __future__ import annotations
+
+import os
+
+import click
+
+EXPERIMENTS = ("groups",)
+
+
+@click.command()
+@click.argument("file", default="groups")
+@click.option("--out", type=click.Path(file_okay=False), default="experiment", show_default=True)
+@click.option("--processes", type=click.IntRange(1, 256), default=os.cpu_count() or 1, show_default=True)
+def experiment(file: str, out: str, processes: int) -> None:
+    """Run a grid of simulated rooms by FILE (or a shipped one by name); write table and charts to --out."""
+    from importlib import resources
+    from pathlib import Path
+
+    from ..emulator import experiment as grid
+
+    path = str(resources.files("stairplank") / "experiments" / file) if file in EXPERIMENTS else file
+    rows = grid.run(path, processes, lambda done, of: click.echo(f"\r{done} of {of}", err=True, nl=False))
+    click.echo("", err=True)
+    grid.write(rows, path, Path(out))
+    click.echo(grid.table(rows), nl=False)
+    click.echo(f"results in {out}", err=True)
--- a/stairplank/cli/logs.py
+++ b/stairplank/cli/logs.py
@@ -11,7 +11,7 @@
 
 
 def set_up(form: str, level: str) -> None:
-    """``form``: text or json."""
+    """Configure the logs of this process: ``form`` is text or json, ``level`` one of LEVELS."""
     renderer = (
         structlog.processors.JSONRenderer()
         if form == "json"
--- a/stairplank/cli/scale.py
+++ b/stairplank/cli/scale.py
@@ -10,11 +10,12 @@
 import click
 
 SHIPPED = ("site", "small")
-RESULTS, CHART = "results.json", "chart.png"
+RESULTS_FILE = "results.json"
+CHART_FILE = "chart.png"
 
 
 def shipped_path(name: str) -> str:
-    """A shipped file by its name, or the path as it is."""
+    """Return the path of a shipped file by its name, or the path as it is."""
     if name in SHIPPED:
         return str(resources.files("stairplank") / "scales" / f"{name}.conf")
     return name
@@ -42,8 +43,8 @@
     folder = Path(out)
     folder.mkdir(parents=True, exist_ok=True)
     label = label or f"stairplank {version('stairplank')}, {plan.name}"
-    results = Run(plan, folder / RESULTS, label, lambda line: click.echo(line, err=True)).run()
-    report.chart(results, folder / CHART)
+    results = Run(plan, folder / RESULTS_FILE, label, lambda line: click.echo(line, err=True)).run()
+    report.chart(results, folder / CHART_FILE)
     click.echo(report.table(results), nl=False)
     click.echo(f"results in {folder}", err=True)
     sys.exit(1 if results.partial else 0)
