--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command as people use it: help, exit codes, logs, a room of its own processes."""
+"""The command as people use it: help, exit codes, logs, a cluster of its own processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 import pytest
 
 LIMIT_S = 60
-ROOM = """
+CLUSTER = """
 class worker
     effect repeatable
     aim 2s
@@ -69,20 +69,20 @@
     assert any(line.startswith(f"error: {bad}:2:8: listen: ") for line in lines)
     assert any(line.startswith(f"error: {bad}:3:1: frobnicate: unknown keyword") for line in lines)
     good = tmp_path / "good.conf"
-    good.write_text(ROOM + "planner 0 of 1\nlisten 127.0.0.1:0\ndirectory 127.0.0.1:1\n")
+    good.write_text(CLUSTER + "planner 0 of 1\nlisten 127.0.0.1:0\ndirectory 127.0.0.1:1\n")
     done = run("check", str(good))
     assert done.returncode == 0 and done.stdout.endswith("good, a file for `planner`\n")
 
 
 @pytest.fixture
-def room() -> Iterator[Path]:
+def cluster_folder() -> Iterator[Path]:
     """Directory, node and planner as processes; sockets in a folder with a short name."""
     folder = Path(tempfile.mkdtemp(prefix="spt"))
     (folder / "list.conf").write_text(f"listen unix:{folder}/list\nlist-notice 50ms\nlist-period 50ms\n")
     node = f"node 1 n1\n  kind std\n  zone a\n  rack r\n  listen unix:{folder}/n1\nend\n"
-    (folder / "node.conf").write_text(ROOM + f"directory unix:{folder}/list\n" + node)
+    (folder / "node.conf").write_text(CLUSTER + f"directory unix:{folder}/list\n" + node)
     planner = f"planner 0 of 1\nlisten unix:{folder}/p\ndirectory unix:{folder}/list\n"
-    (folder / "planner.conf").write_text(ROOM + planner)
+    (folder / "planner.conf").write_text(CLUSTER + planner)
     started = []
     for command, file, socket in (
         ("directory", "list", "list"),
@@ -110,8 +110,8 @@
         process.stdin.close()
 
 
-def test_place_prints_the_stream(room: Path) -> None:
-    address = f"unix:{room}/p"
+def test_place_prints_the_stream(cluster_folder: Path) -> None:
+    address = f"unix:{cluster_folder}/p"
     common = ("--class", "worker", "--cores", "0.5", "--memory", "1", "--life", "0.2")
     done = run("place", address, *common, "--count", "3", "--follow")
     assert done.returncode == 0, done.stdout + done.stderr
@@ -121,17 +121,20 @@
     assert refused.returncode == 1 and "field=task.task_class" in refused.stdout
     big = run("place", address, *common[:2], "--cores", "100")
     assert big.returncode == 1 and "field=task.cores" in big.stdout
-    lines = [json.loads(line) for line in (room / "planner.log").read_text().splitlines()]
+    lines = [json.loads(line) for line in (cluster_folder / "planner.log").read_text().splitlines()]
     offered = [x for x in lines if x["event"] == "offered"]
     assert len(offered) == 3 and all(x["task"].startswith("operator/") for x in offered)
     assert {x["attempt"] for x in offered} == {"1.0", "2.0", "3.0"} and offered[0]["level"] == "debug"
 
 
-def test_sigterm_ends_a_planner_well(room: Path) -> None:
+def test_sigterm_ends_a_planner_gracefully(cluster_folder: Path) -> None:
     for entry in Path("/proc").iterdir():
-        if entry.name.isdigit() and f"{room}/planner.conf".encode() in (entry / "cmdline").read_bytes():
+        if (
+            entry.name.isdigit()
+            and f"{cluster_folder}/planner.conf".encode() in (entry / "cmdline").read_bytes()
+        ):
             os.kill(int(entry.name), signal.SIGTERM)
-    log = room / "planner.log"
+    log = cluster_folder / "planner.log"
     until = time.monotonic() + LIMIT_S
     while "planner has left" not in log.read_text() and time.monotonic() < until:
         time.sleep(0.05)
@@ -141,22 +144,26 @@
 @pytest.mark.parametrize(
     ("text", "says"),
     [
-        ("planner 0 of 1\nlisten 127.0.0.1:0\ndirectory 127.0.0.1:9\n" + ROOM, "good, a file for `planner`"),
         (
-            "planner 0 127.0.0.1:9\nowner o\ndemand worker\nshare 100%\nsize 1 1\nlife 1s..2s\nend\n" + ROOM,
+            "planner 0 of 1\nlisten 127.0.0.1:0\ndirectory 127.0.0.1:9\n" + CLUSTER,
+            "good, a file for `planner`",
+        ),
+        (
+            "planner 0 127.0.0.1:9\nowner o\ndemand worker\nshare 100%\nsize 1 1\nlife 1s..2s\nend\n"
+            + CLUSTER,
             "good, a file for `owners`",
         ),
         ("listen 127.0.0.1:0\nlist-notice 1s\n", "good, a file for `directory`"),
     ],
 )
-def test_check_tells_a_file_by_its_content(tmp_path: Path, text: str, says: str) -> None:
+def test_check_detects_the_kind_of_a_file_by_its_content(tmp_path: Path, text: str, says: str) -> None:
     file = tmp_path / "it.conf"
     file.write_text(text)
     done = run("check", str(file))
     assert says in done.stdout + done.stderr, done.stdout + done.stderr
 
 
-def test_a_file_of_another_kind_is_one_line(tmp_path: Path) -> None:
+def test_a_file_of_another_kind_is_one_error(tmp_path: Path) -> None:
     day = Path(__file__).parents[1] / "rehearsal" / "small-day"
     done = run("check", "--as", "planner", str(day))
     assert done.returncode == 2
@@ -165,7 +172,7 @@
     assert run("check", str(day)).stdout.strip().endswith("a file for `scenario`")
 
 
-def test_a_file_that_could_be_two_things_is_said_to_be() -> None:
+def test_a_file_that_could_be_of_two_kinds_is_reported() -> None:
     from stairplank.settings import parsers
     from stairplank.settings.detect import likely_kinds
     from stairplank.settings.schema import Key
--- a/tests/configuration/test_changes.py
+++ b/tests/configuration/test_changes.py
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize(("key", "value"), NEW)
-def test_what_connections_are_made_with_counts_for_new_ones(
+def test_limits_of_connections_apply_to_new_ones(
     old: PlannerConfig, tmp_path: Path, key: str, value: str
 ) -> None:
     found = compare_configurations(
@@ -206,21 +206,21 @@
         found.raise_if_restart_required()
 
 
-def test_classes_that_change_places_are_refused(old: PlannerConfig) -> None:
+def test_classes_in_another_order_are_rejected(old: PlannerConfig) -> None:
     """Danger: a task in flight is known by its class's number, and would turn into one of the other class."""
     turned = replace(old, settings=replace(old.settings, classes=old.settings.classes[::-1]))
     (found,) = compare_configurations(old, turned).restart_requirements
     assert (found.key, "order would change" in found.message) == ("class", True)
 
 
-def test_a_class_between_others_is_refused(old: PlannerConfig) -> None:
+def test_a_class_inserted_between_others_is_rejected(old: PlannerConfig) -> None:
     first, second = old.settings.classes
     settings = replace(old.settings, classes=(first, replace(first, name="new"), second))
     (found,) = compare_configurations(old, replace(old, settings=settings)).restart_requirements
     assert (found.key, "order would change" in found.message) == ("class", True)
 
 
-def test_one_key_that_needs_a_restart_holds_all_back(old: PlannerConfig, tmp_path: Path) -> None:
+def test_one_key_that_needs_a_restart_rejects_the_whole_change(old: PlannerConfig, tmp_path: Path) -> None:
     pairs = (("deadline 7s", "deadline 6s"), ("window 8s", "window 9s"), ("cores 64", "cores 32"))
     found = compare_configurations(old, changed(tmp_path, *pairs))
     assert found.keys == ("class worker: deadline",)
--- a/tests/configuration/test_configuration_service.py
+++ b/tests/configuration/test_configuration_service.py
@@ -82,9 +82,9 @@
 class Planner:
     """A planner's watch with the texts that it put into force."""
 
-    def __init__(self, replicas: tuple[str, ...], number: int, life: int = 1, **more: Any) -> None:
+    def __init__(self, replicas: tuple[str, ...], number: int, incarnation: int = 1, **more: Any) -> None:
         self.texts: list[str] = []
-        self.watch = ConfigurationWatch(replicas, number, life, self.check, self.texts.append, **more)
+        self.watch = ConfigurationWatch(replicas, number, incarnation, self.check, self.texts.append, **more)
         self.watch.start()
 
     @staticmethod
@@ -180,13 +180,13 @@
     until(lambda: all(planner.in_force == revision for planner in first))
     for planner in first:
         planner.watch.stop()
-    second = [site.planner(number, life=2) for number in range(10)]
+    second = [site.planner(number, incarnation=2) for number in range(10)]
     until(lambda: all(planner.in_force == revision for planner in second))
     status = until(lambda: _everywhere(site, 10))
     assert len(status.planners) == 10, "the processes that have ended have left the status"
 
 
-def test_a_replica_keeps_what_it_promised_over_a_restart(site: Site) -> None:
+def test_a_replica_remembers_what_it_prepared_over_a_restart(site: Site) -> None:
     published(site, "first")
     site.replicas[0].store.prepare(9, "reserved")
     state_files.write_state(site.replicas[0].state_file, site.replicas[0].store.state)
@@ -196,7 +196,7 @@
     assert published(site, "second").number == 10, "a reserved number is not used again"
 
 
-def test_a_replica_that_cannot_write_its_state_promises_nothing(tmp_path: Path) -> None:
+def test_a_replica_that_cannot_write_its_state_prepares_nothing(tmp_path: Path) -> None:
     replica = ReplicaServer(("127.0.0.1:0",), tmp_path / "missing" / "state.json", faults)
     replica.start()
     try:
@@ -207,66 +207,66 @@
         replica.server.stop(0.0)
 
 
-def test_a_text_with_faults_is_refused_before_anybody_hears_of_it(site: Site) -> None:
+def test_a_text_with_problems_is_rejected_before_it_is_prepared_anywhere(site: Site) -> None:
     result = client.publish(site.addresses, "bad text")
     assert result.outcome is PublicationOutcome.INVALID
     assert result.problems == ("1:1: bad",)
     assert all(replica.store.state == ReplicaState() for replica in site.replicas)
 
 
-def test_a_text_that_is_too_large_is_refused(site: Site) -> None:
+def test_a_text_that_is_too_large_is_rejected(site: Site) -> None:
     result = client.publish(site.addresses, "x" * (MAX_TEXT_BYTES + 1))
     assert result.outcome is PublicationOutcome.INVALID
 
 
-def test_a_change_from_an_old_base_is_refused(site: Site) -> None:
+def test_a_change_from_an_old_base_is_rejected(site: Site) -> None:
     published(site, "first", base=0)
     result = client.publish(site.addresses, "second", base=0)
     assert result.outcome is PublicationOutcome.CONFLICT
     assert published(site, "second", base=1).number == 2
 
 
-def test_what_needs_a_restart_is_reported_and_taken_at_the_next_start(site: Site, tmp_path: Path) -> None:
-    copy_file = tmp_path / "copy.json"
-    planner = site.planner(0, cache_file=copy_file)
+def test_what_needs_a_restart_is_reported_and_applied_at_the_next_start(site: Site, tmp_path: Path) -> None:
+    cache_file = tmp_path / "copy.json"
+    planner = site.planner(0, cache_file=cache_file)
     revision = published(site, "restart me")
     line = until(lambda: next((p for p in client.site_status(site.addresses).planners if p.reason), None))
     assert line.rejected == revision and "added at the end" in line.reason
     assert planner.in_force == NO_REVISION
-    copy = until(lambda: state_files.read_cached_revision(copy_file))
+    copy = until(lambda: state_files.read_cached_revision(cache_file))
     assert copy == RevisionText(revision, "restart me")
-    assert startup.startup_candidates((), copy_file)[0].revision == revision
+    assert startup.startup_candidates((), cache_file)[0].revision == revision
 
 
-def test_the_copy_is_the_last_one_in_force(site: Site, tmp_path: Path) -> None:
-    copy_file = tmp_path / "copy.json"
-    planner = site.planner(0, cache_file=copy_file)
+def test_the_cached_revision_is_the_last_one_in_force(site: Site, tmp_path: Path) -> None:
+    cache_file = tmp_path / "copy.json"
+    planner = site.planner(0, cache_file=cache_file)
     for number in range(5):
         revision = published(site, f"text {number}")
     until(lambda: planner.in_force == revision)
-    until(lambda: state_files.read_cached_revision(copy_file) == RevisionText(revision, "text 4"))
+    until(lambda: state_files.read_cached_revision(cache_file) == RevisionText(revision, "text 4"))
 
 
-def test_a_planner_that_starts_prefers_the_newest_and_bears_replicas_out_of_reach(
+def test_a_planner_that_starts_prefers_the_newest_and_tolerates_unreachable_replicas(
     site: Site, tmp_path: Path
 ) -> None:
-    copy_file = tmp_path / "copy.json"
-    state_files.write_cached_revision(copy_file, RevisionText(make_revision(1, "old"), "old"))
+    cache_file = tmp_path / "copy.json"
+    state_files.write_cached_revision(cache_file, RevisionText(make_revision(1, "old"), "old"))
     began = time.monotonic()
-    assert [s.text for s in startup.startup_candidates(("127.0.0.1:1",), copy_file)] == ["old"]
+    assert [s.text for s in startup.startup_candidates(("127.0.0.1:1",), cache_file)] == ["old"]
     assert time.monotonic() - began < 2 * startup.LOOKUP_TIMEOUT_S
     published(site, "first")
     published(site, "second")
-    assert [s.text for s in startup.startup_candidates(site.addresses, copy_file)] == ["second", "old"]
+    assert [s.text for s in startup.startup_candidates(site.addresses, cache_file)] == ["second", "old"]
 
 
-def test_a_damaged_copy_is_passed_over(tmp_path: Path) -> None:
-    copy_file = tmp_path / "copy.json"
-    copy_file.write_text('{"number": "1"')
-    assert startup.startup_candidates((), copy_file) == []
+def test_a_damaged_cache_is_ignored(tmp_path: Path) -> None:
+    cache_file = tmp_path / "copy.json"
+    cache_file.write_text('{"number": "1"')
+    assert startup.startup_candidates((), cache_file) == []
 
 
-def test_a_replica_that_falls_silent_is_dialled_anew_within_the_time_allowed(
+def test_a_silent_replica_is_reconnected_within_the_time_allowed(
     site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A stream that stays open and says nothing hides every change."""
@@ -285,7 +285,7 @@
     assert watch.SILENCE_TIMEOUT_S + dials_s + FETCH_TIMEOUT_US / 1e6 + TICK_S < ALLOWED_S
 
 
-def test_a_stream_must_say_whose_it_is(site: Site) -> None:
+def test_a_stream_must_name_its_planner(site: Site) -> None:
     channel = Channel(site.addresses[0])
     try:
         call = caller(channel, SERVICE, "Follow")
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -49,7 +49,7 @@
     assert follower.next_timer() is None
 
 
-def test_a_replica_that_lags_takes_nothing_back() -> None:
+def test_a_replica_that_lags_reverts_nothing() -> None:
     follower = connected("a", "b")
     taken(follower, "a", SECOND, "text 2")
     assert follower.on_announced(0, "b", FIRST) == []
@@ -62,7 +62,7 @@
     assert follower.on_announced(0, "b", make_revision(1, "other")) == []
 
 
-def test_a_text_that_is_not_the_announced_one_is_asked_of_another_replica() -> None:
+def test_a_text_that_is_not_the_announced_one_is_fetched_from_another_replica() -> None:
     follower = connected("a", "b")
     follower.on_announced(0, "a", FIRST)
     follower.on_announced(0, "b", FIRST)
@@ -70,7 +70,7 @@
     assert follower.on_text_received(6, "b", FIRST, "text 1") == [CheckText(FIRST, "text 1")]
 
 
-def test_where_every_replica_has_failed_there_is_a_pause_before_the_next_round() -> None:
+def test_a_backoff_follows_the_failure_of_every_replica() -> None:
     follower = connected("a")
     follower.on_announced(0, "a", FIRST)
     assert follower.on_text_received(5, "a", FIRST, "wrong") == []
@@ -78,7 +78,7 @@
     assert follower.on_timer(5 + RETRY_DELAY_US) == [FetchText("a", FIRST)]
 
 
-def test_a_replica_that_never_answers_is_passed_over() -> None:
+def test_a_replica_that_never_answers_is_skipped() -> None:
     follower = connected("a", "b")
     follower.on_announced(0, "a", FIRST)
     follower.on_announced(0, "b", FIRST)
@@ -127,7 +127,7 @@
     assert follower.on_announced(1, "b", SECOND) == [FetchText("b", SECOND)]
 
 
-def test_a_replica_that_connects_hears_what_is_in_force() -> None:
+def test_a_replica_that_connects_receives_a_report() -> None:
     follower = connected("a", in_force=SECOND)
     assert follower.on_connected(0, "b") == [SendReport("b", SECOND, NO_REVISION, "")]
     assert follower.on_announced(0, "b", FIRST) == []
@@ -149,7 +149,7 @@
 
 def test_drawn_fleets_come_to_the_newest_revision_and_never_go_back() -> None:
     """Replicas that lag, streams that break, texts that arrive damaged or never, planners that restart: once
-    faults end, everybody has the newest; on the way no number ever decreases within a life."""
+    faults end, everybody has the newest; on the way no number ever decreases within an incarnation."""
     for seed in range(60):
         _drawn_fleet(random.Random(seed))
 
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -24,7 +24,7 @@
     assert store.committed == FIRST
 
 
-def test_a_number_is_taken_for_one_text_only() -> None:
+def test_a_number_is_prepared_for_one_text_only() -> None:
     store = RevisionStore()
     store.prepare(1, "one")
     assert store.prepare(1, "other") is PhaseResult.CONFLICT
@@ -53,7 +53,7 @@
     assert store.highest_number == 2
 
 
-def test_a_commit_that_was_missed_is_made_up_by_a_planner_s_report() -> None:
+def test_a_missed_commit_is_recovered_from_a_planner_s_report() -> None:
     store = RevisionStore()
     store.prepare(1, "one")
     store.stream_opened(0, 7, 1)
@@ -112,7 +112,7 @@
     assert store.statuses(1)[0].connected
 
 
-def test_a_report_without_a_stream_is_not_kept() -> None:
+def test_a_report_without_a_stream_is_not_recorded() -> None:
     store = RevisionStore()
     assert not store.record_report(0, 7, 1, FIRST, NO_REVISION, "")
     assert store.statuses(0) == ()
--- a/tests/fence/test_grants.py
+++ b/tests/fence/test_grants.py
@@ -1,4 +1,4 @@
-"""The fence by age: never younger than true, whatever ways and clocks do; fresh ones soon pass again."""
+"""The fence by age: never younger than true, whatever delays and clocks do; fresh ones soon pass again."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 
 
 class Pair:
-    """A stream between two clocks; its ways take what they are told to."""
+    """A stream between two clocks; its delays are set by the test."""
 
     def __init__(self, sender: Clock, receiver: Clock, true: int = 10 * SECOND) -> None:
         self.sender, self.receiver, self.true = sender, receiver, true
         self.grants = GrantIssuer(receiver.at(true), random.Random(7))
         self.stamps = MessageStamper()
 
-    def grant(self, way: int = 0) -> None:
+    def grant(self, delay_us: int = 0) -> None:
         number = self.grants.issue(self.receiver.at(self.true))
-        self.stamps.receive_grant(self.sender.at(self.true + way), number)
+        self.stamps.receive_grant(self.sender.at(self.true + delay_us), number)
 
     def stamp(self) -> AgeStamp | None:
         return self.stamps.stamp(self.sender.at(self.true))
@@ -55,9 +55,9 @@
         return None if at is None else now - at
 
 
-def test_a_message_is_as_old_as_its_way() -> None:
+def test_a_message_is_as_old_as_its_delay() -> None:
     pair = Pair(Clock(), Clock(offset=77 * HOUR))
-    pair.grant(way=200)
+    pair.grant(delay_us=200)
     pair.true += 2 * SECOND
     stamp = pair.stamp()
     age = pair.age(stamp, pair.true + 12 * SECOND)
@@ -66,15 +66,15 @@
     assert fresh is not None and 300 <= fresh <= 500 + 2 * MS
 
 
-def test_the_grant_by_the_shortest_way_counts() -> None:
+def test_the_grant_with_the_shortest_delay_counts() -> None:
     pair = Pair(Clock(), Clock())
-    pair.grant(way=3 * SECOND)  # the first one was held
+    pair.grant(delay_us=3 * SECOND)  # the first one was held
     pair.true += 3 * SECOND
     assert (pair.age(pair.stamp(), pair.true) or 0) >= 3 * SECOND
-    pair.grant(way=200)
+    pair.grant(delay_us=200)
     pair.true += 10 * MS
     assert (pair.age(pair.stamp(), pair.true) or 0) <= MS  # the next one mends it
-    pair.grant(way=2 * SECOND)
+    pair.grant(delay_us=2 * SECOND)
     pair.true += 2 * SECOND
     assert (pair.age(pair.stamp(), pair.true) or 0) <= 4 * MS  # and a late one does not spoil it
 
@@ -90,10 +90,10 @@
     assert pair.grants.earliest_send_time(now, AgeStamp(first, SECOND)) is None  # from before this one began
     assert (
         pair.grants.earliest_send_time(now, AgeStamp(pair.grants.issue(now) + 1, 0)) is None
-    )  # not given yet
+    )  # not issued yet
 
 
-def test_old_grants_are_named_no_more() -> None:
+def test_expired_grants_are_not_used_in_stamps() -> None:
     pair = Pair(Clock(), Clock())
     pair.grant()
     stamp = pair.stamp()
@@ -105,14 +105,14 @@
     assert pair.stamp() is not None
 
 
-def test_grants_are_given_with_what_is_said_and_by_themselves_when_nothing_is() -> None:
+def test_grants_are_issued_with_messages_and_by_themselves_on_an_idle_stream() -> None:
     grants = GrantIssuer(SECOND, random.Random(1))
-    given_at = [at for at in range(SECOND, 2 * SECOND, 10 * MS) if grants.issue_if_due(at)]
-    assert given_at == list(range(SECOND, 2 * SECOND, GRANT_INTERVAL_US))
-    assert grants.next_due() == given_at[-1] + IDLE_GRANT_INTERVAL_US
+    issued_at = [at for at in range(SECOND, 2 * SECOND, 10 * MS) if grants.issue_if_due(at)]
+    assert issued_at == list(range(SECOND, 2 * SECOND, GRANT_INTERVAL_US))
+    assert grants.next_due() == issued_at[-1] + IDLE_GRANT_INTERVAL_US
 
 
-def test_a_sender_s_clock_that_steps_forward_is_found_out() -> None:
+def test_a_sender_s_clock_that_steps_forward_is_detected() -> None:
     """Danger: what was held for as long as the step would look fresh."""
     pair = Pair(Clock(), Clock())
     pair.grant()
@@ -138,9 +138,9 @@
     assert (pair.age(pair.stamp(), pair.true + MS) or 0) <= 2 * MS
 
 
-def test_a_stopped_sender_s_message_ages_from_when_it_was_said() -> None:
+def test_a_stopped_sender_s_message_ages_from_when_it_was_sent() -> None:
     pair = Pair(Clock(), Clock())
-    pair.grant(way=100)
+    pair.grant(delay_us=100)
     pair.true += 100
     stamp = pair.stamp()  # queued; then the process stands for ten seconds, and its socket sends
     assert (pair.age(stamp, pair.true + 10 * SECOND) or 0) >= 10 * SECOND
@@ -155,15 +155,15 @@
     end = pair.true + 6 * HOUR
     worst = 0
     while pair.true < end:
-        pair.grant(way=rng.randint(100, 500))
+        pair.grant(delay_us=rng.randint(100, 500))
         pair.true += rng.randint(MS, IDLE_GRANT_INTERVAL_US)
-        stamp, way = pair.stamp(), rng.randint(50, 500)
-        age = pair.age(stamp, pair.true + way)
-        assert age is not None and age >= way  # never younger than true
-        worst = max(worst, age - way)
+        stamp, delay_us = pair.stamp(), rng.randint(50, 500)
+        age = pair.age(stamp, pair.true + delay_us)
+        assert age is not None and age >= delay_us  # never younger than true
+        worst = max(worst, age - delay_us)
         held = pair.age(stamp, pair.true + 4 * SECOND)
         assert held is not None and held >= 4 * SECOND * (1_000_000 - 500) // 1_000_000
-    # No older than the way of a grant and the allowance for drift since it was given.
+    # No older than the delay_us of a grant and the allowance for drift since it was given.
     assert worst <= 500 + IDLE_GRANT_INTERVAL_US * 2 * MAX_DRIFT_PPM // 1_000_000 + MS
 
 
@@ -181,11 +181,11 @@
     """Any order of grants and messages over ways that take anything up to fifteen seconds."""
     pair = Pair(Clock(ppm[0], 9 * HOUR), Clock(ppm[1]))
     grants: list[tuple[int, int]] = []  # when heard, number
-    for pause, renew, way, back in steps:
+    for pause, renew, delay_us, back in steps:
         pair.true += pause
         if renew:
             number = pair.grants.issue(pair.receiver.at(pair.true))
-            grants.append((pair.true + way, number))
+            grants.append((pair.true + delay_us, number))
         for heard, number in sorted(g for g in grants if g[0] <= pair.true):
             pair.stamps.receive_grant(pair.sender.at(heard), number)
         grants = [g for g in grants if g[0] > pair.true]
@@ -197,7 +197,7 @@
             assert age is not None or stamp.held_us > GRANT_VALIDITY_US
 
 
-def test_two_clocks_that_go_apart() -> None:
+def test_two_clocks_that_diverge() -> None:
     watch = ClockStepDetector()
     assert not watch.has_stepped(1_000, 5_000)
     assert not watch.has_stepped(1_000 + HOUR, 5_000 + HOUR + HOUR // 2_000)  # drift
@@ -206,7 +206,7 @@
     assert watch.has_stepped(0, 8_000 + HOUR + HOUR // 2_000)
 
 
-def test_epochs_order_streams_and_are_bounded() -> None:
+def test_epochs_order_streams_and_are_limited() -> None:
     epochs = StreamEpochs(2)
     assert epochs.accept("a", 1) and epochs.accept("a", 3)
     assert not epochs.accept("a", 3) and not epochs.accept("a", 2)
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -53,7 +53,7 @@
     return path
 
 
-def test_a_good_file(tmp_path: Path) -> None:
+def test_a_valid_file(tmp_path: Path) -> None:
     config = load_planner(written(tmp_path, GOOD))
     s = config.settings
     assert (s.position, s.planners, s.zone) == (1, 3, 1)
@@ -123,7 +123,7 @@
     assert str(found[0]).startswith(f"{path}:{line}:{column}: ")
 
 
-def test_all_errors_of_a_file_are_told_at_once(tmp_path: Path) -> None:
+def test_all_errors_of_a_file_are_reported_at_once(tmp_path: Path) -> None:
     text = GOOD.replace("seed 7", "sead 7").replace("aim 3.5s", "aim x").replace("zone a", "zone ?")
     with pytest.raises(SettingsError) as caught:
         load_planner(written(tmp_path, text))
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("content", [b"\xff\xfe", b"a\0b", b""])
-def test_files_that_are_none(tmp_path: Path, content: bytes) -> None:
+def test_files_that_are_not_settings(tmp_path: Path, content: bytes) -> None:
     path = tmp_path / "planner.conf"
     path.write_bytes(content)
     with pytest.raises(SettingsError):
@@ -140,12 +140,12 @@
         load_planner(tmp_path / "missing")
 
 
-def test_loopback_may_be_left_by_word(tmp_path: Path) -> None:
+def test_other_addresses_than_loopback_need_a_keyword(tmp_path: Path) -> None:
     text = GOOD.replace("listen 127.0.0.1:0", "listen 10.0.0.1:80\nbeyond-loopback yes")
     assert load_planner(written(tmp_path, text)).listen[0] == "10.0.0.1:80"
 
 
-def test_blocks_and_rests() -> None:
+def test_blocks_and_further_values() -> None:
     schema = (
         Block("b", (parsers.name,), (Key("k", (parsers.integer(),), rest_parser=parsers.duration),)),
         Key("flag", (parsers.boolean,)),
@@ -158,11 +158,11 @@
 
 
 @pytest.mark.parametrize("us", [0, 1, 250_000, 3_500_000, 60_000_000, 7_200_000_000, 1234567])
-def test_durations_come_back(us: int) -> None:
+def test_formatted_durations_are_read_back(us: int) -> None:
     assert parsers.duration(parsers.format_duration(us)) == us
 
 
-def test_spans_and_shares() -> None:
+def test_ranges_and_fractions() -> None:
     assert parsers.value_range(parsers.duration)("1s..2s") == (1_000_000, 2_000_000)
     assert parsers.value_range(parsers.integer())("4") == (4, 4)
     assert parsers.fraction("25%") == 0.25 and parsers.fraction("0.5") == 0.5
--- a/tests/settings/test_site.py
+++ b/tests/settings/test_site.py
@@ -111,7 +111,7 @@
     }
 
 
-def test_a_site_takes_the_place_of_what_a_planner_had(tmp_path: Path) -> None:
+def test_site_settings_replace_those_of_a_planner(tmp_path: Path) -> None:
     old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
     changed = SITE_TEXT.replace("max-attempts 4", "max-attempts 5").replace("open-most 100", "open-most 7", 1)
     new = merge_site(old, load_site_text(changed))
@@ -120,7 +120,7 @@
     assert new.open_most == 7
 
 
-def test_what_names_the_planner_stays_with_it(tmp_path: Path) -> None:
+def test_keys_of_the_planner_itself_are_unchanged(tmp_path: Path) -> None:
     old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
     new = merge_site(old, load_site_text(SITE_TEXT))
     assert new == old
@@ -134,7 +134,7 @@
     assert merge_site(old, load_site_text(turned)).settings.zone == 0
 
 
-def test_a_site_without_the_home_zone_is_no_site_of_this_planner(tmp_path: Path) -> None:
+def test_a_site_without_the_home_zone_is_rejected(tmp_path: Path) -> None:
     old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
     site = load_site_text(SITE_TEXT.replace("zone b\n", "zone c\n"))
     with pytest.raises(SettingsError, match=r"site\.conf:1:1: zone: no zone b.*known: a, c"):
@@ -152,7 +152,7 @@
         ("seed 7", "seed"),
     ],
 )
-def test_what_names_a_planner_has_no_place_in_a_site_file(line: str, key: str) -> None:
+def test_keys_of_a_planner_are_rejected_in_a_site_file(line: str, key: str) -> None:
     with pytest.raises(SettingsError) as caught:
         load_site_text(f"{line}\n{SITE_TEXT}", "site.conf")
     (problem,) = caught.value.problems
@@ -180,7 +180,7 @@
     assert str(found[0]).startswith(f"site.conf:{place}: ")
 
 
-def test_a_planners_file_tells_what_is_wrong_with_both_parts_at_once(tmp_path: Path) -> None:
+def test_a_planners_file_reports_problems_of_both_parts_at_once(tmp_path: Path) -> None:
     text = OWN_TEXT.replace("planner 1 of 3", "planner 3 of 3")
     text += SITE_TEXT.replace("dial-retry 50ms 3s", "dial-retry 4s 3s")
     with pytest.raises(SettingsError) as caught:
