--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -144,7 +144,7 @@
         self.configuration.stop()
         self.server.leave()
         self.feed(ev.ShutdownRequested())
-        until = now_us() + self.config.stop_grace_us + 1_000_000
+        until = now_us() + self.config.shutdown_grace_us + 1_000_000
         while not self.core.finished and now_us() < until:
             gevent.sleep(0.01)
         for call in list(self.owners.values()):
@@ -263,7 +263,7 @@
 
     def _place(self, call: ServerCall) -> None:
         """Handler of Placement.Place."""
-        if len(self.owners) >= self.config.owners_most:
+        if len(self.owners) >= self.config.max_clients:
             raise RpcError(Code.RESOURCE_EXHAUSTED, f"{len(self.owners)} owners are here already")
         if self.server.leaving:
             raise RpcError(Code.UNAVAILABLE, "this planner is leaving")
@@ -455,7 +455,7 @@
             keepalive_s=self.config.keepalive_us[0] / 1e6,
             keepalive_timeout_s=self.config.keepalive_us[1] / 1e6,
         )
-        return Channel(self.config.directory, limits, self.config.list_silence_us / 2e6)
+        return Channel(self.config.directory, limits, self.config.list_silence_timeout_us / 2e6)
 
     def _watch_list(self, revision: int) -> None:
         channel = self._directory()
@@ -463,7 +463,7 @@
             call = caller(channel, DIRECTORY, "Watch")
             call.send(directory_pb2.WatchRequest(planner=self.position, revision=revision))
             call.close_send()
-            while (message := call.recv(self.config.list_silence_us / 1e6)) is not None:
+            while (message := call.recv(self.config.list_silence_timeout_us / 1e6)) is not None:
                 self.feed(convert.list_from(message))
         except RpcError as error:
             self.log.info("node list out of reach", error=str(error))
@@ -477,7 +477,7 @@
         channel = self._directory()
         try:
             request = directory_pb2.ListRequest(planner=self.position)
-            timeout = self.config.list_silence_us / 1e6
+            timeout = self.config.list_silence_timeout_us / 1e6
             told = channel.unary(
                 path(DIRECTORY, "List"), request, directory_pb2.NodeList.FromString, timeout_s=timeout
             )
--- a/stairplank/planner/live_settings.py
+++ b/stairplank/planner/live_settings.py
@@ -17,33 +17,38 @@
 def core_config(config: PlannerConfig) -> CoreConfig:
     """Bounds and waits of the core."""
     return CoreConfig(
-        bounds=Bounds(config.open_most, config.owner_open_most, config.running_most, config.wait_most_us),
+        bounds=Bounds(
+            config.max_open_requests,
+            config.max_open_requests_per_client,
+            config.max_running_tasks,
+            config.max_wait_us,
+        ),
         tenants=tuple(name for name, _ in config.cluster.tenants),
         zones=config.cluster.zones,
         dial_timeout_us=config.dial_timeout_us,
-        dial_retry_us=config.dial_retry_us,
-        dial_retry_most_us=config.dial_retry_most_us,
+        dial_retry_us=config.reconnect_delay_us,
+        dial_retry_most_us=config.max_reconnect_delay_us,
         link_grace_us=config.link_grace_us,
-        stop_grace_us=config.stop_grace_us,
-        nodes_most=config.nodes_most,
-        dials_most=config.dials_most,
+        stop_grace_us=config.shutdown_grace_us,
+        nodes_most=config.max_nodes,
+        dials_most=config.max_concurrent_dials,
     )
 
 
 def server_limits(config: PlannerConfig) -> Limits:
     """Limits of each connection that is made from now on, and how many there may be."""
     return Limits(
-        message_bytes=config.message_most,
-        send_bytes=config.send_buffer,
+        message_bytes=config.max_message_bytes,
+        send_bytes=config.send_buffer_bytes,
         keepalive_s=config.keepalive_us[0] / 1e6,
         keepalive_timeout_s=config.keepalive_us[1] / 1e6,
-        connections=config.owners_most * CONNECTIONS_PER_CLIENT,
+        connections=config.max_clients * CONNECTIONS_PER_CLIENT,
     )
 
 
 def epochs_most(config: PlannerConfig) -> int:
     """How many sessions of clients are remembered."""
-    return config.owners_most * EPOCHS_PER_CLIENT
+    return config.max_clients * EPOCHS_PER_CLIENT
 
 
 def prepared(config: PlannerConfig, text: str, name: str) -> PlannerConfig:
--- a/stairplank/planner/node_connection.py
+++ b/stairplank/planner/node_connection.py
@@ -94,8 +94,8 @@
         limits = Limits(
             keepalive_s=config.keepalive_us[0] / 1e6,
             keepalive_timeout_s=config.keepalive_us[1] / 1e6,
-            message_bytes=config.message_most,
-            send_bytes=config.send_buffer,
+            message_bytes=config.max_message_bytes,
+            send_bytes=config.send_buffer_bytes,
         )
         timeout = config.dial_timeout_us / 1e6
         self.channel = Channel(target, limits, timeout)
@@ -175,7 +175,7 @@
         if not self.send(node_pb2.OfferRequest(probe=node_pb2.OfferRequest.Probe(probe=number)), None):
             return False
         self._probes[number] = now_us()
-        gevent.spawn_later(self.host.config.probe_timeout_us / 1e6, self._probe_over, number)
+        gevent.spawn_later(self.host.config.health_check_timeout_us / 1e6, self._probe_over, number)
         return True
 
     def _sampled(self, sampled: Any) -> ev.Event | None:
--- a/stairplank/settings/site.py
+++ b/stairplank/settings/site.py
@@ -40,20 +40,20 @@
 # several; a key with several fields gives one value to each.
 TUNABLE_FIELDS: Mapping[str, tuple[str, ...]] = {
     "dial-timeout": ("dial_timeout_us",),
-    "dial-retry": ("dial_retry_us", "dial_retry_most_us"),
+    "dial-retry": ("reconnect_delay_us", "max_reconnect_delay_us"),
     "link-grace": ("link_grace_us",),
-    "probe-timeout": ("probe_timeout_us",),
-    "list-silence": ("list_silence_us",),
-    "stop-grace": ("stop_grace_us",),
-    "open-most": ("open_most",),
-    "owner-open-most": ("owner_open_most",),
-    "running-most": ("running_most",),
-    "owners-most": ("owners_most",),
-    "nodes-most": ("nodes_most",),
-    "dials-most": ("dials_most",),
-    "wait-most": ("wait_most_us",),
-    "send-buffer": ("send_buffer",),
-    "message-most": ("message_most",),
+    "probe-timeout": ("health_check_timeout_us",),
+    "list-silence": ("list_silence_timeout_us",),
+    "stop-grace": ("shutdown_grace_us",),
+    "open-most": ("max_open_requests",),
+    "owner-open-most": ("max_open_requests_per_client",),
+    "running-most": ("max_running_tasks",),
+    "owners-most": ("max_clients",),
+    "nodes-most": ("max_nodes",),
+    "dials-most": ("max_concurrent_dials",),
+    "wait-most": ("max_wait_us",),
+    "send-buffer": ("send_buffer_bytes",),
+    "message-most": ("max_message_bytes",),
     "keepalive": ("keepalive_us",),
 }
 
@@ -64,21 +64,21 @@
 
     cluster: Cluster
     dial_timeout_us: int = 250_000
-    dial_retry_us: int = 100_000
-    dial_retry_most_us: int = 2_000_000
+    reconnect_delay_us: int = 100_000
+    max_reconnect_delay_us: int = 2_000_000
     link_grace_us: int = 1_000_000
-    probe_timeout_us: int = 500_000
-    list_silence_us: int = 5_000_000
-    stop_grace_us: int = 10_000_000
-    open_most: int = 20_000
-    owner_open_most: int = 20_000
-    running_most: int = 200_000
-    owners_most: int = 1_000
-    nodes_most: int = 10_000
-    dials_most: int = 16
-    wait_most_us: int = 3_600_000_000
-    send_buffer: int = 1 << 20
-    message_most: int = 1 << 20
+    health_check_timeout_us: int = 500_000
+    list_silence_timeout_us: int = 5_000_000
+    shutdown_grace_us: int = 10_000_000
+    max_open_requests: int = 20_000
+    max_open_requests_per_client: int = 20_000
+    max_running_tasks: int = 200_000
+    max_clients: int = 1_000
+    max_nodes: int = 10_000
+    max_concurrent_dials: int = 16
+    max_wait_us: int = 3_600_000_000
+    send_buffer_bytes: int = 1 << 20
+    max_message_bytes: int = 1 << 20
     keepalive_us: tuple[int, int] = (5_000_000, 2_000_000)
 
 
--- a/tests/planner/test_daemon_settings.py
+++ b/tests/planner/test_daemon_settings.py
@@ -55,7 +55,7 @@
 def test_preparing_changes_nothing(world: World) -> None:
     before = (world.daemon.config, world.daemon.core.context.settings, world.daemon.server.limits)
     prepared = world.daemon.prepare_site(text(("open-most 50", "open-most 51")), "revision-1")
-    assert prepared.open_most == 51
+    assert prepared.max_open_requests == 51
     assert (world.daemon.config, world.daemon.core.context.settings, world.daemon.server.limits) == before
 
 
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -58,7 +58,7 @@
     s = config.settings
     assert (s.position, s.planners, s.zone) == (1, 3, 1)
     assert config.listen == ("127.0.0.1:0", "unix:/tmp/x.sock") and config.directory == "[::1]:7300"
-    assert (config.dial_retry_us, config.dial_retry_most_us, config.send_buffer) == (
+    assert (config.reconnect_delay_us, config.max_reconnect_delay_us, config.send_buffer_bytes) == (
         50_000,
         2_000_000,
         65_536,
--- a/tests/settings/test_site.py
+++ b/tests/settings/test_site.py
@@ -58,21 +58,21 @@
 # Every tunable with the value that SITE_TEXT gives it; none is a default.
 TUNED = {
     "dial_timeout_us": 300_000,
-    "dial_retry_us": 50_000,
-    "dial_retry_most_us": 3_000_000,
+    "reconnect_delay_us": 50_000,
+    "max_reconnect_delay_us": 3_000_000,
     "link_grace_us": 2_000_000,
-    "probe_timeout_us": 600_000,
-    "list_silence_us": 6_000_000,
-    "stop_grace_us": 11_000_000,
-    "open_most": 100,
-    "owner_open_most": 50,
-    "running_most": 200,
-    "owners_most": 10,
-    "nodes_most": 20,
-    "dials_most": 3,
-    "wait_most_us": 7_200_000_000,
-    "send_buffer": 65_536,
-    "message_most": 131_072,
+    "health_check_timeout_us": 600_000,
+    "list_silence_timeout_us": 6_000_000,
+    "shutdown_grace_us": 11_000_000,
+    "max_open_requests": 100,
+    "max_open_requests_per_client": 50,
+    "max_running_tasks": 200,
+    "max_clients": 10,
+    "max_nodes": 20,
+    "max_concurrent_dials": 3,
+    "max_wait_us": 7_200_000_000,
+    "send_buffer_bytes": 65_536,
+    "max_message_bytes": 131_072,
     "keepalive_us": (4_000_000, 1_000_000),
 }
 
@@ -117,7 +117,7 @@
     new = merge_site(old, load_site_text(changed))
     assert new == planner(tmp_path, OWN_TEXT + changed)
     assert new.settings.max_attempts == 5
-    assert new.open_most == 7
+    assert new.max_open_requests == 7
 
 
 def test_keys_of_the_planner_itself_are_unchanged(tmp_path: Path) -> None:
