--- a/tests/rehearsal/test_day.py
+++ b/tests/rehearsal/test_day.py
@@ -105,11 +105,11 @@
 
 def test_the_room_is_carried_over(tmp_path: Path) -> None:
     scenario, notes = made(tmp_path, DAY)
-    room = scenario.room
-    assert [c.effect.value for c in room.classes] == ["repeatable", "keyed", "once"]
-    assert [c.spread.value for c in room.classes] == ["node", "group", "none"]
-    assert room.classes[1].dedup_window_us == 6 * S and room.classes[2].node_type == 1
-    assert (room.max_attempts, room.drain_grace_us, room.overload_multiple, room.preempts) == (
+    cluster = scenario.cluster
+    assert [c.effect.value for c in cluster.classes] == ["repeatable", "keyed", "once"]
+    assert [c.spread.value for c in cluster.classes] == ["node", "group", "none"]
+    assert cluster.classes[1].dedup_window_us == 6 * S and cluster.classes[2].node_type == 1
+    assert (cluster.max_attempts, cluster.drain_grace_us, cluster.overload_multiple, cluster.preempts) == (
         4,
         400_000,
         3.0,
@@ -120,7 +120,7 @@
     assert scenario.nodes[0].model.look_us == (4000, 4000) and scenario.nodes[0].model.waiting_most == 12
     # 4 small, 4 big nodes: 224 of memory, accepted 1.5 times over. A task asks for 1.5 for 5 s on average:
     # 336 / 7.5 = 44.8 a second fill it, before memory in use (49.8) and cores; half of that less 7%.
-    assert abs(scenario.section.one("rate") - 44.8 * 0.93 * 0.5) < 0.1
+    assert abs(scenario.section.value("rate") - 44.8 * 0.93 * 0.5) < 0.1
     assert any(n.startswith("moon: not known") for n in notes) and any(n.startswith("net: ") for n in notes)
 
 
@@ -129,7 +129,7 @@
     small, _ = made(tmp_path, DAY | {"troubles": [TROUBLES["crash"][0]]}, scale=0.5, speed=2.0)
     assert len(small.nodes) == 5 and small.planners == 2
     assert (
-        abs(small.section.one("rate") / full.section.one("rate") - 1.0) < 0.1
+        abs(small.section.value("rate") / full.section.value("rate") - 1.0) < 0.1
     )  # half the room, twice as fast
     crash = next(f for f in small.faults if f.what == "kill")
     assert crash.at_us == S and crash.for_us == 1_500_000 and crash.which
