--- a/benchmarks/wishes.py
+++ b/benchmarks/wishes.py
@@ -99,7 +99,7 @@
 def can(spec: GroupSpec, world: World) -> bool:
     """Whether the wish can be met in what is free now."""
     now = [replace(p, cores=p.free_cores, memory=p.free_memory) for p in places(world)]
-    return infeasible_constraint(spec, now, world.config.room.settings(3, 0, 0)) is None
+    return infeasible_constraint(spec, now, world.config.cluster.settings(3, 0, 0)) is None
 
 
 def run(wish: str, size: int, load: float, seed: int, steer: bool) -> dict[str, Any]:
@@ -111,9 +111,9 @@
         rate = load * 20 * 16 * 1.5 / (7 / 6 * 6)
         file.write_text(ROOM.format(rate=f"{rate:.2f}"))
         scenario = load_scenario(file)
-    owners = client_models(scenario.section, scenario.room, ["crowd"], 3)
+    owners = client_models(scenario.section, scenario.cluster, ["crowd"], 3)
     config = WorldConfig(
-        scenario.room,
+        scenario.cluster,
         tuple(n.model for n in scenario.nodes),
         (replace(owners[0], demand_ends_us=55 * SECOND), replace(owners[0], name="groups", demand_ends_us=0)),
         3,
--- a/stairplank/planner/convert.py
+++ b/stairplank/planner/convert.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from .. import interface as api
-from ..fence import Stamp
+from ..fence import AgeStamp
 from ..proto import common_pb2, directory_pb2, node_pb2, placement_pb2
 from ..rpc.status import Code
 from . import events as ev
@@ -84,14 +84,14 @@
     )
 
 
-def stamp_from_proto(message: Any) -> Stamp | None:
+def stamp_from_proto(message: Any) -> AgeStamp | None:
     """When a message says that it was sent; None where it does not."""
-    return Stamp(message.sent.grant, message.sent.since_us) if message.HasField("sent") else None
+    return AgeStamp(message.sent.grant, message.sent.since_us) if message.HasField("sent") else None
 
 
-def stamp_to_proto(stamp: Stamp | None) -> Any:
+def stamp_to_proto(stamp: AgeStamp | None) -> Any:
     """When a message is sent, as a ``Sent`` message; None where that is not known."""
-    return None if stamp is None else common_pb2.Sent(grant=stamp.grant, since_us=stamp.since_us)
+    return None if stamp is None else common_pb2.Sent(grant=stamp.grant, since_us=stamp.held_us)
 
 
 def reason_from_proto(reason: int) -> api.Reason:
@@ -175,7 +175,7 @@
     return ev.NodeTask(attempt_id_from_proto(task.id), task_from_proto(task.task), task.running, tag)
 
 
-def offer_to_proto(offer: ev.SendOffer, task_class: api.TaskClass, stamp: Stamp | None) -> Any:
+def offer_to_proto(offer: ev.SendOffer, task_class: api.TaskClass, stamp: AgeStamp | None) -> Any:
     """An offer as an ``OfferRequest``."""
     return node_pb2.OfferRequest(
         offer=node_pb2.OfferRequest.Offer(
@@ -191,7 +191,7 @@
     )
 
 
-def commit_to_proto(commit: ev.SendCommit, stamp: Stamp | None) -> Any:
+def commit_to_proto(commit: ev.SendCommit, stamp: AgeStamp | None) -> Any:
     """The start of group members as an ``OfferRequest``."""
     part = node_pb2.OfferRequest.Commit(
         ids=map(attempt_id_to_proto, commit.ids), lease_us=commit.lease_us, sent=stamp_to_proto(stamp)
@@ -199,7 +199,7 @@
     return node_pb2.OfferRequest(commit=part)
 
 
-def lease_renewal_to_proto(renewal: ev.SendLeaseRenewal, stamp: Stamp | None) -> Any:
+def lease_renewal_to_proto(renewal: ev.SendLeaseRenewal, stamp: AgeStamp | None) -> Any:
     """A renewal of leases as an ``OfferRequest``."""
     part = node_pb2.OfferRequest.Keep(
         ids=map(attempt_id_to_proto, renewal.ids),
--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -20,8 +20,8 @@
 import structlog
 from gevent.event import Event as Flag
 
-from ..configuration.joining import follow
-from ..configuration.live import LiveChanges, live_changes
+from ..configuration.changes import ConfigurationChanges, compare_configurations
+from ..configuration.planner_configuration import watch_configuration
 from ..configuration.revision import NO_REVISION, Revision
 from ..proto import methods
 from ..proto.standard import Health, Reflection
@@ -67,7 +67,7 @@
         self._timer_changed = Flag()
         self._timer_due: int | None = None  # what the timer's greenlet waits for
         self._stop = Flag()
-        self.configuration = follow(self, revision)
+        self.configuration = watch_configuration(self, revision)
 
     def _make_server(self) -> Server:
         names = (PLACEMENT_SERVICE.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
@@ -120,7 +120,7 @@
         self.configuration.stop()
         self.server.leave()
         self.handle(ev.ShutdownRequested())
-        until = now_us() + self.config.stop_grace_us + SHUTDOWN_MARGIN_US
+        until = now_us() + self.config.shutdown_grace_us + SHUTDOWN_MARGIN_US
         while not self.core.finished and now_us() < until:
             gevent.sleep(SHUTDOWN_POLL_S)
         self.placement_service.close_sessions()
@@ -134,16 +134,16 @@
     def prepare_site(self, text: str, name: str) -> PlannerConfig:
         """This planner's configuration once the site's text is in force; ``name`` stands for its file.
 
-        Changes nothing, and may run in another thread. Raises SettingsError and NeedsRestartError.
+        Changes nothing, and may run in another thread. Raises SettingsError and RestartRequiredError.
         """
         return prepare_config(self.config, text, name)
 
-    def apply_site(self, config: PlannerConfig) -> LiveChanges:
-        """Put a prepared configuration into force, at once; what has changed. Raises NeedsRestartError."""
+    def apply_site(self, config: PlannerConfig) -> ConfigurationChanges:
+        """Put a prepared configuration into force, at once; what has changed. Raises RestartRequiredError."""
         # Danger: another one may have come into force since it was prepared.
-        changes = live_changes(self.config, config)
-        changes.check()
-        if changes.identical:
+        changes = compare_configurations(self.config, config)
+        changes.raise_if_restart_required()
+        if changes.is_empty:
             return changes
         self.config = config
         self.server.limits = server_limits(config)
--- a/stairplank/planner/node_connection.py
+++ b/stairplank/planner/node_connection.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-from ..fence import Stamp, Stamps
+from ..fence import AgeStamp, MessageStamper
 from ..proto import caller, node_pb2
 from ..rpc import Channel, Code, Limits, RpcError
 from . import convert
@@ -76,7 +76,7 @@
         self.sent: deque[SentMessage] = deque()  # not yet handed to the connection, as far as is known
         self.closing = False
         self.received = ReceivedMessages()
-        self.stamps = Stamps()
+        self.stamps = MessageStamper()
         self._ack_due = False
         self._last_check = 0
         self._checks: dict[int, int] = {}  # health checks in flight: when each was sent, by number
@@ -122,8 +122,8 @@
         limits = Limits(
             keepalive_s=config.keepalive_us[0] / 1e6,
             keepalive_timeout_s=config.keepalive_us[1] / 1e6,
-            message_bytes=config.message_most,
-            send_bytes=config.send_buffer,
+            message_bytes=config.max_message_bytes,
+            send_bytes=config.send_buffer_bytes,
         )
         timeout_s = config.dial_timeout_us / 1e6
         self.channel = Channel(address, limits, timeout_s)
@@ -132,8 +132,8 @@
         self.sent.append(SentMessage(0, None))
         first = self.call.recv(timeout_s)
         self._check_welcome(first)
-        self.stamps = Stamps()
-        self.stamps.heard(now_us(), first.grant)
+        self.stamps = MessageStamper()
+        self.stamps.receive_grant(now_us(), first.grant)
         return first.welcome
 
     def _hello(self) -> Any:
@@ -156,7 +156,7 @@
     def _read(self) -> None:
         count = 0
         while (message := self.call.recv()) is not None:
-            self.stamps.heard(now_us(), message.grant)
+            self.stamps.receive_grant(now_us(), message.grant)
             if message.number and not self._receive_numbered(message.number):
                 continue
             event = convert.node_event_from_proto(self.node, message)
@@ -216,7 +216,7 @@
         if not self.send(_REQUEST(probe=_REQUEST.Probe(probe=number))):
             return False
         self._checks[number] = now_us()
-        timeout_s = self.process.config.probe_timeout_us / 1e6
+        timeout_s = self.process.config.health_check_timeout_us / 1e6
         gevent.spawn_later(timeout_s, self._check_timed_out, number)
         return True
 
@@ -241,7 +241,7 @@
             sent.attempt for sent in self.sent if sent.attempt is not None and sent.number >= handed
         )
 
-    def stamp(self) -> Stamp | None:
+    def stamp(self) -> AgeStamp | None:
         """For a message whose times count from when it is sent; None while no grant is known."""
         if self.table.clock_stepped():
             self.process.log.warning("the clock has jumped: grants are forgotten")
--- a/stairplank/planner/node_connections.py
+++ b/stairplank/planner/node_connections.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from ..fence import StepWatch
+from ..fence import ClockStepDetector
 from ..proto import node_pb2, path
 from ..rpc import Code, RpcError
 from . import convert
@@ -30,7 +30,7 @@
         self.connections: dict[int, NodeConnection] = {}
         self.received: dict[int, NodeMessages] = {}  # by node; outlives a connection
         self._last_epoch = 0
-        self._step_watch = StepWatch()
+        self._step_watch = ClockStepDetector()
 
     # Clocks and epochs
 
@@ -44,7 +44,7 @@
         before = now_us()
         raw = raw_us()
         after = now_us()
-        if after - before > MAX_READING_GAP_US or not self._step_watch.stepped(before, raw):
+        if after - before > MAX_READING_GAP_US or not self._step_watch.has_stepped(before, raw):
             return False  # stalled between the readings: they say nothing about each other
         for connection in self.connections.values():
             connection.stamps.forget()
--- a/stairplank/planner/node_list_watch.py
+++ b/stairplank/planner/node_list_watch.py
@@ -41,7 +41,7 @@
                     path(DIRECTORY_SERVICE, "List"),
                     directory_pb2.ListRequest(planner=process.position),
                     directory_pb2.NodeList.FromString,
-                    timeout_s=process.config.list_silence_us / 1e6,
+                    timeout_s=process.config.list_silence_timeout_us / 1e6,
                 )
             except RpcError as error:
                 process.log.info("node list out of reach", error=str(error))
@@ -56,7 +56,7 @@
                 call = caller(channel, DIRECTORY_SERVICE, "Watch")
                 call.send(directory_pb2.WatchRequest(planner=process.position, revision=revision))
                 call.close_send()
-                while (message := call.recv(process.config.list_silence_us / 1e6)) is not None:
+                while (message := call.recv(process.config.list_silence_timeout_us / 1e6)) is not None:
                     process.handle(convert.node_list_from_proto(message))
             except RpcError as error:
                 process.log.info("node list out of reach", error=str(error))
@@ -72,7 +72,7 @@
             keepalive_s=config.keepalive_us[0] / 1e6,
             keepalive_timeout_s=config.keepalive_us[1] / 1e6,
         )
-        channel = Channel(config.directory, limits, config.list_silence_us / 2e6)
+        channel = Channel(config.directory, limits, config.list_silence_timeout_us / 2e6)
         try:
             yield channel
         finally:
--- a/stairplank/planner/placement_service.py
+++ b/stairplank/planner/placement_service.py
@@ -10,7 +10,7 @@
 
 import gevent
 
-from ..fence import Epochs, Grants
+from ..fence import GrantIssuer, StreamEpochs
 from ..proto import placement_pb2
 from ..rpc import Code, RpcError, ServerCall
 from . import convert
@@ -44,7 +44,7 @@
     number: int  # unique in this process
     key: ClientKey
     call: ServerCall
-    grants: Grants
+    grants: GrantIssuer
 
 
 class PlacementService:
@@ -54,14 +54,14 @@
         """No client is connected yet."""
         self._process = process
         self.sessions: dict[int, ClientSession] = {}
-        self.epochs = Epochs(max_session_epochs(process.config))
+        self.epochs = StreamEpochs(max_session_epochs(process.config))
         self.dropped_messages = 0  # progress that slow readers were not sent
         self._rng = random.Random(os.urandom(16))
         self._last_session = 0
 
     def settings_changed(self) -> None:
         """Take the bounds of the configuration in force."""
-        self.epochs.allow(max_session_epochs(self._process.config))
+        self.epochs.raise_limit(max_session_epochs(self._process.config))
 
     def close_sessions(self) -> None:
         """Finish every client's stream, as the process shuts down."""
@@ -86,7 +86,7 @@
 
     def _open(self, call: ServerCall) -> ClientSession:
         """Admit a stream and welcome it. Raises RpcError."""
-        if len(self.sessions) >= self._process.config.owners_most:
+        if len(self.sessions) >= self._process.config.max_clients:
             raise RpcError(Code.RESOURCE_EXHAUSTED, f"{len(self.sessions)} owners are here already")
         if self._process.is_leaving:
             raise RpcError(Code.UNAVAILABLE, "this planner is leaving")
@@ -95,13 +95,13 @@
         number = self._last_session
         key = ClientKey(hello.owner, hello.session)
         if key.session:
-            if not self.epochs.take((key.client, key.session), hello.epoch):
+            if not self.epochs.accept((key.client, key.session), hello.epoch):
                 raise RpcError(Code.ABORTED, "a newer stream of this session has been here")
             self._end_older_streams(key)
-        session = ClientSession(number, key, call, Grants(now_us(), self._rng))
+        session = ClientSession(number, key, call, GrantIssuer(now_us(), self._rng))
         self.sessions[number] = session
         welcome = _PlaceEvent.Welcome(planner=self._process.position, life=self._process.incarnation)
-        call.send(_PlaceEvent(welcome=welcome, grant=session.grants.give(now_us())))
+        call.send(_PlaceEvent(welcome=welcome, grant=session.grants.issue(now_us())))
         return session
 
     def _end_older_streams(self, key: ClientKey) -> None:
@@ -125,7 +125,7 @@
             if session.number in self.sessions and now_us() >= grants.next_due():
                 with contextlib.suppress(RpcError):
                     session.call.try_send(
-                        _PlaceEvent(renewed=_PlaceEvent.Grant(), grant=grants.give(now_us()))
+                        _PlaceEvent(renewed=_PlaceEvent.Grant(), grant=grants.issue(now_us()))
                     )
 
     # Requests
@@ -175,7 +175,7 @@
         if stamp is None:
             return 0
         now = now_us()
-        sent_at = session.grants.said_at(now, stamp)
+        sent_at = session.grants.earliest_send_time(now, stamp)
         return UNKNOWN_AGE_US if sent_at is None else max(0, now - sent_at)
 
     def _reject(self, session: ClientSession, request: int, field: str, message: str) -> None:
@@ -196,7 +196,7 @@
             self.dropped_messages += 1  # progress is dropped first: no outcome depends on it
             return
         message = convert.client_message_to_proto(action.message)
-        message.grant = session.grants.give_if_due(now_us())
+        message.grant = session.grants.issue_if_due(now_us())
         try:
             sent = session.call.try_send(message)
         except RpcError:
--- a/stairplank/settings/cluster.py
+++ b/stairplank/settings/cluster.py
@@ -1,4 +1,4 @@
-"""What all programs of one room agree on: classes, kinds, zones, tenants, the figures of the rules."""
+"""What all programs of one site agree on: classes, node types, zones, tenants, limits and times."""
 
 from __future__ import annotations
 
@@ -7,65 +7,70 @@
 from typing import Any
 
 from .. import interface as api
-from . import values as v
-from .lines import Problem, SettingsError
+from . import parsers
 from .schema import Block, Key, Section
+from .source import SettingsError, SettingsProblem
 
-CLASS = Block(
+CLASS_BLOCK = Block(
     "class",
-    (v.name,),
+    (parsers.name,),
     (
-        Key("effect", (v.choice("repeatable", "keyed", "once"),), required=True),
-        Key("group", (v.choice("node", "rack", "zone", "all"),)),
-        Key("window", (v.positive_duration,)),
-        Key("aim", (v.positive_duration,), required=True),
-        Key("deadline", (v.positive_duration,), required=True),
-        Key("worth", (v.number(above=True),)),
-        Key("start-worth", (v.duration,)),
-        Key("late-worth", (v.share,)),
-        Key("spread", (v.choice("node", "rack", "zone"), v.whole(1, 1_000_000))),
-        Key("kind", (v.name,)),
-        Key("priority", (v.whole(0, 3),)),
-        Key("calm-until", (v.number(above=True),)),
-        Key("lost-over", (v.number(),)),
+        Key("effect", (parsers.choice("repeatable", "keyed", "once"),), required=True),
+        Key("group", (parsers.choice("node", "rack", "zone", "all"),)),
+        Key("window", (parsers.positive_duration,)),
+        Key("aim", (parsers.positive_duration,), required=True),
+        Key("deadline", (parsers.positive_duration,), required=True),
+        Key("worth", (parsers.number(exclusive=True),)),
+        Key("start-worth", (parsers.duration,)),
+        Key("late-worth", (parsers.fraction,)),
+        Key("spread", (parsers.choice("node", "rack", "zone"), parsers.integer(1, 1_000_000))),
+        Key("kind", (parsers.name,)),
+        Key("priority", (parsers.integer(0, 3),)),
+        Key("calm-until", (parsers.number(exclusive=True),)),
+        Key("lost-over", (parsers.number(),)),
     ),
     required=True,
 )
 
-CLUSTER: tuple[Key | Block, ...] = (
-    CLASS,
+CLUSTER_SCHEMA: tuple[Key | Block, ...] = (
+    CLASS_BLOCK,
     Key(
         "kind",
-        (v.name, v.number(above=True), v.number(above=True)),
+        (parsers.name, parsers.number(exclusive=True), parsers.number(exclusive=True)),
         True,
         True,
-        words=("", "cores", "memory"),
+        separators=("", "cores", "memory"),
     ),
-    Key("zone", (v.name,), True, True),
-    Key("tenant", (v.name, v.number(above=True)), False, True, words=("", "share")),
-    Key("mean-cores", (v.number(above=True),), True),
-    Key("mean-memory", (v.number(above=True),), True),
-    Key("cores-limit", (v.number(above=True),)),
-    Key("memory-limit", (v.number(above=True),)),
-    Key("confirms", (v.choice("running", "accepted"),)),
-    Key("preempts", (v.flag,)),
-    Key("max-attempts", (v.whole(1, 100),)),
-    Key("answer-slack", (v.positive_duration,)),
-    Key("drain-grace", (v.positive_duration,)),
-    Key("cold-share", (v.number(0, 1, above=True),)),
-    Key("cold-time", (v.duration,)),
-    Key("fall-multiple", (v.number(above=True),)),
-    Key("fall-time", (v.positive_duration,)),
-    Key("fresh-offers", (v.number(),)),
-    Key("retry-after-most", (v.duration,)),
-    Key("owner-wait", (v.duration,)),
-    Key("list-ask-within", (v.positive_duration,)),
-    Key("price", (v.choice("fleet", "move", "waste", "probe", "list", "refusal"), v.number()), False, True),
-    Key("tick", (v.positive_duration,)),
+    Key("zone", (parsers.name,), True, True),
+    Key("tenant", (parsers.name, parsers.number(exclusive=True)), False, True, separators=("", "share")),
+    Key("mean-cores", (parsers.number(exclusive=True),), True),
+    Key("mean-memory", (parsers.number(exclusive=True),), True),
+    Key("cores-limit", (parsers.number(exclusive=True),)),
+    Key("memory-limit", (parsers.number(exclusive=True),)),
+    Key("confirms", (parsers.choice("running", "accepted"),)),
+    Key("preempts", (parsers.boolean,)),
+    Key("max-attempts", (parsers.integer(1, 100),)),
+    Key("answer-slack", (parsers.positive_duration,)),
+    Key("drain-grace", (parsers.positive_duration,)),
+    Key("cold-share", (parsers.number(0, 1, exclusive=True),)),
+    Key("cold-time", (parsers.duration,)),
+    Key("fall-multiple", (parsers.number(exclusive=True),)),
+    Key("fall-time", (parsers.positive_duration,)),
+    Key("fresh-offers", (parsers.number(),)),
+    Key("retry-after-most", (parsers.duration,)),
+    Key("owner-wait", (parsers.duration,)),
+    Key("list-ask-within", (parsers.positive_duration,)),
+    Key(
+        "price",
+        (parsers.choice("fleet", "move", "waste", "probe", "list", "refusal"), parsers.number()),
+        False,
+        True,
+    ),
+    Key("tick", (parsers.positive_duration,)),
 )
 
-# Keys with one value: the field, which has the same name in `Room` and `api.Settings`, and its default.
-FIGURES: Mapping[str, tuple[str, Any]] = {
+# Keys with one value: the field, which has the same name in `Cluster` and `api.Settings`, and its default.
+SINGLE_VALUE_FIELDS: Mapping[str, tuple[str, Any]] = {
     "mean-cores": ("mean_cores", None),
     "mean-memory": ("mean_memory", None),
     "cores-limit": ("cores_limit", 1.0),
@@ -85,13 +90,18 @@
     "tick": ("tick_us", 10_000),
 }
 
-_EFFECTS = {e.value: e for e in api.Effect}
-_SCOPES = {"node": api.Scope.NODE, "rack": api.Scope.GROUP, "zone": api.Scope.ZONE, "all": api.Scope.ALL}
+_EFFECT_BY_KEYWORD = {effect.value: effect for effect in api.Effect}
+_SCOPE_BY_KEYWORD = {
+    "node": api.Scope.NODE,
+    "rack": api.Scope.GROUP,
+    "zone": api.Scope.ZONE,
+    "all": api.Scope.ALL,
+}
 
 
 @dataclass(frozen=True)
 class Cluster:
-    """Typed; times in microseconds."""
+    """The settings that planners, nodes and clients of a site share; times in microseconds."""
 
     classes: tuple[api.TaskClass, ...]
     node_types: tuple[api.NodeType, ...]
@@ -118,7 +128,7 @@
     prices: dict[str, float]
 
     def settings(self, planners: int, position: int, zone: int) -> api.Settings:
-        """What the decision module of one planner is told."""
+        """Return the settings of one planner's decision module; ``zone`` is the index of its home zone."""
         return api.Settings(
             planners=planners,
             position=position,
@@ -160,63 +170,86 @@
 
 
 def cluster_from(section: Section) -> Cluster:
-    """Raises SettingsError for what contradicts itself."""
-    problems: list[Problem] = []
-    kinds = tuple(api.NodeType(*values) for values in section.all("kind"))
-    kind_names = [k.name for k in kinds]
-    classes = tuple(_class(block, kind_names, problems) for block in section.blocks["class"])
+    """Return the typed settings of a section. Raises SettingsError for what contradicts itself."""
+    node_types = tuple(api.NodeType(*values) for values in section.all_values("kind"))
+    kinds = [node_type.name for node_type in node_types]
+    zones = tuple(zone for (zone,) in section.all_values("zone"))
+    tenants = tuple((tenant, share) for tenant, share in section.all_values("tenant"))
+    blocks = section.blocks["class"]
+    problems = [problem for block in blocks for problem in _class_problems(block, kinds)]
     for key, names in (
-        ("class", [c.name for c in classes]),
-        ("kind", kind_names),
-        ("zone", [z for (z,) in section.all("zone")]),
-        ("tenant", [t for t, _ in section.all("tenant")]),
+        ("class", [block.values[0] for block in blocks]),
+        ("kind", kinds),
+        ("zone", list(zones)),
+        ("tenant", [tenant for tenant, _ in tenants]),
     ):
-        twice = next((n for i, n in enumerate(names) if n in names[:i]), None)
-        if twice is not None:
-            problems.append(Problem(section.place(key), key, f"{twice} is there twice"))
+        problems += _duplicate_problems(section, key, names)
     if problems:
         raise SettingsError(problems)
     return Cluster(
-        classes=classes,
-        node_types=kinds,
-        zones=tuple(z for (z,) in section.all("zone")),
-        tenants=tuple((t, s) for t, s in section.all("tenant")),
-        confirms_running=section.one("confirms", "running") == "running",
-        prices=dict(section.all("price")),
-        **{field: section.one(key, default) for key, (field, default) in FIGURES.items()},
+        classes=tuple(_task_class(block, kinds) for block in blocks),
+        node_types=node_types,
+        zones=zones,
+        tenants=tenants,
+        confirms_running=section.value("confirms", "running") == "running",
+        prices=dict(section.all_values("price")),
+        **{field: section.value(key, default) for key, (field, default) in SINGLE_VALUE_FIELDS.items()},
     )
 
 
-def _class(block: Section, kinds: list[str], problems: list[Problem]) -> api.TaskClass:
-    one = block.one
+def _duplicate_problems(section: Section, key: str, names: list[str]) -> list[SettingsProblem]:
+    """Return one problem for the first name that is there twice."""
+    duplicate = next((name for i, name in enumerate(names) if name in names[:i]), None)
+    if duplicate is None:
+        return []
+    return [SettingsProblem(section.position_of(key), key, f"{duplicate} is there twice")]
+
+
+def _class_problems(block: Section, kinds: list[str]) -> list[SettingsProblem]:
+    """Return what contradicts itself in a class, or names a kind that is not there."""
+    problems = _idempotency_problems(block)
+    if block.value("aim") > block.value("deadline"):
+        problems.append(SettingsProblem(block.position_of("aim"), "aim", "lies behind the deadline"))
+    kind = block.value("kind")
+    if kind is not None and kind not in kinds:
+        message = f"no kind {kind}; known: {', '.join(kinds)}"
+        problems.append(SettingsProblem(block.position_of("kind"), "kind", message))
+    return problems
+
+
+def _idempotency_problems(block: Section) -> list[SettingsProblem]:
+    """Return where a scope or a window of deduplication is missing, or given to a class without a key."""
+    problems: list[SettingsProblem] = []
     (name,) = block.values
-    effect = _EFFECTS[one("effect")]
-    keyed = effect is api.Effect.IDEMPOTENT_BY_KEY
+    effect = _EFFECT_BY_KEYWORD[block.value("effect")]
+    has_idempotency_key = effect is api.Effect.IDEMPOTENT_BY_KEY
     for key in ("group", "window"):
-        if keyed and key not in block.keys:
-            problems.append(Problem(block.at, key, f"class {name} is keyed: it needs a {key}"))
-        if not keyed and key in block.keys:
-            problems.append(Problem(block.place(key), key, f"class {name} is {effect.value}, not keyed"))
-    if one("aim") > one("deadline"):
-        problems.append(Problem(block.place("aim"), "aim", "lies behind the deadline"))
-    kind = one("kind")
-    if kind is not None and kind not in kinds:
-        problems.append(Problem(block.place("kind"), "kind", f"no kind {kind}; known: {', '.join(kinds)}"))
-    place, most = one("spread", (None, 0))
+        if has_idempotency_key and key not in block.keys:
+            problems.append(SettingsProblem(block.position, key, f"class {name} is keyed: it needs a {key}"))
+        if not has_idempotency_key and key in block.keys:
+            message = f"class {name} is {effect.value}, not keyed"
+            problems.append(SettingsProblem(block.position_of(key), key, message))
+    return problems
+
+
+def _task_class(block: Section, kinds: list[str]) -> api.TaskClass:
+    (name,) = block.values
+    spread_scope, max_per_place = block.value("spread", (None, 0))
+    kind = block.value("kind")
     return api.TaskClass(
         name=name,
-        effect=effect,
-        dedup_scope=_SCOPES[one("group", "all")],
-        dedup_window_us=one("window", 0),
-        latency_objective_us=one("aim"),
-        deadline_us=one("deadline"),
-        priority_weight=one("worth", 1.0),
-        start_bonus_s=one("start-worth", 0) / 1e6,
-        late_start_weight=one("late-worth", 0.0),
-        spread=_SCOPES[place] if place else api.Scope.NONE,
-        max_per_place=most,
-        node_type=kinds.index(kind) if kind in kinds else None,
-        priority=one("priority", 0),
-        full_service_utilization=one("calm-until", 1.0),
-        service_loss_range=one("lost-over", 1.0),
+        effect=_EFFECT_BY_KEYWORD[block.value("effect")],
+        dedup_scope=_SCOPE_BY_KEYWORD[block.value("group", "all")],
+        dedup_window_us=block.value("window", 0),
+        latency_objective_us=block.value("aim"),
+        deadline_us=block.value("deadline"),
+        priority_weight=block.value("worth", 1.0),
+        start_bonus_s=block.value("start-worth", 0) / 1e6,
+        late_start_weight=block.value("late-worth", 0.0),
+        spread=_SCOPE_BY_KEYWORD[spread_scope] if spread_scope else api.Scope.NONE,
+        max_per_place=max_per_place,
+        node_type=None if kind is None else kinds.index(kind),
+        priority=block.value("priority", 0),
+        full_service_utilization=block.value("calm-until", 1.0),
+        service_loss_range=block.value("lost-over", 1.0),
     )
--- a/stairplank/settings/site.py
+++ b/stairplank/settings/site.py
@@ -7,56 +7,53 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, fields, replace
+from dataclasses import dataclass, fields
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
-
-from . import values as v
-from .cluster import CLUSTER, Cluster, cluster_from
-from .lines import Position, Problem, SettingsError
-from .schema import Block, Key, Section, load, load_text
-
-if TYPE_CHECKING:
-    from .planner import PlannerConfig
-
-TUNABLES: tuple[Key, ...] = (
-    Key("dial-timeout", (v.positive_duration,)),
-    Key("dial-retry", (v.positive_duration, v.positive_duration)),
-    Key("link-grace", (v.duration,)),
-    Key("probe-timeout", (v.positive_duration,)),
-    Key("list-silence", (v.positive_duration,)),
-    Key("stop-grace", (v.duration,)),
-    Key("open-most", (v.whole(1, 10_000_000),)),
-    Key("owner-open-most", (v.whole(1, 10_000_000),)),
-    Key("running-most", (v.whole(1, 10_000_000),)),
-    Key("owners-most", (v.whole(1, 65_536),)),
-    Key("nodes-most", (v.whole(1, 1_000_000),)),
-    Key("dials-most", (v.whole(1, 100_000),)),
-    Key("wait-most", (v.positive_duration,)),
-    Key("send-buffer", (v.size,)),
-    Key("message-most", (v.size,)),
-    Key("keepalive", (v.positive_duration, v.positive_duration)),
+from typing import Any
+
+from . import parsers
+from .cluster import CLUSTER_SCHEMA, Cluster, cluster_from
+from .schema import Block, Key, Section, load_section, load_section_text
+from .source import SettingsError, SettingsProblem
+
+TUNABLE_KEYS: tuple[Key, ...] = (
+    Key("dial-timeout", (parsers.positive_duration,)),
+    Key("dial-retry", (parsers.positive_duration, parsers.positive_duration)),
+    Key("link-grace", (parsers.duration,)),
+    Key("probe-timeout", (parsers.positive_duration,)),
+    Key("list-silence", (parsers.positive_duration,)),
+    Key("stop-grace", (parsers.duration,)),
+    Key("open-most", (parsers.integer(1, 10_000_000),)),
+    Key("owner-open-most", (parsers.integer(1, 10_000_000),)),
+    Key("running-most", (parsers.integer(1, 10_000_000),)),
+    Key("owners-most", (parsers.integer(1, 65_536),)),
+    Key("nodes-most", (parsers.integer(1, 1_000_000),)),
+    Key("dials-most", (parsers.integer(1, 100_000),)),
+    Key("wait-most", (parsers.positive_duration,)),
+    Key("send-buffer", (parsers.size,)),
+    Key("message-most", (parsers.size,)),
+    Key("keepalive", (parsers.positive_duration, parsers.positive_duration)),
 )
-SITE: tuple[Key | Block, ...] = CLUSTER + TUNABLES
+SITE_SCHEMA: tuple[Key | Block, ...] = CLUSTER_SCHEMA + TUNABLE_KEYS
 
 # The fields that each key sets. A key with one field gives it all its values, as a tuple where there are
 # several; a key with several fields gives one value to each.
 TUNABLE_FIELDS: Mapping[str, tuple[str, ...]] = {
     "dial-timeout": ("dial_timeout_us",),
-    "dial-retry": ("dial_retry_us", "dial_retry_most_us"),
+    "dial-retry": ("reconnect_delay_us", "max_reconnect_delay_us"),
     "link-grace": ("link_grace_us",),
-    "probe-timeout": ("probe_timeout_us",),
-    "list-silence": ("list_silence_us",),
-    "stop-grace": ("stop_grace_us",),
-    "open-most": ("open_most",),
-    "owner-open-most": ("owner_open_most",),
-    "running-most": ("running_most",),
-    "owners-most": ("owners_most",),
-    "nodes-most": ("nodes_most",),
-    "dials-most": ("dials_most",),
-    "wait-most": ("wait_most_us",),
-    "send-buffer": ("send_buffer",),
-    "message-most": ("message_most",),
+    "probe-timeout": ("health_check_timeout_us",),
+    "list-silence": ("list_silence_timeout_us",),
+    "stop-grace": ("shutdown_grace_us",),
+    "open-most": ("max_open_requests",),
+    "owner-open-most": ("max_open_requests_per_client",),
+    "running-most": ("max_running_tasks",),
+    "owners-most": ("max_clients",),
+    "nodes-most": ("max_nodes",),
+    "dials-most": ("max_concurrent_dials",),
+    "wait-most": ("max_wait_us",),
+    "send-buffer": ("send_buffer_bytes",),
+    "message-most": ("max_message_bytes",),
     "keepalive": ("keepalive_us",),
 }
 
@@ -67,64 +64,66 @@
 
     cluster: Cluster
     dial_timeout_us: int = 250_000
-    dial_retry_us: int = 100_000
-    dial_retry_most_us: int = 2_000_000
+    reconnect_delay_us: int = 100_000
+    max_reconnect_delay_us: int = 2_000_000
     link_grace_us: int = 1_000_000
-    probe_timeout_us: int = 500_000
-    list_silence_us: int = 5_000_000
-    stop_grace_us: int = 10_000_000
-    open_most: int = 20_000
-    owner_open_most: int = 20_000
-    running_most: int = 200_000
-    owners_most: int = 1_000
-    nodes_most: int = 10_000
-    dials_most: int = 16
-    wait_most_us: int = 3_600_000_000
-    send_buffer: int = 1 << 20
-    message_most: int = 1 << 20
+    health_check_timeout_us: int = 500_000
+    list_silence_timeout_us: int = 5_000_000
+    shutdown_grace_us: int = 10_000_000
+    max_open_requests: int = 20_000
+    max_open_requests_per_client: int = 20_000
+    max_running_tasks: int = 200_000
+    max_clients: int = 1_000
+    max_nodes: int = 10_000
+    max_concurrent_dials: int = 16
+    max_wait_us: int = 3_600_000_000
+    send_buffer_bytes: int = 1 << 20
+    max_message_bytes: int = 1 << 20
     keepalive_us: tuple[int, int] = (5_000_000, 2_000_000)
 
 
 def load_site(path: str | Path) -> SiteSettings:
     """Read, check and type a site file. Raises SettingsError."""
-    return site_from(load(path, SITE))
+    return site_from(load_section(path, SITE_SCHEMA))
 
 
 def load_site_text(text: str, name: str = "<site>") -> SiteSettings:
-    """The same for a text; ``name`` stands for the file in errors. Raises SettingsError."""
-    return site_from(load_text(text, SITE, name))
+    """Read, check and type a text; ``name`` stands for the file in errors. Raises SettingsError."""
+    return site_from(load_section_text(text, SITE_SCHEMA, name))
 
 
 def site_from(section: Section) -> SiteSettings:
-    """The typed settings of a section that was read by SITE, or by a schema that contains it.
+    """Return the typed settings of a section that was read by SITE, or by a schema that contains it.
 
     Raises SettingsError for what contradicts itself.
     """
-    room = cluster_from(section)
+    cluster = cluster_from(section)
     problems = tunable_problems(section)
     if problems:
         raise SettingsError(problems)
-    return typed_site(section, room)
+    return checked_site(section, cluster)
 
 
-def tunable_problems(section: Section) -> list[Problem]:
-    """What the tunables of a section say that contradicts itself."""
-    first, most = section.one("dial-retry", (0, 0))
+def tunable_problems(section: Section) -> list[SettingsProblem]:
+    """Return the problems of the tunables of a section."""
+    first, most = section.value("dial-retry", (0, 0))
     if first <= most:
         return []
-    return [Problem(section.place("dial-retry"), "dial-retry", "the first wait is the longer one")]
+    return [
+        SettingsProblem(section.position_of("dial-retry"), "dial-retry", "the first wait is the longer one")
+    ]
 
 
-def typed_site(section: Section, room: Cluster) -> SiteSettings:
-    """The typed settings of a section that was checked, with the room that was read from it."""
-    return SiteSettings(cluster=room, **_given_tunables(section))
+def checked_site(section: Section, cluster: Cluster) -> SiteSettings:
+    """Return the typed settings of a section that was checked, with the cluster that was read from it."""
+    return SiteSettings(cluster=cluster, **_given_tunables(section))
 
 
 def _given_tunables(section: Section) -> dict[str, Any]:
-    """The fields whose keys are in the section; the others keep their defaults."""
+    """Return the fields whose keys are in the section; the others keep their defaults."""
     given: dict[str, Any] = {}
     for key, names in TUNABLE_FIELDS.items():
-        value = section.one(key)
+        value = section.value(key)
         if value is None:
             continue
         given.update(zip(names, value if len(names) > 1 else (value,), strict=True))
@@ -132,21 +131,5 @@
 
 
 def site_fields(site: SiteSettings) -> dict[str, Any]:
-    """The settings by field; of a planner's configuration only those that all planners share."""
+    """Return the settings by field; of a planner's configuration only those that all planners share."""
     return {field.name: getattr(site, field.name) for field in fields(SiteSettings)}
-
-
-def with_site(config: PlannerConfig, site: SiteSettings, name: str = "<site>") -> PlannerConfig:
-    """A planner's configuration with the site's settings in place of its own.
-
-    What says which planner it is and where it listens stays. Raises SettingsError where the site has no zone
-    of the name of the planner's home zone; ``name`` stands for the site's file.
-    """
-    home_zone = config.cluster.zones[config.settings.zone]
-    if home_zone not in site.cluster.zones:
-        message = f"no zone {home_zone}, in which this planner runs; known: {', '.join(site.cluster.zones)}"
-        raise SettingsError([Problem(Position(name, 1, 1), "zone", message)])
-    zone = site.cluster.zones.index(home_zone)
-    own = config.settings
-    settings = site.cluster.settings(own.planners, own.position, zone)
-    return replace(config, settings=settings, **site_fields(site))
--- a/stairplank/standin/client_pool.py
+++ b/stairplank/standin/client_pool.py
@@ -12,7 +12,7 @@
 import structlog
 from gevent.event import Event as Flag
 
-from ..fence import Stamp, Stamps
+from ..fence import AgeStamp, MessageStamper
 from ..planner import convert
 from ..planner import events as ev
 from ..planner.clock import now_us
@@ -71,7 +71,7 @@
     return to_event(getattr(event, kind)) if to_event is not None else None
 
 
-def request_to(do: ClientAction, stamp: Stamp | None) -> Any:
+def request_to(do: ClientAction, stamp: AgeStamp | None) -> Any:
     """The message of an action; ``stamp`` proves its age."""
     sent = convert.stamp_to_proto(stamp)
     if isinstance(do, SubmitTask):
@@ -95,7 +95,7 @@
         self.client = Client(model, seed, begin)
         self.calls: dict[int, Any] = {}
         self.channels: dict[int, Channel] = {}
-        self.stamps: dict[int, Stamps] = {}
+        self.stamps: dict[int, MessageStamper] = {}
         self.session = random.Random(seed ^ 0x5E55).getrandbits(63) | 1
         self.epoch = 0
         self.wake = Flag()
@@ -129,13 +129,13 @@
                 welcome = call.recv(2.0)
                 if welcome is None:
                     raise RpcError(Code.UNAVAILABLE, "no welcome")
-                stamps = self.stamps[planner] = Stamps()
-                stamps.heard(now_us(), welcome.grant)
+                stamps = self.stamps[planner] = MessageStamper()
+                stamps.receive_grant(now_us(), welcome.grant)
                 up = True
                 self.calls[planner] = call
                 self.carry_out(self.client.connected(now_us(), planner))
                 while (event := call.recv()) is not None:
-                    stamps.heard(now_us(), event.grant)
+                    stamps.receive_grant(now_us(), event.grant)
                     word = message_from(event)
                     if word is not None:
                         self.carry_out(self.client.received(now_us(), planner, word))
@@ -226,7 +226,7 @@
 
     def latency_objectives(self) -> dict[str, int]:
         """The latency objective of each class, in microseconds."""
-        return {c.name: c.latency_objective_us for c in self.config.room.classes}
+        return {c.name: c.latency_objective_us for c in self.config.cluster.classes}
 
     def write_report(self) -> None:
         """Write the report file, complete or not at all."""
--- a/stairplank/standin/planner_session.py
+++ b/stairplank/standin/planner_session.py
@@ -12,7 +12,7 @@
 
 import random
 
-from ..fence import Grants, Stamp
+from ..fence import AgeStamp, GrantIssuer
 from .outbox import NumberedMessage, Outbox
 
 
@@ -24,7 +24,7 @@
         self.incarnation = 0
         self.epoch = 0
         self.outbox = Outbox(0, max_messages)
-        self.grants: Grants | None = None
+        self.grants: GrantIssuer | None = None
         self.expired_messages = 0  # too old, or without proof of their age
         self._rng = rng
         self._max_messages = max_messages
@@ -38,19 +38,19 @@
         self.incarnation = incarnation
         self.epoch = epoch
         self.outbox.acknowledge(acknowledged)
-        self.grants = Grants(now, self._rng)
+        self.grants = GrantIssuer(now, self._rng)
         return self.outbox.unacknowledged_after(acknowledged)
 
-    def earliest_sent_at(self, now: int, stamp: Stamp | None) -> int | None:
+    def earliest_sent_at(self, now: int, stamp: AgeStamp | None) -> int | None:
         """The earliest moment at which a message with this stamp can have been sent; None: not known."""
-        sent_at = None if self.grants is None else self.grants.said_at(now, stamp)
+        sent_at = None if self.grants is None else self.grants.earliest_send_time(now, stamp)
         if sent_at is None:
             self.expired_messages += 1
         return sent_at
 
     def grant(self, now: int) -> int:
         """A grant for a message that is sent anyway, or 0 where none is due."""
-        return 0 if self.grants is None else self.grants.give_if_due(now)
+        return 0 if self.grants is None else self.grants.issue_if_due(now)
 
     def is_complete_for(self, incarnation: int) -> bool:
         """Whether an attempt that this incarnation has no message about was never received here."""
--- a/tests/fence/test_grants.py
+++ b/tests/fence/test_grants.py
@@ -1,4 +1,4 @@
-"""The fence by age: never younger than true, whatever ways and clocks do; fresh ones soon pass again."""
+"""The fence by age: never younger than true, whatever delays and clocks do; fresh ones soon pass again."""
 
 from __future__ import annotations
 
@@ -8,8 +8,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stairplank.fence import DRIFT_PPM, Epochs, Grants, Stamp, Stamps, StepWatch
-from stairplank.fence.grants import EVERY_US, IDLE_US, VALID_US
+from stairplank.fence import (
+    MAX_DRIFT_PPM,
+    AgeStamp,
+    ClockStepDetector,
+    GrantIssuer,
+    MessageStamper,
+    StreamEpochs,
+)
+from stairplank.fence.grants import GRANT_INTERVAL_US, GRANT_VALIDITY_US, IDLE_GRANT_INTERVAL_US
 
 MS = 1_000
 SECOND = 1_000_000
@@ -27,30 +34,30 @@
 
 
 class Pair:
-    """A stream between two clocks; its ways take what they are told to."""
+    """A stream between two clocks; its delays are set by the test."""
 
     def __init__(self, sender: Clock, receiver: Clock, true: int = 10 * SECOND) -> None:
         self.sender, self.receiver, self.true = sender, receiver, true
-        self.grants = Grants(receiver.at(true), random.Random(7))
-        self.stamps = Stamps()
+        self.grants = GrantIssuer(receiver.at(true), random.Random(7))
+        self.stamps = MessageStamper()
 
-    def grant(self, way: int = 0) -> None:
-        number = self.grants.give(self.receiver.at(self.true))
-        self.stamps.heard(self.sender.at(self.true + way), number)
+    def grant(self, delay_us: int = 0) -> None:
+        number = self.grants.issue(self.receiver.at(self.true))
+        self.stamps.receive_grant(self.sender.at(self.true + delay_us), number)
 
-    def stamp(self) -> Stamp | None:
+    def stamp(self) -> AgeStamp | None:
         return self.stamps.stamp(self.sender.at(self.true))
 
-    def age(self, stamp: Stamp | None, true: int) -> int | None:
+    def age(self, stamp: AgeStamp | None, true: int) -> int | None:
         """How old a message that comes at a true time is taken to be."""
         now = self.receiver.at(true)
-        at = self.grants.said_at(now, stamp)
+        at = self.grants.earliest_send_time(now, stamp)
         return None if at is None else now - at
 
 
-def test_a_message_is_as_old_as_its_way() -> None:
+def test_a_message_is_as_old_as_its_delay() -> None:
     pair = Pair(Clock(), Clock(offset=77 * HOUR))
-    pair.grant(way=200)
+    pair.grant(delay_us=200)
     pair.true += 2 * SECOND
     stamp = pair.stamp()
     age = pair.age(stamp, pair.true + 12 * SECOND)
@@ -59,51 +66,53 @@
     assert fresh is not None and 300 <= fresh <= 500 + 2 * MS
 
 
-def test_the_grant_by_the_shortest_way_counts() -> None:
+def test_the_grant_with_the_shortest_delay_counts() -> None:
     pair = Pair(Clock(), Clock())
-    pair.grant(way=3 * SECOND)  # the first one was held
+    pair.grant(delay_us=3 * SECOND)  # the first one was held
     pair.true += 3 * SECOND
     assert (pair.age(pair.stamp(), pair.true) or 0) >= 3 * SECOND
-    pair.grant(way=200)
+    pair.grant(delay_us=200)
     pair.true += 10 * MS
     assert (pair.age(pair.stamp(), pair.true) or 0) <= MS  # the next one mends it
-    pair.grant(way=2 * SECOND)
+    pair.grant(delay_us=2 * SECOND)
     pair.true += 2 * SECOND
     assert (pair.age(pair.stamp(), pair.true) or 0) <= 4 * MS  # and a late one does not spoil it
 
 
 def test_nothing_is_proven_without_a_grant_of_this_stream() -> None:
-    pair, other = Pair(Clock(), Clock()), Grants(10 * SECOND, random.Random(8))
+    pair, other = Pair(Clock(), Clock()), GrantIssuer(10 * SECOND, random.Random(8))
     pair.grant()
     now = pair.true + SECOND
-    assert pair.grants.said_at(now, None) is None
-    assert pair.grants.said_at(now, Stamp(0, 5)) is None
-    assert other.said_at(now, pair.stamp()) is None  # of another stream
-    first = pair.grants.give(now) - 5 * SECOND
-    assert pair.grants.said_at(now, Stamp(first, SECOND)) is None  # from before this one began
-    assert pair.grants.said_at(now, Stamp(pair.grants.give(now) + 1, 0)) is None  # not given yet
+    assert pair.grants.earliest_send_time(now, None) is None
+    assert pair.grants.earliest_send_time(now, AgeStamp(0, 5)) is None
+    assert other.earliest_send_time(now, pair.stamp()) is None  # of another stream
+    first = pair.grants.issue(now) - 5 * SECOND
+    assert pair.grants.earliest_send_time(now, AgeStamp(first, SECOND)) is None  # from before this one began
+    assert (
+        pair.grants.earliest_send_time(now, AgeStamp(pair.grants.issue(now) + 1, 0)) is None
+    )  # not issued yet
 
 
-def test_old_grants_are_named_no_more() -> None:
+def test_expired_grants_are_not_used_in_stamps() -> None:
     pair = Pair(Clock(), Clock())
     pair.grant()
     stamp = pair.stamp()
     assert stamp is not None
-    pair.true += VALID_US + 1
+    pair.true += GRANT_VALIDITY_US + 1
     assert pair.stamp() is None
-    assert pair.grants.said_at(pair.true, Stamp(stamp.grant, VALID_US + 1)) is None
+    assert pair.grants.earliest_send_time(pair.true, AgeStamp(stamp.grant, GRANT_VALIDITY_US + 1)) is None
     pair.grant()
     assert pair.stamp() is not None
 
 
-def test_grants_are_given_with_what_is_said_and_by_themselves_when_nothing_is() -> None:
-    grants = Grants(SECOND, random.Random(1))
-    given_at = [at for at in range(SECOND, 2 * SECOND, 10 * MS) if grants.give_if_due(at)]
-    assert given_at == list(range(SECOND, 2 * SECOND, EVERY_US))
-    assert grants.next_due() == given_at[-1] + IDLE_US
+def test_grants_are_issued_with_messages_and_by_themselves_on_an_idle_stream() -> None:
+    grants = GrantIssuer(SECOND, random.Random(1))
+    issued_at = [at for at in range(SECOND, 2 * SECOND, 10 * MS) if grants.issue_if_due(at)]
+    assert issued_at == list(range(SECOND, 2 * SECOND, GRANT_INTERVAL_US))
+    assert grants.next_due() == issued_at[-1] + IDLE_GRANT_INTERVAL_US
 
 
-def test_a_sender_s_clock_that_steps_forward_is_found_out() -> None:
+def test_a_sender_s_clock_that_steps_forward_is_detected() -> None:
     """Danger: what was held for as long as the step would look fresh."""
     pair = Pair(Clock(), Clock())
     pair.grant()
@@ -111,7 +120,7 @@
     pair.sender.offset += 5 * SECOND  # unseen by the sender
     held = pair.stamp()  # said now, and kept by the network
     assert pair.age(pair.stamp(), pair.true + MS) is None  # from the future: the step is known
-    assert pair.grants.steps == 1
+    assert pair.grants.clock_steps == 1
     assert pair.age(held, pair.true + 5 * SECOND) is None  # under an earlier grant: worth nothing
     pair.grant()
     pair.true += MS
@@ -129,9 +138,9 @@
     assert (pair.age(pair.stamp(), pair.true + MS) or 0) <= 2 * MS
 
 
-def test_a_stopped_sender_s_message_ages_from_when_it_was_said() -> None:
+def test_a_stopped_sender_s_message_ages_from_when_it_was_sent() -> None:
     pair = Pair(Clock(), Clock())
-    pair.grant(way=100)
+    pair.grant(delay_us=100)
     pair.true += 100
     stamp = pair.stamp()  # queued; then the process stands for ten seconds, and its socket sends
     assert (pair.age(stamp, pair.true + 10 * SECOND) or 0) >= 10 * SECOND
@@ -146,16 +155,16 @@
     end = pair.true + 6 * HOUR
     worst = 0
     while pair.true < end:
-        pair.grant(way=rng.randint(100, 500))
-        pair.true += rng.randint(MS, IDLE_US)
-        stamp, way = pair.stamp(), rng.randint(50, 500)
-        age = pair.age(stamp, pair.true + way)
-        assert age is not None and age >= way  # never younger than true
-        worst = max(worst, age - way)
+        pair.grant(delay_us=rng.randint(100, 500))
+        pair.true += rng.randint(MS, IDLE_GRANT_INTERVAL_US)
+        stamp, delay_us = pair.stamp(), rng.randint(50, 500)
+        age = pair.age(stamp, pair.true + delay_us)
+        assert age is not None and age >= delay_us  # never younger than true
+        worst = max(worst, age - delay_us)
         held = pair.age(stamp, pair.true + 4 * SECOND)
         assert held is not None and held >= 4 * SECOND * (1_000_000 - 500) // 1_000_000
-    # No older than the way of a grant and the allowance for drift since it was given.
-    assert worst <= 500 + IDLE_US * 2 * DRIFT_PPM // 1_000_000 + MS
+    # No older than the delay_us of a grant and the allowance for drift since it was given.
+    assert worst <= 500 + IDLE_GRANT_INTERVAL_US * 2 * MAX_DRIFT_PPM // 1_000_000 + MS
 
 
 WAYS = st.one_of(st.integers(0, 2_000), st.integers(0, 15 * SECOND))
@@ -172,36 +181,36 @@
     """Any order of grants and messages over ways that take anything up to fifteen seconds."""
     pair = Pair(Clock(ppm[0], 9 * HOUR), Clock(ppm[1]))
     grants: list[tuple[int, int]] = []  # when heard, number
-    for pause, renew, way, back in steps:
+    for pause, renew, delay_us, back in steps:
         pair.true += pause
         if renew:
-            number = pair.grants.give(pair.receiver.at(pair.true))
-            grants.append((pair.true + way, number))
+            number = pair.grants.issue(pair.receiver.at(pair.true))
+            grants.append((pair.true + delay_us, number))
         for heard, number in sorted(g for g in grants if g[0] <= pair.true):
-            pair.stamps.heard(pair.sender.at(heard), number)
+            pair.stamps.receive_grant(pair.sender.at(heard), number)
         grants = [g for g in grants if g[0] > pair.true]
         stamp = pair.stamp()
         if stamp is not None:
             age = pair.age(stamp, pair.true + back)
             true_age = pair.receiver.at(pair.true + back) - pair.receiver.at(pair.true)
             assert age is None or age >= true_age - 2
-            assert age is not None or stamp.since_us > VALID_US
+            assert age is not None or stamp.held_us > GRANT_VALIDITY_US
 
 
-def test_two_clocks_that_go_apart() -> None:
-    watch = StepWatch()
-    assert not watch.stepped(1_000, 5_000)
-    assert not watch.stepped(1_000 + HOUR, 5_000 + HOUR + HOUR // 2_000)  # drift
-    assert watch.stepped(2_000 + HOUR + 2 * SECOND, 6_000 + HOUR + HOUR // 2_000)
-    assert not watch.stepped(3_000 + HOUR + 2 * SECOND, 7_000 + HOUR + HOUR // 2_000)  # from there on
-    assert watch.stepped(0, 8_000 + HOUR + HOUR // 2_000)
+def test_two_clocks_that_diverge() -> None:
+    watch = ClockStepDetector()
+    assert not watch.has_stepped(1_000, 5_000)
+    assert not watch.has_stepped(1_000 + HOUR, 5_000 + HOUR + HOUR // 2_000)  # drift
+    assert watch.has_stepped(2_000 + HOUR + 2 * SECOND, 6_000 + HOUR + HOUR // 2_000)
+    assert not watch.has_stepped(3_000 + HOUR + 2 * SECOND, 7_000 + HOUR + HOUR // 2_000)  # from there on
+    assert watch.has_stepped(0, 8_000 + HOUR + HOUR // 2_000)
 
 
-def test_epochs_order_streams_and_are_bounded() -> None:
-    epochs = Epochs(2)
-    assert epochs.take("a", 1) and epochs.take("a", 3)
-    assert not epochs.take("a", 3) and not epochs.take("a", 2)
-    assert epochs.take("b", 0) and epochs.take("c", 5)
+def test_epochs_order_streams_and_are_limited() -> None:
+    epochs = StreamEpochs(2)
+    assert epochs.accept("a", 1) and epochs.accept("a", 3)
+    assert not epochs.accept("a", 3) and not epochs.accept("a", 2)
+    assert epochs.accept("b", 0) and epochs.accept("c", 5)
     assert len(epochs) == 2
-    assert epochs.take("a", 1)  # forgotten at the bound: as if for the first time
-    assert not epochs.take("c", 5)
+    assert epochs.accept("a", 1)  # forgotten at the bound: as if for the first time
+    assert not epochs.accept("c", 5)
--- a/tests/planner/recorded_days.py
+++ b/tests/planner/recorded_days.py
@@ -29,10 +29,10 @@
         return core
 
     scenario = load_scenario(ROOT / "stairplank" / "scenarios" / room)
-    owners = client_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
+    owners = client_models(scenario.section, scenario.cluster, ["owner-0", "owner-1"], scenario.planners)
     nodes = tuple(n.model for n in scenario.nodes if not n.absent)
     config = emulated.WorldConfig(
-        scenario.room,
+        scenario.cluster,
         nodes,
         tuple(replace(o, demand_ends_us=25 * SECOND) for o in owners),
         scenario.planners,
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -7,8 +7,7 @@
 import pytest
 
 from stairplank import interface as api
-from stairplank.settings import Block, Key, SettingsError, load_planner, load_text
-from stairplank.settings import values as v
+from stairplank.settings import Block, Key, SettingsError, load_planner, load_section_text, parsers
 
 GOOD = """\
 # A planner of a small room.
@@ -54,12 +53,12 @@
     return path
 
 
-def test_a_good_file(tmp_path: Path) -> None:
+def test_a_valid_file(tmp_path: Path) -> None:
     config = load_planner(written(tmp_path, GOOD))
     s = config.settings
     assert (s.position, s.planners, s.zone) == (1, 3, 1)
     assert config.listen == ("127.0.0.1:0", "unix:/tmp/x.sock") and config.directory == "[::1]:7300"
-    assert (config.dial_retry_us, config.dial_retry_most_us, config.send_buffer) == (
+    assert (config.reconnect_delay_us, config.max_reconnect_delay_us, config.send_buffer_bytes) == (
         50_000,
         2_000_000,
         65_536,
@@ -120,19 +119,19 @@
         load_planner(path)
     found = [p for p in caught.value.problems if p.key == key and says in p.message]
     assert found, f"{[str(p) for p in caught.value.problems]}"
-    assert (found[0].at.line, found[0].at.column) == (line, column)
+    assert (found[0].position.line, found[0].position.column) == (line, column)
     assert str(found[0]).startswith(f"{path}:{line}:{column}: ")
 
 
-def test_all_errors_of_a_file_are_told_at_once(tmp_path: Path) -> None:
+def test_all_errors_of_a_file_are_reported_at_once(tmp_path: Path) -> None:
     text = GOOD.replace("seed 7", "sead 7").replace("aim 3.5s", "aim x").replace("zone a", "zone ?")
     with pytest.raises(SettingsError) as caught:
         load_planner(written(tmp_path, text))
-    assert [p.at.line for p in caught.value.problems] == [7, 13, 28]
+    assert [p.position.line for p in caught.value.problems] == [7, 13, 28]
 
 
 @pytest.mark.parametrize("content", [b"\xff\xfe", b"a\0b", b""])
-def test_files_that_are_none(tmp_path: Path, content: bytes) -> None:
+def test_files_that_are_not_settings(tmp_path: Path, content: bytes) -> None:
     path = tmp_path / "planner.conf"
     path.write_bytes(content)
     with pytest.raises(SettingsError):
@@ -141,29 +140,32 @@
         load_planner(tmp_path / "missing")
 
 
-def test_loopback_may_be_left_by_word(tmp_path: Path) -> None:
+def test_other_addresses_than_loopback_need_a_keyword(tmp_path: Path) -> None:
     text = GOOD.replace("listen 127.0.0.1:0", "listen 10.0.0.1:80\nbeyond-loopback yes")
     assert load_planner(written(tmp_path, text)).listen[0] == "10.0.0.1:80"
 
 
-def test_blocks_and_rests() -> None:
-    schema = (Block("b", (v.name,), (Key("k", (v.whole(),), rest=v.duration),)), Key("flag", (v.flag,)))
-    section = load_text('b one # x\n k 5 1s 2ms\nend\nb "two"\nend\nflag yes', schema)
+def test_blocks_and_further_values() -> None:
+    schema = (
+        Block("b", (parsers.name,), (Key("k", (parsers.integer(),), rest_parser=parsers.duration),)),
+        Key("flag", (parsers.boolean,)),
+    )
+    section = load_section_text('b one # x\n k 5 1s 2ms\nend\nb "two"\nend\nflag yes', schema)
     assert [b.values for b in section.blocks["b"]] == [("one",), ("two",)]
-    assert section.blocks["b"][0].one("k") == (5, 1_000_000, 2_000) and section.one("flag") is True
+    assert section.blocks["b"][0].value("k") == (5, 1_000_000, 2_000) and section.value("flag") is True
     with pytest.raises(SettingsError, match="<text>:1:5: b: nothing|unknown|end"):
-        load_text("end", schema)
+        load_section_text("end", schema)
 
 
 @pytest.mark.parametrize("us", [0, 1, 250_000, 3_500_000, 60_000_000, 7_200_000_000, 1234567])
-def test_durations_come_back(us: int) -> None:
-    assert v.duration(v.as_duration(us)) == us
+def test_formatted_durations_are_read_back(us: int) -> None:
+    assert parsers.duration(parsers.format_duration(us)) == us
 
 
-def test_spans_and_shares() -> None:
-    assert v.span(v.duration)("1s..2s") == (1_000_000, 2_000_000)
-    assert v.span(v.whole())("4") == (4, 4)
-    assert v.share("25%") == 0.25 and v.share("0.5") == 0.5
+def test_ranges_and_fractions() -> None:
+    assert parsers.value_range(parsers.duration)("1s..2s") == (1_000_000, 2_000_000)
+    assert parsers.value_range(parsers.integer())("4") == (4, 4)
+    assert parsers.fraction("25%") == 0.25 and parsers.fraction("0.5") == 0.5
     for bad in ("2s..1s", "x"):
         with pytest.raises(ValueError):
-            v.span(v.duration)(bad)
+            parsers.value_range(parsers.duration)(bad)
--- a/tests/settings/test_site.py
+++ b/tests/settings/test_site.py
@@ -8,15 +8,14 @@
 import pytest
 
 from stairplank.settings import PlannerConfig, SettingsError, load_planner
-from stairplank.settings.planner import OWN, PLANNER
+from stairplank.settings.planner import OWN_SCHEMA, PLANNER_SCHEMA, merge_site
 from stairplank.settings.site import (
-    SITE,
+    SITE_SCHEMA,
     TUNABLE_FIELDS,
-    TUNABLES,
+    TUNABLE_KEYS,
     SiteSettings,
     load_site,
     load_site_text,
-    with_site,
 )
 
 SITE_TEXT = """\
@@ -59,21 +58,21 @@
 # Every tunable with the value that SITE_TEXT gives it; none is a default.
 TUNED = {
     "dial_timeout_us": 300_000,
-    "dial_retry_us": 50_000,
-    "dial_retry_most_us": 3_000_000,
+    "reconnect_delay_us": 50_000,
+    "max_reconnect_delay_us": 3_000_000,
     "link_grace_us": 2_000_000,
-    "probe_timeout_us": 600_000,
-    "list_silence_us": 6_000_000,
-    "stop_grace_us": 11_000_000,
-    "open_most": 100,
-    "owner_open_most": 50,
-    "running_most": 200,
-    "owners_most": 10,
-    "nodes_most": 20,
-    "dials_most": 3,
-    "wait_most_us": 7_200_000_000,
-    "send_buffer": 65_536,
-    "message_most": 131_072,
+    "health_check_timeout_us": 600_000,
+    "list_silence_timeout_us": 6_000_000,
+    "shutdown_grace_us": 11_000_000,
+    "max_open_requests": 100,
+    "max_open_requests_per_client": 50,
+    "max_running_tasks": 200,
+    "max_clients": 10,
+    "max_nodes": 20,
+    "max_concurrent_dials": 3,
+    "max_wait_us": 7_200_000_000,
+    "send_buffer_bytes": 65_536,
+    "max_message_bytes": 131_072,
     "keepalive_us": (4_000_000, 1_000_000),
 }
 
@@ -93,7 +92,7 @@
 
 
 def test_the_table_of_fields_has_every_tunable_and_no_other_key() -> None:
-    assert list(TUNABLE_FIELDS) == [key.name for key in TUNABLES]
+    assert list(TUNABLE_FIELDS) == [key.name for key in TUNABLE_KEYS]
 
 
 def test_keys_that_are_not_given_keep_their_defaults() -> None:
@@ -104,7 +103,7 @@
 
 
 def test_a_planners_file_is_a_site_file_and_its_own_keys(tmp_path: Path) -> None:
-    assert PLANNER == SITE + OWN
+    assert PLANNER_SCHEMA == SITE_SCHEMA + OWN_SCHEMA
     config = planner(tmp_path, OWN_TEXT + SITE_TEXT)
     site = load_site_text(SITE_TEXT)
     assert {f.name: getattr(config, f.name) for f in fields(SiteSettings)} == {
@@ -112,18 +111,18 @@
     }
 
 
-def test_a_site_takes_the_place_of_what_a_planner_had(tmp_path: Path) -> None:
+def test_site_settings_replace_those_of_a_planner(tmp_path: Path) -> None:
     old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
     changed = SITE_TEXT.replace("max-attempts 4", "max-attempts 5").replace("open-most 100", "open-most 7", 1)
-    new = with_site(old, load_site_text(changed))
+    new = merge_site(old, load_site_text(changed))
     assert new == planner(tmp_path, OWN_TEXT + changed)
     assert new.settings.max_attempts == 5
-    assert new.open_most == 7
+    assert new.max_open_requests == 7
 
 
-def test_what_names_the_planner_stays_with_it(tmp_path: Path) -> None:
+def test_keys_of_the_planner_itself_are_unchanged(tmp_path: Path) -> None:
     old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
-    new = with_site(old, load_site_text(SITE_TEXT))
+    new = merge_site(old, load_site_text(SITE_TEXT))
     assert new == old
     assert (new.settings.position, new.settings.planners, new.settings.zone) == (1, 3, 1)
     assert (new.listen, new.directory, new.seed) == (("127.0.0.1:7400",), "127.0.0.1:7300", 7)
@@ -132,14 +131,14 @@
 def test_the_home_zone_is_found_by_its_name(tmp_path: Path) -> None:
     old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
     turned = SITE_TEXT.replace("zone a\nzone b\n", "zone b\nzone a\n")
-    assert with_site(old, load_site_text(turned)).settings.zone == 0
+    assert merge_site(old, load_site_text(turned)).settings.zone == 0
 
 
-def test_a_site_without_the_home_zone_is_no_site_of_this_planner(tmp_path: Path) -> None:
+def test_a_site_without_the_home_zone_is_rejected(tmp_path: Path) -> None:
     old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
     site = load_site_text(SITE_TEXT.replace("zone b\n", "zone c\n"))
     with pytest.raises(SettingsError, match=r"site\.conf:1:1: zone: no zone b.*known: a, c"):
-        with_site(old, site, "site.conf")
+        merge_site(old, site, "site.conf")
 
 
 @pytest.mark.parametrize(
@@ -153,11 +152,11 @@
         ("seed 7", "seed"),
     ],
 )
-def test_what_names_a_planner_has_no_place_in_a_site_file(line: str, key: str) -> None:
+def test_keys_of_a_planner_are_rejected_in_a_site_file(line: str, key: str) -> None:
     with pytest.raises(SettingsError) as caught:
         load_site_text(f"{line}\n{SITE_TEXT}", "site.conf")
     (problem,) = caught.value.problems
-    assert str(problem.at) == "site.conf:1:1"
+    assert str(problem.position) == "site.conf:1:1"
     assert (problem.key, "unknown keyword" in problem.message) == (key, True)
 
 
@@ -181,7 +180,7 @@
     assert str(found[0]).startswith(f"site.conf:{place}: ")
 
 
-def test_a_planners_file_tells_what_is_wrong_with_both_parts_at_once(tmp_path: Path) -> None:
+def test_a_planners_file_reports_problems_of_both_parts_at_once(tmp_path: Path) -> None:
     text = OWN_TEXT.replace("planner 1 of 3", "planner 3 of 3")
     text += SITE_TEXT.replace("dial-retry 50ms 3s", "dial-retry 4s 3s")
     with pytest.raises(SettingsError) as caught:
--- a/tests/standin/test_node_fenced.py
+++ b/tests/standin/test_node_fenced.py
@@ -7,7 +7,7 @@
 import pytest
 from test_standins import MS, SECOND, Host
 
-from stairplank.fence import Stamp
+from stairplank.fence import AgeStamp
 from stairplank.planner.events import AttemptId, GroupTag, TaskSpec
 from stairplank.standin.node_events import Reported
 from stairplank.standin.planner_session import PlannerSession
@@ -124,10 +124,11 @@
     assert session.open(SECOND, 7, 2, 0) == []
     grant = session.grant(SECOND)
     assert session.open(2 * SECOND, 7, 1, 0) is None  # it was delayed while a newer one came
-    assert session.earliest_sent_at(2 * SECOND, Stamp(grant, 10 * MS)) is not None  # the newer one goes on
+    assert session.earliest_sent_at(2 * SECOND, AgeStamp(grant, 10 * MS)) is not None  # the newer one goes on
     assert session.open(3 * SECOND, 8, 1, 0) == []  # another incarnation starts anew
     assert (
-        session.earliest_sent_at(3 * SECOND, Stamp(grant, 10 * MS)) is None and session.expired_messages == 1
+        session.earliest_sent_at(3 * SECOND, AgeStamp(grant, 10 * MS)) is None
+        and session.expired_messages == 1
     )
 
 
--- a/tests/stored/test_stored_settings.py
+++ b/tests/stored/test_stored_settings.py
@@ -18,9 +18,9 @@
 from stairplank.platform import config as platform_config
 from stairplank.rehearsal.scenario import SCENARIO, load_scenario
 from stairplank.scale.plan import SCALE, load_plan
-from stairplank.settings import load, load_planner
-from stairplank.settings.planner import PLANNER
-from stairplank.settings.site import SITE, load_site
+from stairplank.settings import load_planner, load_section
+from stairplank.settings.planner import PLANNER_SCHEMA
+from stairplank.settings.site import SITE_SCHEMA, load_site
 from stairplank.standin.config import (
     CLIENT_POOL,
     NODE_LIST,
@@ -32,8 +32,8 @@
 
 DATA = Path(__file__).parent / "data"
 SCHEMAS = {
-    "planner.conf": PLANNER,
-    "site.conf": SITE,
+    "planner.conf": PLANNER_SCHEMA,
+    "site.conf": SITE_SCHEMA,
     "node.conf": NODE_POOL,
     "directory.conf": NODE_LIST,
     "owners.conf": CLIENT_POOL,
@@ -63,21 +63,21 @@
 }
 SITE_FIGURES = {
     "dial_timeout_us": 240_000,
-    "dial_retry_us": 110_000,
-    "dial_retry_most_us": 2_200_000,
+    "reconnect_delay_us": 110_000,
+    "max_reconnect_delay_us": 2_200_000,
     "link_grace_us": 900_000,
-    "probe_timeout_us": 510_000,
-    "list_silence_us": 5_100_000,
-    "stop_grace_us": 9_000_000,
-    "open_most": 19_000,
-    "owner_open_most": 18_000,
-    "running_most": 190_000,
-    "owners_most": 900,
-    "nodes_most": 9_000,
-    "dials_most": 15,
-    "wait_most_us": 3_600_000_000,
-    "send_buffer": 2 << 20,
-    "message_most": 512 << 10,
+    "health_check_timeout_us": 510_000,
+    "list_silence_timeout_us": 5_100_000,
+    "shutdown_grace_us": 9_000_000,
+    "max_open_requests": 19_000,
+    "max_open_requests_per_client": 18_000,
+    "max_running_tasks": 190_000,
+    "max_clients": 900,
+    "max_nodes": 9_000,
+    "max_concurrent_dials": 15,
+    "max_wait_us": 3_600_000_000,
+    "send_buffer_bytes": 2 << 20,
+    "max_message_bytes": 512 << 10,
     "keepalive_us": (4_000_000, 1_500_000),
 }
 DECISION_FIGURES = {
@@ -216,12 +216,12 @@
 @pytest.mark.parametrize("name", SCHEMAS)
 def test_every_keyword_is_read(name: str) -> None:
     wanted = json.loads((DATA / "settings.expected.json").read_text(encoding="utf-8"))
-    assert keywords(load(DATA / name, SCHEMAS[name])) == wanted[name]
+    assert keywords(load_section(DATA / name, SCHEMAS[name])) == wanted[name]
 
 
 @pytest.mark.parametrize("name", SCHEMAS)
 def test_the_file_has_every_keyword_of_its_kind(name: str) -> None:
-    given = keywords(load(DATA / name, SCHEMAS[name]))
+    given = keywords(load_section(DATA / name, SCHEMAS[name]))
     assert {item.name for item in SCHEMAS[name]} == set(given)
 
 
@@ -320,7 +320,7 @@
 
 def test_an_owners_file_is_typed() -> None:
     crowd = load_client_pool(DATA / "owners.conf")
-    assert_room(crowd.room)
+    assert_room(crowd.cluster)
     anna, ben = crowd.clients
     assert figures(anna, OWNER_FIGURES) == OWNER_FIGURES
     assert (ben.name, ben.tenant) == ("ben", "blue")
@@ -350,7 +350,7 @@
 
 def test_a_scenario_file_is_typed() -> None:
     scenario = load_scenario(DATA / "scenario.conf")
-    assert_room(scenario.room)
+    assert_room(scenario.cluster)
     assert (scenario.name, scenario.about) == ("data", "a room for the test")  # named by its folder
     assert (scenario.planners, scenario.owners, scenario.seed) == (2, 3, 5)
     assert (scenario.lasts_us, scenario.settles_us) == (8_000_000, 6_000_000)
