--- a/benchmarks/path/counted_planner.py
+++ b/benchmarks/path/counted_planner.py
@@ -37,7 +37,7 @@
 
 SAMPLE_S = 0.001  # of processor time; the kernel rounds it up to its tick
 PARTS = (  # file name fragment, part: the first that matches
-    ("stairplank/decide.py", "module"),
+    ("stairplank/decisions/", "module"),
     ("stairplank/interface.py", "module"),
     ("stairplank/planner/daemon.py", "driver"),
     ("stairplank/planner/nodelink.py", "driver"),
@@ -110,8 +110,13 @@
     module.handle = handle_by_kind  # type: ignore[method-assign]
     core.handle = counts.timed("core_and_module", core.handle)  # type: ignore[method-assign]
     core.woke = counts.timed("core_and_module", core.woke)  # type: ignore[method-assign]
-    for name in ("_probe_one", "_choose", "_stays", "_draw"):
-        setattr(module, name, counts.timed(f"decide{name}", getattr(module, name)))
+    for part, method, name in (  # the names of the counters are those of the stored results
+        (module.health_checks, "check_least_recent", "decide_probe_one"),
+        (module.selector, "select", "decide_choose"),
+        (module.selector, "_stays_home", "decide_stays"),
+        (module.selector, "_draw", "decide_draw"),
+    ):
+        setattr(part, method, counts.timed(name, getattr(part, method)))
 
 
 def count_timers(counts: Counts, daemon: Daemon) -> None:
--- a/stairplank/__init__.py
+++ b/stairplank/__init__.py
@@ -1,6 +1,6 @@
 """The decisions of a cluster scheduler of which many planners run side by side, sharing nothing."""
 
-from .decide import Planner
+from .decisions import Planner
 from .interface import Settings
 
 __all__ = ["Planner", "Settings"]
--- /dev/null
+++ b/stairplank/decisions/selection.py
@@ -0,0 +1,140 @@
+"""Which node a task is offered to: the threshold rule between two partitions, then a draw by program.
+
+Ordinary path: ``select`` -> ``_stays_home`` -> ``_fits`` -> ``_draw``.
+"""
+
+from __future__ import annotations
+
+from .. import interface as api
+from .context import Context
+from .hashing import splitmix64
+from .load import LoadModel
+from .node_state import AMOUNT_TOLERANCE, Node
+from .node_table import NodeTable
+from .retry import PendingTask
+from .slow_start import SlowStart
+from .spread import SpreadCounts
+from .threshold import keeps_home
+
+PROGRAM_FETCH_LEVEL = 0.2  # so much fuller may a node or partition be if that saves fetching the program
+CANDIDATES = 3  # nodes drawn in a partition, the emptiest is taken: two leave too much to chance
+FALLBACK_SAMPLE = 16  # nodes looked at when neither partition has room: enough to find what is left
+LATE_TASK_RESERVE = 0.3  # share of a node kept from tasks whose start can no longer be in time
+
+
+class NodeSelector:
+    """Chooses a node for a task from what is known of the nodes; changes none of it but slow-start slots."""
+
+    def __init__(
+        self,
+        context: Context,
+        table: NodeTable,
+        load: LoadModel,
+        slow_start: SlowStart,
+        spread: SpreadCounts,
+    ) -> None:
+        """Choose among the nodes of ``table``."""
+        self._context = context
+        self._table = table
+        self._load = load
+        self._slow_start = slow_start
+        self._spread = spread
+
+    def select(self, pending: PendingTask) -> Node | None:
+        """Own or compared partition by the threshold rule, then the other of the two, then any node."""
+        partitions = self._table.partitions()
+        count = len(partitions)
+        home = self._context.settings.position % count
+        of_service = splitmix64(pending.task.service) % count  # where its program is known
+        other = of_service
+        if other == home and count > 1:
+            other = (home + 1 + self._context.rng.randrange(count - 1)) % count
+        stays = self._stays_home(
+            pending.task_class, partitions[home], partitions[other], known_at_home=of_service == home
+        )
+        for number in (home, other) if stays else (other, home):
+            node = self._draw(pending, [n for n in partitions[number] if self._fits(pending, n)])
+            if node is not None:
+                return node
+        ready = self._table.ready
+        sample = self._context.rng.sample(ready, min(FALLBACK_SAMPLE, len(ready)))
+        return self._draw(pending, [n for n in sample if self._fits(pending, n)])
+
+    def _stays_home(
+        self, task_class: api.TaskClass, home: list[Node], other: list[Node], *, known_at_home: bool
+    ) -> bool:
+        """Whether the threshold rule keeps the task in the home partition."""
+        if other is home:
+            return True
+        if not home or not other:  # an empty partition counts as full
+            return bool(home)
+        step = self._context.settings.mean_cores / sum(n.cores for n in home)
+        fetch = int(PROGRAM_FETCH_LEVEL / step)
+        exact = self._load.partition_level(task_class, home, with_releases=True) / step
+        upper = self._load.partition_level(task_class, home, with_releases=False) / step
+        believed = self._load.partition_level(task_class, other, with_releases=False) / step
+        if known_at_home:
+            believed += fetch
+        else:
+            exact += fetch
+            upper += fetch
+        return keeps_home(round(exact), round(exact) >= round(upper), round(believed))
+
+    def _fits(self, pending: PendingTask, node: Node) -> bool:
+        """Type, drains, health, capacity, slow start and spread."""
+        task, task_class, entry, health = pending.task, pending.task_class, node.entry, node.health
+        if entry.status is not api.NodeStatus.READY or node.drains or health.unresponsive:
+            return False
+        now = self._context.now
+        if health.is_ejected(now):
+            return False
+        if health.class_rejections and health.rejects(task.class_index, task.tenant, now):
+            return False
+        if task_class.node_type is not None and entry.node_type != task_class.node_type:
+            return False
+        if entry.id in pending.tried_nodes or entry.id in task.excluded_nodes:
+            return False
+        return (
+            pending.may_retry_at(entry)
+            and self._has_capacity(pending, node)
+            and self._slow_start.allows(node)
+            and self._spread.allows(task, task_class, entry)
+        )
+
+    def _has_capacity(self, pending: PendingTask, node: Node) -> bool:
+        """Whether the task can be taken at the node.
+
+        Danger: all planners race for each release; a rejection counts for more than belief.
+        """
+        task, task_class, now = pending.task, pending.task_class, self._context.now
+        if node.rejected_amounts and node.rejects_amounts(task, now):
+            return False
+        in_time_until = task.expires_us - task_class.deadline_us + task_class.latency_objective_us
+        late = task.resubmitted or now > in_time_until
+        # Without the reserve late tasks would take the room of those that can start in time.
+        reserve = LATE_TASK_RESERVE if late else 0.0
+        cores, memory = node.asked()
+        settings = self._context.settings
+        if cores + task.cores > (settings.cores_limit - reserve) * node.cores + AMOUNT_TOLERANCE:
+            return False
+        return memory + task.memory <= (settings.memory_limit - reserve) * node.memory + AMOUNT_TOLERANCE
+
+    def _draw(self, pending: PendingTask, fitting: list[Node]) -> Node | None:
+        """The emptiest of a few nodes. Which ones is drawn by the service, the same way at every planner.
+
+        Danger: a planner sees few tasks of a service, so it cannot know where its program has been fetched;
+        drawn by chance, nearly every start would be one from nothing.
+        """
+        if not fitting:
+            return None
+        levels = {n.entry.id: self._load.level_with(pending, n) for n in fitting}
+        in_use = [n for n in fitting if n.is_in_use()]
+        if in_use and self._context.settings.price_fleet and min(levels[n.entry.id] for n in in_use) <= 1:
+            fitting = in_use  # each node in use beyond need is priced
+        least = min(levels[n.entry.id] for n in fitting)
+        near = [n for n in fitting if levels[n.entry.id] <= least + PROGRAM_FETCH_LEVEL]
+        service = pending.task.service
+        pool = [n for n in near if n.is_warm_for(service)] or near
+        drawn = sorted(pool, key=lambda n: splitmix64(service ^ n.hash))[:CANDIDATES]
+        ranked = [(levels[n.entry.id] + PROGRAM_FETCH_LEVEL * i, i, n) for i, n in enumerate(drawn)]
+        return min(ranked)[2]
--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -25,7 +25,7 @@
 from typing import Any
 
 from .. import interface as api
-from ..decide import Planner
+from ..decisions import Planner
 from . import events as ev
 from .attempts import Attempts
 from .client_requests import ClientRequests
@@ -209,7 +209,7 @@
         others. Tasks in flight keep the deadline and the class that they were taken with.
         """
         self.context.set_settings(event.settings, event.config)
-        self.module.s = event.settings
+        self.module.settings = event.settings
         self.groups.settings_changed()
         self.links.settings_changed()
         self.list.settings_changed()
--- a/stairplank/platform/core.py
+++ b/stairplank/platform/core.py
@@ -2,7 +2,7 @@
 clock or global state.
 
 ``handle`` takes the time and events and returns actions; ``next_due`` returns when it wants a ``Due``. Where
-a task goes is decided by ``decide.Planner`` alone, which gets the events that ``simhost`` gives it.
+a task goes is decided by ``decisions.Planner`` alone, which gets the events that ``simhost`` gives it.
 
 | component | responsible for |
 | --- | --- |
@@ -24,7 +24,7 @@
 from typing import Any
 
 from .. import interface as api
-from ..decide import Planner
+from ..decisions import Planner
 from ..planner.event_loop import EventLoop
 from . import events as ev
 from .adoption import Adoption
@@ -203,7 +203,7 @@
         Danger: a component that kept the former ones would number a new class or tenant differently from the
         others. Tasks in flight keep the wait and the class that they were taken with.
         """
-        self.module.s = event.settings
+        self.module.settings = event.settings
         self.requests.set_settings(event.settings, event.tenants)
         self.attempts.settings = event.settings
         self.shutdown.settings = event.settings
--- a/stairplank/scale/carriers.py
+++ b/stairplank/scale/carriers.py
@@ -28,8 +28,8 @@
     control: Mechanism
 
 
-_DECIDES = Mechanism("stairplank.decide", "Planner")
-_COLD_NODES = Mechanism("stairplank.decide", "cold_turn")
+_DECIDES = Mechanism("stairplank.decisions", "Planner")
+_COLD_NODES = Mechanism("stairplank.decisions.slow_start", "slow_start_turn")
 
 CARRIERS = {
     Form.PLATFORM: Carriers(
--- a/stairplank/simhost.py
+++ b/stairplank/simhost.py
@@ -7,7 +7,7 @@
 
 from . import interface as api
 from . import wire
-from .decide import Planner
+from .decisions import Planner
 
 
 class Host:
--- a/tests/golden/golden_decisions.py
+++ b/tests/golden/golden_decisions.py
@@ -15,7 +15,7 @@
 from golden_records import Trace, from_plain, to_plain
 
 from stairplank import interface as api
-from stairplank.decide import Planner
+from stairplank.decisions import Planner
 
 FILE = Path(__file__).resolve().parent / "data" / "decision-events.json.gz"
 EVENT_TYPES: tuple[type, ...] = (
--- a/tests/golden/test_golden_traces.py
+++ b/tests/golden/test_golden_traces.py
@@ -16,7 +16,7 @@
 import golden_platform_days
 import pytest
 
-from stairplank import decide
+from stairplank.decisions import load, node_state, task_queue
 from stairplank.planner import attempts as grpc_attempts
 from stairplank.platform import client_requests, links
 
@@ -46,10 +46,10 @@
 @pytest.mark.parametrize(
     ("module", "constant", "name"),
     [
-        (decide, "HOLD_POLL_US", "decisions 0"),
-        (decide, "HOLD_POLL_US", "grpc drawn-room 1"),
-        (decide, "HOLD_POLL_US", "platform usual 1"),
-        (decide, "COMFORT", "decisions 3"),
+        (task_queue, "QUEUE_RETRY_US", "decisions 0"),
+        (task_queue, "QUEUE_RETRY_US", "grpc drawn-room 1"),
+        (task_queue, "QUEUE_RETRY_US", "platform usual 1"),
+        (load, "EQUAL_SERVICE_LEVEL", "decisions 3"),
         (grpc_attempts, "SETTLE_US", "grpc groups-bad-day 1"),
         (links, "LOOK_US", "platform usual 2"),
         (client_requests, "ANSWER_MARGIN_US", "platform strange 1012"),
@@ -64,5 +64,5 @@
 
 @pytest.mark.parametrize("name", ["decisions 0", "grpc first-bad-day 1", "platform usual 2"])
 def test_an_altered_branch_is_noticed(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decide.Node, "is_warm_for", lambda node, service: False)
+    monkeypatch.setattr(node_state.Node, "is_warm_for", lambda node, service: False)
     assert golden_digests.digest_of(name) != EXPECTED[name]
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -51,13 +51,14 @@
 # Each guard is taken out of the planner's processes by a line that Python runs at their start.
 PLANTED = {
     "spread": (
-        "import stairplank.decide as d\nd.Planner._spread_allows = lambda self, task, sort, node: True\n",
+        "import stairplank.decisions.spread as s\n"
+        "s.SpreadCounts.allows = lambda self, task, task_class, entry: True\n",
         5,
     ),
     "once": (
-        "import stairplank.decide as d\n"
-        "d.Open.may_repeat = lambda self, now, tick: True\n"
-        "d.Open.may_go_to = lambda self, node: True\n",
+        "import stairplank.decisions.retry as r\n"
+        "r.PendingTask.may_retry = lambda self, now, tick_us: True\n"
+        "r.PendingTask.may_retry_at = lambda self, entry: True\n",
         2,
     ),
     "answers": (
--- a/tests/scale/test_capacity_rows.py
+++ b/tests/scale/test_capacity_rows.py
@@ -5,12 +5,14 @@
 import importlib.util
 import inspect
 import math
+import pkgutil
 from dataclasses import fields, replace
+from types import ModuleType
 
 import pytest
 from invented import results
 
-import stairplank.decide
+import stairplank.decisions
 import stairplank.interface
 import stairplank.planner.daemon
 from stairplank.scale.capacity import by_need, capacity
@@ -22,10 +24,17 @@
 from stairplank.scale.target_site import Site
 from stairplank.scale.verdicts import Form, Mechanism, Row, Sense, Verdict
 
-PART = Mechanism("stairplank.decide", "Planner")
+PART = Mechanism("stairplank.decisions", "Planner")
 ROW = Row(TargetLine.CONTROL, Form.PLATFORM, "a figure", Unit.COUNT, 10.0, Sense.AT_MOST, PART)
 
 
+def sources_of(package: ModuleType) -> dict[str, str]:
+    """The source of a package itself and of each of its modules, by name."""
+    names = [info.name for info in pkgutil.iter_modules(package.__path__)]
+    modules = {name: importlib.import_module(f"{package.__name__}.{name}") for name in names}
+    return {name: inspect.getsource(module) for name, module in {"__init__": package, **modules}.items()}
+
+
 def rows_of(form: Form, *runs: Results) -> list[Row]:
     site = Site(load_target(), runs, form)
     return capacity(site, Slopes(site.samples))
@@ -111,9 +120,11 @@
 
 def test_what_nothing_carries_is_missing_still() -> None:
     """Where one of these fails, the program has grown: its row needs the part that carries it now."""
-    decisions = inspect.getsource(stairplank.decide).replace(".priority_weight", "")
-    for name in ("tenant_quota_cores", "tenant_share", ".priority", "preempts", "api.Evict("):
-        assert name not in decisions, name
+    decisions = sources_of(stairplank.decisions)
+    assert set(decisions) >= {"planner", "selection", "retry", "threshold"} and len(decisions) > 10
+    for module, source in decisions.items():
+        for name in ("tenant_quota_cores", "tenant_share", ".priority", "preempts", "api.Evict("):
+            assert name not in source.replace(".priority_weight", ""), (module, name)
     interface = inspect.getsource(stairplank.interface).lower()
     for name in ("accelerator", "gpu", "region"):
         assert name not in interface, name
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -196,8 +196,8 @@
     def recount(self) -> None:
         """The planner's counts of attempts agree with the history."""
         assert set(self.planner.attempts) == set(self.out) | set(self.running)
-        assert set(self.planner.open) == self.owed
-        total = sum(self.planner.spread.values())
+        assert set(self.planner.pending) == self.owed
+        total = sum(self.planner.spread.counts.values())
         mine = [
             k for k in self.planner.attempts if CLASSES[self.tasks[k[0]].class_index].spread is Scope.ZONE
         ]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,10 @@
 import pytest
 from helpers import CLASSES, SECOND, SETTINGS, World, bind_of, binds, entry
 
-from stairplank.decide import COLD_DOUBT, COLD_OUT_MOST, LAG_MOST_US, LIST_LAG_US, cold_turn, mixed, part_of
+from stairplank.decisions.hashing import splitmix64
+from stairplank.decisions.list_delay import INITIAL_LIST_DELAY_US, MAX_LIST_DELAY_US
+from stairplank.decisions.partition import partition_of
+from stairplank.decisions.slow_start import RESTART_DOUBT, SLOW_START_MAX_UNANSWERED, slow_start_turn
 from stairplank.interface import (
     Bind,
     Fail,
@@ -143,7 +146,7 @@
     world = World(nodes=0)
     world.list(entry(0, started_us=world.now + 1), kind=ListKind.FULL, after=1)
     sent = sum(len(binds(world.ask(n))) for n in range(40))
-    assert sent == COLD_OUT_MOST
+    assert sent == SLOW_START_MAX_UNANSWERED
     share = SETTINGS.slow_start_offers / SETTINGS.planners
     offers = [a for a in world.done if isinstance(a, Bind)]
     for n in range(40, 80):  # answered binds free a place, but the window's budget stands
@@ -194,7 +197,7 @@
     world.now += 3 * SECOND  # its rest is over
     share = SETTINGS.slow_start_offers / SETTINGS.planners
     assert 0 < refused_sends(world, 100, 40) <= share
-    world.now += int(COLD_DOUBT * LIST_LAG_US)
+    world.now += int(RESTART_DOUBT * INITIAL_LIST_DELAY_US)
     assert refused_sends(world, 200, 40) == 40
 
 
@@ -202,9 +205,9 @@
     world = World(nodes=1, slow_start_offers=0.0)  # no turn, so no answer can come
     world.ends(bind_of(world.ask(1)), Result.UNREACHABLE, closed=True)
     assert refused_sends(world, 100, 5) == 0
-    world.now += min(LAG_MOST_US, SETTINGS.slow_start_us)
+    world.now += min(MAX_LIST_DELAY_US, SETTINGS.slow_start_us)
     assert refused_sends(world, 200, 5) > 0
-    world.now += int(COLD_DOUBT * LIST_LAG_US)  # after its answer
+    world.now += int(RESTART_DOUBT * INITIAL_LIST_DELAY_US)  # after its answer
     assert refused_sends(world, 300, 5) == 5
 
 
@@ -212,11 +215,11 @@
 @pytest.mark.parametrize("budget", [0, 1, 25, 400])
 def test_turns_at_a_cold_node_add_up_to_the_budget(planners: int, budget: int) -> None:
     for slot in range(30):
-        turns = [cold_turn(slot, place, planners, budget) for place in range(planners)]
+        turns = [slow_start_turn(slot, place, planners, budget) for place in range(planners)]
         assert sum(turns) == budget and max(turns) - min(turns) <= 1
     if budget:  # and everyone's turn comes
         slots = range(-(-planners // budget) + 1)
-        assert all(sum(cold_turn(s, p, planners, budget) for s in slots) for p in range(planners))
+        assert all(sum(slow_start_turn(s, p, planners, budget) for s in slots) for p in range(planners))
 
 
 @pytest.mark.parametrize("planners", [1, 3, 350])
@@ -276,7 +279,7 @@
 
 
 def asked(world: World, node: int) -> float:
-    return world.planner.nodes[node].asked()[0]
+    return world.planner.table.nodes[node].asked()[0]
 
 
 def test_a_bind_is_counted_once_before_and_after_the_list_shows_it() -> None:
@@ -301,7 +304,7 @@
     new = bind_of(world.ask(2, service=6, after=SECOND))
     world.placed(new)
     world.list(entry(0, started_us=start), after=SECOND // 2)
-    node = world.planner.nodes[0]
+    node = world.planner.table.nodes[0]
     assert [a.task.id for a in node.attempts.values()] == [2]
     assert dict(node.services) == {6: 1}
     assert node.asked()[0] == 1.0  # not shown by the list yet
@@ -340,25 +343,27 @@
 
 def test_a_task_that_errs_at_two_nodes_is_at_fault_itself() -> None:
     world = World(nodes=3)
-    nodes = world.planner.nodes
+    nodes = world.planner.table.nodes
     first = bind_of(world.ask(1))
     second = bind_of(world.ends(first, Result.ERROR))
-    assert nodes[first.node].rests(world.now)
+    assert nodes[first.node].health.is_ejected(world.now)
     third = bind_of(world.ends(second, Result.ERROR, attempt=1))
-    assert not any(node.rests(world.now) for node in nodes.values())
+    assert not any(node.health.is_ejected(world.now) for node in nodes.values())
     world.ends(third, Result.ERROR, attempt=2)
-    assert not any(node.rests(world.now) or node.streak for node in nodes.values())
+    assert not any(
+        node.health.is_ejected(world.now) or node.health.consecutive_failures for node in nodes.values()
+    )
 
 
 def test_errors_of_other_tasks_still_rest_a_node() -> None:
     world = World(nodes=3)
     bind = bind_of(world.ask(1))
-    node = world.planner.nodes[bind.node]
-    node.erred(77, world.now)  # another task's, at the same time
+    node = world.planner.table.nodes[bind.node]
+    node.health.record_error(77, world.now)  # another task's, at the same time
     second = bind_of(world.ends(bind, Result.ERROR))
     world.ends(second, Result.ERROR, attempt=1)
-    assert node.rests(world.now) and node.streak == 1.0
-    assert not node.rests(world.now + SECOND)
+    assert node.health.is_ejected(world.now) and node.health.consecutive_failures == 1.0
+    assert not node.health.is_ejected(world.now + SECOND)
 
 
 def test_acceptance_alone_does_not_heal_where_the_start_comes_later() -> None:
@@ -366,11 +371,11 @@
     world.ends(bind_of(world.ask(1)), Result.ERROR)
     world.feed(TaskCancelled(1))
     bind = bind_of(world.ask(2, after=2 * SECOND))
-    node = world.planner.nodes[0]
+    node = world.planner.table.nodes[0]
     world.placed(bind)
-    assert node.streak == 1.0
+    assert node.health.consecutive_failures == 1.0
     world.feed(StatusUpdate(2, 0, 0, StatusKind.RUNNING, 0.0))
-    assert node.streak < 1.0
+    assert node.health.consecutive_failures < 1.0
 
 
 def test_a_refusal_for_room_stands_until_later_word() -> None:
@@ -386,10 +391,10 @@
 
 def test_a_full_own_part_sends_away_and_an_empty_part_counts_as_full() -> None:
     world = World(nodes=8, cores_limit=2.5)
-    home = [n for n in range(8) if part_of(n, 2) == 0]
+    home = [n for n in range(8) if partition_of(n, 2) == 0]
     assert 0 < len(home) < 8
     world.list(*(entry(n, free_cores=-8.0) for n in home), after=2 * SECOND)
-    at_home = next(s for s in range(99) if mixed(s) % 2 == 0)  # its program belongs to the home part
+    at_home = next(s for s in range(99) if splitmix64(s) % 2 == 0)  # its program belongs to the home part
     assert bind_of(world.ask(1, service=at_home)).node not in home
     world = World(nodes=0)
     world.list(*(entry(n) for n in home), kind=ListKind.FULL)
--- a/tests/test_threshold.py
+++ b/tests/test_threshold.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from stairplank.decide import keeps_home, part_of, parts_for
+from stairplank.decisions.partition import partition_count, partition_of
+from stairplank.decisions.threshold import keeps_home
 
 
 def at_least(belief: tuple[int, int], threshold: tuple[int, int]) -> bool:
@@ -36,21 +37,21 @@
 def test_hardly_a_part_is_empty_and_every_node_has_a_home(planners: int) -> None:
     empty = parts = 0
     for nodes in range(1, 81):
-        count = parts_for(nodes, planners)
+        count = partition_count(nodes, planners)
         assert 1 <= count <= planners
-        cut = {part_of(n * 7919, count) for n in range(nodes)}
+        cut = {partition_of(n * 7919, count) for n in range(nodes)}
         assert cut <= {p % count for p in range(planners)}  # each is the home of a planner
         empty += count - len(cut)
         parts += count
     assert empty <= 0.05 * parts
-    assert parts_for(0, planners) == 1
+    assert partition_count(0, planners) == 1
 
 
 def test_parts_stay_with_the_count() -> None:
-    assert [part_of(n, 3) for n in range(6)] == [part_of(n, 3) for n in range(300)][:6]
-    assert {part_of(n, 1) for n in range(50)} == {0}
+    assert [partition_of(n, 3) for n in range(6)] == [partition_of(n, 3) for n in range(300)][:6]
+    assert {partition_of(n, 1) for n in range(50)} == {0}
 
 
 def test_a_growing_fleet_moves_services_twice_as_it_doubles() -> None:
-    assert [parts_for(nodes, 160) for nodes in range(32, 65, 4)] == [8] * 4 + [12] * 4 + [16]
-    assert [parts_for(nodes, 3) for nodes in (3, 8, 12, 60)] == [1, 2, 3, 3]
+    assert [partition_count(nodes, 160) for nodes in range(32, 65, 4)] == [8] * 4 + [12] * 4 + [16]
+    assert [partition_count(nodes, 3) for nodes in (3, 8, 12, 60)] == [1, 2, 3, 3]
