--- a/stairplank/decisions/slow_start.py
+++ b/stairplank/decisions/slow_start.py
@@ -35,9 +35,11 @@
         started = node.entry.started_us
         if started and now < started + slow_start_us:
             return started
+        health = node.health
+        if not health.unresponsive_since:
+            return 0
         # Danger: an unresponsive node may have restarted, and until the list shows it all planners would
         # send it what a warm one bears. Does harm where it was only cut off: it is served slowly meanwhile.
-        health = node.health
         doubt = RESTART_DOUBT * self._list_delay.mean_us if health.answered_at else MAX_LIST_DELAY_US
         until = (health.answered_at or health.unresponsive_since) + min(doubt, slow_start_us)
         return health.unresponsive_since if now < until else 0
--- a/stairplank/platform/config.py
+++ b/stairplank/platform/config.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .. import interface as api
-from .. import wire
+from .. import settings_text
 
 CONFIG_MOST = 16_000_000  # bytes
 DIGEST_SHOWN = 12  # hexadecimal digits of a file's SHA-256 that stand for a revision without a number
@@ -103,8 +103,8 @@
     """The typed configuration of a file. Raises ConfigError."""
     value = file.value
     try:
-        options = wire.Options(wire.flattened(value["settings"]))
-        settings = _named(wire.settings_from(options), value["settings"])
+        options = settings_text.SettingsReader(settings_text.flatten(value["settings"]))
+        settings = _named(settings_text.settings_from(options), value["settings"])
         known = value.get("known") or {}
         return Config(
             name=str(value.get("name", "")),
--- a/tests/platform/test_told.py
+++ b/tests/platform/test_told.py
@@ -10,7 +10,7 @@
 from desk import SECOND, SETTINGS, notice, row, set_up
 from platform_config import CONFIG
 
-from stairplank import wire
+from stairplank import settings_text
 from stairplank.interface import NodeStatus
 from stairplank.platform import config, validation
 from stairplank.platform import node_list as node_list_module
@@ -136,8 +136,8 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG))
     got = config.load(str(path))
-    assert got.settings == wire.settings_from(
-        "\n".join(f"{k}={v}" for k, v in wire.flattened(CONFIG["settings"]).items())
+    assert got.settings == settings_text.settings_from(
+        "\n".join(f"{k}={v}" for k, v in settings_text.flatten(CONFIG["settings"]).items())
     )
     assert got.settings.classes[1].name == "ingest" and got.settings.node_types[1].cores == 56
     assert got.fields == ("x0", "x1", "utilization") and got.zones == ("hall 1",)
--- a/tests/surface/test_surface.py
+++ b/tests/surface/test_surface.py
@@ -26,7 +26,7 @@
 import pytest
 from click.testing import CliRunner
 
-from stairplank import proto, wire
+from stairplank import proto, settings_text
 from stairplank.cli import main
 from stairplank.emulator.experiment import EXPERIMENT
 from stairplank.platform import config as platform_config
@@ -312,8 +312,8 @@
     """The keys of the file's object and those of its settings as a text has them."""
     of_object: set[str] = set()
     of_text: set[str] = set()
-    flattened = wire.flattened
-    monkeypatch.setattr(wire, "flattened", lambda nested: Asked(flattened(nested), of_text))
+    flatten = settings_text.flatten
+    monkeypatch.setattr(settings_text, "flatten", lambda nested: Asked(flatten(nested), of_text))
     platform_config.parse(platform_config.ConfigFile("", Asked(PLATFORM_FILE, of_object), ""))
     return {"object": sorted(of_object), "settings": sorted(of_text)}
 
@@ -324,23 +324,25 @@
 
 def settings_keys() -> dict[str, str]:
     """Each key that is looked up, and whether settings without it are refused."""
-    text = wire.flattened(PLATFORM_FILE["settings"])
+    text = settings_text.flatten(PLATFORM_FILE["settings"])
     asked: set[str] = set()
-    wire.settings_from(wire.Options(Asked(text, asked)))
+    settings_text.settings_from(settings_text.SettingsReader(Asked(text, asked)))
     return {key: need_of(key, text) for key in sorted(asked)}
 
 
 def need_of(key: str, text: dict[str, str]) -> str:
     """Whether settings without the key are read."""
     try:
-        wire.settings_from(wire.Options({name: value for name, value in text.items() if name != key}))
+        settings_text.settings_from(
+            settings_text.SettingsReader({name: value for name, value in text.items() if name != key})
+        )
     except ValueError as error:
         return str(error)
     return "may be left out"
 
 
 def test_the_settings_text_is_flattened_alike() -> None:
-    assert wire.flattened(PLATFORM_FILE["settings"]) == SURFACE["settings as a text"]
+    assert settings_text.flatten(PLATFORM_FILE["settings"]) == SURFACE["settings as a text"]
 
 
 WATCH_THE_ENVIRONMENT = """
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,6 +8,7 @@
 
 from stairplank import interface as api
 from stairplank import wire
+from stairplank.settings_text import settings_from
 from stairplank.simhost import Host
 
 BATCH = bytes.fromhex(
@@ -209,7 +210,7 @@
 
 
 def test_settings() -> None:
-    s = wire.settings_from(text())
+    s = settings_from(text())
     assert (s.planners, s.position, s.polls_node_list) == (2, 1, True)
     assert s.node_types[1] == api.NodeType("node-64", 61.0, 179.0)
     assert (s.classes[0].spread, s.classes[0].max_per_place) == (api.Scope.GROUP, 3)
@@ -228,7 +229,7 @@
 )
 def test_bad_settings_name_the_key(key: str, value: str | None, says: str) -> None:
     with pytest.raises(ValueError, match=says.replace("(", r"\(")):
-        wire.settings_from(text(**{key: value}))
+        settings_from(text(**{key: value}))
 
 
 def test_a_fault_of_one_planner_becomes_one_line_and_spares_the_others() -> None:
