--- a/stairplank/decisions/health_checks.py
+++ b/stairplank/decisions/health_checks.py
@@ -31,7 +31,8 @@
         if node is None:
             return
         self._load.record_report(node, event.report)
-        now, health = self._context.now, node.health
+        now = self._context.now
+        health = node.health
         if event.ok:
             health.record_answer(now)
         if not health.unresponsive:
--- a/stairplank/decisions/load.py
+++ b/stairplank/decisions/load.py
@@ -47,8 +47,9 @@
 
     def partition_level(self, task_class: api.TaskClass, nodes: list[Node], with_releases: bool) -> float:
         """Mean level of a partition's nodes, weighted by size; levels that serve alike count as equal."""
+        level = self.level
         size = sum(n.cores for n in nodes)
-        weighted = sum(self.level(task_class, n, n.asked(with_releases)) * n.cores for n in nodes)
+        weighted = sum(level(task_class, n, n.asked(with_releases)) * n.cores for n in nodes)
         return max(EQUAL_SERVICE_LEVEL, weighted / size)
 
     def record_report(self, node: Node | None, report: tuple[float, ...]) -> None:
--- a/stairplank/decisions/planner.py
+++ b/stairplank/decisions/planner.py
@@ -107,7 +107,8 @@
     def _try_place(self, pending: PendingTask) -> None:
         """Bind the task, queue it until something fits, or answer where no further attempt is allowed."""
         self.queue.remove(pending.task.id)
-        now, settings = self.context.now, self.context.settings
+        now = self.context.now
+        settings = self.context.settings
         if pending.attempts_made >= settings.max_attempts or not pending.may_retry(now, settings.tick_us):
             self._give_up(pending)
             return
@@ -118,7 +119,8 @@
             self.queue.add(pending)
 
     def _bind(self, pending: PendingTask, node: Node) -> None:
-        task, now = pending.task, self.context.now
+        task = pending.task
+        now = self.context.now
         attempt = Attempt(task, pending.attempts_made, node.entry.id, node.entry, now)
         attempt.start_weight = 1.0 if node.is_warm_for(task.service) else COLD_START_WEIGHT
         node.bind(attempt, UnconfirmedChange(now, task.cores, task.memory))
--- a/stairplank/decisions/selection.py
+++ b/stairplank/decisions/selection.py
@@ -52,13 +52,14 @@
         stays = self._stays_home(
             pending.task_class, partitions[home], partitions[other], known_at_home=of_service == home
         )
+        fits = self._fits
         for number in (home, other) if stays else (other, home):
-            node = self._draw(pending, [n for n in partitions[number] if self._fits(pending, n)])
+            node = self._draw(pending, [n for n in partitions[number] if fits(pending, n)])
             if node is not None:
                 return node
         ready = self._table.ready
         sample = self._context.rng.sample(ready, min(FALLBACK_SAMPLE, len(ready)))
-        return self._draw(pending, [n for n in sample if self._fits(pending, n)])
+        return self._draw(pending, [n for n in sample if fits(pending, n)])
 
     def _stays_home(
         self, task_class: api.TaskClass, home: list[Node], other: list[Node], *, known_at_home: bool
@@ -82,14 +83,17 @@
 
     def _fits(self, pending: PendingTask, node: Node) -> bool:
         """Type, drains, health, capacity, slow start and spread."""
-        task, task_class, entry, health = pending.task, pending.task_class, node.entry, node.health
+        entry = node.entry
+        health = node.health
         if entry.status is not api.NodeStatus.READY or node.drains or health.unresponsive:
             return False
         now = self._context.now
         if health.is_ejected(now):
             return False
+        task = pending.task
         if health.class_rejections and health.rejects(task.class_index, task.tenant, now):
             return False
+        task_class = pending.task_class
         if task_class.node_type is not None and entry.node_type != task_class.node_type:
             return False
         if entry.id in pending.tried_nodes or entry.id in task.excluded_nodes:
@@ -106,7 +110,9 @@
 
         Danger: all planners race for each release; a rejection counts for more than belief.
         """
-        task, task_class, now = pending.task, pending.task_class, self._context.now
+        task = pending.task
+        task_class = pending.task_class
+        now = self._context.now
         if node.rejected_amounts and node.rejects_amounts(task, now):
             return False
         in_time_until = task.expires_us - task_class.deadline_us + task_class.latency_objective_us
@@ -127,7 +133,8 @@
         """
         if not fitting:
             return None
-        levels = {n.entry.id: self._load.level_with(pending, n) for n in fitting}
+        level_with = self._load.level_with
+        levels = {n.entry.id: level_with(pending, n) for n in fitting}
         in_use = [n for n in fitting if n.is_in_use()]
         if in_use and self._context.settings.price_fleet and min(levels[n.entry.id] for n in in_use) <= 1:
             fitting = in_use  # each node in use beyond need is priced
--- a/stairplank/decisions/slow_start.py
+++ b/stairplank/decisions/slow_start.py
@@ -31,7 +31,8 @@
 
     def started_at(self, node: Node) -> int:
         """When a node that is in slow start, or may be, came up; 0 for one that is warm."""
-        now, slow_start_us = self._context.now, self._context.settings.slow_start_us
+        now = self._context.now
+        slow_start_us = self._context.settings.slow_start_us
         started = node.entry.started_us
         if started and now < started + slow_start_us:
             return started
@@ -52,7 +53,8 @@
         start = self.started_at(node)
         if not start:
             return True
-        context, settings = self._context, self._context.settings
+        context = self._context
+        settings = context.settings
         since = max(0, context.now - start)
         width = max(1, settings.overload_window_us)
         slot = since // width
--- a/stairplank/interface.py
+++ b/stairplank/interface.py
@@ -31,6 +31,8 @@
 
 
 class NodeStatus(IntEnum):
+    """What the node list says of a node."""
+
     GONE = 0
     DRAINING = 1
     READY = 2
@@ -75,6 +77,8 @@
 
 
 class StatusKind(IntEnum):
+    """What a status update tells; all but RUNNING come with a level."""
+
     RUNNING = 1
     CORES_USED = 2
     MEMORY_USED = 3
@@ -84,6 +88,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskClass:
+    """What all tasks of one class have in common."""
+
     name: str
     effect: Effect
     dedup_scope: Scope  # KEYED: the nodes that drop repeats of a task
@@ -103,6 +109,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeType:
+    """What all nodes of one type have; cores and memory in the units that tasks ask for."""
+
     name: str
     cores: float
     memory: float
@@ -152,6 +160,8 @@
     price_rejection: float = 0.0
 
     def __post_init__(self) -> None:
+        """Raise a ValueError that names the first field that is wrong."""
+
         def need(ok: bool, field: str) -> None:
             if not ok:
                 raise ValueError(f"settings: bad {field}: {getattr(self, field)!r}")
@@ -181,6 +191,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Task:
+    """One task; ``expires_us`` is the time by which its client is owed an answer."""
+
     id: int
     class_index: int
     tenant: int
@@ -218,6 +230,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeList:
+    """A node list or changes of it, or word that it could not be had."""
+
     kind: ListKind
     nodes: tuple[NodeEntry, ...] = ()
     revision: int = 0
@@ -225,6 +239,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRequested:
+    """A client wants the task placed."""
+
     task: Task
 
 
@@ -238,6 +254,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
+    """A node has accepted an attempt, or runs it where the settings say so."""
+
     task: int
     attempt: int
     node: int
@@ -260,6 +278,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusUpdate:
+    """A node tells of a running attempt, or of itself."""
+
     task: int
     attempt: int
     node: int
@@ -269,16 +289,22 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskCancelled:
+    """The client has withdrawn the task: no answer is owed any more."""
+
     task: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer that the planner has set is due."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthChecked:
+    """How a health check ended."""
+
     node: int
     ok: bool
     latency_us: int
@@ -313,17 +339,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Shed:
+    """Reject the task for now; the client may try again after so long."""
+
     task: int
     retry_after_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
+    """Answer that the task has failed; a retry may run it twice."""
+
     task: int
 
 
 @dataclass(frozen=True, slots=True)
 class StopAttempt:
+    """Cancel an attempt whose result is not wanted any more."""
+
     task: int
     attempt: int
 
@@ -337,12 +369,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Feed a TimerFired with this token when the time has come."""
+
     at_us: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
+    """Check the health of a node, once."""
+
     node: int
 
 
@@ -360,6 +396,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
