--- a/stairplank/tasks.py
+++ b/stairplank/tasks.py
@@ -1,6 +1,6 @@
-"""What a task, an attempt and a group's member are called above the module, and how one is turned away.
+"""A task, an attempt and a group's member as the daemon knows them, and how a task is rejected.
 
-The decision module has words of its own (``interface``); the links have messages (``proto``).
+The decisions have types of their own (``interface``); the links have messages (``proto``).
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskSpec:
-    """A task as its owner describes it; names are not looked up yet."""
+    """A task as its client describes it; names are not looked up yet."""
 
     client: str
     key: int
@@ -25,7 +25,7 @@
 
 
 class AttemptId(NamedTuple):
-    """Names an attempt on the links: the planner's life, its number for the placing, the attempt's number."""
+    """Names an attempt on the links: the incarnation of the planner, its placement, and the attempt."""
 
     incarnation: int
     placement: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Not taken. ``code`` is a gRPC status code by name."""
+    """A task that was not admitted. ``code`` is a gRPC status code by name."""
 
     code: str
     field: str
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -90,13 +90,15 @@
     def list(self, *entries: NodeEntry, kind: ListKind = ListKind.CHANGES, after: int = 0) -> list[Action]:
         return self.feed(NodeList(kind, tuple(entries)), after)
 
-    def task(self, id: int, sort: int = 0, service: int = 5, cores: float = 1.0, memory: float = 2.0) -> Task:
-        wait = CLASSES[sort].deadline_us
-        return Task(id, sort, 0, id, self.now + wait, service, cores, memory)
+    def task(
+        self, id: int, class_index: int = 0, service: int = 5, cores: float = 1.0, memory: float = 2.0
+    ) -> Task:
+        wait = CLASSES[class_index].deadline_us
+        return Task(id, class_index, 0, id, self.now + wait, service, cores, memory)
 
-    def ask(self, id: int, sort: int = 0, after: int = 0, **task: object) -> list[Action]:
+    def ask(self, id: int, class_index: int = 0, after: int = 0, **task: object) -> list[Action]:
         self.now += after
-        return self.feed(TaskRequested(self.task(id, sort, **task)))  # type: ignore[arg-type]
+        return self.feed(TaskRequested(self.task(id, class_index, **task)))  # type: ignore[arg-type]
 
     def placed(self, bind: Bind, attempt: int = 0, after: int = 50_000) -> list[Action]:
         return self.feed(Placed(bind.task, attempt, bind.node, after), after)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -60,14 +60,14 @@
 
 def test_a_timeout_at_the_deadline_still_gets_an_answer() -> None:
     world = World()
-    bind = bind_of(world.ask(1, sort=2))
+    bind = bind_of(world.ask(1, class_index=2))
     assert Fail(1) in world.ends(bind, Result.TIMEOUT, after=8 * SECOND)
 
 
 def test_silence_past_the_deadline_is_answered_within_the_slack() -> None:
     world = World()
     task = world.task(1, 2)
-    world.ask(1, sort=2)
+    world.ask(1, class_index=2)
     assert Fail(1) in fire_due(world, task.expires_us + SETTINGS.answer_slack_us)
     assert world.now <= task.expires_us + SETTINGS.answer_slack_us
 
@@ -85,19 +85,19 @@
 
 def test_a_task_that_must_not_run_twice_is_failed_once_it_may_have_run() -> None:
     world = World()
-    bind = bind_of(world.ask(1, sort=2))
+    bind = bind_of(world.ask(1, class_index=2))
     assert world.ends(bind, Result.ERROR) == [Fail(1)]
 
 
 def test_it_goes_elsewhere_when_the_attempt_is_proved_not_run() -> None:
     world = World()
-    bind = bind_of(world.ask(1, sort=2))
+    bind = bind_of(world.ask(1, class_index=2))
     assert bind_of(world.ends(bind, Result.UNREACHABLE)).node != bind.node
 
 
 def test_a_keyed_task_stays_in_its_group_and_window() -> None:
     world = World()
-    bind = bind_of(world.ask(1, sort=1))
+    bind = bind_of(world.ask(1, class_index=1))
     again = bind_of(world.ends(bind, Result.ERROR))
     assert again.node != bind.node and again.node // 3 == bind.node // 3
     late = world.ends(again, Result.UNREACHABLE, attempt=1, after=4 * SECOND)
@@ -106,11 +106,11 @@
 
 def test_attempts_that_may_be_repeated_only_at_one_place_get_no_short_timeout() -> None:
     world = World()
-    assert bind_of(world.ask(1, sort=1)).timeout_us == 0
-    assert bind_of(world.ask(2, sort=2)).timeout_us == 0
+    assert bind_of(world.ask(1, class_index=1)).timeout_us == 0
+    assert bind_of(world.ask(2, class_index=2)).timeout_us == 0
     for n in range(10, 40):  # once starts are known to be quick, others get one
         world.placed(bind_of(world.ask(n, cores=0.1, memory=0.1)))
-    assert 0 < bind_of(world.ask(3, sort=0)).timeout_us < CLASSES[0].deadline_us
+    assert 0 < bind_of(world.ask(3, class_index=0)).timeout_us < CLASSES[0].deadline_us
 
 
 # Rule 3
@@ -260,17 +260,17 @@
     world = World(nodes=6)
     world.feed(TaskAdopted(world.task(100, 3), 0))
     world.feed(TaskAdopted(world.task(101, 3), 3))
-    placed = [bind_of(world.ask(n, sort=3)) for n in range(4)]
+    placed = [bind_of(world.ask(n, class_index=3)) for n in range(4)]
     assert all(b.node % 3 != 0 for b in placed)
-    assert not binds(world.ask(9, sort=3))
+    assert not binds(world.ask(9, class_index=3))
 
 
 def test_spread_is_freed_by_the_outcome_alone() -> None:
     world = World(nodes=1)
-    first, second = bind_of(world.ask(1, sort=3)), bind_of(world.ask(2, sort=3))
+    first, second = bind_of(world.ask(1, class_index=3)), bind_of(world.ask(2, class_index=3))
     world.placed(first)
     world.feed(TaskCancelled(2))
-    assert not binds(world.ask(3, sort=3))
+    assert not binds(world.ask(3, class_index=3))
     world.ends(second, Result.CANCELLED, closed=True)
     assert fire_due(world, world.now + SECOND // 2)
 
@@ -456,7 +456,7 @@
     world = World(nodes=1)
     world.ends(bind_of(world.ask(1)), Result.REJECTED, reason=Reason.UNTOLD)
     assert not binds(world.ask(2))
-    assert bind_of(world.ask(3, sort=2)).node == 0
+    assert bind_of(world.ask(3, class_index=2)).node == 0
     assert binds(world.ask(4, after=10 * SECOND))
 
 
