--- a/stairplank/decisions/context.py
+++ b/stairplank/decisions/context.py
@@ -20,17 +20,17 @@
         self.now = 0
         self.started_at = -1
         self.actions: list[api.Action] = []  # of the event that is being handled
-        self._timers: dict[int, Callable[[], None]] = {}
+        self.timers: dict[int, Callable[[], None]] = {}
         self._last_token = 0
 
     def set_timer(self, at: int, call: Callable[[], None]) -> None:
         """Have ``call`` made at ``at``, or now if that is past."""
         self._last_token = (self._last_token + 1) & TOKEN_MASK
-        self._timers[self._last_token] = call
+        self.timers[self._last_token] = call
         self.actions.append(api.SetTimer(max(at, self.now), self._last_token))
 
     def fire_timer(self, token: int) -> None:
         """Make the call of a timer that is due; an unknown token is passed over."""
-        call = self._timers.pop(token, None)
+        call = self.timers.pop(token, None)
         if call is not None:
             call()
--- a/tests/planner/test_daemon_settings.py
+++ b/tests/planner/test_daemon_settings.py
@@ -70,11 +70,16 @@
 
 def test_a_class_that_is_removed_is_refused_with_all_that_came_with_it(world: World) -> None:
     daemon = world.daemon
-    before = (daemon.config, daemon.core.context.settings, daemon.core.module.s, daemon.server.limits)
+    before = (daemon.config, daemon.core.context.settings, daemon.core.module.settings, daemon.server.limits)
     report = "class report\n    effect once\n    aim 1s\n    deadline 6s\nend\n"
     with pytest.raises(NeedsRestartError, match="class: report would be removed"):
         world.daemon.prepare_site(text((report, ""), ("open-most 50", "open-most 1")), "revision-1")
-    assert (daemon.config, daemon.core.context.settings, daemon.core.module.s, daemon.server.limits) == before
+    assert (
+        daemon.config,
+        daemon.core.context.settings,
+        daemon.core.module.settings,
+        daemon.server.limits,
+    ) == before
     call = world.owner()
     for n in (1, 2):
         call.send(ask(n, "report"))
--- a/tests/planner/test_settings_changed.py
+++ b/tests/planner/test_settings_changed.py
@@ -111,8 +111,8 @@
     assert rejections(w) == ["INVALID_ARGUMENT"]
     change(w, tenants=("t1", "t2", "t3"))
     offer = w.offer(2, tenant="t3")
-    job = w.core.module.open[offer.id.placement]
-    assert job.task.tenant == 2
+    pending = w.core.module.pending[offer.id.placement]
+    assert pending.task.tenant == 2
 
 
 def test_a_group_of_a_class_is_taken_in_the_turn_after_its_coming() -> None:
@@ -183,11 +183,11 @@
 def test_nodes_of_a_kind_that_comes_later_are_taken_with_it() -> None:
     w = World(nodes=1)
     tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
-    assert sorted(w.core.module.nodes) == [1]
+    assert sorted(w.core.module.table.nodes) == [1]
     (watch,) = watches(change(w, {"node_types": (*SETTINGS.node_types, HUGE)}))
     assert watch == ev.WatchNodeList(True, 0)
     tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "huge"))
-    assert w.core.module.nodes[2].cores == HUGE.cores
+    assert w.core.module.table.nodes[2].cores == HUGE.cores
 
 
 @pytest.mark.parametrize("list_first", [True, False])
@@ -200,9 +200,9 @@
     actions = w.core.woke(w.now, events) if after_a_stall else [a for e in events for a in w.feed(e)]
     if watches(actions):
         w.feed(whole)
-    assert sorted(w.core.module.nodes) == [1, 2]
+    assert sorted(w.core.module.table.nodes) == [1, 2]
     w.feed(ev.NodeListReceived(3, 2, False, (of_kind(w, 3, "huge"),), 10**15))
-    assert sorted(w.core.module.nodes) == [1, 2, 3]
+    assert sorted(w.core.module.table.nodes) == [1, 2, 3]
 
 
 def test_a_list_change_that_is_on_its_way_while_the_whole_is_fetched_does_no_harm() -> None:
@@ -212,7 +212,7 @@
     late = w.feed(ev.NodeListReceived(3, 2, False, (of_kind(w, 3, "std"),), 10**15))
     assert watches(late) == []  # it is being fetched
     tell_list(w, 3, of_kind(w, 1, "std"), of_kind(w, 2, "huge"), of_kind(w, 3, "std"))
-    assert sorted(w.core.module.nodes) == [1, 2, 3]
+    assert sorted(w.core.module.table.nodes) == [1, 2, 3]
 
 
 def test_a_fetch_of_the_whole_that_fails_is_asked_for_again_from_the_beginning() -> None:
@@ -261,10 +261,10 @@
     """Danger: counts of tasks in a zone are kept by its number."""
     w = World(nodes=1)
     tell_list(w, 2, of_kind(w, 1, "std"), of_kind(w, 2, "std", zone="z9"))
-    before = w.core.module.nodes[2].entry.zone
+    before = w.core.module.table.nodes[2].entry.zone
     change(w, zones=("z1", "z2", "z3", "z9"))
     tell_list(w, 3, of_kind(w, 1, "std"), of_kind(w, 2, "std", zone="z9"), of_kind(w, 3, "std", zone="z3"))
-    zones = {n: node.entry.zone for n, node in w.core.module.nodes.items()}
+    zones = {n: node.entry.zone for n, node in w.core.module.table.nodes.items()}
     assert zones[2] == before
     assert len(set(zones.values())) == 3
 
--- a/tests/platform/test_platform_adoption.py
+++ b/tests/platform/test_platform_adoption.py
@@ -174,7 +174,7 @@
     desk.passes(links.GONE_US + SECOND)
     assert desk.replies(1)[-1] == (conn, RELEASE, Cause.RESET)
     assert [m.name for m in desk.core.links.machines.values()] == ["s-00000009"]
-    assert list(desk.core.module.nodes) == list(desk.core.links.machines)
+    assert list(desk.core.module.table.nodes) == list(desk.core.links.machines)
     assert len(desk.core.machines.addresses) == len(desk.core.machines.names) == 1
 
 
--- a/tests/platform/test_platform_core.py
+++ b/tests/platform/test_platform_core.py
@@ -108,7 +108,10 @@
     assert desk.replies(1) == [(conn, ANSWER, None), (conn, RELEASE, Cause.ENDED)]
     assert [m.body for _, m in desk.to_clients] == ["it was here", None]
     assert len(desk.sent(1)) == 1 and not desk.core.attempts.by_machine_and_id
-    assert not any(node.silent or node.streak for node in desk.core.module.nodes.values())
+    assert not any(
+        node.health.unresponsive or node.health.consecutive_failures
+        for node in desk.core.module.table.nodes.values()
+    )
 
 
 def test_an_end_without_one_proves_nothing() -> None:
@@ -280,7 +283,7 @@
     assert test.cause == 1
     load = {"load": "x0:4;x1:20;utilization:0.9"}
     desk.machine(link, Message(Kind.TESTED, test.id, load, cause=1))
-    (node,) = desk.core.module.nodes.values()
+    (node,) = desk.core.module.table.nodes.values()
     assert node.free == (4.0, 20.0) and node.use == 0.9 / (12 / 16)
     assert not desk.core.attempts.tests
 
@@ -303,7 +306,7 @@
         if number % 4 == 0 and name(number - 3) in desk.core.tasks.by_id:
             desk.feed(ev.ClientMessage(conn, Message(RELEASE, name(number - 3), cause=16)))
         desk.passes(50_000)
-        for node in desk.core.module.nodes.values():
+        for node in desk.core.module.table.nodes.values():
             out = [
                 a.task.number
                 for (m, _), a in desk.core.attempts.by_machine_and_id.items()
@@ -355,7 +358,7 @@
     for number, changes in enumerate(({"class": "x"}, {"left": "nan"}, {"extras": "cores:nan"}), 1):
         desk.feed(ev.ClientMessage(conn, set_up(number, **changes)))
         assert desk.replies(number) == [(conn, RELEASE, Cause.INVALID)]
-    assert not desk.core.module.open and not desk.to_machines and not desk.dials
+    assert not desk.core.module.pending and not desk.to_machines and not desk.dials
 
 
 def test_an_open_id_with_another_description_does_not_end_the_good_ones_wait() -> None:
@@ -509,7 +512,7 @@
         desk.ask(conn, 1000 + number, at="s-00000001")
         desk.feed(ev.ClientMessage(conn, Message(RELEASE, name(1000 + number), cause=16)))
     desk.passes(10 * SECOND)
-    assert len(desk.core.loop._timers) < 10 and not desk.core.module.timers
+    assert len(desk.core.loop._timers) < 10 and not desk.core.module.context.timers
 
 
 def test_descriptions_are_bounded_and_standing_tasks_keep_none(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -666,13 +669,13 @@
         "open_of": core.tasks.open_by_client,
         "at": core.attempts.by_machine_and_id,
         "tests": core.attempts.tests,
-        "module's open": core.module.open,
+        "module's open": core.module.pending,
         "module's attempts": core.module.attempts,
-        "module's spread": core.module.spread,
-        "module's timers": core.module.timers,
+        "module's spread": core.module.spread.counts,
+        "module's timers": core.module.context.timers,
     }
     assert {k: len(v) for k, v in tables.items() if v} == {}
-    assert len(core.links.machines) == len(core.module.nodes) == 7
+    assert len(core.links.machines) == len(core.module.table.nodes) == 7
     assert len(core.loop._timers) < 10 and core.attempts.under_way == 0
 
 
--- a/tests/platform/test_platform_links.py
+++ b/tests/platform/test_platform_links.py
@@ -199,7 +199,7 @@
     monkeypatch.setattr(machines, "MACHINES_MOST", 4)
     desk = Desk(machines=3)
     desk.list_update(*(row(n) for n in range(10, 20)))
-    assert len(desk.core.links.machines) == len(desk.core.module.nodes) == 4
+    assert len(desk.core.links.machines) == len(desk.core.module.table.nodes) == 4
 
 
 def test_want_of_descriptors_of_our_own_makes_no_machine_dead() -> None:
@@ -216,7 +216,10 @@
     desk.passes(SECOND)
     assert link not in desk.up and desk.up  # it is dialled as soon as that works
     desk.ask(conn, 2, "once")
-    assert not any(node.silent or node.streak for node in desk.core.module.nodes.values())
+    assert not any(
+        node.health.unresponsive or node.health.consecutive_failures
+        for node in desk.core.module.table.nodes.values()
+    )
 
 
 def test_all_that_wait_are_told_where_nobody_listens() -> None:
--- a/tests/platform/test_platform_settings_reload.py
+++ b/tests/platform/test_platform_settings_reload.py
@@ -458,7 +458,7 @@
 
 
 def test_a_class_that_is_removed_is_refused_and_the_lists_address_is_taken(live: Live, lines: Lines) -> None:
-    before = (live.service.config, live.service.core.module.s)
+    before = (live.service.config, live.service.core.module.settings)
     other = BoardStand([machine.row() for machine in live.fleet])
 
     def edit(value: dict[str, Any]) -> None:
@@ -469,7 +469,7 @@
     (line,) = lines.of("configuration not taken")
     assert "worker would be removed" in line["error"]
     assert (line["revision"], line["in_force"]) == ("18", before[0].revision)
-    assert (live.service.config, live.service.core.module.s) == before
+    assert (live.service.config, live.service.core.module.settings) == before
     assert live.service.core.counts["configurations_not_taken"] == 1
     live.until(lambda: other.watches)
     live.placed(live.owner(), 1)
@@ -511,11 +511,11 @@
     handled: list[ev.Event] = []
     handle = live.service.core._handlers[ev.SettingsChanged]
     live.service.core._handlers[ev.SettingsChanged] = lambda event: (handled.append(event), handle(event))[0]
-    module = live.service.core.module.s
+    module = live.service.core.module.settings
     for _ in range(20):
         reload_with(live, lambda value: None)
     gevent.sleep(0.1)
-    assert (handled, live.service.core.module.s is module) == ([], True)
+    assert (handled, live.service.core.module.settings is module) == ([], True)
     assert set(live.service.machines.streams) == links
     assert len(live.board.watches) <= watches + 1
     assert [line["changed"] for line in lines.of("configuration in force")] == [()] * 21
@@ -553,9 +553,9 @@
     service.reload()
     runs = gevent.spawn(service.run)
     with gevent.Timeout(10):
-        while not service.core.module.ready and not service.core.module.nodes:
+        while not service.core.module.table.ready and not service.core.module.table.nodes:
             gevent.sleep(0.01)
-    assert [node.cores for node in service.core.module.nodes.values()] == [96]
+    assert [node.cores for node in service.core.module.table.nodes.values()] == [96]
     runs.kill()
     board.close()
     huge.close()
