--- a/benchmarks/path/counted_planner.py
+++ b/benchmarks/path/counted_planner.py
@@ -32,7 +32,8 @@
 from stairplank.planner import events as ev
 from stairplank.planner.daemon import Daemon
 from stairplank.planner.node_connection import NodeLink
-from stairplank.rpc.connection import Connection, Stream
+from stairplank.rpc.stream import Stream
+from stairplank.rpc.writer import ConnectionWriter
 from stairplank.settings import load_planner
 
 SAMPLE_S = 0.001  # of processor time; the kernel rounds it up to its tick
@@ -170,8 +171,8 @@
     protocol: Any = h2.connection.H2Connection
     protocol.ping = counted_ping
     protocol.receive_data = counts.timed("h2_receive", protocol.receive_data)  # one for each read
-    connection: Any = Connection
-    connection._fill = counts.timed("fill", connection._fill)  # one for each turn of a writer
+    writer: Any = ConnectionWriter
+    writer._fill = counts.timed("fill", writer._fill)  # one for each turn of a writer
 
 
 def called(profile: cProfile.Profile) -> dict[str, int]:
--- a/benchmarks/path/nodes.py
+++ b/benchmarks/path/nodes.py
@@ -11,7 +11,7 @@
 
 from stairplank.cli.main import _end_with_stdin
 from stairplank.planner.daemon import DIRECTORY
-from stairplank.proto import caller
+from stairplank.proto import open_call
 from stairplank.rpc import Channel
 from stairplank.standin.light_node import LightNode
 
@@ -23,7 +23,7 @@
     channel = Channel(directory)
     calls = []
     for node in nodes:
-        call = caller(channel, DIRECTORY, "Announce")
+        call = open_call(channel, DIRECTORY, "Announce")
         call.send(node.entry())
         calls.append(call)
     gevent.sleep(3600)
--- a/benchmarks/path/run.py
+++ b/benchmarks/path/run.py
@@ -31,7 +31,7 @@
 from hdrh.histogram import HdrHistogram
 
 from stairplank.planner.daemon import PLACEMENT
-from stairplank.proto import caller, common_pb2, placement_pb2
+from stairplank.proto import common_pb2, open_call, placement_pb2
 from stairplank.rpc import Channel
 
 HERE = Path(__file__).parent
@@ -105,7 +105,7 @@
         self.wait_for("p.sock")
         gevent.sleep(0.5 + nodes / 150)
         self.channel = Channel(f"unix:{self.work}/p.sock")
-        self.call = caller(self.channel, PLACEMENT, "Place")
+        self.call = open_call(self.channel, PLACEMENT, "Place")
         self.call.send(REQUEST(hello=REQUEST.Hello(owner="bench")))
         self.call.recv(10)
 
--- a/stairplank/cli/place.py
+++ b/stairplank/cli/place.py
@@ -8,7 +8,7 @@
 import click
 
 from ..fence import Stamps
-from ..proto import caller, common_pb2, placement_pb2
+from ..proto import common_pb2, open_call, placement_pb2
 from ..rpc import Channel, Code, RpcError
 
 _REQUEST = placement_pb2.PlaceRequest
@@ -46,7 +46,7 @@
     from ..planner.daemon import PLACEMENT
 
     try:
-        call = caller(Channel(address, dial_timeout_s=dial_s), PLACEMENT, "Place")
+        call = open_call(Channel(address, dial_timeout_s=dial_s), PLACEMENT, "Place")
         call.send(_REQUEST(hello=_REQUEST.Hello(owner=owner)))
         first = call.recv(dial_s)
         if first is None:
--- a/stairplank/configuration/client.py
+++ b/stairplank/configuration/client.py
@@ -9,7 +9,7 @@
 import gevent
 
 from ..proto import configuration_pb2 as pb
-from ..proto import path
+from ..proto import method_path
 from ..rpc import Channel, Limits, RpcError
 from . import publication
 from .convert import SERVICE, revision_from, revision_to, stored_to
@@ -65,9 +65,9 @@
 
 
 def _unary(replica: str, method: str, request: Any, answer: Any, timeout_s: float) -> Any:
-    channel = Channel(replica, Limits(message_bytes=2 * TEXT_MOST), timeout_s)
+    channel = Channel(replica, Limits(max_message_bytes=2 * TEXT_MOST), timeout_s)
     try:
-        return channel.unary(path(SERVICE, method), request, answer.FromString, timeout_s=timeout_s)
+        return channel.unary(method_path(SERVICE, method), request, answer.FromString, timeout_s=timeout_s)
     finally:
         channel.close()
 
--- a/stairplank/configuration/server.py
+++ b/stairplank/configuration/server.py
@@ -12,7 +12,7 @@
 
 from ..planner.clock import now_us
 from ..proto import configuration_pb2 as pb
-from ..proto import methods
+from ..proto import server_methods
 from ..proto.standard import Health, Reflection
 from ..rpc import Code, Limits, RpcError, Server, ServerCall
 from . import files
@@ -45,7 +45,7 @@
         self.announcers: set[gevent.Greenlet] = set()  # one a planner's stream
         health = Health((SERVICE.full_name,))
         names = (SERVICE.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
-        handlers = methods(
+        handlers = server_methods(
             SERVICE,
             Prepare=self._prepare,
             Commit=self._commit,
@@ -54,7 +54,9 @@
             Status=self._status,
         )
         served = {**handlers, **health.methods(), **Reflection(names).methods()}
-        limits = Limits(message_bytes=2 * TEXT_MOST, send_bytes=2 * TEXT_MOST, connections=2 * STREAMS_MOST)
+        limits = Limits(
+            max_message_bytes=2 * TEXT_MOST, max_unsent_bytes=2 * TEXT_MOST, max_connections=2 * STREAMS_MOST
+        )
         self.server = Server(listen, served, limits)
 
     def start(self) -> None:
--- a/stairplank/configuration/startup.py
+++ b/stairplank/configuration/startup.py
@@ -8,7 +8,7 @@
 import structlog
 
 from ..proto import configuration_pb2 as pb
-from ..proto import path
+from ..proto import method_path
 from ..rpc import Channel, Limits, RpcError
 from . import files
 from .convert import SERVICE, stored_from
@@ -33,10 +33,12 @@
 
 
 def _committed(replica: str, wait_s: float) -> Stored | None:
-    channel = Channel(replica, Limits(message_bytes=2 * TEXT_MOST), wait_s)
+    channel = Channel(replica, Limits(max_message_bytes=2 * TEXT_MOST), wait_s)
     try:
         request = pb.GetRequest()
-        answer = channel.unary(path(SERVICE, "Get"), request, pb.RevisionText.FromString, timeout_s=wait_s)
+        answer = channel.unary(
+            method_path(SERVICE, "Get"), request, pb.RevisionText.FromString, timeout_s=wait_s
+        )
     except RpcError:
         return None
     finally:
--- a/stairplank/configuration/watch.py
+++ b/stairplank/configuration/watch.py
@@ -16,8 +16,8 @@
 import structlog
 
 from ..planner.clock import now_us
-from ..proto import caller
 from ..proto import configuration_pb2 as pb
+from ..proto import open_call
 from ..rpc import Call, Channel, Limits, RpcError
 from . import files
 from .convert import SERVICE, revision_from, revision_to
@@ -89,11 +89,11 @@
 
     def _stream(self, replica: str) -> bool:
         """One connection until it ends; whether anything was heard on it."""
-        limits = Limits(message_bytes=2 * TEXT_MOST)
+        limits = Limits(max_message_bytes=2 * TEXT_MOST)
         channel = Channel(replica, limits, DIAL_S)
         heard = False
         try:
-            call = caller(channel, SERVICE, "Follow")
+            call = open_call(channel, SERVICE, "Follow")
             call.send(pb.FollowRequest(hello=pb.FollowRequest.Hello(planner=self.planner, life=self.life)))
             self._calls[replica] = call
             self._carry_out(self.follower.connected(now_us(), replica))
--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -25,12 +25,12 @@
 from ..configuration.revision import NO_REVISION, Revision
 from ..fence import Epochs, Grants, StepWatch
 from ..proto import (
-    caller,
     directory_pb2,
-    methods,
+    method_path,
     node_pb2,
-    path,
+    open_call,
     placement_pb2,
+    server_methods,
 )
 from ..proto.standard import Health, Reflection
 from ..rpc import Channel, Code, Limits, RpcError, Server, ServerCall
@@ -67,7 +67,7 @@
         self.health = Health((PLACEMENT.full_name,))
         names = (PLACEMENT.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
         served = {
-            **methods(PLACEMENT, Place=self._place),
+            **server_methods(PLACEMENT, Place=self._place),
             **self.health.methods(),
             **Reflection(names).methods(),
         }
@@ -142,7 +142,7 @@
         self.log.info("planner leaves", owed=self.core.owners.open_tasks)
         self.health.set(False)
         self.configuration.stop()
-        self.server.leave()
+        self.server.drain()
         self.feed(ev.ShutdownRequested())
         until = now_us() + self.config.stop_grace_us + 1_000_000
         while not self.core.finished and now_us() < until:
@@ -265,7 +265,7 @@
         """Handler of Placement.Place."""
         if len(self.owners) >= self.config.owners_most:
             raise RpcError(Code.RESOURCE_EXHAUSTED, f"{len(self.owners)} owners are here already")
-        if self.server.leaving:
+        if self.server.draining:
             raise RpcError(Code.UNAVAILABLE, "this planner is leaving")
         first = call.recv(HELLO_S)
         if first is None or first.WhichOneof("kind") != "hello":
@@ -370,7 +370,7 @@
                 "told", session=action.session, word=type(action.message).__name__, ask=action.message.request
             )
         # The bound of this connection: it may have been made before send-buffer changed.
-        full = call.stream.out_bytes > call.stream.connection.limits.send_bytes // 2
+        full = call.stream.unsent_bytes > call.stream.connection.limits.max_unsent_bytes // 2
         if full and isinstance(action.message, ev.Offered):
             self.dropped_words += 1  # the first to go where an owner is slow: no outcome hangs on it
             return
@@ -422,7 +422,9 @@
         link = self.links.get(node)
         if link is None or link.channel is None:
             raise RpcError(Code.UNAVAILABLE, "no link", never_ran=True)
-        return link.channel.unary(path(NODE, method), request, answer.FromString, timeout_s=timeout_us / 1e6)
+        return link.channel.unary(
+            method_path(NODE, method), request, answer.FromString, timeout_s=timeout_us / 1e6
+        )
 
     def _ask_held(self, node: int) -> None:
         request = node_pb2.HeldRequest(planner=self.position, life=self.life)
@@ -452,7 +454,7 @@
 
     def _directory(self) -> Channel:
         limits = Limits(
-            keepalive_s=self.config.keepalive_us[0] / 1e6,
+            keepalive_interval_s=self.config.keepalive_us[0] / 1e6,
             keepalive_timeout_s=self.config.keepalive_us[1] / 1e6,
         )
         return Channel(self.config.directory, limits, self.config.list_silence_us / 2e6)
@@ -460,7 +462,7 @@
     def _watch_list(self, revision: int) -> None:
         channel = self._directory()
         try:
-            call = caller(channel, DIRECTORY, "Watch")
+            call = open_call(channel, DIRECTORY, "Watch")
             call.send(directory_pb2.WatchRequest(planner=self.position, revision=revision))
             call.close_send()
             while (message := call.recv(self.config.list_silence_us / 1e6)) is not None:
@@ -479,7 +481,7 @@
             request = directory_pb2.ListRequest(planner=self.position)
             timeout = self.config.list_silence_us / 1e6
             told = channel.unary(
-                path(DIRECTORY, "List"), request, directory_pb2.NodeList.FromString, timeout_s=timeout
+                method_path(DIRECTORY, "List"), request, directory_pb2.NodeList.FromString, timeout_s=timeout
             )
         except RpcError as error:
             self.log.info("node list out of reach", error=str(error))
--- a/stairplank/planner/live_settings.py
+++ b/stairplank/planner/live_settings.py
@@ -32,11 +32,11 @@
 def server_limits(config: PlannerConfig) -> Limits:
     """Limits of each connection that is made from now on, and how many there may be."""
     return Limits(
-        message_bytes=config.message_most,
-        send_bytes=config.send_buffer,
-        keepalive_s=config.keepalive_us[0] / 1e6,
+        max_message_bytes=config.message_most,
+        max_unsent_bytes=config.send_buffer,
+        keepalive_interval_s=config.keepalive_us[0] / 1e6,
         keepalive_timeout_s=config.keepalive_us[1] / 1e6,
-        connections=config.owners_most * CONNECTIONS_PER_CLIENT,
+        max_connections=config.owners_most * CONNECTIONS_PER_CLIENT,
     )
 
 
--- a/stairplank/planner/node_connection.py
+++ b/stairplank/planner/node_connection.py
@@ -8,7 +8,7 @@
 import gevent
 
 from ..fence import Stamp, Stamps
-from ..proto import caller, node_pb2
+from ..proto import node_pb2, open_call
 from ..rpc import Channel, Code, Limits, RpcError
 from ..settings import PlannerConfig
 from . import convert
@@ -92,14 +92,14 @@
     def _dial(self, target: str) -> Any:
         config = self.host.config
         limits = Limits(
-            keepalive_s=config.keepalive_us[0] / 1e6,
+            keepalive_interval_s=config.keepalive_us[0] / 1e6,
             keepalive_timeout_s=config.keepalive_us[1] / 1e6,
-            message_bytes=config.message_most,
-            send_bytes=config.send_buffer,
+            max_message_bytes=config.message_most,
+            max_unsent_bytes=config.send_buffer,
         )
         timeout = config.dial_timeout_us / 1e6
         self.channel = Channel(target, limits, timeout)
-        self.call = caller(self.channel, NODE, "Offers")
+        self.call = open_call(self.channel, NODE, "Offers")
         heard = self.host.heard.get(self.node, (0, Heard()))[1].number
         hello = node_pb2.OfferRequest.Hello(
             planner=self.host.position,
@@ -163,8 +163,8 @@
         except RpcError:
             pass  # the link is breaking: what this message would have said counts as unsent
         stream = self.call.stream
-        self.sent.append((stream.queued - 1 if stream.error is None else 1 << 62, id))
-        while self.sent and self.sent[0][0] < stream.handed:
+        self.sent.append((stream.messages_queued - 1 if stream.error is None else 1 << 62, id))
+        while self.sent and self.sent[0][0] < stream.messages_started:
             self.sent.popleft()
         return True
 
@@ -194,7 +194,7 @@
         """Attempts of which not one byte was handed to the connection."""
         if self.call is None:
             return frozenset()
-        handed = self.call.stream.handed
+        handed = self.call.stream.messages_started
         return frozenset(id for number, id in self.sent if id is not None and number >= handed)
 
     def stamp(self) -> Stamp | None:
--- a/stairplank/proto/__init__.py
+++ b/stairplank/proto/__init__.py
@@ -12,17 +12,17 @@
     placement_pb2,
     reflection_pb2,
 )
-from .services import caller, methods, path
+from .services import method_path, open_call, server_methods
 
 __all__ = [
-    "caller",
     "common_pb2",
     "configuration_pb2",
     "directory_pb2",
     "health_pb2",
-    "methods",
+    "method_path",
     "node_pb2",
-    "path",
+    "open_call",
     "placement_pb2",
     "reflection_pb2",
+    "server_methods",
 ]
--- a/stairplank/proto/services.py
+++ b/stairplank/proto/services.py
@@ -8,28 +8,32 @@
 from google.protobuf.message_factory import GetMessageClass
 
 from ..rpc.client import Call, Channel
+from ..rpc.errors import HandlersMismatchError
 from ..rpc.framing import Metadata
-from ..rpc.server import Kind, Method
+from ..rpc.server_call import Method, MethodKind
 
 
-def _kind(method: Any) -> Kind:
+def _kind(method: Any) -> MethodKind:
     if method.client_streaming:
         return "bidi" if method.server_streaming else "client_stream"
     return "server_stream" if method.server_streaming else "unary"
 
 
-def path(service: Any, method: str) -> str:
+def method_path(service: Any, method: str) -> str:
     """``/package.Service/Method``. Raises KeyError for a method that the service has not."""
     return f"/{service.full_name}/{service.methods_by_name[method].name}"
 
 
-def methods(service: Any, **handlers: Callable[..., Any]) -> dict[str, Method]:
-    """Methods by path for a server; every method of the service needs its handler."""
-    missing = set(service.methods_by_name) ^ set(handlers)
-    if missing:
-        raise ValueError(f"{service.full_name}: handlers and methods differ in {sorted(missing)}")
+def server_methods(service: Any, **handlers: Callable[..., Any]) -> dict[str, Method]:
+    """Methods by path for a server; every method of the service needs its handler.
+
+    Raises HandlersMismatchError, which is a ValueError.
+    """
+    unmatched = set(service.methods_by_name) ^ set(handlers)
+    if unmatched:
+        raise HandlersMismatchError(service.full_name, sorted(unmatched))
     return {
-        path(service, name): Method(
+        method_path(service, name): Method(
             _kind(service.methods_by_name[name]),
             handler,
             GetMessageClass(service.methods_by_name[name].input_type).FromString,
@@ -38,7 +42,7 @@
     }
 
 
-def caller(
+def open_call(
     channel: Channel,
     service: Any,
     method: str,
@@ -46,10 +50,10 @@
     metadata: Metadata = (),
     timeout_s: float | None = None,
 ) -> Call:
-    """Open a call of any kind."""
+    """Open a call of any kind; ``timeout_s`` becomes its deadline. Raises RpcError."""
     decode = GetMessageClass(service.methods_by_name[method].output_type).FromString
     return channel.call(
-        path(service, method),
+        method_path(service, method),
         lambda message: message.SerializeToString(),
         decode,
         metadata=metadata,
--- a/stairplank/rpc/framing.py
+++ b/stairplank/rpc/framing.py
@@ -1,4 +1,4 @@
-"""The parts of the protocol that are bytes and text: message prefix, time-outs, status text, metadata."""
+"""The parts of the gRPC protocol that are bytes and text: message prefix, timeouts, status text, metadata."""
 
 from __future__ import annotations
 
@@ -9,117 +9,139 @@
 import struct
 from collections.abc import Iterable
 
+from .errors import MetadataKeyError, MetadataValueError, TimeoutFormatError
 from .status import Code, RpcError
 
+Headers = list[tuple[str, str]]
 Metadata = tuple[tuple[str, str | bytes], ...]
-PREFIX = struct.Struct(">BI")
-_UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
-_TIMEOUT = re.compile(r"([0-9]{1,8})([HMSmun])")
-_KEY = re.compile(r"[0-9a-z_.\-]+")
-_OWN = ("grpc-", ":", "content-type", "te", "user-agent")
 
+CONTENT_TYPE = "application/grpc"
+IDENTITY = "identity"  # the one message encoding that is spoken here
+MAX_TIMEOUT_COUNT = 99_999_999
+PREFIX = struct.Struct(">BI")  # compressed flag, length
+PREFIX_BYTES = PREFIX.size
 
-def frame(message: bytes) -> bytes:
+_COMPRESSED_FLAG = 1
+_SECONDS_OF_UNIT = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
+_UNITS_FINEST_FIRST = (("n", 1e9), ("u", 1e6), ("m", 1e3), ("S", 1.0), ("M", 1 / 60), ("H", 1 / 3600))
+_TIMEOUT_PATTERN = re.compile(r"([0-9]{1,8})([HMSmun])")
+_METADATA_KEY_PATTERN = re.compile(r"[0-9a-z_.\-]+")
+_RESERVED_KEYS = ("grpc-", ":", "content-type", "te", "user-agent")
+
+
+def encode_message(message: bytes) -> bytes:
     """A length-prefixed, uncompressed message."""
     return PREFIX.pack(0, len(message)) + message
 
 
-class MessageReader:
-    """Cuts the bytes of a stream into messages; holds at most one unfinished message."""
+class MessageDecoder:
+    """Cuts the bytes of a stream into messages; holds at most one incomplete message."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_message_bytes: int) -> None:
+        """A message over ``max_message_bytes`` is an error."""
+        self._max_message_bytes = max_message_bytes
         self._buffer = bytearray()
 
     @property
-    def unfinished(self) -> int:
-        """Bytes of a message that has not come whole."""
+    def partial_bytes(self) -> int:
+        """Bytes of the message that is still incomplete."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
         """The messages that ``data`` completes. Raises RpcError where the peer breaks the format."""
         buffer = self._buffer
         buffer += data
-        out: list[bytes] = []
-        at, size = 0, len(buffer)
-        while size - at >= 5:
-            flag, length = PREFIX.unpack_from(buffer, at)
-            if flag == 1:
-                raise RpcError(Code.UNIMPLEMENTED, "compressed messages are not taken: only identity is")
-            if flag:
-                raise RpcError(Code.INTERNAL, f"message prefix with an unknown flag {flag}")
-            if length > self._most:
-                raise RpcError(
-                    Code.RESOURCE_EXHAUSTED, f"message of {length} bytes; at most {self._most} are taken"
-                )
-            if size - at - 5 < length:
+        messages: list[bytes] = []
+        position = 0
+        size = len(buffer)
+        while size - position >= PREFIX_BYTES:
+            flag, length = PREFIX.unpack_from(buffer, position)
+            self._check_prefix(flag, length)
+            start = position + PREFIX_BYTES
+            if size - start < length:
                 break
-            out.append(bytes(buffer[at + 5 : at + 5 + length]))
-            at += 5 + length
-        if at:
-            del buffer[:at]
-        return out
+            position = start + length
+            messages.append(bytes(buffer[start:position]))
+        if position:
+            del buffer[:position]
+        return messages
+
+    def _check_prefix(self, flag: int, length: int) -> None:
+        if flag == _COMPRESSED_FLAG:
+            raise RpcError(Code.UNIMPLEMENTED, "compressed messages are not taken: only identity is")
+        if flag:
+            raise RpcError(Code.INTERNAL, f"message prefix with an unknown flag {flag}")
+        if length > self._max_message_bytes:
+            raise RpcError(
+                Code.RESOURCE_EXHAUSTED,
+                f"message of {length} bytes; at most {self._max_message_bytes} are taken",
+            )
 
 
 def encode_timeout(seconds: float) -> str:
     """``grpc-timeout``, rounded up, in the finest unit that fits into eight digits."""
     if seconds <= 0:
         return "0n"
-    for unit, size in (("n", 1e9), ("u", 1e6), ("m", 1e3), ("S", 1.0), ("M", 1 / 60), ("H", 1 / 3600)):
-        count = math.ceil(seconds * size)
-        if count < 100_000_000:
+    for unit, per_second in _UNITS_FINEST_FIRST:
+        count = math.ceil(seconds * per_second)
+        if count <= MAX_TIMEOUT_COUNT:
             return f"{count}{unit}"
-    return "99999999H"
+    return f"{MAX_TIMEOUT_COUNT}H"
 
 
 def decode_timeout(text: str) -> float:
-    """Seconds. Raises ValueError for what the document does not allow."""
-    match = _TIMEOUT.fullmatch(text)
+    """Seconds. Raises TimeoutFormatError for what the protocol does not allow."""
+    match = _TIMEOUT_PATTERN.fullmatch(text)
     if match is None:
-        raise ValueError(f"grpc-timeout {text!r} is not 1 to 8 digits and a unit of H M S m u n")
-    return int(match[1]) * _UNITS[match[2]]
+        raise TimeoutFormatError(text)
+    return int(match[1]) * _SECONDS_OF_UNIT[match[2]]
 
 
-def encode_text(text: str) -> str:
+def encode_status_message(text: str) -> str:
     """``grpc-message``: percent-encoded UTF-8."""
-    return "".join(chr(b) if 0x20 <= b <= 0x7E and b != 0x25 else f"%{b:02X}" for b in text.encode("utf-8"))
+    return "".join(
+        chr(byte) if 0x20 <= byte <= 0x7E and byte != 0x25 else f"%{byte:02X}"
+        for byte in text.encode("utf-8")
+    )
 
 
-def decode_text(text: str) -> str:
-    raw = re.sub(r"%([0-9A-Fa-f]{2})", lambda m: chr(int(m[1], 16)), text)
+def decode_status_message(text: str) -> str:
+    """The text of a ``grpc-message`` header; what is not UTF-8 is replaced."""
+    raw = re.sub(r"%([0-9A-Fa-f]{2})", lambda match: chr(int(match[1], 16)), text)
     return raw.encode("latin-1", "replace").decode("utf-8", "replace")
 
 
-def encode_metadata(metadata: Iterable[tuple[str, str | bytes]]) -> list[tuple[str, str]]:
-    """Headers for metadata; keys ending in -bin carry bytes. Raises ValueError for what cannot be sent."""
-    out: list[tuple[str, str]] = []
+def encode_metadata(metadata: Iterable[tuple[str, str | bytes]]) -> Headers:
+    """Headers for metadata; keys ending in -bin carry bytes. Raises MetadataKeyError, MetadataValueError."""
+    headers: Headers = []
     for key, value in metadata:
-        if not _KEY.fullmatch(key) or key.startswith(_OWN):
-            raise ValueError(f"metadata key {key!r} cannot be sent")
+        if not _METADATA_KEY_PATTERN.fullmatch(key) or key.startswith(_RESERVED_KEYS):
+            raise MetadataKeyError(key)
         if key.endswith("-bin"):
             raw = value if isinstance(value, bytes) else value.encode("utf-8")
-            out.append((key, base64.b64encode(raw).decode("ascii").rstrip("=")))
+            headers.append((key, base64.b64encode(raw).decode("ascii").rstrip("=")))
             continue
         text = value if isinstance(value, str) else value.decode("ascii")
         if not text.isascii() or not text.isprintable():
-            raise ValueError(f"metadata value of {key!r} is not printable ASCII; name the key {key}-bin")
-        out.append((key, text))
-    return out
+            raise MetadataValueError(key)
+        headers.append((key, text))
+    return headers
 
 
 def decode_metadata(headers: Iterable[tuple[str, str]]) -> Metadata:
     """Custom metadata among received headers. Unreadable -bin values are passed over."""
-    out: list[tuple[str, str | bytes]] = []
+    metadata: list[tuple[str, str | bytes]] = []
     for key, value in headers:
-        if key.startswith(_OWN):
+        if key.startswith(_RESERVED_KEYS):
             continue
         if not key.endswith("-bin"):
-            out.append((key, value))
+            metadata.append((key, value))
             continue
         for part in value.split(","):
             text = part.strip()
             try:
-                out.append((key, base64.b64decode(text + "=" * (-len(text) % 4), validate=True)))
+                raw = base64.b64decode(text + "=" * (-len(text) % 4), validate=True)
             except (binascii.Error, ValueError):
                 continue
-    return tuple(out)
+            metadata.append((key, raw))
+    return tuple(metadata)
--- a/stairplank/rpc/status.py
+++ b/stairplank/rpc/status.py
@@ -4,6 +4,8 @@
 
 from enum import IntEnum
 
+from .errors import TransportError
+
 
 class Code(IntEnum):
     """The status codes, numbered as the gRPC documents number them."""
@@ -27,7 +29,7 @@
     UNAUTHENTICATED = 16
 
 
-class RpcError(Exception):
+class RpcError(TransportError):
     """A call that did not end with OK.
 
     ``never_ran`` is set only where the peer's HTTP/2 frames, or the lack of a connection, prove that no
@@ -42,6 +44,7 @@
         never_ran: bool = False,
         trailers: tuple[tuple[str, str | bytes], ...] = (),
     ) -> None:
+        """``trailers`` is the metadata that came with the status."""
         super().__init__(f"{code.name}: {message}" if message else code.name)
         self.code = code
         self.message = message
@@ -50,7 +53,7 @@
 
 
 # RFC 9113 section 7 to gRPC, as the protocol document maps them.
-_H2_ERRORS = {
+_CODE_OF_H2_ERROR = {
     0x7: Code.UNAVAILABLE,  # REFUSED_STREAM
     0x8: Code.CANCELLED,  # CANCEL
     0xB: Code.RESOURCE_EXHAUSTED,  # ENHANCE_YOUR_CALM
@@ -58,7 +61,7 @@
 }
 REFUSED_STREAM = 0x7
 
-_HTTP = {
+_CODE_OF_HTTP_STATUS = {
     400: Code.INTERNAL,
     401: Code.UNAUTHENTICATED,
     403: Code.PERMISSION_DENIED,
@@ -70,13 +73,18 @@
 }
 
 
-def from_reset(error_code: int) -> RpcError:
+def error_from_reset(error_code: int) -> RpcError:
     """What an RST_STREAM frame says of the call."""
-    code = _H2_ERRORS.get(error_code, Code.INTERNAL)
-    never = error_code == REFUSED_STREAM
-    return RpcError(code, f"stream reset by the peer (HTTP/2 error {error_code})", never_ran=never)
+    code = _CODE_OF_H2_ERROR.get(error_code, Code.INTERNAL)
+    return RpcError(
+        code,
+        f"stream reset by the peer (HTTP/2 error {error_code})",
+        never_ran=error_code == REFUSED_STREAM,
+    )
 
 
-def from_http(status: int) -> RpcError:
+def error_from_http_status(status: int) -> RpcError:
     """A response without grpc-status: the HTTP status decides."""
-    return RpcError(_HTTP.get(status, Code.UNKNOWN), f"HTTP status {status} and no grpc-status")
+    return RpcError(
+        _CODE_OF_HTTP_STATUS.get(status, Code.UNKNOWN), f"HTTP status {status} and no grpc-status"
+    )
--- a/stairplank/scale/grpc_clients.py
+++ b/stairplank/scale/grpc_clients.py
@@ -12,7 +12,7 @@
 from ..fence import Stamps
 from ..planner.convert import stamp_to
 from ..planner.daemon import PLACEMENT
-from ..proto import caller, common_pb2, placement_pb2
+from ..proto import common_pb2, open_call, placement_pb2
 from ..rpc import Channel, RpcError
 from .load import RECONNECT_S, RETRY_S, SERVICES, WAIT_MS, LoadClient
 from .platform_files import TASK_CLASS
@@ -56,7 +56,7 @@
             gevent.sleep(RECONNECT_S)
 
     def _connect(self) -> None:
-        call = caller(Channel(self.where), PLACEMENT, "Place")
+        call = open_call(Channel(self.where), PLACEMENT, "Place")
         call.send(REQUEST(hello=REQUEST.Hello(owner="scale")))
         welcome = call.recv(WELCOME_TIMEOUT_S)
         self._traffic.opened(call.stream.connection)
--- a/stairplank/standin/crowd.py
+++ b/stairplank/standin/crowd.py
@@ -15,7 +15,7 @@
 from ..planner import convert
 from ..planner import events as ev
 from ..planner.daemon import PLACEMENT, now_us
-from ..proto import caller, placement_pb2
+from ..proto import open_call, placement_pb2
 from ..rpc import Channel, Code, Limits, RpcError
 from .config import CrowdConfig, begun
 from .owner import Ask, AskGroup, Do, Owner, OwnerModel, Withdraw
@@ -106,12 +106,12 @@
 
     def stream(self, planner: int, address: str) -> None:
         """Keep a stream to one planner, also over its restarts."""
-        limits = Limits(keepalive_s=2.0, keepalive_timeout_s=2.0)
+        limits = Limits(keepalive_interval_s=2.0, keepalive_timeout_s=2.0)
         while True:
             channel = self.channels[planner] = Channel(address, limits, 1.0)
             up = False
             try:
-                call = caller(channel, PLACEMENT, "Place")
+                call = open_call(channel, PLACEMENT, "Place")
                 self.epoch += 1
                 hello = _REQUEST.Hello(owner=self.model.name, session=self.session, epoch=self.epoch)
                 call.send(_REQUEST(hello=hello))
--- a/stairplank/standin/farm.py
+++ b/stairplank/standin/farm.py
@@ -13,7 +13,7 @@
 from .. import interface as api
 from ..planner import convert
 from ..planner.daemon import DIRECTORY, NODE, now_us
-from ..proto import caller, common_pb2, directory_pb2, methods, node_pb2
+from ..proto import common_pb2, directory_pb2, node_pb2, open_call, server_methods
 from ..rpc import Channel, Code, RpcError, Server, ServerCall
 from .config import FarmConfig, NodeConfig, begun
 from .copies import CopyBook
@@ -86,7 +86,7 @@
         seed = self.rng.randrange(2**63)
         self.node = Node(self.config.model, self.farm.copies, seed, now_us(), cold)
         self.started_unix_us = int(time.time() * 1e6) if cold else 0
-        handlers = methods(NODE, Offers=self.offers, Probe=self.probe, Held=self.held)
+        handlers = server_methods(NODE, Offers=self.offers, Probe=self.probe, Held=self.held)
         self.server = Server(self.addresses, handlers)
         self.addresses = self.server.addresses
         self.server.start()
@@ -305,7 +305,7 @@
         while self.node is not None:
             channel = Channel(directory)
             try:
-                call = caller(channel, DIRECTORY, "Announce")
+                call = open_call(channel, DIRECTORY, "Announce")
                 told = -1
                 while self.node is not None:
                     if self.changes() != told:
--- a/stairplank/standin/light_node.py
+++ b/stairplank/standin/light_node.py
@@ -7,7 +7,7 @@
 import gevent
 
 from ..planner.daemon import NODE
-from ..proto import common_pb2, directory_pb2, methods, node_pb2
+from ..proto import common_pb2, directory_pb2, node_pb2, server_methods
 from ..rpc import RpcError, Server
 
 EVENT = node_pb2.OfferEvent
@@ -35,7 +35,7 @@
         self.zone, self.rack = zone, rack or f"r{id // NODES_PER_RACK}"
         self.held: dict[Any, int] = {}  # attempts that run, and their planners
         self._observer = observer
-        handlers = methods(NODE, Offers=self.offers, Probe=self.probe, Held=self.held_by)
+        handlers = server_methods(NODE, Offers=self.offers, Probe=self.probe, Held=self.held_by)
         self.server = Server(["127.0.0.1:0"], handlers)
         self.server.start()
 
--- a/stairplank/standin/listing.py
+++ b/stairplank/standin/listing.py
@@ -13,7 +13,7 @@
 from ..planner import convert
 from ..planner.daemon import DIRECTORY, now_us
 from ..planner.events import ListedNode
-from ..proto import directory_pb2, methods
+from ..proto import directory_pb2, server_methods
 from ..rpc import Code, RpcError, Server, ServerCall
 from .config import ListingConfig, begun
 from .directory import Directory
@@ -52,7 +52,7 @@
         self.hung = Flag()
         self.hung.set()
         self.news = Flag()
-        handlers = methods(DIRECTORY, List=self.list, Watch=self.watch, Announce=self.announce)
+        handlers = server_methods(DIRECTORY, List=self.list, Watch=self.watch, Announce=self.announce)
         self.server = Server(config.listen, handlers)
 
     def start(self) -> None:
@@ -99,7 +99,7 @@
     def cut(self) -> None:
         """Break the watchers' streams; nodes go on announcing."""
         for connection in list(self.server.connections):
-            if any(call.path.endswith("/Watch") for call, _ in connection.calls.values()):
+            if any(call.path.endswith("/Watch") for call in connection.open_calls):
                 connection.close(RpcError(Code.UNAVAILABLE, "out of reach by script"))
 
     def here(self) -> None:
--- a/tests/configuration/test_configuration_service.py
+++ b/tests/configuration/test_configuration_service.py
@@ -18,8 +18,8 @@
 from stairplank.configuration.server import Replica
 from stairplank.configuration.store import State, Stored
 from stairplank.configuration.watch import ConfigurationWatch, NotTaken
-from stairplank.proto import caller, path
 from stairplank.proto import configuration_pb2 as pb
+from stairplank.proto import method_path, open_call
 from stairplank.rpc import Channel, RpcError
 
 WAIT_S = 20.0
@@ -287,11 +287,13 @@
 def test_a_stream_must_say_whose_it_is(site: Site) -> None:
     channel = Channel(site.addresses[0])
     try:
-        call = caller(channel, SERVICE, "Follow")
+        call = open_call(channel, SERVICE, "Follow")
         call.send(pb.FollowRequest(fetch=pb.Revision(number=1)))
         with pytest.raises(RpcError, match="hello"):
             call.recv(WAIT_S)
-        answer = channel.unary(path(SERVICE, "Status"), pb.StatusRequest(), pb.StatusResponse.FromString)
+        answer = channel.unary(
+            method_path(SERVICE, "Status"), pb.StatusRequest(), pb.StatusResponse.FromString
+        )
         assert not answer.planners
     finally:
         channel.close()
--- a/tests/planner/test_daemon.py
+++ b/tests/planner/test_daemon.py
@@ -12,7 +12,15 @@
 import pytest
 
 from stairplank.planner.daemon import DIRECTORY, NODE, PLACEMENT, Daemon
-from stairplank.proto import caller, common_pb2, directory_pb2, methods, node_pb2, path, placement_pb2
+from stairplank.proto import (
+    common_pb2,
+    directory_pb2,
+    method_path,
+    node_pb2,
+    open_call,
+    placement_pb2,
+    server_methods,
+)
 from stairplank.rpc import Channel, Code, RpcError, Server
 from stairplank.settings import load_planner
 
@@ -63,7 +71,7 @@
         self.reports = True
         self.hang = False
         self.held: list[Any] = []
-        handlers = methods(NODE, Offers=self.stream, Probe=self.probe, Held=self.hold)
+        handlers = server_methods(NODE, Offers=self.stream, Probe=self.probe, Held=self.hold)
         self.server = Server(["127.0.0.1:0"], handlers)
         self.server.start()
 
@@ -105,7 +113,7 @@
     def __init__(self, tmp_path: Path, nodes: int = 2) -> None:
         self.nodes = [FakeNode(n + 1) for n in range(nodes)]
         self.watchers: list[Any] = []
-        handlers = methods(DIRECTORY, List=self.list, Watch=self.watch, Announce=lambda call: None)
+        handlers = server_methods(DIRECTORY, List=self.list, Watch=self.watch, Announce=lambda call: None)
         self.directory = Server(["127.0.0.1:0"], handlers)
         self.directory.start()
         file = tmp_path / "planner.conf"
@@ -141,7 +149,7 @@
 
     def owner(self, name: str = "o") -> Any:
         channel = Channel(self.address)
-        call = caller(channel, PLACEMENT, "Place")
+        call = open_call(channel, PLACEMENT, "Place")
         call.send(_REQUEST(hello=_REQUEST.Hello(owner=name)))
         assert call.recv(WAIT).WhichOneof("kind") == "welcome"
         return call
@@ -198,7 +206,7 @@
     def place() -> list[str]:
         with grpc.insecure_channel(world.address) as channel:
             method = channel.stream_stream(
-                path(PLACEMENT, "Place"),
+                method_path(PLACEMENT, "Place"),
                 request_serializer=_REQUEST.SerializeToString,
                 response_deserializer=placement_pb2.PlaceEvent.FromString,
             )
@@ -219,7 +227,7 @@
     ],
 )
 def test_a_bad_first_message_names_the_field(world: World, request_: Any, code: Code, text: str) -> None:
-    call = caller(Channel(world.address), PLACEMENT, "Place")
+    call = open_call(Channel(world.address), PLACEMENT, "Place")
     call.send(request_)
     with pytest.raises(RpcError) as caught:
         call.recv(WAIT)
@@ -249,12 +257,12 @@
 
 def test_malformed_bytes_end_their_stream_alone(world: World) -> None:
     good = world.owner()
-    bad = Channel(world.address).call(path(PLACEMENT, "Place"), lambda raw: raw, lambda raw: raw)
+    bad = Channel(world.address).call(method_path(PLACEMENT, "Place"), lambda raw: raw, lambda raw: raw)
     bad.send(b"\xff\xff\xff garbage")
     with pytest.raises(RpcError) as caught:
         bad.recv(WAIT)
     assert caught.value.code is Code.INVALID_ARGUMENT
-    huge = Channel(world.address).call(path(PLACEMENT, "Place"), lambda raw: raw, lambda raw: raw)
+    huge = Channel(world.address).call(method_path(PLACEMENT, "Place"), lambda raw: raw, lambda raw: raw)
     huge.send(b"x" * 70_000)
     with pytest.raises(RpcError) as caught:
         huge.recv(WAIT)
@@ -272,7 +280,7 @@
 
 def test_owners_past_the_bound_are_turned_away(world: World) -> None:
     calls = [world.owner(f"o{i}") for i in range(4)]
-    call = caller(Channel(world.address), PLACEMENT, "Place")
+    call = open_call(Channel(world.address), PLACEMENT, "Place")
     call.send(_REQUEST(hello=_REQUEST.Hello(owner="one too many")))
     with pytest.raises(RpcError) as caught:
         call.recv(WAIT)
@@ -328,7 +336,7 @@
 def test_an_owner_s_deadline_ends_its_stream(world: World) -> None:
     for node in world.nodes:
         node.answer = False
-    call = caller(Channel(world.address), PLACEMENT, "Place", timeout_s=0.5)
+    call = open_call(Channel(world.address), PLACEMENT, "Place", timeout_s=0.5)
     call.send(_REQUEST(hello=_REQUEST.Hello(owner="o")))
     call.send(ask(1))
     with pytest.raises(RpcError) as caught:
--- a/tests/planner/test_daemon_configuration.py
+++ b/tests/planner/test_daemon_configuration.py
@@ -21,7 +21,7 @@
 from stairplank.configuration.revision import Revision
 from stairplank.configuration.server import Replica
 from stairplank.planner.daemon import PLACEMENT
-from stairplank.proto import caller, common_pb2, placement_pb2
+from stairplank.proto import common_pb2, open_call, placement_pb2
 from stairplank.rpc import Channel, RpcError
 
 PLANNERS = 3
@@ -103,7 +103,7 @@
         """What that planner says to a task of that class: rejected, or taken."""
         channel = Channel(self.socket(number))
         try:
-            call = caller(channel, PLACEMENT, "Place")
+            call = open_call(channel, PLACEMENT, "Place")
             request = placement_pb2.PlaceRequest
             call.send(request(hello=request.Hello(owner="test")))
             assert call.recv(WAIT_S).WhichOneof("kind") == "welcome"
--- a/tests/planner/test_daemon_fence.py
+++ b/tests/planner/test_daemon_fence.py
@@ -13,7 +13,7 @@
 from test_daemon import _EVENT, _REQUEST, WAIT, World, ask, word
 
 from stairplank.planner.daemon import PLACEMENT, now_us
-from stairplank.proto import caller, common_pb2, node_pb2
+from stairplank.proto import common_pb2, node_pb2, open_call
 from stairplank.rpc import Channel, Code, RpcError
 
 
@@ -26,7 +26,7 @@
 
 def stream(world: World, session: int = 0, epoch: int = 0, owner: str = "o") -> tuple[Any, int]:
     """An owner's stream, and the grant of its welcome."""
-    call = caller(Channel(world.address), PLACEMENT, "Place")
+    call = open_call(Channel(world.address), PLACEMENT, "Place")
     call.send(_REQUEST(hello=_REQUEST.Hello(owner=owner, session=session, epoch=epoch)))
     welcome = call.recv(WAIT)
     assert welcome.WhichOneof("kind") == "welcome"
--- a/tests/planner/test_daemon_settings.py
+++ b/tests/planner/test_daemon_settings.py
@@ -13,7 +13,7 @@
 from stairplank.configuration.live import NeedsRestartError
 from stairplank.planner import events as ev
 from stairplank.planner.daemon import PLACEMENT
-from stairplank.proto import caller
+from stairplank.proto import open_call
 from stairplank.rpc import Channel, Code, RpcError
 from stairplank.settings import SettingsError
 
@@ -109,7 +109,7 @@
 def test_fewer_clients_are_let_in_and_those_that_are_here_stay(world: World) -> None:
     calls = [world.owner(f"o{n}") for n in range(2)]
     apply(world, ("owners-most 4", "owners-most 2"))
-    third = caller(Channel(world.address), PLACEMENT, "Place")
+    third = open_call(Channel(world.address), PLACEMENT, "Place")
     third.send(_REQUEST(hello=_REQUEST.Hello(owner="third")))
     with pytest.raises(RpcError) as caught:
         third.recv(WAIT)
@@ -129,7 +129,7 @@
     """Danger: the old stream of a session that is forgotten would be taken for a new one."""
 
     def hello(session: int, epoch: int) -> Any:
-        call = caller(Channel(world.address), PLACEMENT, "Place")
+        call = open_call(Channel(world.address), PLACEMENT, "Place")
         call.send(_REQUEST(hello=_REQUEST.Hello(owner="o", session=session, epoch=epoch)))
         return call
 
@@ -148,7 +148,10 @@
     new = world.owner("new")
     world.until(lambda: len(world.daemon.owners) == 2)
     limits = [call.stream.connection.limits for call in world.daemon.owners.values()]
-    assert [(x.send_bytes, x.message_bytes) for x in limits] == [(1 << 16, 1 << 16), (1 << 20, 1 << 18)]
+    assert [(x.max_unsent_bytes, x.max_message_bytes) for x in limits] == [
+        (1 << 16, 1 << 16),
+        (1 << 20, 1 << 18),
+    ]
     for n, call in enumerate((old, new), 1):
         call.send(ask(n))
         assert word(call, "placed").ask == n
@@ -160,11 +163,11 @@
     (session,) = world.daemon.owners
     call = world.daemon.owners[session]
     apply(world, ("send-buffer 64k", "send-buffer 1m"))
-    call.stream.out_bytes += 40_000  # more than half of what this connection may hold
+    call.stream.unsent_bytes += 40_000  # more than half of what this connection may hold
     try:
         world.daemon._tell(ev.SendToClient(session, ev.Offered(1, 1, 0)))
     finally:
-        call.stream.out_bytes -= 40_000
+        call.stream.unsent_bytes -= 40_000
     assert world.daemon.dropped_words == 1
 
 
--- a/tests/rpc/test_conformance.py
+++ b/tests/rpc/test_conformance.py
@@ -15,7 +15,7 @@
 
 WAIT = 20.0
 UMLAUT = "nö 100% ☃"
-LIMITS = Limits(message_bytes=4 << 20)
+LIMITS = Limits(max_message_bytes=4 << 20)
 
 
 def same(raw: bytes) -> bytes:
@@ -36,16 +36,16 @@
         self.cancelled = 0
 
     def unary(self, request: bytes, call: Any) -> bytes:
-        if call.value("sleep"):
+        if call.metadata_value("sleep"):
             try:
-                gevent.sleep(float(call.value("sleep")))
+                gevent.sleep(float(call.metadata_value("sleep")))
             except gevent.GreenletExit:
                 self.cancelled += 1
                 raise
-        call.initial_metadata((("first", "1"), ("blob-bin", b"\x00\xff")))
-        call.trailing = (("last", "2"),)
-        if call.value("code"):
-            raise RpcError(Code(int(call.value("code"))), UMLAUT)
+        call.send_initial_metadata((("first", "1"), ("blob-bin", b"\x00\xff")))
+        call.trailing_metadata = (("last", "2"),)
+        if call.metadata_value("code"):
+            raise RpcError(Code(int(call.metadata_value("code"))), UMLAUT)
         return request
 
     def collect(self, call: Any) -> bytes:
@@ -58,8 +58,8 @@
         count, size = map(int, request.split(b":"))
         for i in range(count):
             call.send(bytes([i % 256]) * size)
-        if call.value("code"):
-            raise RpcError(Code(int(call.value("code"))), UMLAUT)
+        if call.metadata_value("code"):
+            raise RpcError(Code(int(call.metadata_value("code"))), UMLAUT)
 
     def chat(self, call: Any) -> None:
         try:
@@ -82,7 +82,7 @@
             "Expand": grpc.unary_stream_rpc_method_handler(self.expand),
             "Chat": grpc.stream_stream_rpc_method_handler(self.chat),
         }
-        options = [("grpc.max_receive_message_length", LIMITS.message_bytes)]
+        options = [("grpc.max_receive_message_length", LIMITS.max_message_bytes)]
         self.server = grpc.server(futures.ThreadPoolExecutor(8), options=options)
         self.server.add_generic_rpc_handlers((grpc.method_handlers_generic_handler("t.T", rpc),))
         self.address = f"127.0.0.1:{self.server.add_insecure_port('127.0.0.1:0')}"
@@ -157,7 +157,7 @@
 
 class StockClient:
     def __init__(self, address: str) -> None:
-        size = LIMITS.message_bytes * 2
+        size = LIMITS.max_message_bytes * 2
         self.channel = grpc.insecure_channel(address, options=[("grpc.max_receive_message_length", size)])
 
     def call(
@@ -280,7 +280,7 @@
 
 
 def test_oversized_message(pair: Any) -> None:
-    code = pair[0].call("Collect", [b"x" * (LIMITS.message_bytes + 1)])[0]
+    code = pair[0].call("Collect", [b"x" * (LIMITS.max_message_bytes + 1)])[0]
     assert code == Code.RESOURCE_EXHAUSTED
 
 
--- a/tests/rpc/test_hostile.py
+++ b/tests/rpc/test_hostile.py
@@ -15,7 +15,13 @@
 from hyperframe.frame import GoAwayFrame
 
 from stairplank.rpc import Channel, Code, Limits, Method, RpcError, Server
-from stairplank.rpc.framing import MessageReader, decode_text, decode_timeout, encode_text, encode_timeout
+from stairplank.rpc.framing import (
+    MessageDecoder,
+    decode_status_message,
+    decode_timeout,
+    encode_status_message,
+    encode_timeout,
+)
 
 WAIT = 10.0
 HEADERS = [
@@ -26,7 +32,14 @@
     ("te", "trailers"),
     ("content-type", "application/grpc"),
 ]
-LIMITS = Limits(streams=3, floods=20, stream_window=65_535, send_bytes=50_000, handshake_s=0.3, connections=4)
+LIMITS = Limits(
+    max_streams=3,
+    max_control_frames=20,
+    stream_window_bytes=65_535,
+    max_unsent_bytes=50_000,
+    handshake_timeout_s=0.3,
+    max_connections=4,
+)
 
 
 def same(raw: bytes) -> bytes:
@@ -125,7 +138,7 @@
     with gevent.Timeout(WAIT):
         while served.server.connections:
             gevent.sleep(0.01)
-    assert served.ran <= LIMITS.floods + 2
+    assert served.ran <= LIMITS.max_control_frames + 2
 
 
 def test_ping_flood_ends_the_connection(served: Served) -> None:
@@ -193,7 +206,7 @@
             gevent.sleep(0.01)
         extra = socket.create_connection(raws[0].sock.getpeername())
         assert extra.recv(1) == b""
-    assert served.server.refused == 1
+    assert served.server.rejected_connections == 1
 
 
 def test_a_reader_that_does_not_read_bounds_the_sender(served: Served) -> None:
@@ -206,7 +219,7 @@
             gevent.sleep(0.01)
     (connection,) = served.server.connections
     (stream,) = connection.streams.values()
-    assert stream.out_bytes <= LIMITS.send_bytes + 1005
+    assert stream.unsent_bytes <= LIMITS.max_unsent_bytes + 1005
 
 
 @pytest.mark.parametrize("size", [1000, 30_000])
@@ -219,10 +232,10 @@
         sent += 1
         if sent % 20 == 0 or size > 16_384:
             gevent.sleep(0.02)
-    assert 60_000 < sent * (size + 5) < 65_535 + LIMITS.send_bytes + 3 * size
+    assert 60_000 < sent * (size + 5) < 65_535 + LIMITS.max_unsent_bytes + 3 * size
     (connection,) = served.server.connections
     (stream,) = connection.streams.values()
-    assert stream.inbox_bytes + stream.reader.unfinished <= 65_535 + size
+    assert stream.unread_bytes + stream.decoder.partial_bytes <= 65_535 + size
     other = channel.call("/t.T/Chat", same, same)  # other streams are unharmed
     other.send(b"hi")
     assert other.recv(WAIT) == b"hi"
@@ -313,7 +326,7 @@
     for _ in range(10):
         call.send(b"m" * 9_995)
     assert outcome(call).code is Code.UNAVAILABLE
-    assert call.unsent() == 3 and call.stream.handed == 7
+    assert call.unsent_count() == 3 and call.stream.messages_started == 7
 
 
 def test_nobody_listens_and_nobody_answers() -> None:
@@ -335,7 +348,7 @@
         streams_of(sock, conn, 1)
         gevent.sleep(WAIT)  # alive as a socket, dead as a peer
 
-    channel = Channel(RawServer(script).address, Limits(keepalive_s=0.1, keepalive_timeout_s=0.1))
+    channel = Channel(RawServer(script).address, Limits(keepalive_interval_s=0.1, keepalive_timeout_s=0.1))
     error = outcome(channel.call("/x", same, same))
     assert "keepalive" in error.message and not error.never_ran
 
@@ -347,7 +360,7 @@
     assert call.recv(WAIT) == b"a"
     left = gevent.spawn(served.server.stop, WAIT)
     with gevent.Timeout(WAIT):
-        while channel.connection.peer_goaway is None:
+        while channel.connection.peer_last_stream_id is None:
             gevent.sleep(0.01)
     call.send(b"b")
     assert call.recv(WAIT) == b"b"
@@ -369,8 +382,8 @@
 
 def test_texts_and_messages_in_pieces() -> None:
     for text in ("", "plain", "100 %", "ä☃\n\0", "%41"):
-        assert decode_text(encode_text(text)) == text
-    reader = MessageReader(10)
+        assert decode_status_message(encode_status_message(text)) == text
+    reader = MessageDecoder(10)
     data = message(3) + b"abc" + message(0) + message(1) + b"d"
     assert [m for i in range(len(data)) for m in reader.feed(data[i : i + 1])] == [b"abc", b"", b"d"]
-    assert reader.unfinished == 0
+    assert reader.partial_bytes == 0
--- a/tests/rpc/test_proto.py
+++ b/tests/rpc/test_proto.py
@@ -31,7 +31,7 @@
 
 def test_handlers_must_match_the_service() -> None:
     with pytest.raises(ValueError, match="Watch"):
-        proto.methods(HEALTH, Check=lambda request, call: None)
+        proto.server_methods(HEALTH, Check=lambda request, call: None)
 
 
 @pytest.fixture
@@ -50,13 +50,13 @@
 def test_health(channel: Any) -> None:
     kind = proto.health_pb2.HealthCheckResponse
     check = lambda name: channel.unary(  # noqa: E731
-        proto.path(HEALTH, "Check"), proto.health_pb2.HealthCheckRequest(service=name), kind.FromString
+        proto.method_path(HEALTH, "Check"), proto.health_pb2.HealthCheckRequest(service=name), kind.FromString
     )
     assert check("").status == check("stairplank.v1.Placement").status == kind.SERVING
     with pytest.raises(RpcError) as caught:
         check("other")
     assert caught.value.code is Code.NOT_FOUND
-    watch = proto.caller(channel, HEALTH, "Watch")
+    watch = proto.open_call(channel, HEALTH, "Watch")
     watch.send(proto.health_pb2.HealthCheckRequest())
     assert watch.recv(WAIT).status == kind.SERVING
     gevent.spawn_later(0.05, channel.health.set, False)
@@ -65,7 +65,7 @@
 
 
 def test_reflection(channel: Any) -> None:
-    call = proto.caller(channel, REFLECTION, "ServerReflectionInfo")
+    call = proto.open_call(channel, REFLECTION, "ServerReflectionInfo")
     request = proto.reflection_pb2.ServerReflectionRequest
     call.send(request(list_services=""))
     services = call.recv(WAIT).list_services_response.service
