--- a/benchmarks/fence/run.py
+++ b/benchmarks/fence/run.py
@@ -20,8 +20,8 @@
 from pathlib import Path
 from typing import Any
 
-from stairplank.emulator.watch import Watch
-from stairplank.emulator.world import World, WorldConfig
+from stairplank.emulator.invariant_monitor import InvariantMonitor
+from stairplank.emulator.simulation import Simulation, SimulationConfig
 from stairplank.fence import Grants, Stamps
 from stairplank.planner import convert
 from stairplank.planner.attempts import Attempts
@@ -34,9 +34,9 @@
 SECOND = 1_000_000
 DAY_S = 60
 MODES = {
-    "before": {"fenced": False, "proofs": False},
-    "fence": {"fenced": True, "proofs": False},
-    "fence and proofs": {"fenced": True, "proofs": True},
+    "before": {"is_fenced": False, "checks_void_offers": False},
+    "fence": {"is_fenced": True, "checks_void_offers": False},
+    "fence and proofs": {"is_fenced": True, "checks_void_offers": True},
 }
 HOLDS_S = (0.5, 1.0, 2.0, 4.0, 8.0)
 STILL_S = (4.0, 8.0, 16.0)
@@ -106,12 +106,12 @@
     owners = owner_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
     owners = [replace(o, ends_us=DAY_S * SECOND) for o in owners]
     nodes = tuple(n.model for n in scenario.nodes if not n.absent)
-    config = WorldConfig(
+    config = SimulationConfig(
         scenario.room, nodes, tuple(owners), scenario.planners, seed,
-        directory=directory_model(scenario.section), **MODES[mode],
+        node_list=directory_model(scenario.section), **MODES[mode],
     )  # fmt: skip
-    world = World(config)
-    watch = Watch(world)
+    world = Simulation(config)
+    watch = InvariantMonitor(world)
     rng = random.Random(seed * 31 + int(hold_s * 10))
     first: dict[tuple[str, int], int] = {}
     touched: dict[tuple[str, int], int] = {}
@@ -124,34 +124,34 @@
 
     def give_up(room: Attempts, attempt: Any, result: Any) -> None:
         if attempt.placement.spec.task_class == "report":
-            given_up[attempt.id] = world.now
+            given_up[attempt.id] = world.now_us
         real_give_up(room, attempt, result)
 
     def over(room: Attempts, attempt: Any, *args: Any) -> None:
         if attempt.id in room.attempts and attempt.id in given_up:
-            freed.append(world.now - given_up.pop(attempt.id))
+            freed.append(world.now_us - given_up.pop(attempt.id))
         real_over(room, attempt, *args)
 
     Attempts._give_up, Attempts.over = give_up, over  # type: ignore[method-assign]
-    inner_offer, inner_word = world.on_offer, world.on_word
+    inner_offer, inner_word = world.on_offer, world.on_node_report
 
     def offered(sent: Any) -> None:
         assert inner_offer is not None
         inner_offer(sent)
         name = (sent.task.client, sent.task.key)
-        first.setdefault(name, world.now)
+        first.setdefault(name, world.now_us)
         planner = next((p for p, core in world.cores.items() if core.incarnation == sent.id.life), -1)
         if sent.task.task_class == "report" and (planner, sent.node) in held:
-            touched.setdefault(name, world.now)
+            touched.setdefault(name, world.now_us)
 
     def said(node: int, word: Any) -> None:
         assert inner_word is not None
         task = watch.task_of(word.id)
         if word.what == "running" and task is not None:
-            runs.setdefault((task.client, task.key), world.now)
+            runs.setdefault((task.client, task.key), world.now_us)
         inner_word(node, word)
 
-    world.on_offer, world.on_word = offered, said
+    world.on_offer, world.on_node_report = offered, said
     at = 3.0
     while at < DAY_S:
         world.run(int(at * SECOND) + 1_000_000)
@@ -161,17 +161,17 @@
         paths = {(planner, node) for node in nodes_held}
         held.update(paths)
         world.hold_links([planner], nodes_held, directions, int(hold_s * SECOND), still)
-        world._after(int(hold_s * SECOND), held.difference_update, paths)
+        world.schedule(int(hold_s * SECOND), held.difference_update, paths)
         at += hold_s + 1.5
     world.run((DAY_S + 60) * SECOND)
     Attempts._give_up, Attempts.over = real_give_up, real_over  # type: ignore[method-assign]
     took = [runs[name] - touched[name] for name in touched if name in runs]
-    seen = watch.seen
+    seen = watch.observed
     return {
         "still": still, "mode": mode, "hold_s": hold_s, "seed": seed, "offers": seen.offers,
-        "stale_taken": len(seen.stale_taken), "own_copies": len(seen.copies),
-        "asked_copies": len(seen.copies_asked), "stale_refused": seen.stale_refused,
-        "fresh_refused": seen.fresh_refused, "touched": len(touched), "ran": len(took),
+        "stale_taken": len(seen.stale_accepted), "own_copies": len(seen.duplicate_runs),
+        "asked_copies": len(seen.duplicate_runs_of_retries), "stale_refused": seen.stale_rejected,
+        "fresh_refused": seen.fresh_rejected, "touched": len(touched), "ran": len(took),
         "took_us": took, "freed_us": freed,
     }  # fmt: skip
 
--- a/benchmarks/wishes.py
+++ b/benchmarks/wishes.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from stairplank.emulator.world import World, WorldConfig
+from stairplank.emulator.simulation import Simulation, SimulationConfig
 from stairplank.groups.coordinator import GroupConfig
 from stairplank.groups.spec import GroupSpec
 from stairplank.groups.wishes import Place, impossible
@@ -78,7 +78,7 @@
 """
 
 
-def places(world: World) -> list[Place]:
+def places(world: Simulation) -> list[Place]:
     """The room as it is, not as the list says."""
     out = []
     for node, here in world.nodes.items():
@@ -95,10 +95,10 @@
     return out
 
 
-def can(spec: GroupSpec, world: World) -> bool:
+def can(spec: GroupSpec, world: Simulation) -> bool:
     """Whether the wish can be met in what is free now."""
     now = [replace(p, cores=p.free_cores, memory=p.free_memory) for p in places(world)]
-    return impossible(spec, now, world.config.room.settings(3, 0, 0)) is None
+    return impossible(spec, now, world.config.cluster.settings(3, 0, 0)) is None
 
 
 def run(wish: str, size: int, load: float, seed: int, steer: bool) -> dict[str, Any]:
@@ -111,26 +111,26 @@
         file.write_text(ROOM.format(rate=f"{rate:.2f}"))
         scenario = load_scenario(file)
     owners = owner_models(scenario.section, scenario.room, ["crowd"], 3)
-    config = WorldConfig(
+    config = SimulationConfig(
         scenario.room, tuple(n.model for n in scenario.nodes),
         (replace(owners[0], ends_us=55 * SECOND), replace(owners[0], name="groups", ends_us=0)), 3, seed,
-        directory=directory_model(scenario.section), groups=GroupConfig(steer=steer),
+        node_list=directory_model(scenario.section), groups=GroupConfig(steer=steer),
     )  # fmt: skip
-    world = World(config)
+    world = Simulation(config)
     words: dict[int, list[tuple[int, Any]]] = {}
-    told = world._told
+    told = world.client_received
 
     def heard(i: int, planner: int, word: Any) -> None:
         if i == 1:
-            words.setdefault(word.request, []).append((world.now, word))
+            words.setdefault(word.request, []).append((world.now_us, word))
         else:
             told(i, planner, word)
 
-    world._told = heard  # type: ignore[method-assign]
+    world.client_received = heard  # type: ignore[method-assign]
     world.run(15 * SECOND)
     asked: dict[int, int] = {}
     number = 0
-    while world.now < 50 * SECOND:
+    while world.now_us < 50 * SECOND:
         number += 1
         members = tuple(
             ev.TaskSpec(
@@ -140,11 +140,11 @@
         )
         spec = GroupSpec("groups", members, size, **{wish: True})
         if can(spec, world):
-            asked[number] = world.now
+            asked[number] = world.now_us
             planner = number % 3
             ask = ev.GroupRequested(2, number, members, 9 * SECOND, **{wish: True})
-            world._feed(planner, world.cores[planner], ask)
-        world.run(world.now + 1_500_000)
+            world.feed(planner, world.cores[planner], ask)
+        world.run(world.now_us + 1_500_000)
     world.run(65 * SECOND)
     placed = {
         n: w for n, said in words.items() for _, w in said if isinstance(w, ev.GroupPlaced) and n in asked
--- a/stairplank/cli/main.py
+++ b/stairplank/cli/main.py
@@ -400,10 +400,12 @@
     from ..emulator import experiment as grid
 
     path = str(resources.files("stairplank") / "experiments" / file) if file in EXPERIMENTS else file
-    rows = grid.run(path, processes, lambda done, of: click.echo(f"\r{done} of {of}", err=True, nl=False))
+    rows = grid.run_experiment(
+        path, processes, lambda done, of: click.echo(f"\r{done} of {of}", err=True, nl=False)
+    )
     click.echo("", err=True)
-    grid.write(rows, path, Path(out))
-    click.echo(grid.table(rows), nl=False)
+    grid.write_results(rows, path, Path(out))
+    click.echo(grid.markdown_table(rows), nl=False)
     click.echo(f"results in {out}", err=True)
 
 
--- a/stairplank/emulator/__init__.py
+++ b/stairplank/emulator/__init__.py
@@ -1,5 +1,6 @@
-"""Simulated time around the same cores: planners, decision module, groups, stand-in nodes, list and owners.
+"""Simulated time around the same cores: planners, decision module, groups, stand-in nodes, list and clients.
 
-``world`` drives them with an event queue in place of sockets; ``meter`` measures what groups cost;
-``experiment`` runs a grid of worlds over several processes and keeps the results as a table and charts.
+``simulation`` drives them with an ``event_queue`` in place of sockets, over ``simulated_links``;
+``invariant_monitor`` watches for what may never happen; ``group_meter`` measures what groups cost;
+``experiment`` runs a grid of simulations over several processes and keeps the results as a table and charts.
 """
--- a/stairplank/emulator/experiment.py
+++ b/stairplank/emulator/experiment.py
@@ -25,7 +25,7 @@
 from ..standin.config import LIST, MODEL, directory_model, model_from
 from ..standin.node_model import NodeModel
 from ..standin.owner import Demand, OwnerModel
-from .world import World, WorldConfig
+from .simulation import Simulation, SimulationConfig
 
 POLICIES = ("groups", "singles", "blocking")
 EXPERIMENT: tuple[Key | Block, ...] = (
@@ -63,7 +63,7 @@
     seed: int
 
 
-def cells(path: str) -> list[Cell]:
+def grid_cells(path: str) -> list[Cell]:
     """The grid of a file. Raises SettingsError."""
     section = load(path, EXPERIMENT)
     room = cluster_from(section)
@@ -85,7 +85,7 @@
     return [Cell(path, *values) for values in grid]
 
 
-def world_of(cell: Cell, section: Section) -> tuple[World, int]:
+def simulation_of(cell: Cell, section: Section) -> tuple[Simulation, int]:
     """The world of a cell, and until when new tasks come."""
     room = cluster_from(section)
     one = section.one
@@ -114,7 +114,7 @@
     ends = one("lasts")
     owner = OwnerModel("owner", rate, demands, room.classes, cell.planners, ends_us=ends, wanted_us=ends)
     owner = replace(owner, owner_wait_us=room.client_wait_us)
-    config = WorldConfig(
+    config = SimulationConfig(
         room,
         tuple(nodes),
         (owner,),
@@ -122,27 +122,29 @@
         cell.seed,
         directory_model(section),
         groups=GroupConfig(blocking=cell.policy == "blocking"),
-        singles=cell.policy == "singles",
+        places_members_singly=cell.policy == "singles",
     )
-    return World(config), ends
+    return Simulation(config), ends
 
 
 def run_cell(cell: Cell) -> dict[str, Any]:
     """One row."""
     section = load(cell.path, EXPERIMENT)
     began = time.perf_counter()
-    world, ends = world_of(cell, section)
-    first = world.now
+    world, ends = simulation_of(cell, section)
+    first = world.now_us
     world.run(first + ends + 12_000_000)
     sort = next(c for c in cluster_from(section).classes if c.name == section.one("group-class"))
     single = section.one("single-class")
     groups = world.meter.groups
-    owner = world.owners[0]
+    owner = world.clients[0]
     counts: Any = owner.tally.by_class.get(single, {})
     took = sorted(owner.tally.latencies.get(single, []))
     if cell.policy == "singles" and single == section.one("group-class"):
         took = []
-    in_time = sum(1 for g in groups if g.whole_at and g.whole_at - g.asked <= sort.latency_objective_us)
+    in_time = sum(
+        1 for g in groups if g.complete_us and g.complete_us - g.requested_us <= sort.latency_objective_us
+    )
 
     def at(share: float) -> float:
         return took[min(len(took) - 1, int(share * len(took)))] / 1e3 if took else 0.0
@@ -155,21 +157,23 @@
         "seed": cell.seed,
         "groups": len(groups),
         "whole_in_time": round(in_time / max(1, len(groups)), 4),
-        "whole_ever": round(sum(1 for g in groups if g.whole_at) / max(1, len(groups)), 4),
-        "wasted_core_s_per_group": round(sum(g.wasted for g in groups) / 1e6 / max(1, len(groups)), 3),
-        "partly_running_most_s": round(max((g.partly_most for g in groups), default=0) / 1e6, 3),
+        "whole_ever": round(sum(1 for g in groups if g.complete_us) / max(1, len(groups)), 4),
+        "wasted_core_s_per_group": round(
+            sum(g.wasted_core_us for g in groups) / 1e6 / max(1, len(groups)), 3
+        ),
+        "partly_running_most_s": round(max((g.max_partial_us for g in groups), default=0) / 1e6, 3),
         "singles": counts.get("wanted", 0),
         "single_p50_ms": at(0.5),
         "single_p95_ms": at(0.95),
         "single_in_time": round(counts.get("in_time", 0) / max(1, counts.get("wanted", 0)), 4),
-        "events": world.events,
+        "events": world.events_played,
         "real_s": round(time.perf_counter() - began, 2),
     }
 
 
-def run(path: str, processes: int, progress: Callable[[int, int], None]) -> list[dict[str, Any]]:
+def run_experiment(path: str, processes: int, progress: Callable[[int, int], None]) -> list[dict[str, Any]]:
     """All cells; rows in the order of the grid."""
-    grid = cells(path)
+    grid = grid_cells(path)
     rows: dict[int, dict[str, Any]] = {}
     # The largest cells first, so that the last ones do not wait for one.
     order = sorted(range(len(grid)), key=lambda i: -grid[i].planners * grid[i].load)
@@ -185,7 +189,7 @@
     return work[0], run_cell(work[1])
 
 
-def write(rows: list[dict[str, Any]], path: str, folder: Path) -> None:
+def write_results(rows: list[dict[str, Any]], path: str, folder: Path) -> None:
     """results.csv, table.md and chart.png."""
     folder.mkdir(parents=True, exist_ok=True)
     from importlib.metadata import version
@@ -195,11 +199,11 @@
         writer = csv.DictWriter(file, COLUMNS)
         writer.writeheader()
         writer.writerows(rows)
-    (folder / "table.md").write_text(table(rows))
-    chart(rows, folder / "chart.png")
+    (folder / "table.md").write_text(markdown_table(rows))
+    draw_chart(rows, folder / "chart.png")
 
 
-def means(rows: list[dict[str, Any]], *by: str) -> Iterator[tuple[tuple[Any, ...], dict[str, float]]]:
+def mean_figures(rows: list[dict[str, Any]], *by: str) -> Iterator[tuple[tuple[Any, ...], dict[str, float]]]:
     """Mean of the figures over the rows that agree in ``by``."""
     keys = sorted({tuple(r[b] for b in by) for r in rows}, key=str)
     figures = (
@@ -214,14 +218,14 @@
         yield key, {f: statistics.fmean(r[f] for r in here) for f in figures}
 
 
-def table(rows: list[dict[str, Any]]) -> str:
+def markdown_table(rows: list[dict[str, Any]]) -> str:
     head = (
         "| planners | group size | load | policy | whole in time | wasted core-s a group"
         " | longest partly running s | singles in time | single p95 ms |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
     )
     lines = []
-    for key, f in means(rows, "planners", "group_size", "load", "policy"):
+    for key, f in mean_figures(rows, "planners", "group_size", "load", "policy"):
         planners, size, load_, policy = key
         lines.append(
             (planners, size, load_, POLICIES.index(policy)),
@@ -235,7 +239,7 @@
     return head + "".join(line[-1] for line in sorted(lines))  # type: ignore[misc]
 
 
-def chart(rows: list[dict[str, Any]], path: Path) -> None:
+def draw_chart(rows: list[dict[str, Any]], path: Path) -> None:
     """Groups whole in time, waste and single tasks against load, a column for each number of planners."""
     import matplotlib
 
@@ -257,7 +261,7 @@
             for policy in POLICIES:
                 points = [
                     (key[0], f[figure_name])
-                    for key, f in means(
+                    for key, f in mean_figures(
                         [r for r in rows if r["planners"] == count and r["policy"] == policy], "load"
                     )
                 ]
--- /dev/null
+++ b/stairplank/emulator/simulation.py
@@ -0,0 +1,564 @@
+"""A cluster in simulated time: the real cores of planners, with models of nodes, clients and the node list.
+
+Every decision is the cores' own; here are only delays, faults and a queue of events.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from .. import interface as api
+from ..groups.coordinator import GroupConfig
+from ..planner import events as ev
+from ..planner.admission import Bounds
+from ..planner.core import Core, CoreConfig
+from ..settings.cluster import Cluster
+from ..standin.copies import CopyBook
+from ..standin.directory import Directory, DirectoryModel
+from ..standin.door import Door
+from ..standin.node import Node
+from ..standin.node_events import Fell, Probed, Said, SaidDraining, Word
+from ..standin.node_model import NodeModel
+from ..standin.owner import Ask, AskGroup, Do, Owner, OwnerModel
+from .event_queue import EventQueue
+from .group_meter import GroupMeter, TaskName
+from .node_reports import event_from_report, is_last_report
+from .simulated_links import DIAL_TIMEOUT_US, KEEPALIVE_TIMEOUT_US, SimulatedConnection, SimulatedLinks
+from .single_placement_client import SinglePlacementClient
+
+CLOCK_UNIX_US = 1_700_000_000_000_000  # of the simulated list's clock, when simulated time is 0
+START_US = 1_000_000
+FIRST_TASKS_AFTER_US = 500_000
+NODE_LIST_STEP_US = 100_000
+NEVER_US = 10**12
+LINK_SEED_MASK = 0x3157
+BOUNDS = Bounds(100_000, 100_000, 1_000_000, 3_600_000_000)
+
+# What a message does at a node; given the time at which it was sent at the earliest, or None.
+NodeOperation = Callable[[Node, int | None], list[Word]]
+
+
+@dataclass(frozen=True)
+class SimulationConfig:
+    """What is simulated; times in microseconds, delays one way.
+
+    The last three are baselines: members of groups are requested singly; nodes take messages for as old as
+    their arrival; planners do not ask nodes about offers that are void by now.
+    """
+
+    cluster: Cluster
+    nodes: tuple[NodeModel, ...]
+    clients: tuple[OwnerModel, ...]
+    planners: int
+    seed: int = 1
+    node_list: DirectoryModel = DirectoryModel()
+    link_delay_us: tuple[int, int] = (150, 400)
+    groups: GroupConfig = GroupConfig()
+    places_members_singly: bool = False
+    is_fenced: bool = True
+    checks_void_offers: bool = True
+
+
+@dataclass(frozen=True, slots=True)
+class _HealthCheck:
+    """A health check that a node has not answered yet."""
+
+    planner: int
+    core: Core
+    sent_us: int
+
+
+class Simulation:
+    """Planners, nodes, node list and clients; ``run`` plays them up to a time.
+
+    Attributes:
+        cores: of the planners that are up, by position.
+        nodes: by id; None while a node's process is down.
+        on_node_report, on_offer, on_node_death: for an observer; called as nodes report, as offers are sent
+            and as nodes die.
+    """
+
+    def __init__(self, config: SimulationConfig) -> None:
+        """Start nodes, node list, clients and planners, in this order: random draws follow it."""
+        self.config = config
+        self.rng = random.Random(config.seed)
+        self.queue = EventQueue(START_US)
+        self.meter = GroupMeter()
+        self.links = SimulatedLinks(
+            random.Random(config.seed ^ LINK_SEED_MASK), self._delay_us, self.schedule
+        )
+        self.links.is_fenced = config.is_fenced
+        self.links.now_us = self.now_us
+        self.on_node_report: Callable[[int, Said], None] | None = None
+        self.on_offer: Callable[[ev.SendOffer], None] | None = None
+        self.on_node_death: Callable[[int], None] | None = None
+        self._task_of: dict[ev.AttemptId, ev.TaskSpec] = {}
+        self._health_checks: dict[int, _HealthCheck] = {}
+        self._last_health_check = 0
+
+        self.models = {model.id: model for model in config.nodes}
+        self.deduplication = CopyBook(config.cluster.classes)
+        self.nodes: dict[int, Node | None] = {}
+        self.node_started_us: dict[int, int] = {}
+        for model in config.nodes:
+            self._start_node(model, is_cold=False)
+        self.node_list = Directory(config.node_list, revision=1)
+        for node in self.nodes:
+            self._announce(node)
+        self.node_list.advance(self.now_us + config.node_list.notice_us + config.node_list.period_us)
+
+        self.cores: dict[int, Core] = {}
+        self.watched_revisions: dict[int, int] = {}
+        self.incarnations_started = 0
+        self.clients = self._make_clients()
+        for planner in range(config.planners):
+            self.start_planner(planner)
+        self.schedule(NODE_LIST_STEP_US, self._node_list_step)
+        for index in range(len(self.clients)):
+            self._schedule_client(index)
+
+    def _make_clients(self) -> list[Owner]:
+        kind = SinglePlacementClient if self.config.places_members_singly else Owner
+        return [
+            kind(model, self.config.seed * 7919 + index, self.now_us + FIRST_TASKS_AFTER_US)
+            for index, model in enumerate(self.config.clients)
+        ]
+
+    # Time
+
+    @property
+    def now_us(self) -> int:
+        """Simulated time."""
+        return self.queue.now_us
+
+    @property
+    def events_played(self) -> int:
+        """Events played so far."""
+        return self.queue.events_played
+
+    def schedule(self, delay_us: int, call: Callable[..., None], *args: object) -> None:
+        """Call after a delay in simulated time."""
+        self.queue.schedule(delay_us, call, *args)
+
+    def _delay_us(self) -> int:
+        return self.rng.randint(*self.config.link_delay_us)
+
+    def run(self, until_us: int) -> None:
+        """Play up to a simulated time."""
+        while self.queue.has_due(until_us):
+            self.step()
+        self.queue.advance(until_us)
+
+    def step(self) -> None:
+        """Play the next event."""
+        call = self.queue.pop()
+        self.links.now_us = self.now_us
+        call()
+
+    # Planners
+
+    def start_planner(self, planner: int) -> None:
+        """Start an incarnation of a planner; clients connect to it."""
+        cluster = self.config.cluster
+        self.incarnations_started += 1
+        config = CoreConfig(
+            bounds=BOUNDS,
+            tenants=tuple(tenant for tenant, _ in cluster.tenants),
+            zones=cluster.zones,
+            groups=self.config.groups,
+            proofs=self.config.checks_void_offers,
+        )
+        settings = cluster.settings(self.config.planners, planner, planner % len(cluster.zones))
+        seed = self.config.seed * 1_000_003 + self.incarnations_started
+        core = Core(settings, config, self.incarnations_started, seed)
+        self.cores[planner] = core
+        self.perform(planner, core, core.start(self.now_us))
+        for index in range(len(self.clients)):
+            self.schedule(self._delay_us(), self._client_connected, planner, core, index)
+
+    def _client_connected(self, planner: int, core: Core, index: int) -> None:
+        if self.cores.get(planner) is core:
+            client = self.clients[index]
+            self.feed(planner, core, ev.ClientConnected(index + 1, client.model.name))
+            self._perform_for_client(index, client.connected(self.now_us, planner))
+
+    def kill_planner(self, planner: int, downtime_us: int) -> None:
+        """It is gone at once; its links break; a new incarnation starts later."""
+        self.cores.pop(planner, None)
+        for node in self.nodes:
+            self.links.close(planner, node)
+        self.watched_revisions.pop(planner, None)
+        for index, client in enumerate(self.clients):
+            self._perform_for_client(index, client.cut(self.now_us, planner))
+        self.schedule(downtime_us, self.start_planner, planner)
+
+    def feed(self, planner: int, core: Core, event: ev.Event) -> None:
+        """Give an event to a core, unless its incarnation is over."""
+        if self.cores.get(planner) is core:
+            self.perform(planner, core, core.handle(self.now_us, event))
+
+    def _feed_later(self, planner: int, core: Core, event: ev.Event) -> None:
+        self.schedule(self._delay_us(), self.feed, planner, core, event)
+
+    def _feeder(self, planner: int, core: Core) -> Callable[[ev.Event], None]:
+        return lambda event: self.feed(planner, core, event)
+
+    def perform(self, planner: int, core: Core, actions: list[ev.Action]) -> None:
+        """Carry out what a core has decided."""
+        for action in actions:
+            self._perform_action(planner, core, action)
+        self.queue.schedule_wakeup(core, core.next_due(), self.feed, planner, core, ev.TimerDue())
+
+    def _perform_action(self, planner: int, core: Core, action: ev.Action) -> None:
+        match action:
+            case ev.SendToClient(session, message):
+                self.schedule(self._delay_us(), self.client_received, session - 1, planner, message)
+            case ev.Dial(node):
+                self.schedule(self._delay_us() * 2, self._dialled, planner, core, node)
+            case ev.CloseLink(node):
+                if self.links.close(planner, node) is not None:
+                    self._feed_later(planner, core, ev.LinkDown(node))
+            case ev.WatchNodeList(active, revision):
+                if active:
+                    self.schedule(self._delay_us(), self._watch, planner, core, revision)
+                else:
+                    self.watched_revisions.pop(planner, None)
+            case ev.FetchNodeList():
+                self.schedule(self._delay_us(), self._watch, planner, core, 0)
+            case _:
+                self._perform_node_action(planner, core, action)
+
+    def _perform_node_action(self, planner: int, core: Core, action: ev.Action) -> None:
+        match action:
+            case ev.SendOffer():
+                self._send_offer(planner, action)
+            case ev.SendStop(node, id):
+                self._send_to_node(planner, node, self._stop(id))
+            case ev.SendCommit(node, ids, lease):
+                self._send_to_node(planner, node, self._commit(ids, lease))
+            case ev.SendLeaseRenewal():
+                self._send_to_node(planner, action.node, self._renew(planner, core, action))
+            case ev.RequestNodeTasks(node):
+                self._request_tasks(planner, core, node)
+            case ev.CheckHealth(node):
+                self._check_health(planner, core, node)
+
+    # Nodes
+
+    def _start_node(self, model: NodeModel, is_cold: bool) -> None:
+        seed = self.rng.randrange(2**62)
+        self.nodes[model.id] = Node(model, self.deduplication, seed, self.now_us, is_cold)
+        self.node_started_us[model.id] = CLOCK_UNIX_US + self.now_us if is_cold else 0
+
+    def kill_node(self, node: int, downtime_us: int) -> None:
+        """Its process dies with all its tasks and comes back cold."""
+        model = self.nodes.get(node)
+        if model is None:
+            return
+        for offer in model.held.values():
+            self.meter.task_over((offer.task.client, offer.task.key), False, self.now_us)
+        model.die()
+        self.nodes[node] = None
+        if self.on_node_death is not None:
+            self.on_node_death(node)
+        connected = self.links.remove_node(node)
+        self.node_list.fell_silent(self.now_us, node)
+        for planner, core in list(self.cores.items()):
+            if planner in connected:
+                self._feed_later(planner, core, ev.LinkDown(node))
+        self.schedule(downtime_us, self._restart_node, node)
+
+    def _restart_node(self, node: int) -> None:
+        self._start_node(self.models[node], is_cold=True)
+        self._announce(node)
+
+    def drain_node(self, node: int) -> None:
+        """Let a node take no new tasks."""
+        model = self.nodes.get(node)
+        if model is not None:
+            self._handle_reports(node, model.drain(self.now_us))
+
+    def _dialled(self, planner: int, core: Core, node: int) -> None:
+        model = self.nodes.get(node)
+        if self.cores.get(planner) is not core:
+            return
+        if model is None or model.down:
+            self.feed(planner, core, ev.DialFailed(node))
+        elif not self.links.path(planner, node).is_passing:
+            self.schedule(DIAL_TIMEOUT_US, self.feed, planner, core, ev.DialFailed(node))
+        else:
+            started_us = self.node_started_us[node]
+            connection = self.links.open(planner, core.incarnation, node, started_us)
+            self.feed(planner, core, ev.LinkUp(node, started_us, model.draining))
+            self.links.resend_unacknowledged(connection, self._feeder(planner, core))
+
+    def _send_to_node(self, planner: int, node: int, operation: NodeOperation) -> None:
+        connection = self.links.connection(planner, node)
+        if connection is None:
+            return  # the planner is told of the broken link
+        stamp = self.links.stamp(connection)
+
+        def deliver(session: Door) -> None:
+            model = self.nodes.get(node)
+            if model is not None:
+                sent_us = self.links.earliest_send_us(session, stamp)
+                self._handle_reports(node, operation(model, sent_us))
+
+        self.links.send_to_node(connection, deliver)
+
+    def _stop(self, id: ev.AttemptId) -> NodeOperation:
+        return lambda model, _: model.stop(self.now_us, id)
+
+    def _commit(self, ids: tuple[ev.AttemptId, ...], lease_us: int) -> NodeOperation:
+        return lambda model, sent_us: model.commit(self.now_us, list(ids), lease_us, said_at=sent_us)
+
+    def _renew(self, planner: int, core: Core, renewal: ev.SendLeaseRenewal) -> NodeOperation:
+        def operation(model: Node, sent_us: int | None) -> list[Word]:
+            reports = model.keep(self.now_us, list(renewal.ids), renewal.lease_us, said_at=sent_us)
+            if renewal.renewal and sent_us is not None:
+                event = ev.LeasesRenewed(renewal.node, renewal.renewal)
+                self._report(planner, core, renewal.node, event)
+            return reports
+
+        return operation
+
+    def _send_offer(self, planner: int, offer: ev.SendOffer) -> None:
+        task_class = self.config.cluster.classes[offer.class_index]
+        if self.on_offer is not None:
+            self.on_offer(offer)
+
+        def operation(model: Node, sent_us: int | None) -> list[Word]:
+            return model.offer(
+                self.now_us, planner, offer.id, offer.task, offer.wait_us, task_class.priority,
+                task_class.dedup_window_us, offer.group, said_at=sent_us,
+            )  # fmt: skip
+
+        self._send_to_node(planner, offer.node, operation)
+
+    # Faults of links
+
+    def hold_links(
+        self,
+        planners: list[int],
+        nodes: list[int],
+        directions: tuple[str, ...],
+        duration_us: int,
+        answers_pings: bool = False,
+    ) -> None:
+        """Hold what passes between these for a time; then it arrives, on closed connections as well.
+
+        ``answers_pings``: as by a process whose work stands still; no connection is closed for it.
+        """
+        for planner in planners:
+            for node in nodes:
+                self.links.hold(planner, node, *directions)
+                if not answers_pings:
+                    connection = self.links.connection(planner, node)
+                    self.schedule(KEEPALIVE_TIMEOUT_US, self._keepalive_expired, planner, node, connection)
+                self.schedule(duration_us, self.links.release, planner, node, *directions)
+
+    def cut_links(self, planners: list[int], nodes: list[int]) -> None:
+        """Break connections; messages in flight are lost."""
+        for planner in planners:
+            for node in nodes:
+                self._link_broken(planner, node, self.links.reset(planner, node))
+
+    def _keepalive_expired(self, planner: int, node: int, connection: SimulatedConnection | None) -> None:
+        is_current = connection is not None and self.links.connection(planner, node) is connection
+        if is_current and not self.links.path(planner, node).is_passing:
+            self._link_broken(planner, node, self.links.close(planner, node))
+
+    def _link_broken(self, planner: int, node: int, connection: SimulatedConnection | None) -> None:
+        core = self.cores.get(planner)
+        if connection is not None and core is not None:
+            self.feed(planner, core, ev.LinkDown(node))
+
+    # Reports of nodes
+
+    def _handle_reports(self, node: int, reports: list[Word]) -> None:
+        model = self.nodes[node]
+        for report in reports:
+            match report:
+                case Said():
+                    self._handle_task_report(node, report)
+                case SaidDraining():
+                    self._announce(node)
+                    for planner, core in list(self.cores.items()):
+                        self._report(planner, core, node, ev.NodeDraining(node))
+                case Probed():
+                    self._health_checked(node, report)
+                case Fell():
+                    self.kill_node(node, NEVER_US)
+                    return
+        if model is not None:
+            self.queue.schedule_wakeup((node, id(model)), model.next_due(), self._node_due, node, model)
+
+    def _node_due(self, node: int, model: Node) -> None:
+        if self.nodes.get(node) is model:
+            self._handle_reports(node, model.advance(self.now_us))
+
+    def _report(self, planner: int, core: Core, node: int, event: ev.Event, is_last: bool = False) -> None:
+        self.links.report(planner, node, event, is_last, self._feeder(planner, core))
+
+    def _handle_task_report(self, node: int, report: Said) -> None:
+        if self.on_node_report is not None:
+            self.on_node_report(node, report)
+        self._measure(node, report)
+        core = self.cores.get(report.planner)
+        event = event_from_report(node, report)
+        is_last = is_last_report(report)
+        if core is not None:
+            self._report(report.planner, core, node, event, is_last)
+        elif is_last:
+            self.links.session(report.planner, node).box.add(event)
+
+    def _measure(self, node: int, report: Said) -> None:
+        task = self._task_of.get(report.id)
+        name: TaskName = (task.client, task.key) if task is not None else ("", 0)
+        if report.what == "accepted":
+            model = self.nodes[node]
+            assert model is not None
+            task = model.held[report.id].task
+            self._task_of[report.id] = task
+            self.meter.task_accepted((task.client, task.key), task.cores, self.now_us)
+        elif report.what == "running":
+            self.meter.task_running(name, self.now_us)
+        elif is_last_report(report):
+            self.meter.task_over(name, report.result is api.Result.FINISHED, self.now_us)
+            self._task_of.pop(report.id, None)
+
+    def _request_tasks(self, planner: int, core: Core, node: int) -> None:
+        connection = self.links.connection(planner, node)
+        requested_us = self.now_us
+        if connection is None:
+            return
+
+        def deliver(session: Door) -> None:
+            model = self.nodes.get(node)
+            if model is None:
+                return
+            tasks = tuple(
+                ev.NodeTask(offer.id, offer.task, offer.stage.value == "running", offer.group)
+                for offer in model.holds(planner)
+            )
+            finished = tuple(
+                ev.NodeTask(offer.id, offer.task, False, offer.group)
+                for offer in model.finished_of(planner, self.now_us)
+            )
+            is_complete = session.complete_for(core.incarnation)
+            started_us = self.node_started_us[node]
+            event = ev.NodeTasksReported(node, started_us, tasks, is_complete, requested_us, finished)
+            self.links.send_to_planner(connection, event, self._feeder(planner, core))
+
+        self.links.send_to_node(connection, deliver)
+
+    def _check_health(self, planner: int, core: Core, node: int) -> None:
+        connection = self.links.connection(planner, node)
+        if connection is None:
+            self._feed_later(planner, core, ev.HealthCheckCompleted(node, False, 0))
+            return
+        check = _HealthCheck(planner, core, self.now_us)
+
+        def deliver(_: Door) -> None:
+            model = self.nodes.get(node)
+            if model is not None and not model.down:
+                self._last_health_check += 1
+                self._health_checks[self._last_health_check] = check
+                self._handle_reports(node, model.probe(self.now_us, self._last_health_check))
+
+        self.links.send_to_node(connection, deliver)
+
+    def _health_checked(self, node: int, report: Probed) -> None:
+        check = self._health_checks.pop(report.token)
+        load = (report.free_cores, report.free_memory, report.util)
+        event = ev.HealthCheckCompleted(node, True, self.now_us - check.sent_us, load)
+        self._report(check.planner, check.core, node, event)
+
+    # The node list
+
+    def _announce(self, node: int) -> None:
+        model = self.nodes[node]
+        if model is None:
+            return
+        model.changed = False
+        described = self.models[node]
+        free_cores, free_memory = model.free()
+        entry = ev.ListedNode(
+            node,
+            described.name,
+            (f"127.0.0.1:{node}",),
+            described.zone,
+            described.rack,
+            described.node_type,
+            api.NodeStatus.DRAINING if model.draining else api.NodeStatus.READY,
+            free_cores,
+            free_memory,
+            self.node_started_us[node],
+        )
+        self.node_list.announced(self.now_us, entry)
+
+    def _node_list_step(self) -> None:
+        for node, model in self.nodes.items():
+            if model is not None and model.changed:
+                self._announce(node)
+        if self.node_list.advance(self.now_us):
+            for planner, revision in list(self.watched_revisions.items()):
+                core = self.cores.get(planner)
+                if core is not None:
+                    self._send_node_list(planner, core, revision)
+        self.schedule(NODE_LIST_STEP_US, self._node_list_step)
+
+    def _watch(self, planner: int, core: Core, revision: int) -> None:
+        if self.cores.get(planner) is core:
+            self._send_node_list(planner, core, revision)
+
+    def _send_node_list(self, planner: int, core: Core, since_revision: int) -> None:
+        """Send the changes since a revision; the complete list where they are not known, or for 0."""
+        changes = self.node_list.changes_since(since_revision) if since_revision else None
+        is_complete = changes is None
+        nodes = self.node_list.whole() if changes is None else changes
+        revision = self.node_list.revision
+        event = ev.NodeListReceived(revision, since_revision, is_complete, nodes, CLOCK_UNIX_US + self.now_us)
+        self.watched_revisions[planner] = revision
+        self._feed_later(planner, core, event)
+
+    # Clients
+
+    def client_received(self, index: int, planner: int, message: ev.ClientMessage) -> None:
+        """Deliver a planner's message to a client; unknown clients are passed over."""
+        if 0 <= index < len(self.clients):
+            self._perform_for_client(index, self.clients[index].heard(self.now_us, planner, message))
+
+    def _schedule_client(self, index: int) -> None:
+        client = self.clients[index]
+        self.queue.schedule_wakeup(client, client.next_due(), self._client_due, index)
+
+    def _client_due(self, index: int) -> None:
+        self._perform_for_client(index, self.clients[index].advance(self.now_us))
+
+    def _perform_for_client(self, index: int, actions: list[Do]) -> None:
+        client = self.clients[index]
+        if isinstance(client, SinglePlacementClient):
+            for keys in client.group_keys:
+                self.meter.group_requested([(client.model.name, key) for key in keys], self.now_us)
+            client.group_keys.clear()
+        for action in actions:
+            core = self.cores.get(action.planner)
+            if core is not None:
+                self._feed_later(action.planner, core, self._event_of(index, action))
+        self._schedule_client(index)
+
+    def _event_of(self, index: int, action: Do) -> ev.Event:
+        """The event of a client's action; requests for groups are measured."""
+        session = index + 1
+        if isinstance(action, Ask):
+            return ev.PlacementRequested(session, action.ask, action.task, action.wait_us)
+        if isinstance(action, AskGroup):
+            client = self.clients[index].model.name
+            names = [(client, task.key) for task in action.tasks]
+            origin = (client, action.origin)
+            self.meter.group_requested(names, self.now_us, origin if origin in self.meter.group_of else None)
+            return ev.GroupRequested(session, action.ask, action.tasks, action.wait_us)
+        return ev.PlacementCancelled(session, action.ask, action.key)
--- /dev/null
+++ b/stairplank/emulator/single_placement_client.py
@@ -0,0 +1,21 @@
+"""The baseline client of experiments: it requests each member of a group by itself."""
+
+from __future__ import annotations
+
+from ..standin.owner import Owner, OwnerModel
+
+
+class SinglePlacementClient(Owner):
+    """Requests each member of a group by itself; ``group_keys`` are the groups not yet measured."""
+
+    def __init__(self, model: OwnerModel, seed: int, start: int) -> None:
+        """``start``: simulated time of its first task, in microseconds."""
+        super().__init__(model, seed, start)
+        self.group_keys: list[list[int]] = []
+
+    def _want_group(self, index: int, service: int, size: tuple[float, float], count: int, now: int) -> None:
+        life_us = self.model.demands[index].life_us
+        tasks = [self._wanted(index, service, size, self.rng.randint(*life_us), now) for _ in range(count)]
+        self.group_keys.append([task.key for task in tasks])
+        for task in tasks:
+            self._ask(task, now)
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -8,9 +8,9 @@
 import pytest
 
 from stairplank import interface as api
-from stairplank.emulator.experiment import COLUMNS, Cell, cells, run_cell, write
-from stairplank.emulator.meter import Meter
-from stairplank.emulator.world import World, WorldConfig
+from stairplank.emulator.experiment import COLUMNS, Cell, grid_cells, run_cell, write_results
+from stairplank.emulator.group_meter import GroupMeter
+from stairplank.emulator.simulation import Simulation, SimulationConfig
 from stairplank.rehearsal.scenario import load_scenario
 from stairplank.settings import SettingsError
 from stairplank.standin.config import directory_model, owner_models
@@ -42,31 +42,31 @@
 """
 
 
-def small_day(**changes: object) -> WorldConfig:
+def small_day(**changes: object) -> SimulationConfig:
     """The tests' short day, as it runs on real processes."""
     scenario = load_scenario(ROOT / "tests" / "rehearsal" / "small-day")
     owners = owner_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
-    config = WorldConfig(
+    config = SimulationConfig(
         scenario.room,
         tuple(n.model for n in scenario.nodes if not n.absent),
         tuple(replace(o, ends_us=5 * SECOND) for o in owners),
         scenario.planners,
         seed=3,
-        directory=directory_model(scenario.section),
+        node_list=directory_model(scenario.section),
     )
     return replace(config, **changes)  # type: ignore[arg-type]
 
 
-def counts(world: World) -> dict[str, int]:
+def counts(world: Simulation) -> dict[str, int]:
     total: dict[str, int] = {}
-    for owner in world.owners:
+    for owner in world.clients:
         for what, n in owner.tally.counts.items():
             total[what] = total.get(what, 0) + n
     return total
 
 
 def test_a_day_in_simulated_time() -> None:
-    world = World(small_day())
+    world = Simulation(small_day())
     world.run(20 * SECOND)
     total = counts(world)
     assert total["wanted"] > 40 and total["finished"] == total["wanted"]
@@ -76,14 +76,14 @@
 def test_one_seed_gives_one_day() -> None:
     days = []
     for seed in (3, 3, 4):
-        world = World(small_day(seed=seed))
+        world = Simulation(small_day(seed=seed))
         world.run(15 * SECOND)
-        days.append((world.events, counts(world)))
+        days.append((world.events_played, counts(world)))
     assert days[0] == days[1] != days[2]
 
 
 def test_troubles_leave_nothing_behind() -> None:
-    world = World(small_day())
+    world = Simulation(small_day())
     world.run(2 * SECOND)
     world.kill_planner(1, SECOND)
     world.kill_node(2, 2 * SECOND)
@@ -96,32 +96,32 @@
 
 
 def test_the_meter() -> None:
-    meter = Meter()
+    meter = GroupMeter()
     a, b = ("o", 1), ("o", 2)
-    meter.asked([a, b], 0)
-    meter.accepted(a, 2.0, 1 * SECOND)
-    meter.runs(a, 2 * SECOND)
-    meter.accepted(b, 1.0, 4 * SECOND)
-    meter.runs(b, 5 * SECOND)
+    meter.group_requested([a, b], 0)
+    meter.task_accepted(a, 2.0, 1 * SECOND)
+    meter.task_running(a, 2 * SECOND)
+    meter.task_accepted(b, 1.0, 4 * SECOND)
+    meter.task_running(b, 5 * SECOND)
     (group,) = meter.groups
-    assert group.whole_at == 5 * SECOND and group.partly_most == 3 * SECOND
-    assert group.wasted == (4 * 2.0 + 1 * 1.0) * SECOND
-    meter.over(a, True, 9 * SECOND)
-    meter.over(b, False, 10 * SECOND)
-    assert group.wasted == 9 * SECOND  # what ran in a whole group was of use
+    assert group.complete_us == 5 * SECOND and group.max_partial_us == 3 * SECOND
+    assert group.wasted_core_us == (4 * 2.0 + 1 * 1.0) * SECOND
+    meter.task_over(a, True, 9 * SECOND)
+    meter.task_over(b, False, 10 * SECOND)
+    assert group.wasted_core_us == 9 * SECOND  # what ran in a whole group was of use
 
 
 def test_an_experiment_is_a_grid(tmp_path: Path) -> None:
     file = tmp_path / "grid"
     file.write_text(SMALL)
-    grid = cells(str(file))
+    grid = grid_cells(str(file))
     assert len(grid) == 4 and grid[0] == Cell(str(file), "groups", 0.5, 1, 3, 1)
     rows = [run_cell(cell) for cell in grid]
     assert all(set(row) == set(COLUMNS) and row["groups"] > 2 for row in rows)
     by = {(r["policy"], r["planners"]): r for r in rows}
     assert by["groups", 1]["partly_running_most_s"] <= 0.05 < by["singles", 1]["partly_running_most_s"]
     assert all(r["whole_ever"] > 0.9 for r in rows)
-    write(rows, str(file), tmp_path / "out")
+    write_results(rows, str(file), tmp_path / "out")
     assert (tmp_path / "out" / "results.csv").read_text().count("\n") == 6
     assert (tmp_path / "out" / "chart.png").stat().st_size > 5000
     assert "| 2 | 3 | 0.5 | singles |" in (tmp_path / "out" / "table.md").read_text()
@@ -139,19 +139,19 @@
     file = tmp_path / "grid"
     file.write_text(SMALL.replace(old, new))
     with pytest.raises(SettingsError):
-        cells(str(file))
+        grid_cells(str(file))
 
 
-def one_group(size: int, seed: int) -> World:
+def one_group(size: int, seed: int) -> Simulation:
     """One owner that wants one group, two planners, five nodes."""
     config = small_day(seed=seed)
     demand = replace(
-        config.owners[0].demands[0], group=True, batch=(size, size), share=1.0, life_us=(SECOND, SECOND)
+        config.clients[0].demands[0], group=True, batch=(size, size), share=1.0, life_us=(SECOND, SECOND)
     )
     owner = replace(
-        config.owners[0], demands=(demand,), total=size, ends_us=5 * SECOND, wanted_us=60 * SECOND
+        config.clients[0], demands=(demand,), total=size, ends_us=5 * SECOND, wanted_us=60 * SECOND
     )
-    return World(replace(config, owners=(owner,), planners=2))
+    return Simulation(replace(config, clients=(owner,), planners=2))
 
 
 @pytest.mark.parametrize("what", ["planner", "node"])
@@ -159,26 +159,26 @@
     """Enumerated, not sampled: the planner, or a node, dies after each event from the ask to the end."""
     plain = one_group(4, seed=5)
     plain.run(SECOND)
-    first = plain.events
-    while not plain.owners[0].idle or plain.owners[0].groups:
+    first = plain.events_played
+    while not plain.clients[0].idle or plain.clients[0].groups:
         plain.step()
-    last = plain.events
+    last = plain.events_played
     assert last - first > 60
     tried = 0
     for k in range(first, last):
         world = one_group(4, seed=5)
-        while world.events < k:
+        while world.events_played < k:
             world.step()
-        planner = next((g.planner for g in world.owners[0].groups.values()), 0)
+        planner = next((g.planner for g in world.clients[0].groups.values()), 0)
         if what == "planner":
             world.kill_planner(max(planner, 0), 700_000 if k % 2 else 30 * SECOND)
         else:
             world.kill_node(1 + k % 5, 3 * SECOND)
         world.run(120 * SECOND)
         (group,) = world.meter.groups
-        assert group.partly_most <= 2 * SECOND and not group.partly_since, (what, k, group)
-        assert group.whole_at or not world.owners[0].tally.counts["groups_asked"], (what, k)
-        assert not world.owners[0].groups and not any(n.held for n in world.nodes.values() if n)
+        assert group.max_partial_us <= 2 * SECOND and not group.partial_since_us, (what, k, group)
+        assert group.complete_us or not world.clients[0].tally.counts["groups_asked"], (what, k)
+        assert not world.clients[0].groups and not any(n.held for n in world.nodes.values() if n)
         assert not any(core.attempts.attempts for core in world.cores.values()), (what, k)
         tried += 1
     assert tried == last - first
@@ -187,20 +187,22 @@
 def test_mirror_image_groups_on_a_fleet_with_room_for_one() -> None:
     """Each planner's group needs most of the fleet: they must not hold half each for ever."""
     config = small_day()
-    first = config.owners[0]
+    first = config.clients[0]
     demand = replace(
         first.demands[0], group=True, batch=(8, 8), share=1.0, sizes=((8.0, 20.0),), services=1000,
         service_most=99, life_us=(SECOND, SECOND),
     )  # fmt: skip
     owners = tuple(
         replace(
-            config.owners[0], name=f"o{i}", demands=(demand,), total=8, ends_us=SECOND, wanted_us=90 * SECOND
+            config.clients[0], name=f"o{i}", demands=(demand,), total=8, ends_us=SECOND, wanted_us=90 * SECOND
         )
         for i in range(2)
     )
     nodes = config.nodes[:3]  # room for 15 such tasks: not for two groups of eight
-    room = replace(config.room, classes=tuple(replace(c, spread=api.Scope.NONE) for c in config.room.classes))
-    world = World(replace(config, room=room, owners=owners, nodes=nodes, planners=2))
+    room = replace(
+        config.cluster, classes=tuple(replace(c, spread=api.Scope.NONE) for c in config.cluster.classes)
+    )
+    world = Simulation(replace(config, cluster=room, clients=owners, nodes=nodes, planners=2))
     world.run(110 * SECOND)
-    assert [bool(g.whole_at) for g in world.meter.groups] == [True, True]
-    assert all(g.partly_most <= 2 * SECOND for g in world.meter.groups)
+    assert [bool(g.complete_us) for g in world.meter.groups] == [True, True]
+    assert all(g.max_partial_us <= 2 * SECOND for g in world.meter.groups)
--- a/tests/golden/golden_grpc_days.py
+++ b/tests/golden/golden_grpc_days.py
@@ -8,7 +8,7 @@
 
 from golden_records import Trace
 
-from stairplank.emulator.world import World, WorldConfig
+from stairplank.emulator.simulation import Simulation, SimulationConfig
 from stairplank.planner import convert
 from stairplank.planner import events as ev
 from stairplank.planner.core import Core
@@ -20,25 +20,25 @@
 DAYS = [(scenario, seed) for scenario in ("drawn-room", "first-bad-day", "groups-bad-day") for seed in (1, 2)]
 
 
-class TracedWorld(World):
+class TracedWorld(Simulation):
     """A simulated cluster that writes down what its planners send."""
 
-    def __init__(self, config: WorldConfig, trace: Trace) -> None:
+    def __init__(self, config: SimulationConfig, trace: Trace) -> None:
         self.trace = trace
         super().__init__(config)
 
-    def _carry_out(self, planner: int, core: Core, actions: list[ev.Action]) -> None:
+    def perform(self, planner: int, core: Core, actions: list[ev.Action]) -> None:
         for action in actions:
             self._write_down(planner, core, action)
-        super()._carry_out(planner, core, actions)
+        super().perform(planner, core, actions)
 
     def _write_down(self, planner: int, core: Core, action: ev.Action) -> None:
-        head = (self.now, planner, core.incarnation)
+        head = (self.now_us, planner, core.incarnation)
         match action:
             case ev.SendToClient(session, word):
                 self.trace.add(*head, "client", session, convert.word_to(word).SerializeToString())
             case ev.SendOffer(node=node):
-                task_class = self.config.room.classes[action.class_index]
+                task_class = self.config.cluster.classes[action.class_index]
                 message = convert.offer_to(action, task_class, None)
                 self.trace.add(*head, "node", node, message.SerializeToString())
             case ev.SendCommit(node=node):
@@ -70,13 +70,13 @@
     scenario = load_scenario(SCENARIOS / scenario_name)
     clients = owner_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
     nodes = tuple(node.model for node in scenario.nodes if not node.absent)
-    config = WorldConfig(
+    config = SimulationConfig(
         scenario.room,
         nodes,
         tuple(replace(client, ends_us=25 * SECOND) for client in clients),
         scenario.planners,
         seed,
-        directory=directory_model(scenario.section),
+        node_list=directory_model(scenario.section),
     )
     world = TracedWorld(config, trace)
     rng = random.Random(seed)
@@ -85,10 +85,10 @@
         _strike(world, rng, scenario.planners, [node.id for node in nodes])
     world.run(60 * SECOND)
     for planner, core in list(world.cores.items()):
-        world._carry_out(planner, core, core.handle(world.now, ev.ShutdownRequested()))
+        world.perform(planner, core, core.handle(world.now_us, ev.ShutdownRequested()))
 
 
-def _strike(world: World, rng: random.Random, planners: int, node_ids: list[int]) -> None:
+def _strike(world: Simulation, rng: random.Random, planners: int, node_ids: list[int]) -> None:
     """One fault: links that stand still or break, a process that dies, a drain, failing starts."""
     planner, some = rng.randrange(planners), rng.sample(node_ids, 3)
     duration_us = int(rng.uniform(0.2, 8) * SECOND)
--- a/tests/planner/recorded_days.py
+++ b/tests/planner/recorded_days.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from stairplank.emulator import world as emulated
+from stairplank.emulator import simulation as emulated
 from stairplank.planner import events as ev
 from stairplank.planner import trace
 from stairplank.rehearsal.scenario import load_scenario
@@ -31,13 +31,13 @@
     scenario = load_scenario(ROOT / "stairplank" / "scenarios" / room)
     owners = owner_models(scenario.section, scenario.room, ["owner-0", "owner-1"], scenario.planners)
     nodes = tuple(n.model for n in scenario.nodes if not n.absent)
-    config = emulated.WorldConfig(
+    config = emulated.SimulationConfig(
         scenario.room, nodes, tuple(replace(o, ends_us=25 * SECOND) for o in owners), scenario.planners, seed,
-        directory=directory_model(scenario.section),
+        node_list=directory_model(scenario.section),
     )  # fmt: skip
     emulated.Core = recorded  # type: ignore[assignment,misc]
     try:
-        world = emulated.World(config)
+        world = emulated.Simulation(config)
         rng = random.Random(seed)
         ids = [n.id for n in nodes]
         for at in sorted(rng.uniform(2, 24) for _ in range(14)):
@@ -61,7 +61,7 @@
                         node.faults.failing = 0.7
         world.run(60 * SECOND)
         for core in list(world.cores.values()):  # and they leave
-            core.handle(world.now, ev.ShutdownRequested())
+            core.handle(world.now_us, ev.ShutdownRequested())
     finally:
         emulated.Core = real  # type: ignore[misc]
     return [(t.made, t.steps, t.digests) for t in traces]
--- a/tests/scale/test_scaling_counts_grpc.py
+++ b/tests/scale/test_scaling_counts_grpc.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from stairplank.emulator.world import World, WorldConfig
+from stairplank.emulator.simulation import Simulation, SimulationConfig
 from stairplank.planner import events as ev
 from stairplank.planner.core import Core
 from stairplank.planner.link_state import State
@@ -42,7 +42,7 @@
 )
 
 
-class CountedWorld(World):
+class CountedWorld(Simulation):
     """An emulated site without work; what planners dial and say is counted."""
 
     def __init__(self, workers: int) -> None:
@@ -53,12 +53,12 @@
             NodeModel(number, f"n{number}", "std", "hall", f"rack-{number // 40}", cores=8.0, memory=16.0)
             for number in range(1, workers + 1)
         )
-        super().__init__(WorldConfig(cluster_from(section), nodes, (), PLANNERS))
+        super().__init__(SimulationConfig(cluster_from(section), nodes, (), PLANNERS))
 
-    def _carry_out(self, planner: int, core: Core, actions: list[ev.Action]) -> None:
+    def perform(self, planner: int, core: Core, actions: list[ev.Action]) -> None:
         self.dials += sum(isinstance(action, ev.Dial) for action in actions)
         self.to_nodes += sum(isinstance(action, SENT_TO_NODES) for action in actions)
-        super()._carry_out(planner, core, actions)
+        super().perform(planner, core, actions)
 
     def links_up(self, planner: int) -> int:
         """Links of that planner that are up."""
@@ -93,9 +93,9 @@
     events: list[int] = []
     for workers in SIZES:
         world = settled(workers)
-        before = world.events
+        before = world.events_played
         world.run((SETTLE_S + SPAN_S) * SECOND)
-        events.append(world.events - before)
+        events.append(world.events_played - before)
     assert events == [events[0]] * len(SIZES)
 
 
--- a/tests/stored/test_stored_settings.py
+++ b/tests/stored/test_stored_settings.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from stairplank.emulator.experiment import EXPERIMENT, cells
+from stairplank.emulator.experiment import EXPERIMENT, grid_cells
 from stairplank.interface import Effect, Scope
 from stairplank.platform import config as platform_config
 from stairplank.rehearsal.scenario import SCENARIO, load_scenario
@@ -365,7 +365,7 @@
 
 
 def test_an_experiment_file_is_typed() -> None:
-    grid = cells(str(DATA / "experiment.conf"))
+    grid = grid_cells(str(DATA / "experiment.conf"))
     assert [(c.policy, c.load, c.planners, c.group_size, c.seed) for c in grid] == [
         (policy, load_, planners, size, seed)
         for policy in ("groups", "singles", "blocking")
