--- a/benchmarks/fence/run.py
+++ b/benchmarks/fence/run.py
@@ -140,7 +140,7 @@
         inner_offer(sent)
         name = (sent.task.client, sent.task.key)
         first.setdefault(name, world.now_us)
-        planner = next((p for p, core in world.cores.items() if core.incarnation == sent.id.life), -1)
+        planner = next((p for p, core in world.cores.items() if core.incarnation == sent.id.incarnation), -1)
         if sent.task.task_class == "report" and (planner, sent.node) in held:
             touched.setdefault(name, world.now_us)
 
--- a/stairplank/emulator/experiment.py
+++ b/stairplank/emulator/experiment.py
@@ -1,8 +1,8 @@
-"""A grid of simulated rooms over several processes: what groups gain and cost against two baselines.
+"""A grid of simulations over several processes: what groups gain and cost against two baselines.
 
-A file in the manner of the settings names the room, what varies and how often; each cell of the grid is a
-world of its own seed. Results are a CSV file, one row a run, and charts; the head names version and file, so
-that a run can be repeated.
+A file in the manner of the settings names the cluster, what varies and how often; each cell of the grid is a
+simulation of its own seed. Results are a CSV file, one row a run, and charts; the head names version and
+file, so that a run can be repeated.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 import statistics
 import time
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
+from importlib.metadata import version
 from pathlib import Path
 from typing import Any
 
 from ..groups.coordinator import GroupConfig
 from ..settings import values as v
-from ..settings.cluster import CLUSTER, cluster_from
+from ..settings.cluster import CLUSTER, Cluster, cluster_from
 from ..settings.lines import Problem, SettingsError
 from ..settings.schema import Block, Key, Section, load
 from ..standin.config import LIST, MODEL, directory_model, model_from
@@ -51,10 +52,25 @@
     "wasted_core_s_per_group", "partly_running_most_s", "singles", "single_p50_ms", "single_p95_ms",
     "single_in_time", "events", "real_s",
 )  # fmt: skip
+MEAN_FIGURES = (
+    "whole_in_time",
+    "wasted_core_s_per_group",
+    "partly_running_most_s",
+    "single_p95_ms",
+    "single_in_time",
+)
+PANELS = (
+    ("whole_in_time", "groups whole in time"),
+    ("wasted_core_s_per_group", "wasted core-s a group"),
+    ("single_in_time", "single tasks in time"),
+)
+SETTLE_US = 12_000_000  # after the last new task, for those under way to end
 
 
 @dataclass(frozen=True)
 class Cell:
+    """One simulation of the grid: the file and the values that vary."""
+
     path: str
     policy: str
     load: float
@@ -66,134 +82,174 @@
 def grid_cells(path: str) -> list[Cell]:
     """The grid of a file. Raises SettingsError."""
     section = load(path, EXPERIMENT)
-    room = cluster_from(section)
-    names = [c.name for c in room.classes]
+    cluster = cluster_from(section)
+    class_names = [each.name for each in cluster.classes]
     for key in ("single-class", "group-class"):
-        if section.one(key) not in names:
-            text = f"no class {section.one(key)}; known: {', '.join(names)}"
+        if section.one(key) not in class_names:
+            text = f"no class {section.one(key)}; known: {', '.join(class_names)}"
             raise SettingsError([Problem(section.place(key), key, text)])
-    for values in section.all("fleet"):
-        if values[0] not in [k.name for k in room.node_types]:
-            raise SettingsError([Problem(section.place("fleet"), "fleet", f"no kind {values[0]}")])
-
-    def many(key: str) -> tuple[Any, ...]:
-        return section.all(key)[0]
-
-    grid = itertools.product(
-        many("policy"), many("load"), many("planners"), many("group-size"), many("seeds")
-    )
-    return [Cell(path, *values) for values in grid]
+    node_types = [each.name for each in cluster.node_types]
+    for node_type, *_ in section.all("fleet"):
+        if node_type not in node_types:
+            raise SettingsError([Problem(section.place("fleet"), "fleet", f"no kind {node_type}")])
+    varying = ("policy", "load", "planners", "group-size", "seeds")
+    return [Cell(path, *values) for values in itertools.product(*(section.all(key)[0] for key in varying))]
 
 
 def simulation_of(cell: Cell, section: Section) -> tuple[Simulation, int]:
-    """The world of a cell, and until when new tasks come."""
-    room = cluster_from(section)
-    one = section.one
-    nodes: list[NodeModel] = []
-    for kind, count, racks in section.all("fleet"):
-        for i in range(count):
-            id = len(nodes) + 1
-            nodes.append(model_from(room, section, id, f"n{id}", kind, room.zones[0], f"{kind}-{i % racks}"))
-    cores, memory = one("size")
-    life = one("life")
-    mean_life = (life[0] + life[1]) / 2e6
-    room_for = min(
-        sum(n.cores * n.cores_limit for n in nodes) / cores,
-        sum(n.memory * n.memory_limit for n in nodes) / memory,
-    )
-    rate = cell.load * room_for / mean_life  # tasks a second that fill so much of what nodes accept
-    share, size = one("group-share"), cell.group_size
-    batches = share / size
-    total = batches + (1 - share)
-    demands = (
-        Demand(one("single-class"), (1 - share) / total, ((cores, memory),), life, (1, 1), 200, 10_000),
-        Demand(
-            one("group-class"), batches / total, ((cores, memory),), life, (size, size), 200, 10_000, True
-        ),
+    """The simulation of a cell, and for how long new tasks come, in microseconds."""
+    cluster = cluster_from(section)
+    nodes = _fleet(section, cluster)
+    duration_us = section.one("lasts")
+    client = OwnerModel(
+        "owner",
+        _rate(cell, section, nodes),
+        _demands(cell, section),
+        cluster.classes,
+        cell.planners,
+        ends_us=duration_us,
+        wanted_us=duration_us,
+        owner_wait_us=cluster.client_wait_us,
     )
-    ends = one("lasts")
-    owner = OwnerModel("owner", rate, demands, room.classes, cell.planners, ends_us=ends, wanted_us=ends)
-    owner = replace(owner, owner_wait_us=room.client_wait_us)
     config = SimulationConfig(
-        room,
-        tuple(nodes),
-        (owner,),
+        cluster,
+        nodes,
+        (client,),
         cell.planners,
         cell.seed,
         directory_model(section),
         groups=GroupConfig(blocking=cell.policy == "blocking"),
         places_members_singly=cell.policy == "singles",
     )
-    return Simulation(config), ends
+    return Simulation(config), duration_us
 
 
-def run_cell(cell: Cell) -> dict[str, Any]:
-    """One row."""
-    section = load(cell.path, EXPERIMENT)
-    began = time.perf_counter()
-    world, ends = simulation_of(cell, section)
-    first = world.now_us
-    world.run(first + ends + 12_000_000)
-    sort = next(c for c in cluster_from(section).classes if c.name == section.one("group-class"))
-    single = section.one("single-class")
-    groups = world.meter.groups
-    owner = world.clients[0]
-    counts: Any = owner.tally.by_class.get(single, {})
-    took = sorted(owner.tally.latencies.get(single, []))
-    if cell.policy == "singles" and single == section.one("group-class"):
-        took = []
-    in_time = sum(
-        1 for g in groups if g.complete_us and g.complete_us - g.requested_us <= sort.latency_objective_us
+def _fleet(section: Section, cluster: Cluster) -> tuple[NodeModel, ...]:
+    nodes: list[NodeModel] = []
+    for node_type, count, racks in section.all("fleet"):
+        for index in range(count):
+            number = len(nodes) + 1
+            rack = f"{node_type}-{index % racks}"
+            name = f"n{number}"
+            nodes.append(model_from(cluster, section, number, name, node_type, cluster.zones[0], rack))
+    return tuple(nodes)
+
+
+def _rate(cell: Cell, section: Section, nodes: tuple[NodeModel, ...]) -> float:
+    """Tasks a second that fill the cell's load of what the nodes accept."""
+    cores, memory = section.one("size")
+    shortest_us, longest_us = section.one("life")
+    mean_duration_s = (shortest_us + longest_us) / 2e6
+    capacity_tasks = min(
+        sum(node.cores * node.cores_limit for node in nodes) / cores,
+        sum(node.memory * node.memory_limit for node in nodes) / memory,
+    )
+    return float(cell.load * capacity_tasks / mean_duration_s)
+
+
+def _demands(cell: Cell, section: Section) -> tuple[Demand, Demand]:
+    """Single tasks and groups, by their shares of the requests."""
+    share = section.one("group-share")
+    size = cell.group_size
+    groups = share / size
+    requests = groups + (1 - share)
+    sizes = (section.one("size"),)
+    durations_us = section.one("life")
+    return (
+        Demand(section.one("single-class"), (1 - share) / requests, sizes, durations_us, (1, 1), 200, 10_000),
+        Demand(
+            section.one("group-class"),
+            groups / requests,
+            sizes,
+            durations_us,
+            (size, size),
+            200,
+            10_000,
+            True,
+        ),
     )
 
-    def at(share: float) -> float:
-        return took[min(len(took) - 1, int(share * len(took)))] / 1e3 if took else 0.0
 
+def run_cell(cell: Cell) -> dict[str, Any]:
+    """Play one cell; a row of the results, by ``COLUMNS``."""
+    section = load(cell.path, EXPERIMENT)
+    started_s = time.perf_counter()
+    simulation, duration_us = simulation_of(cell, section)
+    simulation.run(simulation.now_us + duration_us + SETTLE_US)
     return {
         "policy": cell.policy,
         "load": cell.load,
         "planners": cell.planners,
         "group_size": cell.group_size,
         "seed": cell.seed,
+        **_group_figures(simulation, section),
+        **_single_figures(simulation, section, cell),
+        "events": simulation.events_played,
+        "real_s": round(time.perf_counter() - started_s, 2),
+    }
+
+
+def _group_figures(simulation: Simulation, section: Section) -> dict[str, Any]:
+    name = section.one("group-class")
+    task_class = next(each for each in simulation.config.cluster.classes if each.name == name)
+    groups = simulation.meter.groups
+    count = max(1, len(groups))
+    complete = [group for group in groups if group.complete_us]
+    objective_us = task_class.latency_objective_us
+    in_time = sum(1 for group in complete if group.complete_us - group.requested_us <= objective_us)
+    return {
         "groups": len(groups),
-        "whole_in_time": round(in_time / max(1, len(groups)), 4),
-        "whole_ever": round(sum(1 for g in groups if g.complete_us) / max(1, len(groups)), 4),
-        "wasted_core_s_per_group": round(
-            sum(g.wasted_core_us for g in groups) / 1e6 / max(1, len(groups)), 3
-        ),
-        "partly_running_most_s": round(max((g.max_partial_us for g in groups), default=0) / 1e6, 3),
-        "singles": counts.get("wanted", 0),
-        "single_p50_ms": at(0.5),
-        "single_p95_ms": at(0.95),
-        "single_in_time": round(counts.get("in_time", 0) / max(1, counts.get("wanted", 0)), 4),
-        "events": world.events_played,
-        "real_s": round(time.perf_counter() - began, 2),
+        "whole_in_time": round(in_time / count, 4),
+        "whole_ever": round(len(complete) / count, 4),
+        "wasted_core_s_per_group": round(sum(group.wasted_core_us for group in groups) / 1e6 / count, 3),
+        "partly_running_most_s": round(max((group.max_partial_us for group in groups), default=0) / 1e6, 3),
+    }
+
+
+def _single_figures(simulation: Simulation, section: Section, cell: Cell) -> dict[str, Any]:
+    name = section.one("single-class")
+    tally = simulation.clients[0].tally
+    counts: Any = tally.by_class.get(name, {})
+    wanted = counts.get("wanted", 0)
+    latencies_us = sorted(tally.latencies.get(name, []))
+    if cell.policy == "singles" and name == section.one("group-class"):
+        latencies_us = []  # single tasks cannot be told from members of groups
+    return {
+        "singles": wanted,
+        "single_p50_ms": _quantile_ms(latencies_us, 0.5),
+        "single_p95_ms": _quantile_ms(latencies_us, 0.95),
+        "single_in_time": round(counts.get("in_time", 0) / max(1, wanted), 4),
     }
 
 
+def _quantile_ms(sorted_us: list[int], share: float) -> float:
+    if not sorted_us:
+        return 0.0
+    return sorted_us[min(len(sorted_us) - 1, int(share * len(sorted_us)))] / 1e3
+
+
 def run_experiment(path: str, processes: int, progress: Callable[[int, int], None]) -> list[dict[str, Any]]:
-    """All cells; rows in the order of the grid."""
+    """Play all cells; rows in the order of the grid. ``progress`` is given cells done and all cells."""
     grid = grid_cells(path)
     rows: dict[int, dict[str, Any]] = {}
     # The largest cells first, so that the last ones do not wait for one.
-    order = sorted(range(len(grid)), key=lambda i: -grid[i].planners * grid[i].load)
+    order = sorted(range(len(grid)), key=lambda index: -grid[index].planners * grid[index].load)
     context = multiprocessing.get_context("spawn")
     with context.Pool(processes) as pool:
-        for i, row in pool.imap_unordered(_numbered, [(i, grid[i]) for i in order]):
-            rows[i] = row
+        for index, row in pool.imap_unordered(_run_numbered, [(index, grid[index]) for index in order]):
+            rows[index] = row
             progress(len(rows), len(grid))
-    return [rows[i] for i in range(len(grid))]
+    return [rows[index] for index in range(len(grid))]
 
 
-def _numbered(work: tuple[int, Cell]) -> tuple[int, dict[str, Any]]:
-    return work[0], run_cell(work[1])
+def _run_numbered(numbered: tuple[int, Cell]) -> tuple[int, dict[str, Any]]:
+    index, cell = numbered
+    return index, run_cell(cell)
 
 
 def write_results(rows: list[dict[str, Any]], path: str, folder: Path) -> None:
-    """results.csv, table.md and chart.png."""
+    """Write results.csv, table.md and chart.png."""
     folder.mkdir(parents=True, exist_ok=True)
-    from importlib.metadata import version
-
     with (folder / "results.csv").open("w", newline="") as file:
         file.write(f"# stairplank {version('stairplank')}, {Path(path).name}\n")
         writer = csv.DictWriter(file, COLUMNS)
@@ -205,71 +261,62 @@
 
 def mean_figures(rows: list[dict[str, Any]], *by: str) -> Iterator[tuple[tuple[Any, ...], dict[str, float]]]:
     """Mean of the figures over the rows that agree in ``by``."""
-    keys = sorted({tuple(r[b] for b in by) for r in rows}, key=str)
-    figures = (
-        "whole_in_time",
-        "wasted_core_s_per_group",
-        "partly_running_most_s",
-        "single_p95_ms",
-        "single_in_time",
-    )
+    keys = sorted({tuple(row[column] for column in by) for row in rows}, key=str)
     for key in keys:
-        here = [r for r in rows if tuple(r[b] for b in by) == key]
-        yield key, {f: statistics.fmean(r[f] for r in here) for f in figures}
+        same = [row for row in rows if tuple(row[column] for column in by) == key]
+        yield key, {figure: statistics.fmean(row[figure] for row in same) for figure in MEAN_FIGURES}
 
 
 def markdown_table(rows: list[dict[str, Any]]) -> str:
+    """The means of every setting, a line each."""
     head = (
         "| planners | group size | load | policy | whole in time | wasted core-s a group"
         " | longest partly running s | singles in time | single p95 ms |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
     )
-    lines = []
-    for key, f in mean_figures(rows, "planners", "group_size", "load", "policy"):
+    lines: list[tuple[int, int, float, int, str]] = []
+    for key, means in mean_figures(rows, "planners", "group_size", "load", "policy"):
         planners, size, load_, policy = key
-        lines.append(
-            (planners, size, load_, POLICIES.index(policy)),
+        line = (
+            f"| {planners} | {size} | {load_} | {policy} | {means['whole_in_time']:.1%}"
+            f" | {means['wasted_core_s_per_group']:.2f} | {means['partly_running_most_s']:.2f}"
+            f" | {means['single_in_time']:.1%} | {means['single_p95_ms']:.0f} |\n"
         )
-        text = (
-            f"| {planners} | {size} | {load_} | {policy} | {f['whole_in_time']:.1%}"
-            f" | {f['wasted_core_s_per_group']:.2f} | {f['partly_running_most_s']:.2f}"
-            f" | {f['single_in_time']:.1%} | {f['single_p95_ms']:.0f} |\n"
-        )
-        lines[-1] = (*lines[-1], text)  # type: ignore[assignment]
-    return head + "".join(line[-1] for line in sorted(lines))  # type: ignore[misc]
+        lines.append((planners, size, load_, POLICIES.index(policy), line))
+    return head + "".join(line for *_, line in sorted(lines))
 
 
 def draw_chart(rows: list[dict[str, Any]], path: Path) -> None:
-    """Groups whole in time, waste and single tasks against load, a column for each number of planners."""
+    """Groups complete in time, waste and single tasks against load, a column for each number of planners."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    planners = sorted({r["planners"] for r in rows})
-    panels = (
-        ("whole_in_time", "groups whole in time"),
-        ("wasted_core_s_per_group", "wasted core-s a group"),
-        ("single_in_time", "single tasks in time"),
-    )
+    planner_counts = sorted({row["planners"] for row in rows})
     figure, axes = pyplot.subplots(
-        len(panels), len(planners), figsize=(4 * len(planners), 8), layout="constrained", squeeze=False
+        len(PANELS),
+        len(planner_counts),
+        figsize=(4 * len(planner_counts), 8),
+        layout="constrained",
+        squeeze=False,
     )
-    for column, count in enumerate(planners):
-        for line, (figure_name, label) in enumerate(panels):
+    for column, planners in enumerate(planner_counts):
+        column_rows = [row for row in rows if row["planners"] == planners]
+        for line, (figure_name, label) in enumerate(PANELS):
             axis = axes[line][column]
-            for policy in POLICIES:
-                points = [
-                    (key[0], f[figure_name])
-                    for key, f in mean_figures(
-                        [r for r in rows if r["planners"] == count and r["policy"] == policy], "load"
-                    )
-                ]
-                if points:
-                    axis.plot(*zip(*sorted(points), strict=True), marker="o", label=policy)
+            _plot_policies(axis, column_rows, figure_name)
             axis.set(xlabel="load", ylabel=label if column == 0 else "")
             if line == 0:
-                axis.set_title(f"{count} planner{'s' if count > 1 else ''}")
+                axis.set_title(f"{planners} planner{'s' if planners > 1 else ''}")
     axes[0][0].legend()
     figure.savefig(path, dpi=110)
     pyplot.close(figure)
+
+
+def _plot_policies(axis: Any, rows: list[dict[str, Any]], figure_name: str) -> None:
+    for policy in POLICIES:
+        policy_rows = [row for row in rows if row["policy"] == policy]
+        points = [(key[0], means[figure_name]) for key, means in mean_figures(policy_rows, "load")]
+        if points:
+            axis.plot(*zip(*sorted(points), strict=True), marker="o", label=policy)
