--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -57,45 +57,45 @@
     return replace(config, **changes)  # type: ignore[arg-type]
 
 
-def counts(world: Simulation) -> dict[str, int]:
+def counts(simulation: Simulation) -> dict[str, int]:
     total: dict[str, int] = {}
-    for owner in world.clients:
+    for owner in simulation.clients:
         for what, n in owner.tally.counts.items():
             total[what] = total.get(what, 0) + n
     return total
 
 
 def test_a_day_in_simulated_time() -> None:
-    world = Simulation(small_day())
-    world.run(20 * SECOND)
-    total = counts(world)
+    simulation = Simulation(small_day())
+    simulation.run(20 * SECOND)
+    total = counts(simulation)
     assert total["wanted"] > 40 and total["finished"] == total["wanted"]
-    assert all(not core.attempts.attempts and not core.owners.placings for core in world.cores.values())
+    assert all(not core.attempts.attempts and not core.owners.placings for core in simulation.cores.values())
 
 
 def test_one_seed_gives_one_day() -> None:
     days = []
     for seed in (3, 3, 4):
-        world = Simulation(small_day(seed=seed))
-        world.run(15 * SECOND)
-        days.append((world.events_played, counts(world)))
+        simulation = Simulation(small_day(seed=seed))
+        simulation.run(15 * SECOND)
+        days.append((simulation.events_played, counts(simulation)))
     assert days[0] == days[1] != days[2]
 
 
-def test_troubles_leave_nothing_behind() -> None:
-    world = Simulation(small_day())
-    world.run(2 * SECOND)
-    world.kill_planner(1, SECOND)
-    world.kill_node(2, 2 * SECOND)
-    world.drain_node(3)
-    world.run(40 * SECOND)
-    total = counts(world)
+def test_faults_leave_nothing_behind() -> None:
+    simulation = Simulation(small_day())
+    simulation.run(2 * SECOND)
+    simulation.kill_planner(1, SECOND)
+    simulation.kill_node(2, 2 * SECOND)
+    simulation.drain_node(3)
+    simulation.run(40 * SECOND)
+    total = counts(simulation)
     assert total["lost"] > 0
     assert total["finished"] + total.get("given_up", 0) == total["wanted"]
-    assert all(not core.attempts.attempts for core in world.cores.values())
+    assert all(not core.attempts.attempts for core in simulation.cores.values())
 
 
-def test_the_meter() -> None:
+def test_group_meter() -> None:
     meter = GroupMeter()
     a, b = ("o", 1), ("o", 2)
     meter.group_requested([a, b], 0)
@@ -135,7 +135,7 @@
         ("fleet std", "fleet odd"),
     ],
 )
-def test_bad_grids_are_refused(tmp_path: Path, old: str, new: str) -> None:
+def test_invalid_grids_are_rejected(tmp_path: Path, old: str, new: str) -> None:
     file = tmp_path / "grid"
     file.write_text(SMALL.replace(old, new))
     with pytest.raises(SettingsError):
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("what", ["planner", "node"])
-def test_a_kill_after_every_event_of_a_group(what: str) -> None:
+def test_a_crash_after_every_event_of_a_group(what: str) -> None:
     """Enumerated, not sampled: the planner, or a node, dies after each event from the ask to the end."""
     plain = one_group(4, seed=5)
     plain.run(SECOND)
@@ -166,20 +166,20 @@
     assert last - first > 60
     tried = 0
     for k in range(first, last):
-        world = one_group(4, seed=5)
-        while world.events_played < k:
-            world.step()
-        planner = next((g.planner for g in world.clients[0].groups.values()), 0)
+        simulation = one_group(4, seed=5)
+        while simulation.events_played < k:
+            simulation.step()
+        planner = next((g.planner for g in simulation.clients[0].groups.values()), 0)
         if what == "planner":
-            world.kill_planner(max(planner, 0), 700_000 if k % 2 else 30 * SECOND)
+            simulation.kill_planner(max(planner, 0), 700_000 if k % 2 else 30 * SECOND)
         else:
-            world.kill_node(1 + k % 5, 3 * SECOND)
-        world.run(120 * SECOND)
-        (group,) = world.meter.groups
+            simulation.kill_node(1 + k % 5, 3 * SECOND)
+        simulation.run(120 * SECOND)
+        (group,) = simulation.meter.groups
         assert group.max_partial_us <= 2 * SECOND and not group.partial_since_us, (what, k, group)
-        assert group.complete_us or not world.clients[0].tally.counts["groups_asked"], (what, k)
-        assert not world.clients[0].groups and not any(n.held for n in world.nodes.values() if n)
-        assert not any(core.attempts.attempts for core in world.cores.values()), (what, k)
+        assert group.complete_us or not simulation.clients[0].tally.counts["groups_asked"], (what, k)
+        assert not simulation.clients[0].groups and not any(n.held for n in simulation.nodes.values() if n)
+        assert not any(core.attempts.attempts for core in simulation.cores.values()), (what, k)
         tried += 1
     assert tried == last - first
 
@@ -202,7 +202,7 @@
     room = replace(
         config.cluster, classes=tuple(replace(c, spread=api.Scope.NONE) for c in config.cluster.classes)
     )
-    world = Simulation(replace(config, cluster=room, clients=owners, nodes=nodes, planners=2))
-    world.run(110 * SECOND)
-    assert [bool(g.complete_us) for g in world.meter.groups] == [True, True]
-    assert all(g.max_partial_us <= 2 * SECOND for g in world.meter.groups)
+    simulation = Simulation(replace(config, cluster=room, clients=owners, nodes=nodes, planners=2))
+    simulation.run(110 * SECOND)
+    assert [bool(g.complete_us) for g in simulation.meter.groups] == [True, True]
+    assert all(g.max_partial_us <= 2 * SECOND for g in simulation.meter.groups)
--- a/tests/rpc/test_hostile.py
+++ b/tests/rpc/test_misbehaving_peers.py
@@ -46,7 +46,7 @@
     return raw
 
 
-class Served:
+class EchoServer:
     def __init__(self, limits: Limits = LIMITS) -> None:
         self.ran = 0
         self.refused_sends = 0
@@ -72,8 +72,8 @@
 
 
 @pytest.fixture
-def served() -> Iterator[Served]:
-    it = Served()
+def served() -> Iterator[EchoServer]:
+    it = EchoServer()
     yield it
     it.server.stop()
 
@@ -107,11 +107,11 @@
                 self.push()
 
 
-def message(size: int, flag: int = 0) -> bytes:
+def message_prefix(size: int, flag: int = 0) -> bytes:
     return bytes([flag]) + size.to_bytes(4, "big")
 
 
-def test_streams_past_the_bound_are_refused_and_never_run(served: Served) -> None:
+def test_streams_past_the_limit_are_refused_and_never_run(served: EchoServer) -> None:
     raw = RawClient(served.server.addresses[0])
     for i in range(5):  # at once, before the server's SETTINGS are read
         raw.h2.send_headers(1 + 2 * i, HEADERS)
@@ -122,7 +122,7 @@
     assert served.ran == 3
 
 
-def test_reset_flood_ends_the_connection(served: Served) -> None:
+def test_reset_flood_ends_the_connection(served: EchoServer) -> None:
     raw = RawClient(served.server.addresses[0])
     end = None
     try:
@@ -141,7 +141,7 @@
     assert served.ran <= LIMITS.max_control_frames + 2
 
 
-def test_ping_flood_ends_the_connection(served: Served) -> None:
+def test_ping_flood_ends_the_connection(served: EchoServer) -> None:
     raw = RawClient(served.server.addresses[0])
     for i in range(40):
         raw.h2.ping(i.to_bytes(8, "big"))
@@ -153,13 +153,13 @@
 @pytest.mark.parametrize(
     ("body", "code"),
     [
-        (message(1 << 30), "8"),
-        (message(4, 1) + b"abcd", "12"),
-        (message(4, 7) + b"abcd", "13"),
+        (message_prefix(1 << 30), "8"),
+        (message_prefix(4, 1) + b"abcd", "12"),
+        (message_prefix(4, 7) + b"abcd", "13"),
     ],
     ids=["oversized", "compressed", "unknown flag"],
 )
-def test_bad_messages_end_their_stream_alone(served: Served, body: bytes, code: str) -> None:
+def test_invalid_messages_end_only_their_stream(served: EchoServer, body: bytes, code: str) -> None:
     raw = RawClient(served.server.addresses[0])
     raw.h2.send_headers(1, HEADERS)
     raw.h2.send_headers(3, HEADERS)
@@ -167,16 +167,16 @@
     raw.push()
     ended = raw.until(lambda e: isinstance(e, (h2.events.TrailersReceived, h2.events.ResponseReceived)))
     assert ended.stream_id == 1 and dict(ended.headers)["grpc-status"] == code
-    raw.h2.send_data(3, message(2) + b"ok")
+    raw.h2.send_data(3, message_prefix(2) + b"ok")
     raw.push()
-    assert raw.until(lambda e: isinstance(e, h2.events.DataReceived)).data == message(2) + b"ok"
+    assert raw.until(lambda e: isinstance(e, h2.events.DataReceived)).data == message_prefix(2) + b"ok"
 
 
 @pytest.mark.parametrize(
     ("change", "status"),
     [(("content-type", "text/html"), "415"), ((":method", "GET"), "405"), (("grpc-timeout", "soon"), "200")],
 )
-def test_requests_that_are_not_grpc(served: Served, change: tuple[str, str], status: str) -> None:
+def test_requests_that_are_not_grpc(served: EchoServer, change: tuple[str, str], status: str) -> None:
     raw = RawClient(served.server.addresses[0])
     headers = [change if k == change[0] else (k, v) for k, v in HEADERS]
     raw.h2.send_headers(1, headers if change in headers else [*headers, change], end_stream=True)
@@ -186,7 +186,7 @@
     assert served.ran == 0
 
 
-def test_garbage_and_silence_are_closed(served: Served) -> None:
+def test_garbage_and_silent_connections_are_closed(served: EchoServer) -> None:
     host, _, port = served.server.addresses[0].rpartition(":")
     loud = socket.create_connection((host, int(port)))
     loud.sendall(b"GET / HTTP/1.1\r\n\r\n" * 10)
@@ -199,7 +199,7 @@
     assert not served.server.connections
 
 
-def test_connections_past_the_bound_are_closed(served: Served) -> None:
+def test_connections_past_the_limit_are_closed(served: EchoServer) -> None:
     raws = [RawClient(served.server.addresses[0]) for _ in range(4)]
     with gevent.Timeout(WAIT):
         while len(served.server.connections) < 4:
@@ -209,10 +209,10 @@
     assert served.server.rejected_connections == 1
 
 
-def test_a_reader_that_does_not_read_bounds_the_sender(served: Served) -> None:
+def test_a_reader_that_does_not_read_bounds_the_sender(served: EchoServer) -> None:
     raw = RawClient(served.server.addresses[0])
     raw.h2.send_headers(1, [h if h[0] != ":path" else (":path", "/t.T/Flood") for h in HEADERS])
-    raw.h2.send_data(1, message(1) + b"x")
+    raw.h2.send_data(1, message_prefix(1) + b"x")
     raw.push()
     with gevent.Timeout(WAIT):
         while served.refused_sends < 3:
@@ -223,7 +223,7 @@
 
 
 @pytest.mark.parametrize("size", [1000, 30_000])
-def test_a_handler_that_does_not_read_bounds_the_client(served: Served, size: int) -> None:
+def test_a_handler_that_does_not_read_bounds_the_client(served: EchoServer, size: int) -> None:
     """Also where each message comes in two frames, so that much of it is unfinished when it comes."""
     channel = Channel(served.server.addresses[0], LIMITS)
     call = channel.call("/t.T/Hold", same, same)
@@ -261,14 +261,14 @@
         self.script(sock, conn)
 
 
-def streams_of(sock: Any, conn: Any, count: int) -> None:
+def accept_streams(sock: Any, conn: Any, count: int) -> None:
     opened = 0
     while opened < count:
         opened += sum(isinstance(e, h2.events.RequestReceived) for e in conn.receive_data(sock.recv(65536)))
     sock.sendall(conn.data_to_send())
 
 
-def outcome(call: Any) -> RpcError:
+def error_of(call: Any) -> RpcError:
     with pytest.raises(RpcError) as caught:
         call.recv(WAIT)
     return caught.value
@@ -276,7 +276,7 @@
 
 def test_refused_stream_proves_that_nothing_ran() -> None:
     def script(sock: Any, conn: Any) -> None:
-        streams_of(sock, conn, 2)
+        accept_streams(sock, conn, 2)
         conn.reset_stream(1, 7)
         conn.reset_stream(3, 2)
         sock.sendall(conn.data_to_send())
@@ -284,20 +284,20 @@
 
     channel = Channel(RawServer(script).address)
     first, second = (channel.call("/x", same, same) for _ in range(2))
-    assert outcome(first).never_ran and outcome(first).code is Code.UNAVAILABLE
-    assert not outcome(second).never_ran and outcome(second).code is Code.INTERNAL
+    assert error_of(first).never_ran and error_of(first).code is Code.UNAVAILABLE
+    assert not error_of(second).never_ran and error_of(second).code is Code.INTERNAL
 
 
 @pytest.mark.parametrize("split", [1, 5, 9, 12, 1000])
 def test_goaway_proves_what_lies_above_its_last_stream(split: int) -> None:
     def script(sock: Any, conn: Any) -> None:
-        streams_of(sock, conn, 3)
+        accept_streams(sock, conn, 3)
         conn.send_headers(1, [(":status", "200"), ("content-type", "application/grpc")])
         data = conn.data_to_send() + GoAwayFrame(0, last_stream_id=3, additional_data=b"leaving").serialize()
         for at in range(0, len(data), split):  # the frame comes in pieces
             sock.sendall(data[at : at + split])
             gevent.sleep(0.001)
-        conn.send_data(1, message(2) + b"ok")  # a stream below it goes on
+        conn.send_data(1, message_prefix(2) + b"ok")  # a stream below it goes on
         conn.send_headers(1, [("grpc-status", "0")], end_stream=True)
         sock.sendall(conn.data_to_send())
         gevent.sleep(0.1)
@@ -305,19 +305,19 @@
 
     channel = Channel(RawServer(script).address)
     calls = [channel.call("/x", same, same) for _ in range(3)]
-    assert outcome(calls[2]).never_ran
+    assert error_of(calls[2]).never_ran
     assert calls[0].recv(WAIT) == b"ok" and calls[0].recv(WAIT) is None
-    assert not outcome(calls[1]).never_ran  # cut later: it may have run
+    assert not error_of(calls[1]).never_ran  # cut later: it may have run
     with pytest.raises(RpcError) as caught:
         channel.connection.open("/x", (), None)
     assert caught.value.never_ran
 
 
-def test_messages_that_never_left_are_counted() -> None:
+def test_unsent_messages_are_counted() -> None:
     """A cut tells the messages that may have arrived from those that cannot have."""
 
     def script(sock: Any, conn: Any) -> None:
-        streams_of(sock, conn, 1)
+        accept_streams(sock, conn, 1)
         gevent.sleep(0.3)  # no window is given back: 65,535 bytes and not one more can leave
         sock.close()
 
@@ -325,11 +325,11 @@
     call = channel.call("/x", same, same)
     for _ in range(10):
         call.send(b"m" * 9_995)
-    assert outcome(call).code is Code.UNAVAILABLE
+    assert error_of(call).code is Code.UNAVAILABLE
     assert call.unsent_count() == 3 and call.stream.messages_started == 7
 
 
-def test_nobody_listens_and_nobody_answers() -> None:
+def test_refused_and_unanswered_connections() -> None:
     taken = socket.socket()
     taken.bind(("127.0.0.1", 0))
     address = f"127.0.0.1:{taken.getsockname()[1]}"
@@ -345,15 +345,15 @@
 
 def test_half_open_peer_is_found_by_ping() -> None:
     def script(sock: Any, conn: Any) -> None:
-        streams_of(sock, conn, 1)
+        accept_streams(sock, conn, 1)
         gevent.sleep(WAIT)  # alive as a socket, dead as a peer
 
     channel = Channel(RawServer(script).address, Limits(keepalive_interval_s=0.1, keepalive_timeout_s=0.1))
-    error = outcome(channel.call("/x", same, same))
+    error = error_of(channel.call("/x", same, same))
     assert "keepalive" in error.message and not error.never_ran
 
 
-def test_server_leaves_gracefully(served: Served) -> None:
+def test_graceful_shutdown(served: EchoServer) -> None:
     channel = Channel(served.server.addresses[0])
     call = channel.call("/t.T/Chat", same, same)
     call.send(b"a")
@@ -370,7 +370,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "5", "S", "123456789S", "5s", "-1S", "1.5S", "5 S"])
-def test_bad_timeouts(text: str) -> None:
+def test_invalid_timeouts(text: str) -> None:
     with pytest.raises(ValueError):
         decode_timeout(text)
 
@@ -380,10 +380,10 @@
     assert seconds <= decode_timeout(encode_timeout(seconds)) <= seconds * 1.01 + 1e-9
 
 
-def test_texts_and_messages_in_pieces() -> None:
+def test_status_messages_and_fragmented_messages() -> None:
     for text in ("", "plain", "100 %", "ä☃\n\0", "%41"):
         assert decode_status_message(encode_status_message(text)) == text
     reader = MessageDecoder(10)
-    data = message(3) + b"abc" + message(0) + message(1) + b"d"
+    data = message_prefix(3) + b"abc" + message_prefix(0) + message_prefix(1) + b"d"
     assert [m for i in range(len(data)) for m in reader.feed(data[i : i + 1])] == [b"abc", b"", b"d"]
     assert reader.partial_bytes == 0
