--- a/benchmarks/path/nodes.py
+++ b/benchmarks/path/nodes.py
@@ -11,7 +11,7 @@
 
 from stairplank.cli.processes import end_with_stdin
 from stairplank.planner.services import DIRECTORY_SERVICE
-from stairplank.proto import caller
+from stairplank.proto import open_call
 from stairplank.rpc import Channel
 from stairplank.standin.light_node import LightNode
 
@@ -23,7 +23,7 @@
     channel = Channel(directory)
     calls = []
     for node in nodes:
-        call = caller(channel, DIRECTORY_SERVICE, "Announce")
+        call = open_call(channel, DIRECTORY_SERVICE, "Announce")
         call.send(node.entry())
         calls.append(call)
     gevent.sleep(3600)
--- a/stairplank/cli/submission.py
+++ b/stairplank/cli/submission.py
@@ -12,7 +12,7 @@
 from ..planner import convert
 from ..planner.clock import now_us
 from ..planner.services import PLACEMENT_SERVICE
-from ..proto import caller, common_pb2, placement_pb2
+from ..proto import common_pb2, open_call, placement_pb2
 from ..rpc import Call, Channel, Code, RpcError
 
 _REQUEST = placement_pb2.PlaceRequest
@@ -82,7 +82,9 @@
 
 
 def _open_stream(submission: Submission) -> tuple[Call, MessageStamper]:
-    call = caller(Channel(submission.address, dial_timeout_s=submission.dial_s), PLACEMENT_SERVICE, "Place")
+    call = open_call(
+        Channel(submission.address, dial_timeout_s=submission.dial_s), PLACEMENT_SERVICE, "Place"
+    )
     call.send(_REQUEST(hello=_REQUEST.Hello(owner=submission.client)))
     first = call.recv(submission.dial_s)
     if first is None:
--- a/stairplank/configuration/client.py
+++ b/stairplank/configuration/client.py
@@ -8,7 +8,7 @@
 import gevent
 
 from ..proto import configuration_pb2 as pb
-from ..proto import path
+from ..proto import method_path
 from ..rpc import Channel, Limits, RpcError
 from . import publication
 from .convert import SERVICE, revision_from_message, revision_text_to_message, revision_to_message
@@ -65,9 +65,11 @@
 
 
 def _call(replica: str, method: str, request: Any, response_type: Any, timeout_s: float) -> Any:
-    channel = Channel(replica, Limits(message_bytes=2 * MAX_TEXT_BYTES), timeout_s)
+    channel = Channel(replica, Limits(max_message_bytes=2 * MAX_TEXT_BYTES), timeout_s)
     try:
-        return channel.unary(path(SERVICE, method), request, response_type.FromString, timeout_s=timeout_s)
+        return channel.unary(
+            method_path(SERVICE, method), request, response_type.FromString, timeout_s=timeout_s
+        )
     finally:
         channel.close()
 
--- a/stairplank/configuration/server.py
+++ b/stairplank/configuration/server.py
@@ -12,7 +12,7 @@
 
 from ..planner.clock import now_us
 from ..proto import configuration_pb2 as pb
-from ..proto import methods
+from ..proto import server_methods
 from ..proto.standard import Health, Reflection
 from ..rpc import Code, Limits, RpcError, Server, ServerCall
 from . import state_files
@@ -59,7 +59,7 @@
         self.announcers: set[gevent.Greenlet[..., Any]] = set()  # one a planner's stream
         health = Health((SERVICE.full_name,))
         names = (SERVICE.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
-        handlers = methods(
+        handlers = server_methods(
             SERVICE,
             Prepare=self._prepare,
             Commit=self._commit,
@@ -69,7 +69,9 @@
         )
         served = {**handlers, **health.methods(), **Reflection(names).methods()}
         limits = Limits(
-            message_bytes=2 * MAX_TEXT_BYTES, send_bytes=2 * MAX_TEXT_BYTES, connections=2 * MAX_STREAMS
+            max_message_bytes=2 * MAX_TEXT_BYTES,
+            max_unsent_bytes=2 * MAX_TEXT_BYTES,
+            max_connections=2 * MAX_STREAMS,
         )
         self.server = Server(listen, served, limits)
 
--- a/stairplank/configuration/startup.py
+++ b/stairplank/configuration/startup.py
@@ -8,7 +8,7 @@
 import structlog
 
 from ..proto import configuration_pb2 as pb
-from ..proto import path
+from ..proto import method_path
 from ..rpc import Channel, Limits, RpcError
 from . import state_files
 from .convert import SERVICE, revision_text_from_message
@@ -40,10 +40,12 @@
 
 
 def _fetch_committed(replica: str, timeout_s: float) -> RevisionText | None:
-    channel = Channel(replica, Limits(message_bytes=2 * MAX_TEXT_BYTES), timeout_s)
+    channel = Channel(replica, Limits(max_message_bytes=2 * MAX_TEXT_BYTES), timeout_s)
     try:
         request = pb.GetRequest()
-        answer = channel.unary(path(SERVICE, "Get"), request, pb.RevisionText.FromString, timeout_s=timeout_s)
+        answer = channel.unary(
+            method_path(SERVICE, "Get"), request, pb.RevisionText.FromString, timeout_s=timeout_s
+        )
     except RpcError:
         return None
     finally:
--- a/stairplank/configuration/watch.py
+++ b/stairplank/configuration/watch.py
@@ -18,8 +18,8 @@
 import structlog
 
 from ..planner.clock import now_us
-from ..proto import caller
 from ..proto import configuration_pb2 as pb
+from ..proto import open_call
 from ..rpc import Call, Channel, Limits, RpcError
 from . import state_files
 from .convert import SERVICE, revision_from_message, revision_to_message
@@ -99,11 +99,11 @@
 
     def _run_stream(self, replica: str) -> bool:
         """Serve one connection until it ends; return whether any message was received on it."""
-        limits = Limits(message_bytes=2 * MAX_TEXT_BYTES)
+        limits = Limits(max_message_bytes=2 * MAX_TEXT_BYTES)
         channel = Channel(replica, limits, DIAL_TIMEOUT_S)
         received_any = False
         try:
-            call = caller(channel, SERVICE, "Follow")
+            call = open_call(channel, SERVICE, "Follow")
             call.send(
                 pb.FollowRequest(hello=pb.FollowRequest.Hello(planner=self.planner, life=self.incarnation))
             )
--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -23,7 +23,7 @@
 from ..configuration.changes import ConfigurationChanges, compare_configurations
 from ..configuration.planner_configuration import watch_configuration
 from ..configuration.revision import NO_REVISION, Revision
-from ..proto import methods
+from ..proto import server_methods
 from ..proto.standard import Health, Reflection
 from ..rpc import Server
 from ..settings import PlannerConfig
@@ -72,7 +72,7 @@
     def _make_server(self) -> Server:
         names = (PLACEMENT_SERVICE.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
         served = {
-            **methods(PLACEMENT_SERVICE, Place=self.placement_service.place),
+            **server_methods(PLACEMENT_SERVICE, Place=self.placement_service.place),
             **self.health.methods(),
             **Reflection(names).methods(),
         }
@@ -83,7 +83,7 @@
     @property
     def is_leaving(self) -> bool:
         """Whether the process takes no new streams."""
-        return self.server.leaving
+        return self.server.draining
 
     def run(self) -> int:
         """Serve until SIGTERM or SIGINT; the exit code."""
@@ -118,7 +118,7 @@
         self.log.info("planner leaves", owed=self.core.requests.open_tasks)
         self.health.set(False)
         self.configuration.stop()
-        self.server.leave()
+        self.server.drain()
         self.handle(ev.ShutdownRequested())
         until = now_us() + self.config.shutdown_grace_us + SHUTDOWN_MARGIN_US
         while not self.core.finished and now_us() < until:
--- a/stairplank/planner/node_connection.py
+++ b/stairplank/planner/node_connection.py
@@ -9,7 +9,7 @@
 import gevent
 
 from ..fence import AgeStamp, MessageStamper
-from ..proto import caller, node_pb2
+from ..proto import node_pb2, open_call
 from ..rpc import Channel, Code, Limits, RpcError
 from . import convert
 from . import events as ev
@@ -120,14 +120,14 @@
         """Open the stream; the node's welcome. Raises RpcError."""
         config = self.process.config
         limits = Limits(
-            keepalive_s=config.keepalive_us[0] / 1e6,
+            keepalive_interval_s=config.keepalive_us[0] / 1e6,
             keepalive_timeout_s=config.keepalive_us[1] / 1e6,
-            message_bytes=config.max_message_bytes,
-            send_bytes=config.send_buffer_bytes,
+            max_message_bytes=config.max_message_bytes,
+            max_unsent_bytes=config.send_buffer_bytes,
         )
         timeout_s = config.dial_timeout_us / 1e6
         self.channel = Channel(address, limits, timeout_s)
-        self.call = caller(self.channel, NODE_SERVICE, "Offers")
+        self.call = open_call(self.channel, NODE_SERVICE, "Offers")
         self.call.send(_REQUEST(hello=self._hello()))
         self.sent.append(SentMessage(0, None))
         first = self.call.recv(timeout_s)
@@ -200,9 +200,9 @@
         except RpcError:
             pass  # the link is breaking: this message counts as unsent
         stream = self.call.stream
-        number = stream.queued - 1 if stream.error is None else NEVER_SENT
+        number = stream.messages_queued - 1 if stream.error is None else NEVER_SENT
         self.sent.append(SentMessage(number, attempt))
-        while self.sent and self.sent[0].number < stream.handed:
+        while self.sent and self.sent[0].number < stream.messages_started:
             self.sent.popleft()
         return True
 
@@ -236,7 +236,7 @@
         """Attempts of which not one byte was handed to the connection."""
         if self.call is None:
             return frozenset()
-        handed = self.call.stream.handed
+        handed = self.call.stream.messages_started
         return frozenset(
             sent.attempt for sent in self.sent if sent.attempt is not None and sent.number >= handed
         )
--- a/stairplank/planner/node_connections.py
+++ b/stairplank/planner/node_connections.py
@@ -7,7 +7,7 @@
 import gevent
 
 from ..fence import ClockStepDetector
-from ..proto import node_pb2, path
+from ..proto import method_path, node_pb2
 from ..rpc import Code, RpcError
 from . import convert
 from . import events as ev
@@ -152,5 +152,5 @@
             raise RpcError(Code.UNAVAILABLE, "no link", never_ran=True)
         timeout_s = timeout_us / 1e6
         return connection.channel.unary(
-            path(NODE_SERVICE, method), request, answer.FromString, timeout_s=timeout_s
+            method_path(NODE_SERVICE, method), request, answer.FromString, timeout_s=timeout_s
         )
--- a/stairplank/planner/node_list_watch.py
+++ b/stairplank/planner/node_list_watch.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-from ..proto import caller, directory_pb2, path
+from ..proto import directory_pb2, method_path, open_call
 from ..rpc import Channel, Limits, RpcError
 from . import convert
 from . import events as ev
@@ -38,7 +38,7 @@
         with self._directory() as channel:
             try:
                 message = channel.unary(
-                    path(DIRECTORY_SERVICE, "List"),
+                    method_path(DIRECTORY_SERVICE, "List"),
                     directory_pb2.ListRequest(planner=process.position),
                     directory_pb2.NodeList.FromString,
                     timeout_s=process.config.list_silence_timeout_us / 1e6,
@@ -53,7 +53,7 @@
         process = self._process
         with self._directory() as channel:
             try:
-                call = caller(channel, DIRECTORY_SERVICE, "Watch")
+                call = open_call(channel, DIRECTORY_SERVICE, "Watch")
                 call.send(directory_pb2.WatchRequest(planner=process.position, revision=revision))
                 call.close_send()
                 while (message := call.recv(process.config.list_silence_timeout_us / 1e6)) is not None:
@@ -69,7 +69,7 @@
         """A channel to the directory, closed at the end."""
         config = self._process.config
         limits = Limits(
-            keepalive_s=config.keepalive_us[0] / 1e6,
+            keepalive_interval_s=config.keepalive_us[0] / 1e6,
             keepalive_timeout_s=config.keepalive_us[1] / 1e6,
         )
         channel = Channel(config.directory, limits, config.list_silence_timeout_us / 2e6)
--- a/stairplank/planner/placement_service.py
+++ b/stairplank/planner/placement_service.py
@@ -226,4 +226,4 @@
 
 def _is_half_full(call: ServerCall) -> bool:
     """By the bound of this connection: it may have been made before send-buffer changed."""
-    return bool(call.stream.out_bytes > call.stream.connection.limits.send_bytes // 2)
+    return bool(call.stream.unsent_bytes > call.stream.connection.limits.max_unsent_bytes // 2)
--- a/stairplank/standin/client_pool.py
+++ b/stairplank/standin/client_pool.py
@@ -17,7 +17,7 @@
 from ..planner import events as ev
 from ..planner.clock import now_us
 from ..planner.services import PLACEMENT_SERVICE
-from ..proto import caller, placement_pb2
+from ..proto import open_call, placement_pb2
 from ..rpc import Channel, Code, Limits, RpcError
 from .client import CancelTask, Client, ClientAction, ClientModel, SubmitGroup, SubmitTask
 from .config import ClientPoolConfig, wait_for_begin
@@ -117,12 +117,12 @@
 
     def stream(self, planner: int, address: str) -> None:
         """Keep a stream to one planner, also over its restarts."""
-        limits = Limits(keepalive_s=2.0, keepalive_timeout_s=2.0)
+        limits = Limits(keepalive_interval_s=2.0, keepalive_timeout_s=2.0)
         while True:
             channel = self.channels[planner] = Channel(address, limits, 1.0)
             up = False
             try:
-                call = caller(channel, PLACEMENT_SERVICE, "Place")
+                call = open_call(channel, PLACEMENT_SERVICE, "Place")
                 self.epoch += 1
                 hello = _REQUEST.Hello(owner=self.model.name, session=self.session, epoch=self.epoch)
                 call.send(_REQUEST(hello=hello))
--- a/stairplank/standin/node_list_server.py
+++ b/stairplank/standin/node_list_server.py
@@ -14,7 +14,7 @@
 from ..planner.clock import now_us
 from ..planner.events import ListedNode
 from ..planner.services import DIRECTORY_SERVICE
-from ..proto import directory_pb2, methods
+from ..proto import directory_pb2, server_methods
 from ..rpc import Code, RpcError, Server, ServerCall
 from .config import NodeListConfig, wait_for_begin
 from .node_list_state import NodeListState
@@ -56,7 +56,7 @@
         self.not_hanging = Flag()
         self.not_hanging.set()
         self.updated = Flag()
-        handlers = methods(DIRECTORY_SERVICE, List=self.list, Watch=self.watch, Announce=self.announce)
+        handlers = server_methods(DIRECTORY_SERVICE, List=self.list, Watch=self.watch, Announce=self.announce)
         self.server = Server(config.listen, handlers)
 
     def start(self) -> None:
@@ -107,7 +107,7 @@
     def break_watches(self) -> None:
         """Break the watchers' streams; nodes go on announcing."""
         for connection in list(self.server.connections):
-            if any(call.path.endswith("/Watch") for call, _ in connection.calls.values()):
+            if any(call.path.endswith("/Watch") for call in connection.open_calls):
                 connection.close(RpcError(Code.UNAVAILABLE, "out of reach by script"))
 
     def check_reachable(self) -> None:
--- a/stairplank/standin/node_pool.py
+++ b/stairplank/standin/node_pool.py
@@ -14,7 +14,7 @@
 from ..planner import convert
 from ..planner.clock import now_us
 from ..planner.services import DIRECTORY_SERVICE, NODE_SERVICE
-from ..proto import caller, common_pb2, directory_pb2, methods, node_pb2
+from ..proto import common_pb2, directory_pb2, node_pb2, open_call, server_methods
 from ..rpc import Channel, Code, RpcError, Server, ServerCall
 from .config import NodeConfig, NodePoolConfig, wait_for_begin
 from .dedup_memory import DedupMemories
@@ -89,7 +89,7 @@
         seed = self.rng.randrange(2**63)
         self.node = Node(self.config.model, self.pool.copies, seed, now_us(), cold)
         self.started_unix_us = int(time.time() * 1e6) if cold else 0
-        handlers = methods(NODE_SERVICE, Offers=self.offers, Probe=self.probe, Held=self.list_tasks)
+        handlers = server_methods(NODE_SERVICE, Offers=self.offers, Probe=self.probe, Held=self.list_tasks)
         self.server = Server(self.addresses, handlers)
         self.addresses = self.server.addresses
         self.server.start()
@@ -322,7 +322,7 @@
         while self.node is not None:
             channel = Channel(directory)
             try:
-                call = caller(channel, DIRECTORY_SERVICE, "Announce")
+                call = open_call(channel, DIRECTORY_SERVICE, "Announce")
                 told = -1
                 while self.node is not None:
                     if self.changes() != told:
--- a/tests/planner/test_daemon.py
+++ b/tests/planner/test_daemon.py
@@ -13,7 +13,15 @@
 
 from stairplank.planner.daemon import Daemon
 from stairplank.planner.services import DIRECTORY_SERVICE, NODE_SERVICE, PLACEMENT_SERVICE
-from stairplank.proto import caller, common_pb2, directory_pb2, methods, node_pb2, path, placement_pb2
+from stairplank.proto import (
+    common_pb2,
+    directory_pb2,
+    method_path,
+    node_pb2,
+    open_call,
+    placement_pb2,
+    server_methods,
+)
 from stairplank.rpc import Channel, Code, RpcError, Server
 from stairplank.settings import load_planner
 
@@ -64,7 +72,7 @@
         self.reports = True
         self.hang = False
         self.held: list[Any] = []
-        handlers = methods(NODE_SERVICE, Offers=self.stream, Probe=self.probe, Held=self.hold)
+        handlers = server_methods(NODE_SERVICE, Offers=self.stream, Probe=self.probe, Held=self.hold)
         self.server = Server(["127.0.0.1:0"], handlers)
         self.server.start()
 
@@ -106,7 +114,9 @@
     def __init__(self, tmp_path: Path, nodes: int = 2) -> None:
         self.nodes = [FakeNode(n + 1) for n in range(nodes)]
         self.watchers: list[Any] = []
-        handlers = methods(DIRECTORY_SERVICE, List=self.list, Watch=self.watch, Announce=lambda call: None)
+        handlers = server_methods(
+            DIRECTORY_SERVICE, List=self.list, Watch=self.watch, Announce=lambda call: None
+        )
         self.directory = Server(["127.0.0.1:0"], handlers)
         self.directory.start()
         file = tmp_path / "planner.conf"
@@ -142,7 +152,7 @@
 
     def owner(self, name: str = "o") -> Any:
         channel = Channel(self.address)
-        call = caller(channel, PLACEMENT_SERVICE, "Place")
+        call = open_call(channel, PLACEMENT_SERVICE, "Place")
         call.send(_REQUEST(hello=_REQUEST.Hello(owner=name)))
         assert call.recv(WAIT).WhichOneof("kind") == "welcome"
         return call
@@ -199,7 +209,7 @@
     def place() -> list[str]:
         with grpc.insecure_channel(world.address) as channel:
             method = channel.stream_stream(
-                path(PLACEMENT_SERVICE, "Place"),
+                method_path(PLACEMENT_SERVICE, "Place"),
                 request_serializer=_REQUEST.SerializeToString,
                 response_deserializer=placement_pb2.PlaceEvent.FromString,
             )
@@ -220,7 +230,7 @@
     ],
 )
 def test_a_bad_first_message_names_the_field(world: World, request_: Any, code: Code, text: str) -> None:
-    call = caller(Channel(world.address), PLACEMENT_SERVICE, "Place")
+    call = open_call(Channel(world.address), PLACEMENT_SERVICE, "Place")
     call.send(request_)
     with pytest.raises(RpcError) as caught:
         call.recv(WAIT)
@@ -250,12 +260,16 @@
 
 def test_malformed_bytes_end_their_stream_alone(world: World) -> None:
     good = world.owner()
-    bad = Channel(world.address).call(path(PLACEMENT_SERVICE, "Place"), lambda raw: raw, lambda raw: raw)
+    bad = Channel(world.address).call(
+        method_path(PLACEMENT_SERVICE, "Place"), lambda raw: raw, lambda raw: raw
+    )
     bad.send(b"\xff\xff\xff garbage")
     with pytest.raises(RpcError) as caught:
         bad.recv(WAIT)
     assert caught.value.code is Code.INVALID_ARGUMENT
-    huge = Channel(world.address).call(path(PLACEMENT_SERVICE, "Place"), lambda raw: raw, lambda raw: raw)
+    huge = Channel(world.address).call(
+        method_path(PLACEMENT_SERVICE, "Place"), lambda raw: raw, lambda raw: raw
+    )
     huge.send(b"x" * 70_000)
     with pytest.raises(RpcError) as caught:
         huge.recv(WAIT)
@@ -273,7 +287,7 @@
 
 def test_owners_past_the_bound_are_turned_away(world: World) -> None:
     calls = [world.owner(f"o{i}") for i in range(4)]
-    call = caller(Channel(world.address), PLACEMENT_SERVICE, "Place")
+    call = open_call(Channel(world.address), PLACEMENT_SERVICE, "Place")
     call.send(_REQUEST(hello=_REQUEST.Hello(owner="one too many")))
     with pytest.raises(RpcError) as caught:
         call.recv(WAIT)
@@ -329,7 +343,7 @@
 def test_an_owner_s_deadline_ends_its_stream(world: World) -> None:
     for node in world.nodes:
         node.answer = False
-    call = caller(Channel(world.address), PLACEMENT_SERVICE, "Place", timeout_s=0.5)
+    call = open_call(Channel(world.address), PLACEMENT_SERVICE, "Place", timeout_s=0.5)
     call.send(_REQUEST(hello=_REQUEST.Hello(owner="o")))
     call.send(ask(1))
     with pytest.raises(RpcError) as caught:
--- a/tests/planner/test_daemon_fence.py
+++ b/tests/planner/test_daemon_fence.py
@@ -14,7 +14,7 @@
 
 from stairplank.planner.clock import now_us
 from stairplank.planner.services import PLACEMENT_SERVICE
-from stairplank.proto import caller, common_pb2, node_pb2
+from stairplank.proto import common_pb2, node_pb2, open_call
 from stairplank.rpc import Channel, Code, RpcError
 
 
@@ -27,7 +27,7 @@
 
 def stream(world: World, session: int = 0, epoch: int = 0, owner: str = "o") -> tuple[Any, int]:
     """An owner's stream, and the grant of its welcome."""
-    call = caller(Channel(world.address), PLACEMENT_SERVICE, "Place")
+    call = open_call(Channel(world.address), PLACEMENT_SERVICE, "Place")
     call.send(_REQUEST(hello=_REQUEST.Hello(owner=owner, session=session, epoch=epoch)))
     welcome = call.recv(WAIT)
     assert welcome.WhichOneof("kind") == "welcome"
--- a/tests/planner/test_daemon_settings.py
+++ b/tests/planner/test_daemon_settings.py
@@ -13,7 +13,7 @@
 from stairplank.configuration.changes import RestartRequiredError
 from stairplank.planner import events as ev
 from stairplank.planner.services import PLACEMENT_SERVICE
-from stairplank.proto import caller
+from stairplank.proto import open_call
 from stairplank.rpc import Channel, Code, RpcError
 from stairplank.settings import SettingsError
 
@@ -114,7 +114,7 @@
 def test_fewer_clients_are_let_in_and_those_that_are_here_stay(world: World) -> None:
     calls = [world.owner(f"o{n}") for n in range(2)]
     apply(world, ("owners-most 4", "owners-most 2"))
-    third = caller(Channel(world.address), PLACEMENT_SERVICE, "Place")
+    third = open_call(Channel(world.address), PLACEMENT_SERVICE, "Place")
     third.send(_REQUEST(hello=_REQUEST.Hello(owner="third")))
     with pytest.raises(RpcError) as caught:
         third.recv(WAIT)
@@ -134,7 +134,7 @@
     """Danger: the old stream of a session that is forgotten would be taken for a new one."""
 
     def hello(session: int, epoch: int) -> Any:
-        call = caller(Channel(world.address), PLACEMENT_SERVICE, "Place")
+        call = open_call(Channel(world.address), PLACEMENT_SERVICE, "Place")
         call.send(_REQUEST(hello=_REQUEST.Hello(owner="o", session=session, epoch=epoch)))
         return call
 
@@ -157,7 +157,10 @@
     limits = [
         session.call.stream.connection.limits for session in world.daemon.placement_service.sessions.values()
     ]
-    assert [(x.send_bytes, x.message_bytes) for x in limits] == [(1 << 16, 1 << 16), (1 << 20, 1 << 18)]
+    assert [(x.max_unsent_bytes, x.max_message_bytes) for x in limits] == [
+        (1 << 16, 1 << 16),
+        (1 << 20, 1 << 18),
+    ]
     for n, call in enumerate((old, new), 1):
         call.send(ask(n))
         assert word(call, "placed").ask == n
@@ -169,11 +172,11 @@
     (session,) = world.daemon.placement_service.sessions
     call = world.daemon.placement_service.sessions[session].call
     apply(world, ("send-buffer 64k", "send-buffer 1m"))
-    call.stream.out_bytes += 40_000  # more than half of what this connection may hold
+    call.stream.unsent_bytes += 40_000  # more than half of what this connection may hold
     try:
         world.daemon.placement_service.send(ev.SendToClient(session, ev.Offered(1, 1, 0)))
     finally:
-        call.stream.out_bytes -= 40_000
+        call.stream.unsent_bytes -= 40_000
     assert world.daemon.placement_service.dropped_messages == 1
 
 
