--- a/stairplank/platform/core.py
+++ b/stairplank/platform/core.py
@@ -32,9 +32,11 @@
 from .client_requests import ClientRequests
 from .client_sessions import ClientSessions
 from .event_queue import comes_before_time, is_new_placement
+from .health_checks import HealthChecks
 from .links import Links
 from .machines import Machines
 from .node_list import NodeListUpdate
+from .request_router import RequestRouter
 from .shutdown import Shutdown
 from .task_table import TaskTable
 
@@ -62,6 +64,7 @@
         self.shutdown = Shutdown(self.loop, settings, self.tasks)
         self.requests = ClientRequests(self.loop, settings, tenants, self.tasks, self.sessions, self.shutdown)
         self.attempts = Attempts(self.loop, settings, fields, self.tasks)
+        self.health_checks = HealthChecks(self.loop, fields)
         self.links = Links(self.loop, sockets, dial_timeout_us, priced, idle_us)
         self.adoption = Adoption(self.loop, self.attempts, self.requests, self.links)
         self.machines = Machines(self.loop, self.links, self.attempts, self.adoption)
@@ -72,7 +75,11 @@
             self.links,
             self.adoption,
         )
-        self.links.attempts, self.links.machines = self.attempts, self.machines.machines
+        self.health_checks.links = self.links
+        self.links.requests = RequestRouter(self.attempts, self.health_checks)
+        self.links.attempts = self.attempts
+        self.links.health_checks = self.health_checks
+        self.links.machines = self.machines.machines
         self.links.forget = self.machines.forget
         self.adoption.find_machine = self.machines.find
         self.survives_faults = False  # after a fault of our own, with a line in the log; else it is raised
@@ -98,7 +105,7 @@
             api.Bind: self.attempts.bind,
             api.StopAttempt: self.attempts.stop_attempt,
             api.Evict: self.attempts.evict,
-            api.HealthCheck: self.attempts.health_check_requested,
+            api.HealthCheck: self.health_checks.requested,
             api.Shed: self.requests.shed,
             api.Fail: self.requests.fail,
             api.SetTimer: lambda action: self.loop.call_at(action.at_us, self._timer, action.token),
--- a/stairplank/platform/links.py
+++ b/stairplank/platform/links.py
@@ -58,17 +58,29 @@
 FREE_SHARE = 16  # one in so many connections is kept free: a dial need not wait for a close
 
 
-class Attempts(Protocol):
+class Requests(Protocol):
+    """What the links need of the components that send requests."""
+
     def written(self, request: OutboundRequest, link: int) -> None: ...
     def not_written(self, request: OutboundRequest) -> bool: ...
     def unreachable(self, request: OutboundRequest, result: api.Result = ...) -> None: ...
     def broken(self, request: OutboundRequest) -> None: ...
     def recall(self, request: OutboundRequest) -> None: ...
-    def machine_lost(self, machine: int, before: int | None = None) -> None: ...
     def may_send(self, request: OutboundRequest) -> bool: ...
     def message_of(self, request: OutboundRequest) -> Message: ...
     def received(self, machine: int, link: int, message: Message) -> None: ...
-    def check_health(self, check: HealthCheck) -> None: ...
+
+
+class Attempts(Protocol):
+    """What the links need of the attempts at machines."""
+
+    def machine_lost(self, machine: int, before: int | None = None) -> None: ...
+
+
+class HealthChecks(Protocol):
+    """What the links need of the health checks."""
+
+    def check_machine(self, machine: int) -> None: ...
 
 
 class Links:
@@ -76,7 +88,9 @@
         self, loop: EventLoop, sockets: int, dial_timeout_us: int, has_handshake_price: bool, idle_us: int
     ) -> None:
         self.loop = loop
+        self.requests: Requests
         self.attempts: Attempts
+        self.health_checks: HealthChecks
         self.machines: dict[int, Machine] = {}  # kept by ``machines``
         self.links: dict[int, Link] = {}
         self.closing: dict[int, int] = {}  # connections that are read on, and their machines
@@ -134,14 +148,14 @@
             if isinstance(request, HealthCheck) and machine.status is api.NodeStatus.DRAINING:
                 machine.waiting.append(request)
             else:
-                self.attempts.unreachable(request, api.Result.NOT_SENT)
+                self.requests.unreachable(request, api.Result.NOT_SENT)
 
     # Sending
 
     def send(self, request: OutboundRequest) -> None:
         machine = self.machines.get(request.machine)
         if machine is None or machine.removed_at:
-            self.attempts.unreachable(request)
+            self.requests.unreachable(request)
             return
         ups = [k for k in machine.links.values() if k.is_up and not k.is_suspect]
         best = min(ups, key=lambda k: (len(k.outstanding), -k.opened_at), default=None)
@@ -218,14 +232,14 @@
         """Danger: what was decided a dial or a break ago may not leave now: the machine drains by this time,
         has restarted, so that it is cold or in another group, or the window in which a repeat is dropped is
         over."""
-        if not self.attempts.may_send(request):
+        if not self.requests.may_send(request):
             self.loop.count("may_not_leave")
-            self.attempts.unreachable(request, api.Result.NOT_SENT)
+            self.requests.unreachable(request, api.Result.NOT_SENT)
             return
         link.outstanding[request.id] = request
         link.used_at = self.loop.now
-        self.attempts.written(request, link.number)
-        self.loop.emit(ev.SendToMachine(link.number, self.attempts.message_of(request)))
+        self.requests.written(request, link.number)
+        self.loop.emit(ev.SendToMachine(link.number, self.requests.message_of(request)))
 
     def complete(self, request: OutboundRequest, *, unanswered: bool = False) -> None:
         """Nothing more is awaited for it. ``silent``: its answer did not come."""
@@ -315,14 +329,14 @@
         while (
             best is None and machine.waiting and machine.waiting[0].started_at + self.dial_timeout_us <= now
         ):
-            self.attempts.unreachable(machine.waiting.popleft(), result)
+            self.requests.unreachable(machine.waiting.popleft(), result)
         # Where nobody listens, none that waits will come through; else each dial answers for one.
         count = len(machine.waiting) if event.refused and not dialling else min(1, len(machine.waiting))
         for _ in range(count):
             if best is not None:
                 self._write(best, machine.waiting.popleft())
             elif not dialling:
-                self.attempts.unreachable(machine.waiting.popleft(), result)
+                self.requests.unreachable(machine.waiting.popleft(), result)
         self._dial_queued()
 
     def link_lost(self, event: ev.LinkLost) -> None:
@@ -355,14 +369,14 @@
         for id in event.ids if link is not None else ():
             request = link.outstanding.pop(id, None)  # type: ignore[union-attr]
             if request is not None:
-                self.attempts.not_written(request)
-                self.attempts.unreachable(request, api.Result.NOT_SENT)
+                self.requests.not_written(request)
+                self.requests.unreachable(request, api.Result.NOT_SENT)
 
     def may_send(self, link: int, id: str) -> bool:
         """Whether it is still to go there: not given up meanwhile, and allowed now."""
         known = self.links.get(link)
         request = known.outstanding.get(id) if known is not None else None
-        return request is not None and self.attempts.may_send(request)
+        return request is not None and self.requests.may_send(request)
 
     def close_all(self) -> None:
         """Nothing is out any more: all connections are closed, and none is made."""
@@ -375,13 +389,13 @@
         link = self.links.get(event.link)
         if link is None:
             if event.link in self.closing:
-                self.attempts.received(self.closing[event.link], event.link, event.message)
+                self.requests.received(self.closing[event.link], event.link, event.message)
             return
         machine = self.machines[link.machine]
         link.used_at = self.loop.now
         machine.last_received_at = link.used_at
         machine.failing_since = machine.refused_since = 0
-        self.attempts.received(machine.id, link.number, event.message)
+        self.requests.received(machine.id, link.number, event.message)
 
     # Dialling and closing
 
@@ -405,7 +419,7 @@
         """
         for request in link.outstanding.values():
             if link.is_up and request.id not in unsent:
-                self.attempts.recall(request)
+                self.requests.recall(request)
         self.loop.emit(ev.CloseLink(link.number))
         if link.is_up:
             self.closing[link.number] = link.machine
@@ -413,15 +427,15 @@
         requests, link.outstanding = list(link.outstanding.values()), {}
         again = []
         for request in requests:
-            if request.id in unsent and self.attempts.not_written(request):
+            if request.id in unsent and self.requests.not_written(request):
                 again.append(request)
             else:
-                self.attempts.broken(request)
+                self.requests.broken(request)
         for request in again:
             if self.loop.now < request.started_at + self.dial_timeout_us:
                 self.send(request)
             else:
-                self.attempts.unreachable(request)
+                self.requests.unreachable(request)
 
     def _check_machines(self, _: None) -> None:
         self.loop.call_at(self.loop.now + CHECK_INTERVAL_US, self._check_machines)
@@ -450,7 +464,7 @@
         """Danger: what waits for room would wait for the answers of others, up to its own time. After as long
         as a dial may take it goes elsewhere."""
         while machine.waiting and machine.waiting[0].started_at + self.dial_timeout_us < self.loop.now:
-            self.attempts.unreachable(machine.waiting.popleft(), api.Result.NOT_SENT)
+            self.requests.unreachable(machine.waiting.popleft(), api.Result.NOT_SENT)
 
     def _check_machine(self, machine: Machine) -> None:
         now = self.loop.now
@@ -503,9 +517,7 @@
             machine.failing_since = machine.refused_since = 0
         elif up and now - machine.checked_at > UNREACHABLE_US // 2:
             machine.checked_at = now
-            self.attempts.check_health(
-                HealthCheck(f"{self.loop.next_number() | 1 << 63:016x}", machine.id, now, is_requested=False)
-            )
+            self.health_checks.check_machine(machine.id)
 
     def _remove(self, machine: Machine) -> None:
         """It is gone from the list, and has had its time to report what became of its tasks."""
--- a/stairplank/platform/validation.py
+++ b/stairplank/platform/validation.py
@@ -116,3 +116,9 @@
             return ()
     out = tuple(values.get(name, math.nan) for name in names)
     return out if all(math.isfinite(v) for v in out) else ()
+
+
+def load_report_in(message: Message, names: tuple[str, ...]) -> tuple[float, ...]:
+    """The figures of a message's load report in the settings' order; none where it has no valid one."""
+    load = message.fields.get("load", "")
+    return parse_load_report(load, names) if load else ()
--- a/tests/platform/test_platform_adoption.py
+++ b/tests/platform/test_platform_adoption.py
@@ -63,7 +63,7 @@
     assert (
         not desk.core.adoption.waiting
         and not desk.core.tasks.by_id
-        and not desk.core.attempts.by_machine_and_id
+        and not desk.core.attempts.table.by_machine_and_id
     )
     assert len([w for n in range(2, 50) for w in desk.replies(n)]) == 48 and desk.replies(1) == []
 
--- a/tests/platform/test_platform_bounds.py
+++ b/tests/platform/test_platform_bounds.py
@@ -9,7 +9,7 @@
 from desk import Desk, name
 from gevent import socket as gsocket
 
-from stairplank.platform import attempts, logs, streams, task_table
+from stairplank.platform import attempt_table, attempts, logs, streams, task_table
 from stairplank.platform import events as ev
 from stairplank.platform.messages import Kind, Message
 
@@ -30,14 +30,14 @@
 
 
 def test_given_up_attempts_are_remembered_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(attempts, "MAX_ABANDONED", 5)
+    monkeypatch.setattr(attempt_table, "MAX_ABANDONED", 5)
     desk = Desk(machines=4)
     conn = desk.owner()
     for number in range(1, 20):
         desk.ask(conn, number, extras=f"cores:0.5;memory:1;service:{number:016x}")
         desk.connect()
         desk.feed(ev.ClientMessage(conn, Message(Kind.RELEASE, name(number), cause=16)))
-    assert len(desk.core.attempts.by_machine_and_id) == 5
+    assert len(desk.core.attempts.table.by_machine_and_id) == 5
 
 
 def test_attempts_under_way_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/platform/test_platform_core.py
+++ b/tests/platform/test_platform_core.py
@@ -8,7 +8,7 @@
 from stairplank import interface as api
 from stairplank.platform import (
     adoption,
-    attempts,
+    attempt_table,
     client_requests,
     client_sessions,
     jsonlines,
@@ -39,7 +39,7 @@
     assert desk.to_clients[-1] == (conn, answer(1, "from the machine"))
     desk.ends(link, 1)
     assert desk.replies(1) == [(conn, ANSWER, None), (conn, RELEASE, Cause.ENDED)]
-    assert not desk.core.tasks.by_id and not desk.core.attempts.by_machine_and_id
+    assert not desk.core.tasks.by_id and not desk.core.attempts.table.by_machine_and_id
 
 
 def test_what_the_module_gives_up_is_answered_at_once() -> None:
@@ -107,7 +107,7 @@
     desk.ends(link, 1, Cause.RESET)  # a second word changes nothing
     assert desk.replies(1) == [(conn, ANSWER, None), (conn, RELEASE, Cause.ENDED)]
     assert [m.body for _, m in desk.to_clients] == ["it was here", None]
-    assert len(desk.sent(1)) == 1 and not desk.core.attempts.by_machine_and_id
+    assert len(desk.sent(1)) == 1 and not desk.core.attempts.table.by_machine_and_id
     assert not any(node.silent or node.streak for node in desk.core.module.nodes.values())
 
 
@@ -250,7 +250,7 @@
     assert desk.to_machines[-1] == (link, Message(RELEASE, name(1), cause=Cause.CANCELLED))
     desk.ends(link, 1, Cause.CANCELLED)
     assert [w[1] for w in desk.replies(1)] == [ANSWER]  # it is owed no release
-    assert not desk.core.attempts.by_machine_and_id and not desk.core.tasks.by_id
+    assert not desk.core.attempts.table.by_machine_and_id and not desk.core.tasks.by_id
 
 
 def test_a_move_ends_the_task_here_and_there() -> None:
@@ -282,7 +282,7 @@
     desk.machine(link, Message(Kind.HEALTH_CHECK_RESULT, test.id, load, cause=1))
     (node,) = desk.core.module.nodes.values()
     assert node.free == (4.0, 20.0) and node.use == 0.9 / (12 / 16)
-    assert not desk.core.attempts.health_checks
+    assert not desk.core.health_checks.pending
 
 
 def test_the_module_believes_out_what_the_connections_carried() -> None:
@@ -306,7 +306,7 @@
         for node in desk.core.module.nodes.values():
             out = [
                 a.task.number
-                for (m, _), a in desk.core.attempts.by_machine_and_id.items()
+                for (m, _), a in desk.core.attempts.table.by_machine_and_id.items()
                 if m == node.entry.id and a.state.value in ("waiting", "sent", "running")
             ]
             assert sorted(out) == sorted(a.task.id for a in node.attempts.values())
@@ -663,8 +663,8 @@
         "conns": core.sessions.connections,
         "clients": core.sessions.by_client,
         "open_of": core.tasks.open_by_client,
-        "at": core.attempts.by_machine_and_id,
-        "tests": core.attempts.health_checks,
+        "at": core.attempts.table.by_machine_and_id,
+        "tests": core.health_checks.pending,
         "module's open": core.module.open,
         "module's attempts": core.module.attempts,
         "module's spread": core.module.spread,
@@ -752,9 +752,9 @@
     link, test = [(k, m) for k, m in desk.to_machines if m.kind is Kind.HEALTH_CHECK][-1]
     other = next(k for k, a in desk.up.items() if a != desk.up[link])
     desk.machine(other, Message(Kind.HEALTH_CHECK_RESULT, test.id, cause=1))
-    assert test.id in desk.core.attempts.health_checks
+    assert test.id in desk.core.health_checks.pending
     desk.machine(link, Message(Kind.HEALTH_CHECK_RESULT, test.id, cause=1))
-    assert test.id not in desk.core.attempts.health_checks
+    assert test.id not in desk.core.health_checks.pending
 
 
 def test_the_module_is_told_that_nothing_more_is_owed() -> None:
@@ -839,8 +839,8 @@
     conn = desk.owner()
     for number in range(1, 9):
         desk.ask(conn, number, at=f"s-0000000{number % 4 + 1}")
-    assert sorted(len(there) for there in desk.core.attempts.by_machine.values()) == [2, 2, 2, 2]
+    assert sorted(len(there) for there in desk.core.attempts.table.by_machine.values()) == [2, 2, 2, 2]
     for number in range(1, 9):
         desk.feed(ev.ClientMessage(conn, Message(RELEASE, name(number), cause=16)))
-    desk.passes(attempts.ABANDONED_US + 2 * attempts.SWEEP_US)
-    assert not desk.core.attempts.by_machine_and_id and not desk.core.attempts.by_machine
+    desk.passes(attempt_table.ABANDONED_US + 2 * attempt_table.SWEEP_US)
+    assert not desk.core.attempts.table.by_machine_and_id and not desk.core.attempts.table.by_machine
--- a/tests/platform/test_platform_drawn.py
+++ b/tests/platform/test_platform_drawn.py
@@ -43,9 +43,8 @@
 
 
 def a_broken_connection_is_taken_for_proof(patch: pytest.MonkeyPatch) -> None:
-    def broken(self: attempts.Attempts, thing: tables.Attempt | tables.HealthCheck) -> None:
-        if isinstance(thing, tables.Attempt):
-            self._over(thing, api.Result.NOT_SENT)
+    def broken(self: attempts.Attempts, attempt: tables.Attempt) -> None:
+        self._finish(attempt, api.Result.NOT_SENT)
 
     patch.setattr(attempts.Attempts, "broken", broken)
 
@@ -63,7 +62,7 @@
 
     def made(self: attempts.Attempts, *args: object) -> None:
         init(self, *args)  # type: ignore[arg-type]
-        self.by_machine_and_id = Forgets()
+        self.table.by_machine_and_id = Forgets()
 
     patch.setattr(attempts.Attempts, "__init__", made)
     patch.setattr(task_table, "MAX_UNPROVEN", 0)
