--- a/stairplank/platform/core.py
+++ b/stairplank/platform/core.py
@@ -33,11 +33,13 @@
 from .client_sessions import ClientSessions
 from .event_queue import comes_before_time, is_new_placement
 from .health_checks import HealthChecks
-from .links import Links
+from .link_checks import LinkChecks
+from .links import IDLE_LINK_US, Links
 from .machines import Machines
 from .node_list import NodeListUpdate
 from .request_router import RequestRouter
 from .shutdown import Shutdown
+from .tables import Machine
 from .task_table import TaskTable
 
 
@@ -65,9 +67,13 @@
         self.requests = ClientRequests(self.loop, settings, tenants, self.tasks, self.sessions, self.shutdown)
         self.attempts = Attempts(self.loop, settings, fields, self.tasks)
         self.health_checks = HealthChecks(self.loop, fields)
-        self.links = Links(self.loop, sockets, dial_timeout_us, priced, idle_us)
+        # Machines that never close an idle connection are treated as if they did so late.
+        idle_us = idle_us if idle_us > 0 else 2 * IDLE_LINK_US
+        machines: dict[int, Machine] = {}
+        self.links = Links(self.loop, machines, sockets, dial_timeout_us, priced, idle_us)
+        self.link_checks = LinkChecks(self.loop, self.links, self.attempts, self.health_checks, idle_us)
         self.adoption = Adoption(self.loop, self.attempts, self.requests, self.links)
-        self.machines = Machines(self.loop, self.links, self.attempts, self.adoption)
+        self.machines = Machines(self.loop, machines, self.links, self.attempts, self.adoption)
         self.shutdown.requests = self.requests
         self.requests.attempts, self.requests.adoption = self.attempts, self.adoption
         self.attempts.requests, self.attempts.links, self.attempts.adoption = (
@@ -77,10 +83,7 @@
         )
         self.health_checks.links = self.links
         self.links.requests = RequestRouter(self.attempts, self.health_checks)
-        self.links.attempts = self.attempts
-        self.links.health_checks = self.health_checks
-        self.links.machines = self.machines.machines
-        self.links.forget = self.machines.forget
+        self.link_checks.forget = self.machines.forget
         self.adoption.find_machine = self.machines.find
         self.survives_faults = False  # after a fault of our own, with a line in the log; else it is raised
         self._handlers: dict[type, Callable[[Any], None]] = {
@@ -122,7 +125,7 @@
         for update in known:
             self.machines.update(update)
             self._run()
-        self.links.start()
+        self.link_checks.start()
         self.attempts.start()
         self.requests.start()
         return self.loop.actions
@@ -215,6 +218,7 @@
         self.attempts.settings = event.settings
         self.shutdown.settings = event.settings
         self.links.set_dialling(event.dial_timeout_us, event.priced)
+        self.link_checks.set_dial_timeout(event.dial_timeout_us)
         self.loop.count("settings_changed")
         self.loop.emit(ev.SettingsInForce(event))
 
--- a/stairplank/platform/machines.py
+++ b/stairplank/platform/machines.py
@@ -3,7 +3,7 @@
 Invariants (tests/platform/test_platform_adoption.py):
 
 1. Only the list's own report of a machine's end, or a new one at its address, ends what stands there after
-   ``links.REMOVAL_GRACE_US``. Left out of a full list, it gets nothing new, and the rest goes on.
+   ``link_checks.REMOVAL_GRACE_US``. Left out of a full list, it gets nothing new, and the rest goes on.
 2. An empty full list is not believed while machines are known.
 3. An entry that cannot be used costs that entry (``node_list``): nothing here is changed by it.
 4. ``names`` and ``addresses`` have what ``machines`` has, at most ``MAX_MACHINES``.
@@ -37,10 +37,20 @@
 
 
 class Machines:
-    def __init__(self, loop: EventLoop, links: Links, attempts: Attempts, adoption: Adoption) -> None:
+    def __init__(
+        self,
+        loop: EventLoop,
+        machines: dict[int, Machine],
+        links: Links,
+        attempts: Attempts,
+        adoption: Adoption,
+    ) -> None:
+        """``machines``: the table to keep, which other components read."""
         self.loop = loop
-        self.links, self.attempts, self.adoption = links, attempts, adoption
-        self.machines: dict[int, Machine] = {}
+        self.machines = machines
+        self.links = links
+        self.attempts = attempts
+        self.adoption = adoption
         self.names: dict[str, int] = {}
         self.addresses: dict[str, int] = {}
 
--- a/tests/golden/test_golden_traces.py
+++ b/tests/golden/test_golden_traces.py
@@ -18,7 +18,7 @@
 
 from stairplank import decide
 from stairplank.planner import attempts as grpc_attempts
-from stairplank.platform import client_requests, links
+from stairplank.platform import client_requests, link_checks
 
 EXPECTED: dict[str, str] = json.loads(golden_digests.DIGESTS.read_text())
 TIMEOUT_S = 300
@@ -51,7 +51,7 @@
         (decide, "HOLD_POLL_US", "platform usual 1"),
         (decide, "COMFORT", "decisions 3"),
         (grpc_attempts, "SETTLE_US", "grpc groups-bad-day 1"),
-        (links, "CHECK_INTERVAL_US", "platform usual 2"),
+        (link_checks, "CHECK_INTERVAL_US", "platform usual 2"),
         (client_requests, "ANSWER_MARGIN_US", "platform strange 1012"),
     ],
 )
--- a/tests/platform/test_platform_adoption.py
+++ b/tests/platform/test_platform_adoption.py
@@ -6,7 +6,7 @@
 from desk import SECOND, Desk, name, notice, row
 
 from stairplank.interface import NodeStatus
-from stairplank.platform import adoption, links
+from stairplank.platform import adoption, link_checks
 from stairplank.platform import events as ev
 from stairplank.platform.messages import Cause, Kind, Message
 
@@ -126,7 +126,7 @@
     conn = desk.owner()
     desk.place(conn, 1)
     whole(desk)
-    desk.passes(links.REMOVAL_GRACE_US + SECOND)
+    desk.passes(link_checks.REMOVAL_GRACE_US + SECOND)
     assert len(desk.core.links.machines) == 3 and len(desk.replies(1)) == 1
     desk.place(conn, 2)
     assert [w[1] for w in desk.replies(2)] == [Kind.ANSWER]
@@ -138,7 +138,7 @@
     link = desk.place(conn, 1)
     holder = desk.machine_of(link)
     whole(desk, row(3 - holder))
-    desk.passes(links.REMOVAL_GRACE_US + 2 * SECOND)
+    desk.passes(link_checks.REMOVAL_GRACE_US + 2 * SECOND)
     assert [w[1] for w in desk.replies(1)] == [Kind.ANSWER]
     for number in range(2, 8):
         desk.place(conn, number)
@@ -171,7 +171,7 @@
     link = desk.place(conn, 1)
     desk.list_update(row(9, dial=desk.up[link]))
     assert desk.core.links.machines[next(iter(desk.core.links.machines))].status is NodeStatus.GONE
-    desk.passes(links.REMOVAL_GRACE_US + SECOND)
+    desk.passes(link_checks.REMOVAL_GRACE_US + SECOND)
     assert desk.replies(1)[-1] == (conn, RELEASE, Cause.RESET)
     assert [m.name for m in desk.core.links.machines.values()] == ["s-00000009"]
     assert list(desk.core.module.nodes) == list(desk.core.links.machines)
--- a/tests/platform/test_platform_core.py
+++ b/tests/platform/test_platform_core.py
@@ -165,7 +165,7 @@
     desk.connect()
     back = next((k for k, a in desk.up.items() if a == gone), None)
     if back is None:
-        desk.core.links._dial(next(m for m in desk.core.links.machines.values() if m.address == gone))
+        desk.core.links.pool.dial(next(m for m in desk.core.links.machines.values() if m.address == gone))
         desk._take(desk.core.loop.actions)
         desk.connect()
         back = next(k for k, a in desk.up.items() if a == gone)
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -23,7 +23,7 @@
     client_sessions,
     event_queue,
     jsonlines,
-    links,
+    link_pool,
     shutdown,
 )
 from stairplank.platform import events as ev
@@ -132,8 +132,8 @@
         return sock
 
     monkeypatch.setattr(module.address, "dial", dialled)
-    monkeypatch.setattr(links, "MIN_POOL", 1)
-    monkeypatch.setattr(links, "MAX_POOL", 1)
+    monkeypatch.setattr(link_pool, "MIN_POOL", 1)
+    monkeypatch.setattr(link_pool, "MAX_POOL", 1)
 
 
 def jammed(one: Live, machine: Machine, owner: Owner) -> list[str]:
--- a/tests/platform/test_platform_departed_clients.py
+++ b/tests/platform/test_platform_departed_clients.py
@@ -109,7 +109,7 @@
     one = live(machines=2)
     for machine in one.fleet:
         machine.fault = silent
-    one.service.core.links.max_links = 1
+    one.service.core.links.pool.max_links = 1
     owner, other = one.owner(), one.owner("127.0.0.9")
     first = one.off(other.ask, 1)
     taken = one.until(lambda: next((m for m in one.fleet if m.launched()), None))
@@ -118,7 +118,7 @@
     one.until(lambda: one.service.node_list.revision == 2)
     one.service.core.links.dial_timeout_us = 60_000_000  # it waits as long as it must
     id = one.off(owner.ask, 2)
-    one.until(lambda: one.service.core.links.dial_queue)
+    one.until(lambda: one.service.core.links.pool.dial_queue)
     has_left(one, owner, id, how)
     free.fault = None
     one.off(taken.say, taken.last(first), Message(Kind.RELEASE, first, cause=int(Cause.ERROR)))
--- a/tests/platform/test_platform_links.py
+++ b/tests/platform/test_platform_links.py
@@ -6,7 +6,7 @@
 from desk import SECOND, Desk, name, row
 
 from stairplank.platform import events as ev
-from stairplank.platform import links, machines, tables
+from stairplank.platform import link_checks, link_pool, links, machines, tables
 from stairplank.platform.messages import Cause, Kind, Message
 
 RELEASE, ANSWER = Kind.RELEASE, Kind.ANSWER
@@ -19,7 +19,7 @@
         desk.ask(conn, number, extras=f"cores:0.5;memory:1;service:{number:016x}")
         desk.connect()
     loads = [len(k.outstanding) for k in desk.core.links.links.values()]
-    assert len(loads) == desk.core.links.max_pool == links.MAX_POOL
+    assert len(loads) == desk.core.links.pool.max_pool == link_pool.MAX_POOL
     assert max(loads) <= 2 and sum(loads) == 9
 
 
@@ -46,7 +46,7 @@
         desk.connect()
         assert len(desk.core.links.links) <= 8  # a half
     desk.passes(SECOND)  # what waits for room goes elsewhere
-    assert len(desk.core.links.links) + len(desk.core.links.closing) <= 8
+    assert len(desk.core.links.links) + len(desk.core.links.pool.closing) <= 8
     sent = sum(len(desk.sent(n)) for n in range(1, 60))
     assert sent >= 50  # they share
 
@@ -96,7 +96,7 @@
     desk = Desk(machines=1)
     conn = desk.owner()
     first = desk.place(conn, 1)
-    desk.passes(4 * links.REFRESH_US)
+    desk.passes(4 * link_checks.REFRESH_US)
     assert desk.core.counts["dials"] >= 4 and first in desk.hung
     assert 1 <= len(desk.core.links.links) <= 3
 
@@ -112,7 +112,7 @@
             del desk.dials[dial]
             desk.feed(ev.LinkFailed(dial, False))
     assert desk.replies(1)[-1] == (conn, RELEASE, Cause.RESET)
-    assert links.UNREACHABLE_US < desk.now - began < 7_700_000  # its end is due within 8 s
+    assert link_checks.UNREACHABLE_US < desk.now - began < 7_700_000  # its end is due within 8 s
     # it comes back with the task: the copy is ended there
     assert link not in desk.up
     desk.ask(conn, 2)
@@ -168,7 +168,7 @@
     desk.list_update(row(1, "DELETED"))
     desk.ends(link, 1, Cause.RESET, note="dr")
     assert desk.replies(1) == [(conn, RELEASE, Cause.RESET)] and desk.replies(2) == []
-    desk.passes(links.REMOVAL_GRACE_US + SECOND)
+    desk.passes(link_checks.REMOVAL_GRACE_US + SECOND)
     assert desk.replies(2) == [(conn, RELEASE, Cause.RESET)]
     assert len(desk.core.links.machines) == 1 and link in desk.hung
 
@@ -238,11 +238,11 @@
     while first not in desk.hung:
         desk.feed(after=50_000)
         desk.connect()
-    desk.core.links.closing.setdefault(first, next(iter(desk.core.links.machines)))
+    desk.core.links.pool.closing.setdefault(first, next(iter(desk.core.links.machines)))
     desk.ends(first, 1)
     assert desk.replies(1)[-1] == (conn, RELEASE, Cause.ENDED)
     desk.feed(ev.LinkLost(first, frozenset()))
-    assert not desk.core.links.closing
+    assert not desk.core.links.pool.closing
 
 
 def test_a_machine_at_which_tasks_stand_is_dialled_at_once_when_a_connection_breaks() -> None:
@@ -270,7 +270,7 @@
     desk.ask(conn, 1, "once")
     desk.connect()
     desk.feed(ev.LinkLost(desk.sent(1)[0][0], frozenset()))
-    assert not desk.core.links.closing
+    assert not desk.core.links.pool.closing
 
 
 def test_what_is_out_on_a_connection_that_is_closed_is_called_back_before_it_goes_elsewhere() -> None:
@@ -336,13 +336,13 @@
     ended = 0
     for turn in range(400):
         desk.feed(after=50_000)
-        most = max(most, len(table.links) + len(table.closing))
+        most = max(most, len(table.links) + len(table.pool.closing))
         assert most <= 780 // 2
         new = list(desk.dials)
         desk.connect()
         for link in new:
             number = desk.machine_of(link)
-            assert desk.now - seen[number] > links.REFRESH_US or not seen[number]
+            assert desk.now - seen[number] > link_checks.REFRESH_US or not seen[number]
             seen[number] = desk.now
             if number % 8 == 0 and turn > 200:  # its task has ended: said on the next connection
                 desk.ends(link, number)
@@ -350,7 +350,7 @@
     assert most > 200 and ended >= 128
     # each was dialled within the time in which the end of a task is due
     assert all(desk.now - at < 7 * SECOND for number, at in seen.items() if number % 8)
-    assert len(table.dial_queue) <= 1024
+    assert len(table.pool.dial_queue) <= 1024
 
 
 def test_what_waits_for_room_leaves_as_soon_as_a_connection_has_closed() -> None:
@@ -366,7 +366,7 @@
             if desk.ending:
                 desk.feed(ev.LinkLost(desk.ending.pop(), frozenset()))
             desk.connect()
-            assert len(desk.core.links.links) + len(desk.core.links.closing) <= 2
+            assert len(desk.core.links.links) + len(desk.core.links.pool.closing) <= 2
         desk.machine(desk.sent(number)[-1][0], Message(ANSWER, name(number), body="b"))
     assert desk.core.counts["closed_for_room"] >= 4
 
@@ -387,17 +387,17 @@
     conn = desk.owner()
     table = desk.core.links
     numbers = list(table.machines)
-    table.max_links = 0
+    table.pool.max_links = 0
     desk.ask(conn, 1, at="s-00000006")
     for _ in range(3):
         desk.feed(after=100_000)
-    assert list(table.dial_queue) == [numbers[5]]
+    assert list(table.pool.dial_queue) == [numbers[5]]
     for number in numbers[:5]:
         table.machines[number].waiting.append(tables.HealthCheck("f" * 16, number, desk.now))
-        table.dial_queue[number] = None
-    table.max_links = 2
-    table._dial_queued()
-    assert numbers[5] not in table.dial_queue and len(table.dial_queue) == 4
+        table.pool.dial_queue[number] = None
+    table.pool.max_links = 2
+    table.pool.dial_queued()
+    assert numbers[5] not in table.pool.dial_queue and len(table.pool.dial_queue) == 4
 
 
 def test_a_machine_that_is_heard_is_dialled_less_often_and_a_silent_one_in_time() -> None:
@@ -413,8 +413,8 @@
         return desk.core.counts["dials"] - before
 
     span = 24 * SECOND
-    assert span // links.REFRESH_US - 1 <= dials(False) <= span // links.REFRESH_US
-    assert span // links.RENEW_US - 1 <= dials(True) <= span // links.RENEW_US
+    assert span // link_checks.REFRESH_US - 1 <= dials(False) <= span // link_checks.REFRESH_US
+    assert span // link_checks.RENEW_US - 1 <= dials(True) <= span // link_checks.RENEW_US
 
 
 def test_all_that_wait_leave_with_the_last_connection_that_comes_up() -> None:
@@ -422,7 +422,7 @@
     desk = Desk(machines=1)
     conn, table = desk.owner(), desk.core.links
     machine = next(iter(table.machines.values()))
-    for number in range(1, table.max_pool + 1):
+    for number in range(1, table.pool.max_pool + 1):
         desk.ask(conn, number, "once", extras=f"cores:0.1;memory:1;service:{number:016x}")
         desk.connect()
     for link in machine.links.values():
@@ -466,7 +466,7 @@
     conn = desk.owner()
     for number in range(1, machines + 1):
         desk.ask(conn, number, at=f"s-{number:08x}")
-    desk.feed(after=2 * links.CHECK_ROUNDS * links.CHECK_INTERVAL_US)
+    desk.feed(after=2 * link_checks.CHECK_ROUNDS * link_checks.CHECK_INTERVAL_US)
     desk.connect()
     assert len(desk.up) == 2
     return desk
@@ -475,24 +475,24 @@
 def test_no_more_connections_are_closed_for_room_than_machines_wait() -> None:
     desk = crowded()
     table = desk.core.links
-    table.dial_queue.clear()
-    table.closing.clear()
+    table.pool.dial_queue.clear()
+    table.pool.closing.clear()
     table.loop.begin(desk.now)
     waits = next(m for m in table.machines.values() if not m.links)
     for _ in range(3):
-        table._dial_or_queue(waits)
-    assert len(table.closing) == 1 and len(table.links) == 1
+        table.pool.dial_or_queue(waits)
+    assert len(table.pool.closing) == 1 and len(table.links) == 1
 
 
 def test_a_machine_that_left_waits_for_no_connection() -> None:
     desk = crowded()
     table = desk.core.links
     waits = next(m for m in table.machines.values() if not m.links)
-    table.dial_queue = {waits.id: None}
-    table.max_links = 0
+    table.pool.dial_queue = {waits.id: None}
+    table.pool.max_links = 0
     desk.list_update(row(int(waits.name[2:], 16), "DELETED"))
-    desk.feed(after=links.REMOVAL_GRACE_US + SECOND)
-    assert waits.id not in table.machines and waits.id not in table.dial_queue
+    desk.feed(after=link_checks.REMOVAL_GRACE_US + SECOND)
+    assert waits.id not in table.machines and waits.id not in table.pool.dial_queue
 
 
 def test_the_connection_of_which_its_machine_has_a_newer_one_is_closed_first() -> None:
@@ -504,12 +504,12 @@
     table = desk.core.links
     single, double = table.machines.values()
     table.loop.begin(desk.now)
-    table._dial(double)
+    table.pool.dial(double)
     desk._take(table.loop.actions)
     older = max(double.links.values(), key=lambda k: k.is_up)
     desk.connect()
     older.used_at = desk.now + SECOND  # the one that was used last of all
-    table._close_idle(1)
+    table.pool.close_idle(1)
     assert older.number not in table.links and len(single.links) == len(double.links) == 1
 
 
@@ -521,8 +521,8 @@
     for _ in range(100):
         desk.feed(after=50_000)
         desk.connect()
-    desk.feed(after=links.CHECK_INTERVAL_US)
-    assert len(desk.core.links.links) <= 32 - 32 // links.FREE_SHARE
+    desk.feed(after=link_checks.CHECK_INTERVAL_US)
+    assert len(desk.core.links.links) <= 32 - 32 // link_pool.FREE_SHARE
 
 
 def test_one_that_waits_for_room_is_dialled_only_while_it_has_a_use_for_it() -> None:
@@ -530,17 +530,17 @@
     table = desk.core.links
     gone, unused = [m for m in table.machines.values() if not m.links]
     gone.removed_at, unused.running_count = desk.now, 0
-    table.dial_queue, table.max_links = dict.fromkeys((gone.id, unused.id)), 10
-    table._dial_queued()
-    assert not table.dial_queue and not gone.links and not unused.links
+    table.pool.dial_queue, table.pool.max_links = dict.fromkeys((gone.id, unused.id)), 10
+    table.pool.dial_queued()
+    assert not table.pool.dial_queue and not gone.links and not unused.links
 
 
 def test_what_was_lost_on_a_broken_connection_is_asked_for_as_soon_as_there_is_room() -> None:
     desk = Desk(machines=1)
     link = desk.place(desk.owner(), 1)
-    desk.core.links.max_links = 0
+    desk.core.links.pool.max_links = 0
     desk.feed(ev.LinkLost(link, frozenset()))
     assert not desk.dials
-    desk.core.links.max_links = 2
-    desk.feed(after=2 * links.CHECK_INTERVAL_US)
+    desk.core.links.pool.max_links = 2
+    desk.feed(after=2 * link_checks.CHECK_INTERVAL_US)
     assert len(desk.dials) == 1
--- a/tests/platform/test_platform_settings_reload.py
+++ b/tests/platform/test_platform_settings_reload.py
@@ -214,8 +214,9 @@
     desk.feed(replace(change_of(desk), dial_timeout_us=900_000, priced=True))
     links = desk.core.links
     assert (links.dial_timeout_us, links.max_outstanding) == (900_000, 4)
-    started = Desk(dial_timeout_us=900_000).core.links
-    assert (links.refresh_us, links.renew_us) == (started.refresh_us, started.renew_us)
+    started = Desk(dial_timeout_us=900_000).core.link_checks
+    checks = desk.core.link_checks
+    assert (checks.refresh_us, checks.renew_us) == (started.refresh_us, started.renew_us)
 
 
 def test_a_window_is_looked_at_with_the_settings_in_force() -> None:
--- a/tests/scale/counted_site.py
+++ b/tests/scale/counted_site.py
@@ -70,13 +70,13 @@
     def count_looks(self) -> list[str]:
         """The workers at which the planner looks from now on, by name."""
         looked: list[str] = []
-        look_at = self.core.links._check_machine
+        look_at = self.core.link_checks._check_machine
 
         def counted(machine: Any) -> None:
             looked.append(machine.name)
             look_at(machine)
 
-        self.core.links._check_machine = counted  # type: ignore[method-assign]
+        self.core.link_checks._check_machine = counted  # type: ignore[method-assign]
         return looked
 
     # Time
--- a/tests/scale/test_scaling_counts.py
+++ b/tests/scale/test_scaling_counts.py
@@ -8,7 +8,7 @@
 import pytest
 from counted_site import SECOND, CountedSite, Rates, row
 
-from stairplank.platform import links
+from stairplank.platform import link_checks
 from stairplank.platform.messages import Kind, Message
 
 SIZES = (50, 100, 200, 400, 820)
@@ -18,9 +18,9 @@
 AFTER_ALL_S = 70.0  # longer than anything is kept, the longest a release for a client that has gone
 STARTED = 40
 # A worker of which nothing is awaited is looked at this often, so a renewal waits so much longer.
-LOOK_S = links.CHECK_ROUNDS * links.CHECK_INTERVAL_US / SECOND
-SILENT_PERIOD_S = links.REFRESH_US / SECOND + LOOK_S
-HEARD_PERIOD_S = links.RENEW_US / SECOND + LOOK_S
+LOOK_S = link_checks.CHECK_ROUNDS * link_checks.CHECK_INTERVAL_US / SECOND
+SILENT_PERIOD_S = link_checks.REFRESH_US / SECOND + LOOK_S
+HEARD_PERIOD_S = link_checks.RENEW_US / SECOND + LOOK_S
 
 
 def standing(workers: int, busy: int, each: int = 1) -> CountedSite:
@@ -158,7 +158,7 @@
     site = standing(workers, 25, each=each)
     before = site.counts()
     site.list_update(*(row(number, "DELETED") for number in range(1, gone + 1)))
-    site.run(links.REMOVAL_GRACE_US / SECOND + 1.0)
+    site.run(link_checks.REMOVAL_GRACE_US / SECOND + 1.0)
     after = site.counts()
     assert after.to_clients - before.to_clients == gone * each  # a release of each task
     assert after.to_workers - before.to_workers == gone * each  # each is told to end, should it run on
