--- a/stairplank/platform/core.py
+++ b/stairplank/platform/core.py
@@ -1,8 +1,8 @@
 """The platform's core: routes events to its components, advances time, runs the decision module. No I/O,
 clock or global state.
 
-``handle`` takes the time and events and returns actions; ``next_due`` returns when it wants a ``Due``. Where
-a task goes is decided by ``decide.Planner`` alone, which gets the events that ``simhost`` gives it.
+``handle`` takes the time and events and returns actions; ``next_due`` returns when it wants a ``TimerDue``.
+Where a task goes is decided by ``decide.Planner`` alone, which gets the events that ``simhost`` gives it.
 
 | component | responsible for |
 | --- | --- |
@@ -10,8 +10,10 @@
 | ``sessions`` | connections of clients, releases on their way |
 | ``tasks`` | the table of tasks, its bounds |
 | ``shutdown`` | what is answered, and when, after SIGTERM |
-| ``attempts`` | attempts at machines, tests, leftovers |
-| ``links`` | connections to machines, whether a machine is still there |
+| ``attempts`` | attempts at machines, those that were abandoned |
+| ``health_checks`` | health checks of machines |
+| ``links`` | connections to machines, and what is sent on them |
+| ``link_checks`` | whether a machine is still there, which connections are due or idle |
 | ``machines`` | which machines there are, by the list |
 | ``adoption`` | tasks that run already, as their clients, the list and machines report them |
 """
@@ -44,9 +46,7 @@
 
 
 class Core:
-    """One life of a planner. ``fields``: of load reports, as machines name them, in the settings' order.
-    ``priced``: whether a connection has a price; ``idle_us``: when machines close one; ``tenants``: by name,
-    in the settings' order."""
+    """One incarnation of a planner."""
 
     def __init__(
         self,
@@ -59,6 +59,18 @@
         idle_us: int = 30_000_000,
         tenants: tuple[str, ...] = (),
     ) -> None:
+        """Make a core that has started nothing yet.
+
+        Args:
+            settings: the cluster's settings.
+            fields: of load reports, as machines name them, in the settings' order.
+            seed: of the decision module's random numbers.
+            sockets: how many connections clients and machines may have together.
+            dial_timeout_us: how long a dial may take.
+            priced: whether a connection has a price.
+            idle_us: when machines close an idle connection; 0 for never.
+            tenants: by name, in the settings' order.
+        """
         self.loop = EventLoop()
         self.module = Planner(settings, seed)
         self.tasks = TaskTable(self.loop)
@@ -74,19 +86,26 @@
         self.link_checks = LinkChecks(self.loop, self.links, self.attempts, self.health_checks, idle_us)
         self.adoption = Adoption(self.loop, self.attempts, self.requests, self.links)
         self.machines = Machines(self.loop, machines, self.links, self.attempts, self.adoption)
+        self._connect_components()
+        self.survives_faults = False  # after a fault of our own, with a line in the log; else it is raised
+        self._handlers = self._event_handlers()
+        self._action_handlers = self._module_action_handlers()
+
+    def _connect_components(self) -> None:
+        """Give the components those that were made after them."""
         self.shutdown.requests = self.requests
-        self.requests.attempts, self.requests.adoption = self.attempts, self.adoption
-        self.attempts.requests, self.attempts.links, self.attempts.adoption = (
-            self.requests,
-            self.links,
-            self.adoption,
-        )
+        self.requests.attempts = self.attempts
+        self.requests.adoption = self.adoption
+        self.attempts.requests = self.requests
+        self.attempts.links = self.links
+        self.attempts.adoption = self.adoption
         self.health_checks.links = self.links
         self.links.requests = RequestRouter(self.attempts, self.health_checks)
         self.link_checks.forget = self.machines.forget
         self.adoption.find_machine = self.machines.find
-        self.survives_faults = False  # after a fault of our own, with a line in the log; else it is raised
-        self._handlers: dict[type, Callable[[Any], None]] = {
+
+    def _event_handlers(self) -> dict[type, Callable[[Any], None]]:
+        return {
             ev.ClientConnected: self.requests.connected,
             ev.ClientMessage: self.requests.received,
             ev.ClientHungUp: self.requests.hung_up,
@@ -104,7 +123,9 @@
             ev.SettingsChanged: self._settings_changed,
             ev.TimerDue: lambda event: None,
         }
-        self._action_handlers: dict[type, Callable[[Any], None]] = {
+
+    def _module_action_handlers(self) -> dict[type, Callable[[Any], None]]:
+        return {
             api.Bind: self.attempts.bind,
             api.StopAttempt: self.attempts.stop_attempt,
             api.Evict: self.attempts.evict,
@@ -118,7 +139,7 @@
         }
 
     def start(self, now: int, known: Iterable[NodeListUpdate]) -> list[ev.Action]:
-        """The first call of a life, with the node list updates that are known by then."""
+        """The first call, with the node list updates that are known by then."""
         self.loop.begin(now)
         self.loop.notify_module(api.Started())
         self._run()
@@ -136,17 +157,17 @@
         events = list(events)
         first = list(takewhile(comes_before_time, events))
         for event in first:
-            self._take(self._handlers[type(event)], event)
+            self._run_guarded(self._handlers[type(event)], event)
         self._pass_time()
         for event in events[len(first) :]:
-            self._take(self._handlers[type(event)], event)
+            self._run_guarded(self._handlers[type(event)], event)
         return self.loop.actions
 
     def handle_messages(self, now: int, events: Iterable[ev.Event]) -> list[ev.Action]:
         """Take a part of what came while the process stood still; the time that has passed is felt later."""
         self.loop.begin(now)
         for event in events:
-            self._take(self._handlers[type(event)], event)
+            self._run_guarded(self._handlers[type(event)], event)
         return self.loop.actions
 
     def handle_after_stall(self, now: int, events: Iterable[ev.Event]) -> list[ev.Action]:
@@ -160,11 +181,11 @@
         events = sorted(events, key=lambda e: not isinstance(e, _FIRST))
         for event in events:
             if not is_new_placement(event):
-                self._take(self._handlers[type(event)], event)
+                self._run_guarded(self._handlers[type(event)], event)
         self._pass_time()
         for event in events:
             if is_new_placement(event):
-                self._take(self._handlers[type(event)], event)
+                self._run_guarded(self._handlers[type(event)], event)
         return self.loop.actions
 
     def may_send(self, now: int, link: int, id: str) -> bool:
@@ -173,14 +194,15 @@
         return self.links.may_send(link, id)
 
     def next_due(self) -> int | None:
-        """When a ``Due`` is wanted, or None."""
+        """When a ``TimerDue`` is wanted, or None."""
         return self.loop.next_due()
 
     @property
     def counts(self) -> dict[str, int]:
+        """The counters, by name."""
         return self.loop.counts
 
-    def _take(self, call: Callable[[Any], None], what: Any) -> None:
+    def _run_guarded(self, call: Callable[[Any], None], what: Any) -> None:
         """Danger: one fault, whatever it is, would end the turns for good, and all that is owed would be lost
         with a process that looks alive. What it touched may be in disorder; the rest is not."""
         again = True
@@ -205,7 +227,7 @@
 
     def _pass_time(self) -> None:
         while (due := self.loop.pop_due()) is not None:
-            self._take(due.call, due.what)
+            self._run_guarded(due.call, due.what)
 
     def _settings_changed(self, event: ev.SettingsChanged) -> None:
         """Every place that holds settings takes the new ones in this turn.
--- a/stairplank/platform/link_checks.py
+++ b/stairplank/platform/link_checks.py
@@ -110,8 +110,8 @@
             if not machine.running_count or now > machine.removed_at + REMOVAL_GRACE_US:
                 self._remove(machine)
             return
-        links_up = [k for k in machine.links.values() if k.is_up]
-        if len(links_up) == len(machine.links) and now >= machine.next_dial_at:
+        links_up = machine.links_up()
+        if not machine.dials() and now >= machine.next_dial_at:
             self._dial_if_due(machine, links_up)
         self._close_unused(machine, links_up)
         if machine.failing_since:
--- a/stairplank/platform/link_pool.py
+++ b/stairplank/platform/link_pool.py
@@ -81,7 +81,7 @@
         received."""
         while self.dial_queue and self.capacity() > 0:
             machine = self.machines.get(self._next_queued())
-            if machine is None or machine.removed_at or not all(k.is_up for k in machine.links.values()):
+            if machine is None or machine.removed_at or machine.dials():
                 continue
             if machine.waiting or machine.running_count:
                 self.dial(machine)
--- a/stairplank/platform/links.py
+++ b/stairplank/platform/links.py
@@ -74,6 +74,7 @@
     # Questions
 
     def is_ready(self, machine: int) -> bool:
+        """Whether the list has the machine as ready for new work."""
         known = self.machines.get(machine)
         return known is not None and known.status is api.NodeStatus.READY
 
@@ -85,11 +86,15 @@
     # Events of the node list
 
     def close_links_to(self, machine: Machine) -> None:
+        """Close all connections to the machine."""
         for link in list(machine.links.values()):
             self.close(link)
 
     def drop_waiting(self, machine: Machine) -> None:
-        """Danger: a set-up that waited for its connection would leave after the drain was reported."""
+        """Drop what waits for a connection; health checks still go to a machine that is draining.
+
+        Danger: a placement request that waited for its connection would leave after the drain was reported.
+        """
         waiting, machine.waiting = machine.waiting, deque()
         for request in waiting:
             if isinstance(request, HealthCheck) and machine.status is api.NodeStatus.DRAINING:
@@ -100,28 +105,30 @@
     # Sending
 
     def send(self, request: OutboundRequest) -> None:
+        """Send it on the best connection, or have it wait for a new one."""
         machine = self.machines.get(request.machine)
         if machine is None or machine.removed_at:
             self.requests.unreachable(request)
             return
-        ups = [k for k in machine.links.values() if k.is_up and not k.is_suspect]
-        best = min(ups, key=lambda k: (len(k.outstanding), -k.opened_at), default=None)
-        if best is not None and self._is_stale(best):
-            ups = [k for k in ups if not self._is_stale(k)]
-            best = min(ups, key=lambda k: (len(k.outstanding), -k.opened_at), default=None)
+        best = self._best_link(machine)
         if best is not None and len(best.outstanding) < self.max_outstanding:
             self._write(best, request)
             return
-        dialling = sum(1 for k in machine.links.values() if not k.is_up)
-        if dialling * self.max_outstanding <= len(machine.waiting) and self.pool.may_dial(machine):
+        dials = machine.dials()
+        if dials * self.max_outstanding <= len(machine.waiting) and self.pool.may_dial(machine):
             self.pool.dial(machine)
-            dialling += 1
-        if dialling * self.max_outstanding > len(machine.waiting) or best is None:
-            machine.waiting.append(request)
-            if not dialling:
-                self.pool.dial_or_queue(machine)
-        else:
+            dials += 1
+        if best is not None and dials * self.max_outstanding <= len(machine.waiting):
             self._write(best, request)
+            return
+        machine.waiting.append(request)
+        if not dials:
+            self.pool.dial_or_queue(machine)
+
+    def _best_link(self, machine: Machine) -> Link | None:
+        """The usable connection with the fewest requests outstanding, the newest of these."""
+        usable = [link for link in machine.usable_links() if not self._is_stale(link)]
+        return min(usable, key=lambda link: (len(link.outstanding), -link.opened_at), default=None)
 
     def _is_stale(self, link: Link) -> bool:
         """Whether its machine may be about to close it as idle."""
@@ -129,8 +136,8 @@
 
     def _write(self, link: Link, request: OutboundRequest) -> None:
         """Danger: what was decided a dial or a break ago may not leave now: the machine drains by this time,
-        has restarted, so that it is cold or in another group, or the window in which a repeat is dropped is
-        over."""
+        has restarted, so that it is warming up or in another group, or the window in which a repeat is
+        dropped is over."""
         if not self.requests.may_send(request):
             self.loop.count("may_not_leave")
             self.requests.unreachable(request, api.Result.NOT_SENT)
@@ -141,7 +148,8 @@
         self.loop.emit(ev.SendToMachine(link.number, self.requests.message_of(request)))
 
     def complete(self, request: OutboundRequest, *, unanswered: bool = False) -> None:
-        """Nothing more is awaited for it. ``silent``: its answer did not come."""
+        """Nothing more is awaited for it. ``unanswered``: its answer did not come in time."""
+        """A machine's message; a connection that is being closed is still read."""
         link = self.links.get(request.link)
         if link is None or link.outstanding.get(request.id) is not request:
             machine = self.machines.get(request.machine)
@@ -158,8 +166,8 @@
     def send_message(
         self, machine: int, message: Message, link: int = 0, *, must_arrive: bool = False
     ) -> None:
-        """Send a message that expects no answer: on that connection, or, with ``keep``, on any, or on the
-        next."""
+        """Send a message that expects no answer: on that connection, or, with ``must_arrive``, on any,
+        or on the next."""
         known = self.machines.get(machine)
         if known is None:
             return
@@ -169,13 +177,14 @@
             return
         if link and not must_arrive:
             return  # the closing of its connection has given it up already
-        up = next((k for k in known.links.values() if k.is_up and not k.is_suspect), None)
-        if up is not None:
-            self.loop.emit(ev.SendToMachine(up.number, message))
+        usable = known.usable_links()
+        if usable:
+            self.loop.emit(ev.SendToMachine(usable[0].number, message))
         elif len(known.pending_messages) < MAX_PENDING_MESSAGES:
             known.pending_messages[message.id] = message
 
     def add_running(self, machine: int, by: int) -> None:
+        """That many more tasks run at the machine."""
         known = self.machines.get(machine)
         if known is not None:
             known.running_count += by
@@ -183,102 +192,110 @@
     # Events of connections
 
     def link_up(self, event: ev.LinkUp) -> None:
+        """A connection has come up: what waits for it leaves."""
         link = self.links.get(event.link)
         if link is None:
             return
-        link.is_up, link.opened_at = True, self.loop.now
+        link.is_up = True
+        link.opened_at = self.loop.now
         machine = self.machines[link.machine]
-        machine.failed_dials = machine.failing_since = machine.refused_since = machine.next_dial_at = 0
+        machine.failed_dials = 0
+        machine.failing_since = 0
+        machine.refused_since = 0
+        machine.next_dial_at = 0
         machine.opened_at = link.opened_at
         pending, machine.pending_messages = machine.pending_messages, {}
         for message in pending.values():
             self.loop.emit(ev.SendToMachine(link.number, message))
         # Danger: what no dial is under way for would wait here until its own time is over.
-        last = all(k.is_up for k in machine.links.values())
-        while machine.waiting and (last or len(link.outstanding) < self.max_outstanding):
+        is_last = not machine.dials()
+        while machine.waiting and (is_last or len(link.outstanding) < self.max_outstanding):
             self._write(link, machine.waiting.popleft())
 
     def link_failed(self, event: ev.LinkFailed) -> None:
+        """A dial has failed: requests that waited for it go elsewhere."""
         link = self.links.get(event.link)
         if link is None:
             return
         machine = self.machines[link.machine]
         self.pool.remove(link)
+        self._count_failed_dial(machine, event)
+        self._send_or_give_up(machine, event)
+        self.pool.dial_queued()
+
+    def _count_failed_dial(self, machine: Machine, event: ev.LinkFailed) -> None:
         now = self.loop.now
         machine.failed_dials += 1
-        machine.next_dial_at = now + min(
-            DIAL_BACKOFF_US << min(machine.failed_dials - 1, 4), MAX_DIAL_BACKOFF_US
-        )
+        backoff_us = DIAL_BACKOFF_US << min(machine.failed_dials - 1, 4)
+        machine.next_dial_at = now + min(backoff_us, MAX_DIAL_BACKOFF_US)
         if event.ours:
             # Danger: out of descriptors ourselves, every machine would count as dead, and its tasks as lost.
             self.loop.count("dials_without_means")
-        else:
-            self.loop.count("dials_refused" if event.refused else "dials_silent")
-            machine.failing_since = machine.failing_since or now
-            machine.refused_since = (machine.refused_since or now) if event.refused else 0
-        best = min(
-            (k for k in machine.links.values() if k.is_up and not k.is_suspect),
-            key=lambda k: len(k.outstanding),
-            default=None,
-        )
-        dialling = any(not k.is_up for k in machine.links.values())
+            return
+        self.loop.count("dials_refused" if event.refused else "dials_silent")
+        machine.failing_since = machine.failing_since or now
+        machine.refused_since = (machine.refused_since or now) if event.refused else 0
+
+    def _send_or_give_up(self, machine: Machine, event: ev.LinkFailed) -> None:
+        """What waits takes another connection, or is reported as unreachable."""
+        best = min(machine.usable_links(), key=lambda link: len(link.outstanding), default=None)
+        is_dialling = machine.dials() > 0
         result = api.Result.NOT_SENT if event.ours else api.Result.UNREACHABLE
-        # Danger: what piles up in an outage would leave at once with the first connection that comes up, and
-        # the machine may be cold by then. It goes elsewhere after as long as a dial may take.
-        while (
-            best is None and machine.waiting and machine.waiting[0].started_at + self.dial_timeout_us <= now
-        ):
-            self.requests.unreachable(machine.waiting.popleft(), result)
+        if best is None:
+            # Danger: what piles up in an outage would leave at once with the first connection that comes up,
+            # and the machine may be warming up by then. It goes elsewhere after as long as a dial may take.
+            self._expire(machine, self.loop.now - self.dial_timeout_us, result)
         # Where nobody listens, none that waits will come through; else each dial answers for one.
-        count = len(machine.waiting) if event.refused and not dialling else min(1, len(machine.waiting))
+        waiting_count = len(machine.waiting)
+        count = waiting_count if event.refused and not is_dialling else min(1, waiting_count)
         for _ in range(count):
             if best is not None:
                 self._write(best, machine.waiting.popleft())
-            elif not dialling:
+            elif not is_dialling:
                 self.requests.unreachable(machine.waiting.popleft(), result)
-        self.pool.dial_queued()
 
     def link_lost(self, event: ev.LinkLost) -> None:
+        """A connection is no more, closed by either side or broken."""
         link = self.links.get(event.link)
         self.pool.closing.pop(event.link, None)
-        if link is None:
-            self.pool.dial_queued()
-            return
-        # Danger: one that is over already would count among those that are read on until they close, for
-        # good, and once half of the descriptors has gone so nothing more would be dialled.
-        link.is_up = False
-        self.close(link, event.unsent)
-        # Danger: a release that was on its way there comes only on the next connection, and is due
-        # in a second.
-        machine = self.machines.get(link.machine)
-        if machine is not None:
-            machine.opened_at = 0
-            wants = machine.running_count and not machine.removed_at and self.pool.may_dial(machine)
-            if (
-                wants
-                and all(k.is_up for k in machine.links.values())
-                and self.loop.now >= machine.next_dial_at
-            ):
-                self.pool.dial(machine)
+        if link is not None:
+            # Danger: one that is over already would count among those that are read on until they close, for
+            # good, and once half of the descriptors has gone so nothing more would be dialled.
+            link.is_up = False
+            self.close(link, event.unsent)
+            self._dial_again(link.machine)
         self.pool.dial_queued()
 
+    def _dial_again(self, number: int) -> None:
+        """Danger: a release that was on its way here comes only on the next connection, and is due in a
+        second."""
+        machine = self.machines.get(number)
+        if machine is None:
+            return
+        machine.opened_at = 0
+        is_wanted = machine.running_count and not machine.removed_at and self.pool.may_dial(machine)
+        if is_wanted and not machine.dials() and self.loop.now >= machine.next_dial_at:
+            self.pool.dial(machine)
+
     def messages_unsent(self, event: ev.MessagesUnsent) -> None:
         """They go elsewhere: they might not leave for this machine any more."""
         link = self.links.get(event.link)
-        for id in event.ids if link is not None else ():
-            request = link.outstanding.pop(id, None)  # type: ignore[union-attr]
+        if link is None:
+            return
+        for request_id in event.ids:
+            request = link.outstanding.pop(request_id, None)
             if request is not None:
                 self.requests.not_written(request)
                 self.requests.unreachable(request, api.Result.NOT_SENT)
 
     def may_send(self, link: int, id: str) -> bool:
-        """Whether it is still to go there: not given up meanwhile, and allowed now."""
+        """Whether that request is still to be sent there: not abandoned meanwhile, and allowed now."""
         known = self.links.get(link)
         request = known.outstanding.get(id) if known is not None else None
         return request is not None and self.requests.may_send(request)
 
     def close_all(self) -> None:
-        """Nothing is out any more: all connections are closed, and none is made."""
+        """Nothing is in flight any more: all connections are closed, and none is dialled."""
         self.pool.closing_all = True
         self.pool.dial_queue.clear()
         for link in list(self.links.values()):
@@ -293,16 +310,19 @@
         machine = self.machines[link.machine]
         link.used_at = self.loop.now
         machine.last_received_at = link.used_at
-        machine.failing_since = machine.refused_since = 0
+        machine.failing_since = 0
+        machine.refused_since = 0
         self.requests.received(machine.id, link.number, event.message)
 
     # Closing
 
     def close(self, link: Link, unsent: frozenset[str] = frozenset()) -> None:
-        """Close it, if it is not closed yet. What was written whole on it is broken; the rest goes again.
+        """Close it, if it is not closed yet. What was completely written on it is broken; the rest is sent
+        again.
 
-        Danger: a connection is read on after its close, and until the machine has seen that close what is out
-        on it is not given up: the module may send a second copy at once. So the machine is notified first.
+        Danger: a connection is read on after its close, and until the machine has seen that close what is in
+        flight on it is not abandoned there: the module may send a duplicate at once. So the machine is
+        notified first.
         """
         for request in link.outstanding.values():
             if link.is_up and request.id not in unsent:
@@ -312,20 +332,27 @@
             self.pool.closing[link.number] = link.machine
         self.pool.remove(link)
         requests, link.outstanding = list(link.outstanding.values()), {}
-        again = []
+        to_resend = []
         for request in requests:
             if request.id in unsent and self.requests.not_written(request):
-                again.append(request)
+                to_resend.append(request)
             else:
                 self.requests.broken(request)
-        for request in again:
-            if self.loop.now < request.started_at + self.dial_timeout_us:
-                self.send(request)
-            else:
-                self.requests.unreachable(request)
+        for request in to_resend:
+            self._resend(request)
+
+    def _resend(self, request: OutboundRequest) -> None:
+        if self.loop.now < request.started_at + self.dial_timeout_us:
+            self.send(request)
+        else:
+            self.requests.unreachable(request)
 
     def expire_waiting(self, machine: Machine) -> None:
-        """Danger: what waits for room would wait for the answers of others, up to its own time. After as long
-        as a dial may take it goes elsewhere."""
-        while machine.waiting and machine.waiting[0].started_at + self.dial_timeout_us < self.loop.now:
-            self.requests.unreachable(machine.waiting.popleft(), api.Result.NOT_SENT)
+        """Danger: what waits for capacity would wait for the answers of others, up to its own time. After as
+        long as a dial may take it goes elsewhere."""
+        self._expire(machine, self.loop.now - self.dial_timeout_us - 1, api.Result.NOT_SENT)
+
+    def _expire(self, machine: Machine, oldest: int, result: api.Result) -> None:
+        """Report requests that have waited since ``oldest`` or longer as not sent."""
+        while machine.waiting and machine.waiting[0].started_at <= oldest:
+            self.requests.unreachable(machine.waiting.popleft(), result)
--- a/stairplank/platform/tables.py
+++ b/stairplank/platform/tables.py
@@ -163,3 +163,15 @@
     checked_at: int = 0
     last_received_at: int = 0
     opened_at: int = 0  # when one last came up; 0: none has, or what was sent on the last may be lost
+
+    def links_up(self) -> list[Link]:
+        """Its connections that have come up."""
+        return [link for link in self.links.values() if link.is_up]
+
+    def usable_links(self) -> list[Link]:
+        """Its connections on which a new request may be sent."""
+        return [link for link in self.links.values() if link.is_up and not link.is_suspect]
+
+    def dials(self) -> int:
+        """How many connections to it are being dialled."""
+        return sum(not link.is_up for link in self.links.values())
--- a/tests/platform/test_platform_core.py
+++ b/tests/platform/test_platform_core.py
@@ -825,7 +825,7 @@
     heard: list[api.Event] = []
     monkeypatch.setattr(desk.core.module, "handle", lambda now, event: heard.append(event) or 1 / 0)
     said = (api.TaskCancelled(1), api.TaskCancelled(2))
-    desk.core._take(lambda _: [desk.core.loop.notify_module(event) for event in said], None)
+    desk.core._run_guarded(lambda _: [desk.core.loop.notify_module(event) for event in said], None)
     assert heard == list(said)  # what it is still to be told is told
     desk.core.survives_faults = False
     monkeypatch.setitem(desk.core._handlers, ev.ClientConnected, lambda event: 1 / 0)
