--- a/stairplank/platform/adoption.py
+++ b/stairplank/platform/adoption.py
@@ -92,7 +92,7 @@
         if machine is not None:
             self._adopt(task, machine)
             return
-        self.loop.count("handed_over_unnamed")
+        self.loop.count("adopted_unlisted")
         # Danger: adopted and ended again without a pause, they would be kept without a bound.
         if self.waiting_count >= MAX_WAITING:
             self.requests.ended(task, int(Cause.RESET))
@@ -137,7 +137,7 @@
         end = self.ended.pop((machine, task.id), None)
         if end is not None and end.at > self.loop.now - ENDED_US:
             # Danger: the machine has sent its last message on it; it would count as running here for good.
-            self.loop.count("handed_over_ended")
+            self.loop.count("adopted_ended")
             self.requests.ended(task, end.cause)
             return
         self.loop.notify_module(api.TaskAdopted(task.for_module(), machine))
--- a/stairplank/platform/attempts.py
+++ b/stairplank/platform/attempts.py
@@ -143,7 +143,7 @@
         # Danger: of an earlier attempt under this id at this machine a message may be on its way; taken for
         # the new one's, a late "full" would prove that what runs there never did.
         if (attempt.machine, task.id) in self.table.by_machine_and_id:
-            self.loop.count("same_again")
+            self.loop.count("duplicate_attempts")
             return False
         return self.links.is_ready(attempt.machine) and self.loop.now < attempt.due_at
 
@@ -262,7 +262,7 @@
         if message.kind is Kind.RELEASE:
             self.links.send_message(machine, Message(Kind.ACKNOWLEDGEMENT, message.id), link)
         if attempt is None:
-            self.loop.count("unknown_words")
+            self.loop.count("unknown_messages")
             if message.kind is Kind.RELEASE and message.cause in END_CAUSES:
                 self.adoption.task_ended(machine, message)
             return
@@ -288,7 +288,7 @@
         elif attempt.state is AttemptState.ABANDONED:
             effect = self.settings.classes[attempt.task.request.class_index].effect
             verdict = abandoned_attempts.on_word(effect, attempt.task.placement_state)
-            self.loop.count("leftover_" + verdict.value)
+            self.loop.count("abandoned_" + verdict.value)
             if verdict is Copy.STOP:
                 self._order_release(attempt, Cause.CANCELLED, link)
 
--- a/stairplank/platform/client_requests.py
+++ b/stairplank/platform/client_requests.py
@@ -255,7 +255,7 @@
         task = self.tasks.by_id.get(message.id)
         if cancelled_unhandled:
             self.sessions.touch(connection)
-            self.loop.count("given_up_unhandled")
+            self.loop.count("cancelled_unhandled")
         if task is None or task.client != connection.client:
             if not connection.last_received_at:
                 self.sessions.unexpected(connection)  # crossed with our own message, or of no use
--- a/stairplank/platform/client_sessions.py
+++ b/stairplank/platform/client_sessions.py
@@ -159,7 +159,7 @@
         self, connection: ClientConnection, id: str, cause: Cause, why: str, after_us: int = 0
     ) -> None:
         """Refuse a placement request without taking it. ``after_us``: when the client may come again."""
-        self.loop.count("turned_away_" + why)
+        self.loop.count("rejected_" + why)
         fields = {"wait": str(max(1, after_us // 1000))} if after_us else {}
         message = Message(Kind.RELEASE, id, fields, int(cause))
         self.loop.emit(ev.SendToClient(connection.number, message))
@@ -183,7 +183,7 @@
         if connection is not None:
             self.send_release(connection, message)
             return
-        self.loop.count("releases_kept")
+        self.loop.count("releases_queued")
         self.pending_releases.append(PendingRelease(self.loop.now, client, message))
         if len(self.pending_releases) > MAX_PENDING_RELEASES:
             self.pending_releases.popleft()
--- a/stairplank/platform/event_queue.py
+++ b/stairplank/platform/event_queue.py
@@ -115,15 +115,8 @@
             case ev.NodeListUpdated() | ev.NodeListConfirmed() | ev.SettingsChanged():
                 self._node_list.append(event)
             case ev.MachineMessage():
-                if is_due_to_client(event) and self._overtakes(event):
-                    self._add_urgent(event)
-                else:
-                    self._other.append(event)
-                    self._machine_messages[event.message.id] += 1
-            case ev.ClientMessage() if event.conn in self._hung_up and is_new_placement(event):
-                pass
+                self._machine_message(event)
             case ev.ClientMessage():
-                self._client_messages[event.conn] += 1
                 self._client_message(event)
             case ev.ClientHungUp():
                 self._hung_up.add(event.conn)
@@ -167,7 +160,17 @@
         if isinstance(event, ev.ClientMessage):
             self._urgent_clients[event.conn] += 1
 
+    def _machine_message(self, event: ev.MachineMessage) -> None:
+        if is_due_to_client(event) and self._overtakes(event):
+            self._add_urgent(event)
+        else:
+            self._other.append(event)
+            self._machine_messages[event.message.id] += 1
+
     def _client_message(self, event: ev.ClientMessage) -> None:
+        if event.conn in self._hung_up and is_new_placement(event):
+            return
+        self._client_messages[event.conn] += 1
         id = event.message.id
         if is_new_placement(event) and self.is_full():
             self._add_urgent(replace(event, over_limit=True))
--- a/stairplank/platform/jsonlines.py
+++ b/stairplank/platform/jsonlines.py
@@ -21,10 +21,11 @@
     "checked": Kind.HEALTH_CHECK_RESULT,
 }
 NAMES = {kind: name for name, kind in KINDS.items()}
+MAX_CAUSE = 255
 
 
 class LineReader:
-    """Cuts what was read into lines, without their ends."""
+    """Splits what was read into lines, without their ends."""
 
     def __init__(self, max_bytes: int = MAX_MESSAGE_BYTES) -> None:
         self._max_bytes = max_bytes
@@ -32,22 +33,22 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes of a line that has not come whole."""
+        """How many bytes of an incomplete line there are."""
         return len(self._data)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are whole by now. Raises Unreadable for one that is too long; the lines before it
+        """The lines that are complete by now. Raises Unreadable for one that is too long; the lines before it
         are in its ``lines``.
         """
         self._data += data
-        *whole, rest = bytes(self._data).split(b"\n") if b"\n" in data else (bytes(self._data),)
-        if len(whole):
+        *complete, rest = bytes(self._data).split(b"\n") if b"\n" in data else (bytes(self._data),)
+        if len(complete):
             self._data = bytearray(rest)
-        for number, line in enumerate([*whole, rest]):
+        for number, line in enumerate([*complete, rest]):
             # Danger: a line that never ends would be kept as it grows.
             if len(line) >= self._max_bytes:
-                raise ProtocolError(f"a line of {len(line)} bytes or more", lines=whole[:number])
-        return whole
+                raise ProtocolError(f"a line of {len(line)} bytes or more", lines=complete[:number])
+        return complete
 
 
 def parse_object(line: bytes) -> dict[str, Any]:
@@ -62,30 +63,43 @@
 
 
 def decode(line: bytes) -> Message:
-    """A machine's line. Raises Unreadable: nothing of such a line may be used, nor of what comes after it."""
+    """A machine's message.
+
+    Raises:
+        ProtocolError: nothing of such a line may be used, nor of what comes after it.
+    """
     value = parse_object(line)
     kind = KINDS.get(value.get("kind", "")) if isinstance(value.get("kind"), str) else None
-    meta, cause, body = value.get("meta", {}), value.get("reason"), value.get("body")
+    fields, cause, body = value.get("meta", {}), value.get("reason"), value.get("body")
     if kind is None:
         raise ProtocolError("a line of no known kind")
     if not is_id(value.get("uid")):
         raise ProtocolError("a line without a task's id")
-    if not isinstance(meta, dict) or not all(isinstance(v, (str, int, float)) for v in meta.values()):
+    if not isinstance(fields, dict) or not all(isinstance(v, (str, int, float)) for v in fields.values()):
         raise ProtocolError("a line whose fields are no strings or numbers")
-    if cause is not None and (not isinstance(cause, int) or isinstance(cause, bool) or not 0 <= cause <= 255):
-        raise ProtocolError("a line whose cause is no number")
+    _check_cause(cause)
     if body is not None and not isinstance(body, str):
         raise ProtocolError("a line whose description is no text")
+    _check_text([body or "", *map(str, fields), *map(str, fields.values())])
+    needs_cause = kind in (Kind.RELEASE, Kind.HEALTH_CHECK_RESULT)
+    if (kind is Kind.ANSWER and not body) or (needs_cause and cause is None):
+        raise ProtocolError("a line that lacks its description or cause")
+    return Message(kind, value["uid"], {str(k): str(v) for k, v in fields.items()}, cause, body)
+
+
+def _check_cause(cause: object) -> None:
+    if cause is None:
+        return
+    if not isinstance(cause, int) or isinstance(cause, bool) or not 0 <= cause <= MAX_CAUSE:
+        raise ProtocolError("a line whose cause is no number")
+
+
+def _check_text(texts: list[str]) -> None:
+    """Danger: JSON can name half a character, which no other form can be given."""
     try:
-        # Danger: JSON can name half a character, which no other form can be given.
-        "".join([body or "", *map(str, meta), *map(str, meta.values())]).encode()
+        "".join(texts).encode()
     except UnicodeEncodeError:
         raise ProtocolError("a line with half a character") from None
-    if (kind is Kind.ANSWER and not body) or (
-        kind in (Kind.RELEASE, Kind.HEALTH_CHECK_RESULT) and cause is None
-    ):
-        raise ProtocolError("a line that lacks its description or cause")
-    return Message(kind, value["uid"], {str(k): str(v) for k, v in meta.items()}, cause, body)
 
 
 def encode_text(body: str) -> bytes:
--- a/stairplank/platform/link_checks.py
+++ b/stairplank/platform/link_checks.py
@@ -155,7 +155,7 @@
 
     def _machine_lost(self, machine: Machine) -> None:
         if machine.running_count:
-            fields: dict[str, object] = {"machine": machine.name, "standing": machine.running_count}
+            fields: dict[str, object] = {"machine": machine.name, "running": machine.running_count}
             self.loop.emit(ev.Report("machine lost", fields))
         self.links.close_links_to(machine)
         self.attempts.machine_lost(machine.id)
--- a/stairplank/platform/link_pool.py
+++ b/stairplank/platform/link_pool.py
@@ -103,7 +103,7 @@
         """
         idle = [k for k in self.links.values() if k.is_up and not k.outstanding]
         for link in heapq.nsmallest(count, idle, key=self._closing_order):
-            self.loop.count("closed_for_room")
+            self.loop.count("closed_for_capacity")
             self._close(link)
 
     def remove(self, link: Link) -> None:
--- a/stairplank/platform/links.py
+++ b/stairplank/platform/links.py
@@ -140,7 +140,7 @@
         dropped is over.
         """
         if not self.requests.may_send(request):
-            self.loop.count("may_not_leave")
+            self.loop.count("withheld_requests")
             self.requests.unreachable(request, api.Result.NOT_SENT)
             return
         link.outstanding[request.id] = request
@@ -232,9 +232,9 @@
         machine.next_dial_at = now + min(backoff_us, MAX_DIAL_BACKOFF_US)
         if event.ours:
             # Danger: out of descriptors ourselves, every machine would count as dead, and its tasks as lost.
-            self.loop.count("dials_without_means")
+            self.loop.count("dials_without_descriptors")
             return
-        self.loop.count("dials_refused" if event.refused else "dials_silent")
+        self.loop.count("dials_refused" if event.refused else "dials_timed_out")
         machine.failing_since = machine.failing_since or now
         machine.refused_since = (machine.refused_since or now) if event.refused else 0
 
--- a/stairplank/platform/machines.py
+++ b/stairplank/platform/machines.py
@@ -108,7 +108,7 @@
             return False  # nothing to send there, and it may only leave
         if machine is None:
             if len(self.machines) >= MAX_MACHINES:
-                self.loop.count("machines_beyond")
+                self.loop.count("machines_over_limit")
                 return False
             place = (entry.zone, entry.group)
             machine = Machine(entry.id, row.name, row.address, entry.started_us, entry.status, place)
--- a/tests/platform/test_platform_links.py
+++ b/tests/platform/test_platform_links.py
@@ -323,7 +323,7 @@
     desk.ask(conn, 1, "keyed")
     desk.list_update(row(1, block=7))
     desk.connect()
-    assert desk.sent(1) == [] and desk.core.counts["may_not_leave"] == 1
+    assert desk.sent(1) == [] and desk.core.counts["withheld_requests"] == 1
 
 
 def test_a_fleet_with_tasks_everywhere_takes_no_more_connections_than_half_of_the_descriptors() -> None:
@@ -368,7 +368,7 @@
             desk.connect()
             assert len(desk.core.links.links) + len(desk.core.links.pool.closing) <= 2
         desk.machine(desk.sent(number)[-1][0], Message(ANSWER, name(number), body="b"))
-    assert desk.core.counts["closed_for_room"] >= 4
+    assert desk.core.counts["closed_for_capacity"] >= 4
 
 
 def test_an_attempt_that_gets_no_answer_is_given_up_on_its_connection_before_that_is_closed() -> None:
@@ -457,7 +457,7 @@
     desk.ask(desk.owner(), 1)
     desk.list_update(row(1, born_ms=1_000_000 + desk.now // 1000))
     desk.connect()
-    assert not desk.sent(1) and desk.core.counts["may_not_leave"] == 1
+    assert not desk.sent(1) and desk.core.counts["withheld_requests"] == 1
 
 
 def crowded(machines: int = 4) -> Desk:
