--- a/stairplank/platform/event_queue.py
+++ b/stairplank/platform/event_queue.py
@@ -227,18 +227,18 @@
 
     def take(self) -> list[ev.Event]:
         """The next turn's; nothing once all is handled."""
-        out = self._taken()
-        for event in out:
+        events = self._taken()
+        for event in events:
             if isinstance(event, ev.ClientMessage):
                 _decrement(self._client_messages, event.conn)
-        return out
+        return events
 
     def _taken(self) -> list[ev.Event]:
         if self._node_list or self._departures:
-            out = list(self._node_list)
+            events = list(self._node_list)
             self._node_list.clear()
             departing = min(EVENTS_PER_TURN, len(self._departures))
-            return out + [self._departures.popleft() for _ in range(departing)]
+            return events + [self._departures.popleft() for _ in range(departing)]
         if self._urgent:
             return [self._take_urgent() for _ in range(min(EVENTS_PER_TURN, len(self._urgent)))]
         if self._other:
@@ -270,12 +270,12 @@
         """Everything, or what comes first of it: some more than ``limit``, once there are so many. Without
         ``placements`` the new placement requests stay.
         """
-        out: list[ev.Event] = []
+        events: list[ev.Event] = []
         while len(self) > (0 if placements else len(self._placements)) and (
-            limit is None or len(out) < limit
+            limit is None or len(events) < limit
         ):
-            out += self.take()
-        return out
+            events += self.take()
+        return events
 
     def has_messages(self) -> bool:
         """Whether anything but new placement requests waits."""
--- a/stairplank/platform/node_list.py
+++ b/stairplank/platform/node_list.py
@@ -142,14 +142,14 @@
             self.revision = rev
             self.unusable_entries += 1
             return None, False
-        whole = pool.get("whole") is True
-        if rev != self.revision + 1 and not whole:
+        is_full = pool.get("whole") is True
+        if rev != self.revision + 1 and not is_full:
             return None, True
         found = [self._parse_entry(row) for row in pool["hosts"]]
         machines = tuple(m for m in found if m is not None)
         self.unusable_entries += len(found) - len(machines)
         self.revision = rev
-        if whole:
+        if is_full:
             listed = {m.entry.id for m in machines}
             self._started = {n: s for n, s in self._started.items() if n in listed}
             self._unknown.retain(listed)
@@ -157,7 +157,7 @@
             if machine.entry.status is api.NodeStatus.GONE:
                 self._started.pop(machine.entry.id, None)
                 self._unknown.forget(machine.entry.id)
-        return NodeListUpdate(whole, machines), False
+        return NodeListUpdate(is_full, machines), False
 
     def _zone_index(self, name: Any) -> int:
         """Its number. Danger: zones that the settings do not name, taken for one, would be one place for a
