--- a/stairplank/platform/links.py
+++ b/stairplank/platform/links.py
@@ -22,7 +22,7 @@
 from . import events as ev
 from .link_pool import LinkPool
 from .messages import Message
-from .tables import HealthCheck, Link, Machine, OutboundRequest
+from .tables import HealthCheck, Link, Machine, MachinePlace, OutboundRequest
 
 IDLE_LINK_US = 4_000_000  # a connection without use is closed then
 DIAL_BACKOFF_US, MAX_DIAL_BACKOFF_US = 100_000, 800_000  # between dials that failed
@@ -78,10 +78,10 @@
         known = self.machines.get(machine)
         return known is not None and known.status is api.NodeStatus.READY
 
-    def place_of(self, machine: int) -> tuple[int, int, int] | None:
+    def place_of(self, machine: int) -> MachinePlace | None:
         """The machine's zone, its group and when it started."""
         known = self.machines.get(machine)
-        return (*known.place, known.started_at) if known is not None else None
+        return MachinePlace(known.place, known.started_at) if known is not None else None
 
     # Events of the node list
 
--- a/stairplank/platform/machines.py
+++ b/stairplank/platform/machines.py
@@ -18,7 +18,7 @@
 from .. import interface as api
 from ..planner.event_loop import EventLoop
 from .node_list import ListedNode, NodeListUpdate
-from .tables import Machine
+from .tables import Location, Machine
 
 MAX_MACHINES = 4096  # further ones are not taken
 
@@ -110,14 +110,15 @@
             if len(self.machines) >= MAX_MACHINES:
                 self.loop.count("machines_over_limit")
                 return False
-            place = (entry.zone, entry.group)
+            place = Location(entry.zone, entry.group)
             machine = Machine(entry.id, row.name, row.address, entry.started_us, entry.status, place)
             self.machines[entry.id] = machine
             self.names[row.name] = entry.id
         elif entry.started_us > machine.started_at:
             machine.started_at = entry.started_us
             self.attempts.machine_lost(machine.id, before=entry.started_us)
-        machine.status, machine.place = entry.status, (entry.zone, entry.group)
+        machine.status = entry.status
+        machine.place = Location(entry.zone, entry.group)
         machine.removed_at = 0
         address = row.address or machine.address
         self._claim_address(address, machine, others)
--- a/stairplank/platform/tables.py
+++ b/stairplank/platform/tables.py
@@ -5,6 +5,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from .. import interface as api
 from ..planner.abandoned_attempts import PlacementState
@@ -65,6 +66,20 @@
 )
 
 
+class Location(NamedTuple):
+    """Where a machine is, by the settings' zones and the list's groups."""
+
+    zone: int
+    group: int
+
+
+class MachinePlace(NamedTuple):
+    """Where a machine was, and since when it had been running, as an attempt was bound to it."""
+
+    location: Location
+    started_at: int
+
+
 @dataclass(slots=True, eq=False)
 class Task:
     """A client's task. The decision module knows it by ``number``, client and machines by ``id``."""
@@ -113,7 +128,7 @@
     state: AttemptState = AttemptState.WAITING
     link: int = 0
     forget_at: int = 0  # when an abandoned attempt is forgotten
-    place: tuple[int, int, int] | None = None  # zone, group and start of its machine as it was bound
+    place: MachinePlace | None = None  # of its machine, as it was bound
     last_status_at: int = 0  # when its machine last sent a status update of it
 
     @property
@@ -159,7 +174,7 @@
     address: str
     started_at: int
     status: api.NodeStatus
-    place: tuple[int, int]  # its zone and group
+    place: Location
     links: dict[int, Link] = field(default_factory=dict)
     waiting: deque[OutboundRequest] = field(default_factory=deque)
     pending_messages: dict[str, Message] = field(default_factory=dict)
