--- a/stairplank/platform/binary.py
+++ b/stairplank/platform/binary.py
@@ -3,9 +3,11 @@
 from __future__ import annotations
 
 import struct
+from collections.abc import Iterator
 
-from .messages import MESSAGE_MOST, Kind, Message, Unreadable
+from .messages import MAX_MESSAGE_BYTES, Kind, Message, ProtocolError
 
+LENGTH_BYTES = 2
 HEAD = struct.Struct(">HB8s")  # the length counts all that follows it
 PARAMETER = struct.Struct(">BH")
 CAUSE, BODY = 128, 130
@@ -15,68 +17,60 @@
 _KINDS = {int(kind): kind for kind in Kind}
 
 
-class Reader:
-    """Cuts what was read into messages."""
+class MessageReader:
+    """Splits what was read into messages."""
 
     def __init__(self) -> None:
         self._data = bytearray()
 
     @property
-    def waiting(self) -> int:
-        """Bytes of a message that has not come whole."""
+    def pending_bytes(self) -> int:
+        """How many bytes of an incomplete message there are."""
         return len(self._data)
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are whole by now. Raises Unreadable; what stood before the fault is in its
-        ``messages``."""
+        """The messages that are complete by now.
+
+        Raises:
+            ProtocolError: for what cannot be read; the messages before it are in its ``messages``.
+        """
         self._data += data
-        out: list[Message] = []
-        at, have = 0, len(self._data)
+        messages: list[Message] = []
         try:
-            while have - at >= 2:
-                size = int.from_bytes(self._data[at : at + 2], "big")
-                # Danger: a length is believed before its bytes are here; the reader would wait for them.
-                if size < HEAD.size - 2 or size + 2 > MESSAGE_MOST:
-                    raise Unreadable(f"a message of {size} bytes")
-                if have - at < size + 2:
-                    break
-                out.append(decode(bytes(self._data[at : at + 2 + size])))
-                at += 2 + size
-        except Unreadable as error:
-            error.messages = out  # type: ignore[attr-defined]
-            raise
-        finally:
-            del self._data[:at]
-        return out
+            while (message := self._next()) is not None:
+                messages.append(message)
+        except ProtocolError as error:
+            raise ProtocolError(str(error), messages=messages) from None
+        return messages
+
+    def _next(self) -> Message | None:
+        """Take the first complete message out of the buffer."""
+        if len(self._data) < LENGTH_BYTES:
+            return None
+        size = int.from_bytes(self._data[:LENGTH_BYTES], "big") + LENGTH_BYTES
+        # Danger: a length is believed before its bytes are here; the reader would wait for them.
+        if size < HEAD.size or size > MAX_MESSAGE_BYTES:
+            raise ProtocolError(f"a message of {size - LENGTH_BYTES} bytes")
+        if len(self._data) < size:
+            return None
+        message = decode(bytes(self._data[:size]))
+        del self._data[:size]
+        return message
 
 
 def decode(data: bytes) -> Message:
-    """One whole message. Raises Unreadable."""
+    """One complete message. Raises ProtocolError."""
     _, number, raw = HEAD.unpack_from(data)
     kind = _KINDS.get(number)
     if kind is None:
-        raise Unreadable(f"type {number}")
+        raise ProtocolError(f"type {number}")
     fields: dict[str, str] = {}
     cause, body = None, None
-    at = HEAD.size
-    while at < len(data):
-        if at + PARAMETER.size > len(data):
-            raise Unreadable("a parameter without its length")
-        code, size = PARAMETER.unpack_from(data, at)
-        at += PARAMETER.size
-        if at + size > len(data):
-            raise Unreadable(f"parameter {code} runs past the message")
-        value = data[at : at + size]
-        at += size
+    for code, value in _parameters(data):
         if code == CAUSE:
-            if size != 1:
-                raise Unreadable(f"a cause of {size} bytes")
-            cause = value[0]
+            cause = _cause(value)
             continue
-        try:
-            text = value.decode()
-        except UnicodeDecodeError:
-            raise Unreadable(f"parameter {code} is no text") from None
+        text = _text(code, value)
         if code == BODY:
             body = text
         elif code in NAMES:
@@ -84,6 +78,33 @@
     return Message(kind, raw.hex(), fields, cause, body)
 
 
+def _parameters(data: bytes) -> Iterator[tuple[int, bytes]]:
+    """The codes and values of a message's parameters, in order."""
+    at = HEAD.size
+    while at < len(data):
+        if at + PARAMETER.size > len(data):
+            raise ProtocolError("a parameter without its length")
+        code, size = PARAMETER.unpack_from(data, at)
+        at += PARAMETER.size
+        if at + size > len(data):
+            raise ProtocolError(f"parameter {code} runs past the message")
+        yield code, data[at : at + size]
+        at += size
+
+
+def _cause(value: bytes) -> int:
+    if len(value) != 1:
+        raise ProtocolError(f"a cause of {len(value)} bytes")
+    return value[0]
+
+
+def _text(code: int, value: bytes) -> str:
+    try:
+        return value.decode()
+    except UnicodeDecodeError:
+        raise ProtocolError(f"parameter {code} is no text") from None
+
+
 def encode(message: Message) -> bytes:
     """The bytes of a message. Raises ValueError for one that is too long."""
     parts = []
@@ -97,6 +118,6 @@
         parts.append(PARAMETER.pack(BODY, len(value)) + value)
     rest = b"".join(parts)
     size = HEAD.size - 2 + len(rest)
-    if size + 2 > MESSAGE_MOST:
+    if size + 2 > MAX_MESSAGE_BYTES:
         raise ValueError(f"a message of {size} bytes")
     return HEAD.pack(size, message.kind, bytes.fromhex(message.id)) + rest
--- a/stairplank/platform/node_list.py
+++ b/stairplank/platform/node_list.py
@@ -22,15 +22,15 @@
 from typing import Any
 
 from .. import interface as api
-from .messages import Unreadable
+from .messages import ProtocolError
 
 STATES = {
     "SERVING": api.NodeStatus.READY,
     "DRAINING": api.NodeStatus.DRAINING,
     "DELETED": api.NodeStatus.GONE,
 }
-NAME_MOST = 200
-ZONES_MOST = 1024  # in updates, beside the settings' own
+MAX_NAME_LENGTH = 200
+MAX_ZONES = 1024  # in updates, beside the settings' own
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,6 +44,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeListUpdate:
+    """Changes of the node list, or (``full``) all of it."""
+
     full: bool
     machines: tuple[ListedNode, ...]
 
@@ -67,20 +69,23 @@
         return len(self._machines)
 
     def remember(self, machine: ListedNode, kind: str) -> None:
+        """Remember a machine whose kind has no number yet."""
         self._machines[machine.entry.id] = (kind, machine)
         self._at[machine.address] = machine.entry.id
 
     def forget(self, node: int) -> None:
+        """Forget that machine."""
         known = self._machines.pop(node, None)
         if known is not None:
             del self._at[known[1].address]
 
     def forget_at(self, address: str) -> None:
+        """Forget the machine at that address."""
         node = self._at.get(address)
         if node is not None:
             self.forget(node)
 
-    def keep(self, nodes: Container[int]) -> None:
+    def retain(self, nodes: Container[int]) -> None:
         """Forget all but these."""
         for node in [node for node in self._machines if node not in nodes]:
             self.forget(node)
@@ -123,7 +128,7 @@
         """A line's update, if it has one, and whether something was missed. Raises Unreadable."""
         rev = value.get("rev")
         if not isinstance(rev, int) or isinstance(rev, bool) or rev < 0:
-            raise Unreadable("a notice without a number")
+            raise ProtocolError("a notice without a number")
         pool = value.get("pool")
         if pool is None:
             return None, rev > self.revision
@@ -132,32 +137,33 @@
         if not isinstance(pool, dict) or not isinstance(pool.get("hosts"), list):
             if self._unreadable != rev or rev != self.revision + 1:
                 self._unreadable = rev
-                raise Unreadable("a notice without machines")
+                raise ProtocolError("a notice without machines")
             # Danger: asked for again and again, it would hide every drain behind it.
             self.revision = rev
             self.unusable_entries += 1
             return None, False
-        whole = pool.get("whole") is True
-        if rev != self.revision + 1 and not whole:
+        is_full = pool.get("whole") is True
+        if rev != self.revision + 1 and not is_full:
             return None, True
         found = [self._parse_entry(row) for row in pool["hosts"]]
         machines = tuple(m for m in found if m is not None)
         self.unusable_entries += len(found) - len(machines)
         self.revision = rev
-        if whole:
+        if is_full:
             listed = {m.entry.id for m in machines}
             self._started = {n: s for n, s in self._started.items() if n in listed}
-            self._unknown.keep(listed)
+            self._unknown.retain(listed)
         for machine in machines:
             if machine.entry.status is api.NodeStatus.GONE:
                 self._started.pop(machine.entry.id, None)
                 self._unknown.forget(machine.entry.id)
-        return NodeListUpdate(whole, machines), False
+        return NodeListUpdate(is_full, machines), False
 
     def _zone_index(self, name: Any) -> int:
         """Its number. Danger: zones that the settings do not name, taken for one, would be one place for a
-        keyed task's repeats, and one for a spread."""
-        if name not in self._zones and len(self._zones) < ZONES_MOST:
+        keyed task's repeats, and one for a spread.
+        """
+        if name not in self._zones and len(self._zones) < MAX_ZONES:
             self._zones[name] = len(self._zones)
         return self._zones.get(name, 0)
 
@@ -165,7 +171,7 @@
         """A machine's entry, or None where it cannot be used."""
         if not isinstance(row, dict) or not isinstance(name := row.get("host"), str):
             return None
-        if not 0 < len(name) <= NAME_MOST or not _is_text(name):
+        if not 0 < len(name) <= MAX_NAME_LENGTH or not _is_text(name):
             return None
         health, address = row.get("health"), str(row.get("dial"))
         # Danger: a state that is not known is not "serving"; sent there, work may meet a drain.
--- a/stairplank/platform/tables.py
+++ b/stairplank/platform/tables.py
@@ -1,10 +1,11 @@
-"""What the two tables hold, tasks and attempts, and how each may change. No I/O."""
+"""The records of tasks, attempts, connections and machines, and how their states may change. No I/O."""
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from .. import interface as api
 from ..planner.abandoned_attempts import PlacementState
@@ -14,58 +15,74 @@
 
 
 class AttemptState(Enum):
-    """An attempt's."""
+    """How an attempt at a machine stands."""
 
     __hash__ = object.__hash__  # the enum's own is computed anew from the name at each look-up
 
     WAITING = "waiting"  # for a connection: not every byte has left
     SENT = "sent"  # written whole; the machine has not answered
-    STANDING = "standing"
-    GIVEN_UP = "given up"  # the module has its outcome; the machine may still take it
-    RELEASED = "released"  # it stood, or stands after all, and its machine was told to end it
-    OVER = "over"
+    RUNNING = "running"
+    ABANDONED = "abandoned"  # the module has its outcome; the machine may still accept it
+    RELEASED = "released"  # it ran, or runs after all, and its machine was ordered to end it
+    ENDED = "ended"
 
 
 class TaskState(Enum):
-    __hash__ = object.__hash__  # see Stage
+    """How a client's task stands."""
+
+    __hash__ = object.__hash__  # see AttemptState
 
     OPEN = "open"  # its client waits
-    STANDING = "standing"  # answered, or adopted; its end is owed
-    OVER = "over"
+    RUNNING = "running"  # answered, or adopted; its end is owed
+    ENDED = "ended"
 
 
 S, T = AttemptState, TaskState
 
-ATTEMPT = TransitionTable(
+ATTEMPT_TRANSITIONS = TransitionTable(
     "platform attempt",
     {
         (S.WAITING, "written"): S.SENT,
-        (S.WAITING, "over"): S.OVER,
+        (S.WAITING, "ended"): S.ENDED,
         (S.SENT, "not written"): S.WAITING,
-        (S.SENT, "stands"): S.STANDING,
-        (S.SENT, "given up"): S.GIVEN_UP,
-        (S.SENT, "over"): S.OVER,
-        (S.STANDING, "released"): S.RELEASED,
-        (S.STANDING, "over"): S.OVER,
-        (S.GIVEN_UP, "released"): S.RELEASED,
-        (S.GIVEN_UP, "over"): S.OVER,
+        (S.SENT, "accepted"): S.RUNNING,
+        (S.SENT, "abandoned"): S.ABANDONED,
+        (S.SENT, "ended"): S.ENDED,
+        (S.RUNNING, "released"): S.RELEASED,
+        (S.RUNNING, "ended"): S.ENDED,
+        (S.ABANDONED, "released"): S.RELEASED,
+        (S.ABANDONED, "ended"): S.ENDED,
         (S.RELEASED, "released"): S.RELEASED,
-        (S.RELEASED, "over"): S.OVER,
+        (S.RELEASED, "ended"): S.ENDED,
     },
 )
-TASK = TransitionTable(
+TASK_TRANSITIONS = TransitionTable(
     "platform task",
     {
-        (T.OPEN, "stands"): T.STANDING,
-        (T.OPEN, "over"): T.OVER,
-        (T.STANDING, "over"): T.OVER,
+        (T.OPEN, "accepted"): T.RUNNING,
+        (T.OPEN, "ended"): T.ENDED,
+        (T.RUNNING, "ended"): T.ENDED,
     },
 )
 
 
+class Location(NamedTuple):
+    """Where a machine is, by the settings' zones and the list's groups."""
+
+    zone: int
+    group: int
+
+
+class MachinePlace(NamedTuple):
+    """Where a machine was, and since when it had been running, as an attempt was bound to it."""
+
+    location: Location
+    started_at: int
+
+
 @dataclass(slots=True, eq=False)
 class Task:
-    """``number`` is the module's name for it, ``id`` the client's and the machines'."""
+    """A client's task. The decision module knows it by ``number``, client and machines by ``id``."""
 
     number: int
     id: str
@@ -73,14 +90,14 @@
     conn: int
     request: PlacementRequest
     body: str  # the description, until no machine needs it any more
-    expires: int
-    fingerprint: bytes = b""  # of the description, by which the same set-up is known again
+    expires_at: int
+    fingerprint: bytes = b""  # of the description, by which a repeated request is recognised
     state: TaskState = TaskState.OPEN
-    fate: PlacementState = PlacementState.OPEN
-    shots: int = 0
-    attempt: Attempt | None = None  # the one under way, or the one that stands
-    proven: bool = True  # every attempt that ended is proven not to have run
-    risk_at: int = 0  # when the first one that may have run began
+    placement_state: PlacementState = PlacementState.OPEN
+    attempt_count: int = 0
+    attempt: Attempt | None = None  # the one in flight, or the one that runs
+    is_proven_not_run: bool = True  # every attempt that ended is proven not to have run
+    may_have_run_since: int = 0  # when the first one that may have run began
 
     def for_module(self) -> api.Task:
         """The task as the decision module knows it."""
@@ -90,7 +107,7 @@
             self.request.class_index,
             self.request.tenant,
             spec.key,
-            self.expires,
+            self.expires_at,
             spec.service,
             spec.cores,
             spec.memory,
@@ -101,61 +118,84 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One attempt to have a machine run a task. Times are microseconds on the planner's clock."""
+
     task: Task
-    shot: int
+    number: int
     machine: int
-    began: int
-    due: int
-    stage: AttemptState = AttemptState.WAITING
+    started_at: int
+    due_at: int
+    state: AttemptState = AttemptState.WAITING
     link: int = 0
-    until: int = 0  # a leftover is forgotten then
-    place: tuple[int, int, int] | None = None  # zone, group and start of its machine as it was bound
-    noted: int = 0  # when its machine last spoke of it as standing
+    forget_at: int = 0  # when an abandoned attempt is forgotten
+    place: MachinePlace | None = None  # of its machine, as it was bound
+    last_status_at: int = 0  # when its machine last sent a status update of it
 
     @property
     def id(self) -> str:
+        """The task's id, by which the machine knows the attempt."""
         return self.task.id
 
 
 @dataclass(slots=True, eq=False)
-class Test:
-    """A probe of the module's, or (``asked`` False) one of the links' own."""
+class HealthCheck:
+    """A health check that the module requested, or (``is_requested`` False) one of the links' own."""
 
     id: str
     machine: int
-    began: int
-    asked: bool = True
+    started_at: int
+    is_requested: bool = True
     link: int = 0
 
 
+# What is sent to a machine and awaits its answer.
+OutboundRequest = Attempt | HealthCheck
+
+
 @dataclass(slots=True, eq=False)
 class Link:
+    """A connection to a machine, or one that is being dialled."""
+
     number: int
     machine: int
-    up: bool = False
-    opened: int = 0
-    used: int = 0
-    suspect: bool = False  # an answer did not come on it: nothing new goes there
-    open: dict[str, Attempt | Test] = field(default_factory=dict)
+    is_up: bool = False
+    opened_at: int = 0
+    used_at: int = 0
+    is_suspect: bool = False  # an answer did not come on it: nothing new goes there
+    outstanding: dict[str, OutboundRequest] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
 class Machine:
+    """A machine of the node list, with its connections and what waits for one."""
+
     id: int
     name: str
     address: str
-    launched: int
+    started_at: int
     status: api.NodeStatus
-    place: tuple[int, int]  # its zone and group
+    place: Location
     links: dict[int, Link] = field(default_factory=dict)
-    waiting: deque[Attempt | Test] = field(default_factory=deque)
+    waiting: deque[OutboundRequest] = field(default_factory=deque)
     pending_messages: dict[str, Message] = field(default_factory=dict)
-    standing: int = 0
-    dial_at: int = 0
-    fails: int = 0
+    running_count: int = 0
+    next_dial_at: int = 0
+    failed_dials: int = 0
     failing_since: int = 0
     refused_since: int = 0
-    gone_at: int = 0
-    asked_at: int = 0
-    last_received: int = 0
-    opened: int = 0  # when one last came up; 0: none has, or what was sent on the last may be lost
+    removed_at: int = 0
+    checked_at: int = 0
+    last_received_at: int = 0
+    opened_at: int = 0  # when one last came up; 0: none has, or what was sent on the last may be lost
+
+    def links_up(self) -> list[Link]:
+        """Its connections that have come up."""
+        return [link for link in self.links.values() if link.is_up]
+
+    def usable_links(self) -> list[Link]:
+        """Its connections on which a new request may be sent."""
+        return [link for link in self.links.values() if link.is_up and not link.is_suspect]
+
+    def dials(self) -> int:
+        """How many connections to it are being dialled."""
+        return sum(not link.is_up for link in self.links.values())
--- a/tests/golden/test_golden_traces.py
+++ b/tests/golden/test_golden_traces.py
@@ -18,7 +18,7 @@
 
 from stairplank.decisions import load, node_state, task_queue
 from stairplank.planner import attempt_lifecycle
-from stairplank.platform import client_requests, links
+from stairplank.platform import client_requests, link_checks
 
 EXPECTED: dict[str, str] = json.loads(golden_digests.DIGESTS.read_text())
 TIMEOUT_S = 300
@@ -51,7 +51,7 @@
         (task_queue, "QUEUE_RETRY_US", "platform usual 1"),
         (load, "EQUAL_SERVICE_LEVEL", "decisions 3"),
         (attempt_lifecycle, "OFFER_EXPIRY_SLACK_US", "grpc groups-bad-day 1"),
-        (links, "LOOK_US", "platform usual 2"),
+        (link_checks, "CHECK_INTERVAL_US", "platform usual 2"),
         (client_requests, "ANSWER_MARGIN_US", "platform strange 1012"),
     ],
 )
