--- a/stairplank/platform/actions.py
+++ b/stairplank/platform/actions.py
@@ -15,7 +15,7 @@
 from .node_watch import NodeWatch
 from .streams import Stream
 
-MARKED = (Kind.SET_UP, Kind.TEST)  # the core is notified where these are not written whole
+TRACKED_KINDS = (Kind.SET_UP, Kind.TEST)  # the core is notified where these are not written whole
 
 
 class ActionExecutor:
@@ -27,20 +27,19 @@
         clients: ClientConnections,
         machines: MachineConnections,
         node_watch: NodeWatch,
-        settings_in_force: Callable[[ev.SettingsChanged], None],
+        confirm_settings: Callable[[ev.SettingsChanged], None],
     ) -> None:
         self._core = core
         self._clients = clients
         self._machines = machines
         self._node_watch = node_watch
-        self._settings_in_force = settings_in_force
+        self._confirm_settings = confirm_settings
         self._unflushed: dict[Stream, None] = {}  # in the order of their first message
 
-    def with_unwritten(self, events: list[ev.Event]) -> list[ev.Event]:
+    def with_unsent(self, events: list[ev.Event]) -> list[ev.Event]:
         """These events, where a lost link also names the messages that found it gone."""
         return [
-            self._machines.with_unwritten(event) if isinstance(event, ev.LinkLost) else event
-            for event in events
+            self._machines.with_unsent(event) if isinstance(event, ev.LinkLost) else event for event in events
         ]
 
     def execute_all(self, actions: list[ev.Action]) -> None:
@@ -63,18 +62,18 @@
     def _execute(self, action: ev.Action) -> None:
         match action:
             case ev.SendToClient():
-                self._put(self._clients.streams.get(action.conn), binary.encode(action.message))
+                self._write(self._clients.streams.get(action.conn), binary.encode(action.message))
             case ev.SendToMachine():
                 self._send_to_machine(action)
             case ev.CloseClient():
-                self._clients.end(action.conn)
+                self._clients.close(action.conn)
             case ev.Dial():
                 self._machines.dial(action.link, action.address)
             case ev.CloseLink():
                 self._machines.close(action.link)
             case ev.SettingsInForce():
                 self._machines.set_dial_timeout(action.change.dial_timeout_us)
-                self._settings_in_force(action.change)
+                self._confirm_settings(action.change)
             case ev.WatchNodeList():
                 self._node_watch.ensure_connected()
             case ev.Report():
@@ -82,15 +81,15 @@
 
     def _send_to_machine(self, action: ev.SendToMachine) -> None:
         message = action.message
-        mark = message.id if message.kind in MARKED else ""
+        mark = message.id if message.kind in TRACKED_KINDS else ""
         stream = self._machines.stream_for(action.link, mark)
-        self._put(stream, jsonlines.encode(message), mark)
+        self._write(stream, jsonlines.encode(message), mark)
         if stream is not None and message.kind is Kind.RELEASE:
             # Danger: left to the turn's end, a set-up that is given up here may be out elsewhere before this
             # line leaves: connections are written in the order of their first message.
             stream.flush()
 
-    def _put(self, stream: Stream | None, data: bytes, mark: str = "") -> None:
+    def _write(self, stream: Stream | None, data: bytes, mark: str = "") -> None:
         if stream is not None:
             stream.put(data, mark)
             self._unflushed[stream] = None
--- a/stairplank/platform/client_connections.py
+++ b/stairplank/platform/client_connections.py
@@ -16,29 +16,33 @@
 from .client_sessions import ClientSessions
 from .driver import CoreDriver
 from .messages import Message, Unreadable
-from .streams import NO_MEANS, READS_IN_A_ROW, Stream, receive
+from .streams import MAX_CONSECUTIVE_READS, RESOURCE_EXHAUSTED_ERRNOS, Stream, receive
 
 # Read at once of one connection: a burst of one delays the others by no more than reading it.
-CLIENT_READ = 16_384
-DECODE_LEAST = 512  # bytes decoded at once, when a round of reading has lasted as long as a slice of turns
-DRAIN_READ = 65_536  # the same of one that is being closed
-PARTIAL_S = 2.0  # a message that has begun comes whole by then, or its connection is of no use
-FULL_PAUSE_S = 0.02  # between reads while set-ups wait up to their bound
+READ_BYTES = 16_384
+MIN_DECODE_BYTES = (
+    512  # bytes decoded at once, when a round of reading has lasted as long as a slice of turns
+)
+LINGER_READ_BYTES = 65_536  # the same of one that is being closed
+PARTIAL_MESSAGE_TIMEOUT_S = (
+    2.0  # a message that has begun comes whole by then, or its connection is of no use
+)
+QUEUE_FULL_PAUSE_S = 0.02  # between reads while set-ups wait up to their bound
 ACCEPT_RETRY_S = 0.02  # after a connection that could not be accepted for want of descriptors
 CLOSE_POLL_S = 0.05
-ACCEPT_RETRIES = frozenset({errno.ECONNABORTED, errno.EPROTO, errno.EINTR})
+TRANSIENT_ACCEPT_ERRNOS = frozenset({errno.ECONNABORTED, errno.EPROTO, errno.EINTR})
 
 
 class ClientConnections:
     """At most ``most`` connections, those that are being closed included."""
 
-    def __init__(self, driver: CoreDriver, sessions: ClientSessions, most: int) -> None:
+    def __init__(self, driver: CoreDriver, sessions: ClientSessions, max_connections: int) -> None:
         self._driver = driver
         self._sessions = sessions
-        self.most = most
+        self.max_connections = max_connections
         self.streams: dict[int, Stream] = {}
         self.accepted: set[Stream] = set()  # those that are closing included
-        self._last_number = 0
+        self._last_connection = 0
 
     def accept(self, listener: Any) -> None:
         """Accept connections until the listener is closed."""
@@ -46,42 +50,42 @@
             try:
                 sock, peer = listener.accept()
             except OSError as error:
-                if not self._may_accept_on(error):
+                if not self._may_keep_accepting(error):
                     return
                 continue
-            if len(self.accepted) >= self.most and not self._make_room():
+            if len(self.accepted) >= self.max_connections and not self._close_idlest():
                 address.abort(sock)
                 continue
             self._open(sock, peer[0])
             # Danger: hundreds come at once, and those that are here would not be read until all are in.
             gevent.sleep(0)
 
-    def _may_accept_on(self, error: OSError) -> bool:
-        if error.errno in NO_MEANS:
+    def _may_keep_accepting(self, error: OSError) -> bool:
+        if error.errno in RESOURCE_EXHAUSTED_ERRNOS:
             # Danger: out of descriptors, accepting would spin and nothing else would run.
-            self._make_room()
+            self._close_idlest()
             gevent.sleep(ACCEPT_RETRY_S)
             return True
-        return error.errno in ACCEPT_RETRIES
+        return error.errno in TRANSIENT_ACCEPT_ERRNOS
 
     def _open(self, sock: Any, client: str) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._last_number += 1
-        stream = Stream(sock, self._last_number, self._gone)
+        self._last_connection += 1
+        stream = Stream(sock, self._last_connection, self._disconnected)
         self.accepted.add(stream)
         self.streams[stream.number] = stream
         self._driver.enqueue(ev.ClientConnected(stream.number, client))
         gevent.spawn(self._serve, stream)
 
-    def _make_room(self) -> bool:
+    def _close_idlest(self) -> bool:
         """Danger: silent connections would keep good clients, machines and the node list service out."""
         number = self._sessions.idlest_connection()
         stream = self.streams.get(number) if number is not None else None
         if stream is None:
             return False
-        stream.close(hard=True)
+        stream.close(abort=True)
         self.accepted.discard(stream)
-        self._gone(stream)
+        self._disconnected(stream)
         return True
 
     def has_unread(self, number: int) -> bool:
@@ -92,29 +96,29 @@
         if number in self._driver.clients_in_turn or self._driver.queue.has_pending(number):
             return True
         stream = self.streams.get(number)
-        return stream is not None and (stream.half or stream.is_readable())
+        return stream is not None and (stream.has_partial_message or stream.is_readable())
 
-    def has_partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a message has begun to come on any connection, and is not whole."""
-        return any(stream.half for stream in self.streams.values())
+        return any(stream.has_partial_message for stream in self.streams.values())
 
-    def end(self, number: int) -> None:
+    def close(self, number: int) -> None:
         """Close a connection once all is written."""
         stream = self.streams.get(number)
         if stream is not None:
-            stream.end()
-            self._gone(stream)
+            stream.close_gracefully()
+            self._disconnected(stream)
 
-    def end_all(self) -> None:
+    def close_all(self) -> None:
         """Close every connection once all is written."""
         for number in list(self.streams):
-            self.end(number)
+            self.close(number)
 
     def are_closed(self) -> bool:
         """Whether every connection that was accepted is closed."""
-        return all(stream.closed for stream in self.accepted)
+        return all(stream.is_closed for stream in self.accepted)
 
-    def _gone(self, stream: Stream) -> None:
+    def _disconnected(self, stream: Stream) -> None:
         if self.streams.pop(stream.number, None) is not None:
             self._driver.enqueue(ev.ClientDisconnected(stream.number))
 
@@ -124,34 +128,34 @@
         except (OSError, TimeoutError):
             pass
         finally:
-            stream.read_out.set()
-            self.end(stream.number)
-            while not stream.closed:
+            stream.reading_done.set()
+            self.close(stream.number)
+            while not stream.is_closed:
                 gevent.sleep(CLOSE_POLL_S)
             self.accepted.discard(stream)
 
     def _read(self, stream: Stream) -> None:
         reader, began, reads = binary.Reader(), 0.0, 0
-        while not stream.closed:
-            is_partial = reader.waiting and not stream.ending
-            most = DRAIN_READ if stream.ending else CLIENT_READ
-            data = receive(stream.sock, most, began + PARTIAL_S if is_partial else None)
+        while not stream.is_closed:
+            is_partial = reader.waiting and not stream.is_closing
+            most = LINGER_READ_BYTES if stream.is_closing else READ_BYTES
+            data = receive(stream.sock, most, began + PARTIAL_MESSAGE_TIMEOUT_S if is_partial else None)
             if not is_partial:
                 began = time.monotonic()
-            if stream.ending:
-                if not stream.drained(len(data)):
+            if stream.is_closing:
+                if not stream.discard(len(data)):
                     return
             elif not data:
                 return
             else:
                 if len(data) == most:
-                    self._look_for_hang_up(stream)
+                    self._check_hang_up(stream)
                 if self._decode(stream, reader, data):
                     began = time.monotonic()  # what is left has begun with these bytes
-            stream.half = bool(reader.waiting)
+            stream.has_partial_message = bool(reader.waiting)
             # Danger: one that sends at full speed would be read for ever, and nobody else.
             reads += 1
-            if reads % READS_IN_A_ROW == 0:
+            if reads % MAX_CONSECUTIVE_READS == 0:
                 gevent.sleep(0)
             if self._wait_while_full(stream):
                 began = time.monotonic()  # the rest of a message may lie unread meanwhile
@@ -163,32 +167,34 @@
         longer than a client's departure may go unnoticed.
         """
         found = False
-        while data and not stream.closed and not stream.ending:
-            size = DECODE_LEAST if self._driver.is_round_over() else CLIENT_READ
+        while data and not stream.is_closed and not stream.is_closing:
+            size = MIN_DECODE_BYTES if self._driver.is_round_over() else READ_BYTES
             piece, data = data[:size], data[size:]
-            stream.half = True  # Danger: closed as idle, or for room, it would take the rest along
-            found |= self._take(stream, reader, piece)
+            stream.has_partial_message = (
+                True  # Danger: closed as idle, or for room, it would take the rest along
+            )
+            found |= self._feed(stream, reader, piece)
             if data:
-                self._look_for_hang_up(stream)
+                self._check_hang_up(stream)
                 gevent.sleep(0)
         return found
 
-    def _look_for_hang_up(self, stream: Stream) -> None:
+    def _check_hang_up(self, stream: Stream) -> None:
         """Danger: the end of a connection lies behind all that was sent on it. Read in order, a client that
         sends hundreds of set-ups and closes would have them placed one after the other."""
-        if not stream.hung_up and not stream.ending and stream.is_closed_by_peer():
-            stream.hung_up = True
+        if not stream.hang_up_reported and not stream.is_closing and stream.is_closed_by_peer():
+            stream.hang_up_reported = True
             self._driver.core.loop.count("hung_up_unread")
             self._driver.enqueue(ev.ClientHungUp(stream.number))
 
-    def _take(self, stream: Stream, reader: binary.Reader, data: bytes) -> bool:
+    def _feed(self, stream: Stream, reader: binary.Reader, data: bytes) -> bool:
         """Queue the messages that are whole now; whether there are any."""
         try:
             messages = reader.feed(data)
         except Unreadable as error:
             self._driver.core.loop.count("unreadable_owners")
             self._enqueue(stream, error.messages)  # type: ignore[attr-defined]
-            self.end(stream.number)
+            self.close(stream.number)
             return False
         if messages:
             self._enqueue(stream, messages)
@@ -205,8 +211,8 @@
         """
         queue = self._driver.queue
         is_slowed, has_waited = queue.is_full(), False
-        while (is_slowed or queue.must_wait(stream.number)) and not stream.ending:
-            self._look_for_hang_up(stream)
-            gevent.sleep(FULL_PAUSE_S)
+        while (is_slowed or queue.must_wait(stream.number)) and not stream.is_closing:
+            self._check_hang_up(stream)
+            gevent.sleep(QUEUE_FULL_PAUSE_S)
             is_slowed, has_waited = False, True
         return has_waited
--- a/stairplank/platform/config.py
+++ b/stairplank/platform/config.py
@@ -11,8 +11,10 @@
 from .. import interface as api
 from .. import wire
 
-CONFIG_MOST = 16_000_000  # bytes
-DIGEST_SHOWN = 12  # hexadecimal digits of a file's SHA-256 that stand for a revision without a number
+MAX_CONFIG_BYTES = 16_000_000  # bytes
+REVISION_DIGEST_DIGITS = (
+    12  # hexadecimal digits of a file's SHA-256 that stand for a revision without a number
+)
 
 
 class ConfigError(Exception):
@@ -23,7 +25,7 @@
 class Config:
     name: str
     listen: str
-    board: str
+    node_list_address: str
     seed: int
     sockets: int
     settings: api.Settings
@@ -33,7 +35,7 @@
     dial_timeout_us: int
     idle_us: int
     handshake_price: float  # of a connection, as a share
-    known: tuple[dict[str, Any], ...]
+    known_updates: tuple[dict[str, Any], ...]
     revision: str = ""  # of the file
 
 
@@ -50,7 +52,7 @@
     """The file's object and revision. Raises ConfigError."""
     try:
         with open(path, "rb") as file:
-            raw = file.read(CONFIG_MOST)
+            raw = file.read(MAX_CONFIG_BYTES)
         value = json.loads(raw)
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: {error}") from None
@@ -63,10 +65,10 @@
     """The number that the file has, else the beginning of its digest."""
     if isinstance(number, int) and not isinstance(number, bool):
         return str(number)
-    return sha256(raw).hexdigest()[:DIGEST_SHOWN]
+    return sha256(raw).hexdigest()[:REVISION_DIGEST_DIGITS]
 
 
-def board_of(value: Mapping[str, Any]) -> str:
+def parse_node_list_address(value: Mapping[str, Any]) -> str:
     """The node list service's address. Raises ConfigError."""
     board = value.get("board")
     host, _, port = board.rpartition(":") if isinstance(board, str) else ("", "", "")
@@ -75,7 +77,7 @@
     return f"{host}:{port}"
 
 
-def _names(value: Any) -> tuple[str, ...]:
+def _parse_names(value: Any) -> tuple[str, ...]:
     """Danger: the settings text has no blanks or commas in names; by its spelling the names that clients,
     machines and the node list service send would match nothing."""
     if not isinstance(value or [], list):
@@ -83,10 +85,10 @@
     return tuple(str(name) for name in value or ())
 
 
-def _named(settings: api.Settings, value: Mapping[str, Any]) -> api.Settings:
+def _with_configured_names(settings: api.Settings, value: Mapping[str, Any]) -> api.Settings:
     """The same with classes and kinds as they are named in the file."""
     classes = zip(settings.classes, value["classes"], strict=True)
-    kinds = zip(settings.node_types, _names(value["kinds"]), strict=True)
+    kinds = zip(settings.node_types, _parse_names(value["kinds"]), strict=True)
     return replace(
         settings,
         classes=tuple(replace(c, name=str(v.get("name", c.name))) for c, v in classes),
@@ -104,22 +106,22 @@
     value = file.value
     try:
         options = wire.Options(wire.flattened(value["settings"]))
-        settings = _named(wire.settings_from(options), value["settings"])
+        settings = _with_configured_names(wire.settings_from(options), value["settings"])
         known = value.get("known") or {}
         return Config(
             name=str(value.get("name", "")),
             listen=str(value["listen"]),
-            board=board_of(value),
+            node_list_address=parse_node_list_address(value),
             seed=int(str(value.get("seed", "0")), 16),
             sockets=int(value.get("limits", {}).get("sockets", 1024)),
             settings=settings,
-            zones=_names(value["settings"].get("dcs")),
+            zones=_parse_names(value["settings"].get("dcs")),
             tenants=tuple(str(party["name"]) for party in value["settings"].get("parties") or ()),
-            fields=_names((value["settings"].get("report") or {}).get("fields")),
+            fields=_parse_names((value["settings"].get("report") or {}).get("fields")),
             dial_timeout_us=options.whole("limits.dial_timeout_us", 250_000),
             handshake_price=options.number("penalties.handshake", 0.0),
             idle_us=options.whole("limits.conn_idle_us", 30_000_000),
-            known=tuple(known.get("notices", ())),
+            known_updates=tuple(known.get("notices", ())),
             revision=file.revision,
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
--- a/stairplank/platform/descriptors.py
+++ b/stairplank/platform/descriptors.py
@@ -8,8 +8,8 @@
 # list service 3 (two and the one being dialled), a client that is accepted to be turned away 1, the
 # configuration file 1; the rest for sockets that are closed a moment after their place has been given to
 # another.
-RESERVED = 16
-LEAST = 4  # one client and two machines: with less the process could not serve at all
+RESERVED_DESCRIPTORS = 16
+MIN_DESCRIPTORS = 4  # one client and two machines: with less the process could not serve at all
 
 
 def process_limit() -> int | None:
@@ -18,7 +18,7 @@
     return None if soft == resource.RLIM_INFINITY else soft
 
 
-def usable(configured: int, limit: int | None) -> int:
+def usable_descriptors(configured: int, limit: int | None) -> int:
     """The number of descriptors that connections share: clients two fifths, connections to machines a half.
 
     Danger: where the process's limit is below the configured number, or a tenth of it is less than the
@@ -27,4 +27,4 @@
     """
     most = configured if limit is None else min(configured, limit)
     # The two shares are nine tenths of what is returned.
-    return max(LEAST, min(most, (most - RESERVED) * 10 // 9))
+    return max(MIN_DESCRIPTORS, min(most, (most - RESERVED_DESCRIPTORS) * 10 // 9))
--- a/stairplank/platform/driver.py
+++ b/stairplank/platform/driver.py
@@ -19,20 +19,22 @@
 from .event_queue import EventQueue
 from .logs import log
 
-SLICE_S = 0.02  # of turns, before all that has come meanwhile is read: far under the grace that drains have
+TURN_SLICE_S = (
+    0.02  # of turns, before all that has come meanwhile is read: far under the grace that drains have
+)
 # A wait between slices. Danger: sleep(0) may come back without a look at the sockets.
-POLL_S = 0.001
-RESUME_EVENTS = 256  # of one turn after a stall: about as many as a slice of turns takes
-RESUME_MOST_S = 0.5  # so long the time that has passed is not felt after a stall, while others flood
-LOGGED_US = 1_000_000  # a stall of so long is worth a line
+SOCKET_POLL_S = 0.001
+MAX_RESUME_BATCH = 256  # of one turn after a stall: about as many as a slice of turns takes
+MAX_RESUME_S = 0.5  # so long the time that has passed is not felt after a stall, while others flood
+MIN_LOGGED_STALL_US = 1_000_000  # a stall of so long is worth a line
 
-Turn = Callable[[int, list[ev.Event]], list[ev.Action]]
+TurnHandler = Callable[[int, list[ev.Event]], list[ev.Action]]
 
 
 class Executor(Protocol):
     """Carries out what the core wants done."""
 
-    def with_unwritten(self, events: list[ev.Event]) -> list[ev.Event]: ...
+    def with_unsent(self, events: list[ev.Event]) -> list[ev.Event]: ...
     def execute_all(self, actions: list[ev.Action]) -> None: ...
     def flush(self) -> None: ...
 
@@ -44,19 +46,19 @@
         self.core = core
         self.executor: Executor
         self.queue = EventQueue()
-        self.pulse = Pulse(self.queue, self._resume_after_stall)
+        self.stall_detector = Pulse(self.queue, self._resume_after_stall)
         self.clients_in_turn: frozenset[int] = frozenset()  # of whose messages the current turn has some
         # When the current round of reading is over (monotonic, in seconds); 0: none has begun since the last
         # turns.
-        self._round_until = 0.0
+        self._round_deadline_s = 0.0
         self._is_resuming = False  # after a stall: no other turns are taken
-        self._turn = Flag()
-        self._rearm = Flag()
-        self._armed: int | None = None
+        self._turn_wanted = Flag()
+        self._timer_changed = Flag()
+        self._armed_for_us: int | None = None
 
     def start(self) -> None:
         """Start the greenlets of turns and timer."""
-        self.pulse.start()
+        self.stall_detector.start()
         gevent.spawn(self.run_turns)
         gevent.spawn(self._run_timer)
 
@@ -64,7 +66,7 @@
         """Have the core handle these with its next turns."""
         for event in events:
             self.queue.add(event)
-        self._turn.set()
+        self._turn_wanted.set()
 
     def run_turns(self) -> None:
         """Read all that can be read, then handle it in the event queue's order, a slice of time at once.
@@ -73,40 +75,40 @@
         an adopted task waiting in its socket, and be placed against them.
         """
         while True:
-            self._turn.wait()
-            self._turn.clear()
-            self._round_until = 0.0
-            while len(self.queue) and not self._is_resuming and not self.pulse.late():
+            self._turn_wanted.wait()
+            self._turn_wanted.clear()
+            self._round_deadline_s = 0.0
+            while len(self.queue) and not self._is_resuming and not self.stall_detector.late():
                 self._run_slice()
-                self._round_until = 0.0
+                self._round_deadline_s = 0.0
                 if len(self.queue):
-                    gevent.sleep(POLL_S)
+                    gevent.sleep(SOCKET_POLL_S)
                     gevent.sleep(0)
-            self._arm()
+            self._rearm_timer()
 
     def is_round_over(self) -> bool:
         """Whether what clients sent has been decoded for as long as a slice of turns, and turns are due."""
         now = time.monotonic()
-        if not self._round_until:
-            self._round_until = now + SLICE_S
-        return now >= self._round_until
+        if not self._round_deadline_s:
+            self._round_deadline_s = now + TURN_SLICE_S
+        return now >= self._round_deadline_s
 
     def _run_slice(self) -> None:
-        until = time.monotonic() + SLICE_S
+        until = time.monotonic() + TURN_SLICE_S
         while batch := self.queue.take():
             self._handle(batch)
             if time.monotonic() >= until:
                 return
 
-    def _handle(self, batch: list[ev.Event], turn: Turn | None = None) -> None:
+    def _handle(self, batch: list[ev.Event], handler: TurnHandler | None = None) -> None:
         """One turn of the core, with its actions. ``turn``: how the core handles it."""
-        batch = self.executor.with_unwritten(batch)
+        batch = self.executor.with_unsent(batch)
         self.clients_in_turn = frozenset(event.conn for event in batch if isinstance(event, ev.ClientMessage))
-        self.executor.execute_all((turn or self.core.handle)(now_us(), batch))
+        self.executor.execute_all((handler or self.core.handle)(now_us(), batch))
         self.clients_in_turn = frozenset()
         self.executor.flush()
 
-    def _resume_after_stall(self, stood: int) -> None:
+    def _resume_after_stall(self, stalled_us: int) -> None:
         """The process stood still; what came meanwhile is read by now. New set-ups wait for their slices.
 
         Danger: hundreds of them placed in one turn are a stall of their own, during which no drain is read;
@@ -115,8 +117,8 @@
         if self._is_resuming:
             return  # it stood still again meanwhile: the rest is handled by the first call
         self.core.loop.count("stood_still")
-        if stood > LOGGED_US:
-            log("stood still", ms=stood // 1000, came=len(self.queue))
+        if stalled_us > MIN_LOGGED_STALL_US:
+            log("stood still", ms=stalled_us // 1000, came=len(self.queue))
         self._is_resuming = True
         try:
             self._handle_messages()
@@ -126,27 +128,27 @@
 
     def _handle_messages(self) -> None:
         """Handle all but new set-ups, then let the core feel the time that has passed."""
-        until = time.monotonic() + RESUME_MOST_S
-        events = self.queue.take_all(placements=False, most=RESUME_EVENTS)
+        until = time.monotonic() + MAX_RESUME_S
+        events = self.queue.take_all(placements=False, most=MAX_RESUME_BATCH)
         while self.queue.has_messages() and time.monotonic() < until:
             self._handle(events, self.core.handle_messages)
-            self._round_until = 0.0
-            gevent.sleep(POLL_S)
+            self._round_deadline_s = 0.0
+            gevent.sleep(SOCKET_POLL_S)
             gevent.sleep(0)
-            events = self.queue.take_all(placements=False, most=RESUME_EVENTS)
+            events = self.queue.take_all(placements=False, most=MAX_RESUME_BATCH)
         self._handle(events, self.core.handle_after_stall)
 
-    def _arm(self) -> None:
+    def _rearm_timer(self) -> None:
         """Have the timer look again where the core wants to be woken sooner."""
         due = self.core.next_due()
-        if due is not None and (self._armed is None or due < self._armed):
-            self._rearm.set()
+        if due is not None and (self._armed_for_us is None or due < self._armed_for_us):
+            self._timer_changed.set()
 
     def _run_timer(self) -> None:
         while True:
             due = self.core.next_due()
-            self._armed = due
-            self._rearm.clear()
+            self._armed_for_us = due
+            self._timer_changed.clear()
             left = None if due is None else max(0, due - now_us()) / 1e6
-            if not self._rearm.wait(left):
+            if not self._timer_changed.wait(left):
                 self.enqueue(ev.TimerDue())
--- a/stairplank/platform/node_watch.py
+++ b/stairplank/platform/node_watch.py
@@ -30,12 +30,12 @@
 from .messages import Unreadable
 from .node_list import NodeList
 
-SILENT_S = 1.2  # the service sends its revision each second
-AGAIN_S = 2.0
-DIAL_S, DIAL_MOST_S = 0.5, 1.5  # a dial's time, doubled with each that fails
-RETRY_S, RETRY_MOST_S = 0.05, 0.5  # between connections that brought nothing
-CONNECTIONS_MOST = 2
-LINE_MOST = 4_194_304
+SILENCE_TIMEOUT_S = 1.2  # the service sends its revision each second
+RENEWAL_INTERVAL_S = 2.0
+DIAL_TIMEOUT_S, MAX_DIAL_TIMEOUT_S = 0.5, 1.5  # a dial's time, doubled with each that fails
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 0.5  # between connections that brought nothing
+MAX_CONNECTIONS = 2
+MAX_LINE_BYTES = 4_194_304
 
 
 class NodeWatch:
@@ -44,23 +44,23 @@
     def __init__(
         self,
         node_list: NodeList,
-        where: str,
+        service_address: str,
         enqueue: Callable[[ev.Event], None],
         count: Callable[[str], None],
     ) -> None:
         self.node_list = node_list
-        self.address = where
-        self.last_received = 0.0  # when it last sent something, or was asked (monotonic, in seconds)
+        self.address = service_address
+        self.last_received_s = 0.0  # when it last sent something, or was asked (monotonic, in seconds)
         self._enqueue, self._count = enqueue, count
         self._connections: list[Any] = []  # the newest last
-        self._last_progress = 0.0  # when the newest was made, or a update came
+        self._last_progress_s = 0.0  # when the newest was made, or a update came
         self._wake = Flag()
         self._address_changed = False
 
-    def set_address(self, where: str) -> None:
+    def set_address(self, service_address: str) -> None:
         """The service is at another address from now on."""
-        if where != self.address:
-            self.address, self._address_changed = where, True
+        if service_address != self.address:
+            self.address, self._address_changed = service_address, True
             self._wake.set()
 
     def ensure_connected(self) -> None:
@@ -70,7 +70,7 @@
 
     def run(self) -> None:
         """For ever: a connection, and after it the next."""
-        wait, dial_s = RETRY_S, DIAL_S
+        wait, dial_s = MIN_BACKOFF_S, DIAL_TIMEOUT_S
         while True:
             self._wake.clear()
             self._address_changed = False
@@ -80,9 +80,9 @@
             except Exception:
                 # Danger: a fault of our own would end the watch, and every drain from then on goes unheard.
                 log("fault", at=traceback.format_exc(limit=-3))
-            dial_s = DIAL_S if up else min(2 * dial_s, DIAL_MOST_S)
-            if up and (not self._woken() or time.monotonic() > began + SILENT_S):
-                wait = RETRY_S
+            dial_s = DIAL_TIMEOUT_S if up else min(2 * dial_s, MAX_DIAL_TIMEOUT_S)
+            if up and (not self._is_woken_early() or time.monotonic() > began + SILENCE_TIMEOUT_S):
+                wait = MIN_BACKOFF_S
             if up and not self._wake.is_set():
                 continue  # it is only time for the next
             self._count("board_breaks")
@@ -90,11 +90,11 @@
                 continue
             self._wake.clear()
             self._wake.wait(wait)
-            wait = min(2 * wait, RETRY_MOST_S)
+            wait = min(2 * wait, MAX_BACKOFF_S)
 
-    def _woken(self) -> bool:
+    def _is_woken_early(self) -> bool:
         """Whether something has happened to the connections before it is time for the next."""
-        while (left := self._last_progress + AGAIN_S - time.monotonic()) > 0:
+        while (left := self._last_progress_s + RENEWAL_INTERVAL_S - time.monotonic()) > 0:
             if self._wake.wait(left):
                 return True
         return False
@@ -104,10 +104,10 @@
             conn = address.dial(self.address, dial_s)
         except (OSError, TimeoutError, ValueError):
             return False
-        while len(self._connections) >= CONNECTIONS_MOST:
+        while len(self._connections) >= MAX_CONNECTIONS:
             self._connections.pop(0).close()
         self._connections.append(conn)
-        self._last_progress = time.monotonic()
+        self._last_progress_s = time.monotonic()
         gevent.spawn(self._follow, conn)
         return True
 
@@ -127,13 +127,13 @@
                 self._wake.set()
 
     def _read(self, conn: Any) -> None:
-        conn.settimeout(SILENT_S)
+        conn.settimeout(SILENCE_TIMEOUT_S)
         conn.sendall(b"watch %d\n" % self.node_list.revision)
-        self.last_received = last = time.monotonic()
-        lines = jsonlines.Lines(LINE_MOST)
+        self.last_received_s = last = time.monotonic()
+        lines = jsonlines.Lines(MAX_LINE_BYTES)
         silent = False
         while True:
-            conn.settimeout(None if silent else max(0.01, last + SILENT_S - time.monotonic()))
+            conn.settimeout(None if silent else max(0.01, last + SILENCE_TIMEOUT_S - time.monotonic()))
             try:
                 data = conn.recv(65_536)
             except TimeoutError:
@@ -145,12 +145,12 @@
             if not data:
                 return
             for line in lines.feed(data):
-                last = self.last_received = time.monotonic()
+                last = self.last_received_s = time.monotonic()
                 silent = False
                 update, missed = self.node_list.apply(jsonlines.parsed(line))
-                self._retire(conn)
+                self._close_older_than(conn)
                 if update is not None:
-                    self._last_progress = last
+                    self._last_progress_s = last
                     self._enqueue(ev.NodeListUpdated(update))
                 if missed:
                     return
@@ -158,7 +158,7 @@
                     self._enqueue(ev.NodeListConfirmed())
             gevent.sleep(0)
 
-    def _retire(self, conn: Any) -> None:
+    def _close_older_than(self, conn: Any) -> None:
         """Those that are older than one that has spoken are of no further use."""
         while conn in self._connections and self._connections[0] is not conn:
             self._connections.pop(0).close()
--- a/stairplank/platform/reload.py
+++ b/stairplank/platform/reload.py
@@ -15,21 +15,21 @@
 from .logs import log
 from .node_list import NodeList
 
-_AT_START = "it is read when the process starts"
+_READ_AT_START = "it is read when the process starts"
 # Danger: machines close what is idle for longer than the figure that a connection was made with; a message
 # that is written meanwhile may have run.
-NEEDS_RESTART: Mapping[str, str] = {
-    "name": _AT_START,
-    "listen": _AT_START,
-    "seed": _AT_START,
+RESTART_REASONS: Mapping[str, str] = {
+    "name": _READ_AT_START,
+    "listen": _READ_AT_START,
+    "seed": _READ_AT_START,
     "sockets": "the process's connections are divided by it",
     "fields": "it is what machines' reports hold, in their order",
     "idle_us": "connections that stand were made with it",
 }
-LIVE = ("dial_timeout_us", "handshake_price")
+LIVE_FIELDS = ("dial_timeout_us", "handshake_price")
 
 
-class NeedsRestart(ConfigError):
+class RestartRequiredError(ConfigError):
     """The file is well formed, and holds changes that a running planner cannot take: all of them."""
 
     def __init__(self, changes: list[FieldChange]) -> None:
@@ -43,9 +43,9 @@
 
 
 def _changed_fields(old: Config, new: Config) -> Iterator[FieldChange]:
-    for name in (*NEEDS_RESTART, *LIVE):
+    for name in (*RESTART_REASONS, *LIVE_FIELDS):
         if getattr(old, name) != getattr(new, name):
-            yield FieldChange((name,), NEEDS_RESTART.get(name))
+            yield FieldChange((name,), RESTART_REASONS.get(name))
     yield from changed_settings(old.settings, new.settings)
     yield from changed_names("zones", old.zones, new.zones)
     yield from changed_names("tenants", old.tenants, new.tenants)
@@ -56,7 +56,7 @@
     changes = changed_fields(old, new)
     held_back = [change for change in changes if change.restart_reason is not None]
     if held_back:
-        raise NeedsRestart(held_back)
+        raise RestartRequiredError(held_back)
     if not changes:
         return None
     return ev.SettingsChanged(
@@ -90,23 +90,23 @@
 
     def log_start(self) -> None:
         """The revision that the process started with, or took before it serves."""
-        self._log(self.config.revision, ())
+        self._log_in_force(self.config.revision, ())
 
-    def take(self, file: ConfigFile) -> None:
+    def apply(self, file: ConfigFile) -> None:
         """Have the core take the file's settings, all of them or none."""
         try:
             new = parse(file)
             change = live_change(self.config, new)
         except ConfigError as error:
-            self.refuse(error, file.revision)
+            self.reject(error, file.revision)
             return
         self.config = new
         if change is None:
-            self._log(new.revision, ())
+            self._log_in_force(new.revision, ())
         else:
             self._enqueue(change)
 
-    def refuse(self, error: ConfigError, revision: str = "") -> None:
+    def reject(self, error: ConfigError, revision: str = "") -> None:
         """Nothing of that file's settings is taken."""
         self._count("configurations_not_taken")
         log(
@@ -125,8 +125,8 @@
         update = self._node_list.set_names(change.zones, kinds)
         if update is not None:
             self._enqueue(ev.NodeListUpdated(update))
-        self._log(change.revision, change.changed)
+        self._log_in_force(change.revision, change.changed)
 
-    def _log(self, revision: str, changed: tuple[str, ...]) -> None:
+    def _log_in_force(self, revision: str, changed: tuple[str, ...]) -> None:
         self._count("configurations_in_force")
         log("configuration in force", revision=revision, changed=changed)
--- a/stairplank/platform/run.py
+++ b/stairplank/platform/run.py
@@ -9,15 +9,15 @@
 import gevent
 
 from .config import ConfigError
-from .logs import log, never_block
+from .logs import log, make_stderr_nonblocking
 
 
-def main(early: Iterable[int] = (), path: str | None = None) -> int:
+def main(early_signals: Iterable[int] = (), path: str | None = None) -> int:
     """Serve in the foreground until SIGTERM; ``early``: signals that came before. The exit code: 0 well, 2
     bad input."""
     from .service import Service
 
-    never_block()
+    make_stderr_nonblocking()
     path = path or os.environ.get("GW_CONFIG", "")
     try:
         service = Service(path)
@@ -27,10 +27,10 @@
     gevent.signal_handler(signal.SIGHUP, service.reload)
     gevent.signal_handler(signal.SIGTERM, service.stop)
     gevent.signal_handler(signal.SIGINT, service.stop)
-    early = set(early)  # looked at once the new handlers stand
-    if signal.SIGHUP in early:
+    early_signals = set(early_signals)  # looked at once the new handlers stand
+    if signal.SIGHUP in early_signals:
         service.reload()
-    if signal.SIGTERM in early:
+    if signal.SIGTERM in early_signals:
         service.stop()
     try:
         return service.run()
--- a/stairplank/scale/hollow_planners.py
+++ b/stairplank/scale/hollow_planners.py
@@ -22,10 +22,10 @@
         services = [Service(path) for path in files]
         for service in services:
             gevent.spawn(service.run)
-        while not all(service.where for service in services):
+        while not all(service.listen_address for service in services):
             gevent.sleep(POLL_S)
         self._services += services
-        return [service.where for service in services]
+        return [service.listen_address for service in services]
 
     def snapshot(self) -> dict[str, Any]:
         return {"planners": len(self._services)}
--- a/tests/platform/platform_standins.py
+++ b/tests/platform/platform_standins.py
@@ -371,7 +371,7 @@
         (folder / "config.json").write_text(json.dumps(self.config | (changes or {})))
         self.service = Service(str(folder / "config.json"))
         self.read: list[ev.Event] = []  # by the service, whether handled or not
-        enqueue, self._late = self.service.driver.enqueue, self.service.driver.pulse.late
+        enqueue, self._late = self.service.driver.enqueue, self.service.driver.stall_detector.late
 
         def enqueues(*events: ev.Event) -> None:
             self.read.extend(events)
@@ -380,7 +380,7 @@
         self.service.driver.enqueue = enqueues  # type: ignore[method-assign]
         self.service.node_watch._enqueue = enqueues
         self.runs = gevent.spawn(self.service.run)
-        self.until(lambda: self.service.where and self.service.core.requests.ready)
+        self.until(lambda: self.service.listen_address and self.service.core.requests.ready)
 
     def until(self, what: Callable[[], Any], wait: float = WAIT) -> Any:
         with gevent.Timeout(wait, AssertionError("it did not come about")):
@@ -393,7 +393,7 @@
         return gevent.get_hub().threadpool.apply(call, args, named)
 
     def owner(self, source: str = "127.0.0.1") -> Owner:
-        return self.off(Owner, self.service.where, source)
+        return self.off(Owner, self.service.listen_address, source)
 
     def placed(self, owner: Owner, number: int, sort: str = "worker") -> str:
         """A task that stands."""
@@ -402,12 +402,12 @@
         return id
 
     def hold(self) -> None:
-        self.service.driver.pulse.late = lambda: True  # type: ignore[method-assign]
+        self.service.driver.stall_detector.late = lambda: True  # type: ignore[method-assign]
 
     def go(self) -> None:
-        self.service.driver.pulse.at = now_us()
-        self.service.driver.pulse.late = self._late  # type: ignore[method-assign]
-        self.service.driver._turn.set()
+        self.service.driver.stall_detector.at = now_us()
+        self.service.driver.stall_detector.late = self._late  # type: ignore[method-assign]
+        self.service.driver._turn_wanted.set()
 
     def has_read(self, kind: type, id: str = "") -> bool:
         return any(isinstance(e, kind) and (not id or e.message.id == id) for e in self.read)
@@ -417,4 +417,4 @@
         for thing in [self.board, *self.fleet]:
             thing.close()
         for stream in [*self.service.machines.streams.values(), *self.service.clients.accepted]:
-            stream.close(hard=True)
+            stream.close(abort=True)
--- a/tests/platform/test_platform_bounds.py
+++ b/tests/platform/test_platform_bounds.py
@@ -23,9 +23,9 @@
         stream.flush()
         if gone:
             break
-    assert gone == [stream] and stream.closed
-    assert 0 < len(stream.unsent()) <= streams.UNREAD_MOST // 1000 + 1
-    assert "m0" not in stream.unsent()  # that one left whole
+    assert gone == [stream] and stream.is_closed
+    assert 0 < len(stream.unsent_marks()) <= streams.MAX_UNREAD_BYTES // 1000 + 1
+    assert "m0" not in stream.unsent_marks()  # that one left whole
     theirs.close()
 
 
@@ -55,7 +55,7 @@
     kept = os.dup(2)
     try:
         os.dup2(writes, 2)
-        logs.never_block()
+        logs.make_stderr_nonblocking()
         budget = logs.LineBudget(500, 3600.0)
         monkeypatch.setattr(logs, "_budget", budget)
         for number in range(1000):
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -150,7 +150,7 @@
         gevent.sleep(0.02)
         stream = next(iter(one.service.machines.streams.values()))
         before = -1
-        while (written := stream._queued - len(stream._buffer)) != before:
+        while (written := stream._queued_bytes - len(stream._buffer)) != before:
             before = written
             gevent.sleep(0.2)  # what the system still takes
         if sum(1 for begin, _, _ in stream._marks if begin >= written) >= 2:
@@ -206,7 +206,7 @@
     live: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     one = live()
-    one.service.clients.most = 2
+    one.service.clients.max_connections = 2
     first, second = one.owner(), one.owner("127.0.0.9")
     for number, owner in ((1, first), (2, second)):  # the first has been quiet for longer
         one.off(owner.say, Message(Kind.TEST, f"{number:016x}", cause=0))
@@ -272,15 +272,15 @@
     live: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(shutdown, "LEAVING_US", 50_000)
-    monkeypatch.setattr(module, "BEGUN_US", 60_000_000)
-    monkeypatch.setattr(client_connections, "PARTIAL_S", 60.0)
+    monkeypatch.setattr(module, "PARTIAL_MESSAGE_GRACE_US", 60_000_000)
+    monkeypatch.setattr(client_connections, "PARTIAL_MESSAGE_TIMEOUT_S", 60.0)
     one = live()
     owner = one.owner()
     id = f"{1:016x}"
     fields = {"class": "worker", "left": "6000", "key": id, "extras": f"cores:1;memory:1;service:{id}"}
     data = binary.encode(Message(Kind.SET_UP, id, fields, body="b"))
     one.off(owner.sock.sendall, data[:40])
-    one.until(lambda: any(s.half for s in one.service.clients.streams.values()))
+    one.until(lambda: any(s.has_partial_message for s in one.service.clients.streams.values()))
     one.service.stop()
     one.until(lambda: one.service.core.shutdown.is_done())
     gevent.sleep(0.2)
@@ -294,7 +294,7 @@
     one = live()
     one.hold()
     one.service.stop()
-    came = one.service._stopped_at
+    came = one.service._stop_requested_at
     gevent.sleep(0.3)
     one.go()
     one.until(lambda: one.service.core.shutdown.leaving_at)
--- a/tests/platform/test_platform_departed_clients.py
+++ b/tests/platform/test_platform_departed_clients.py
@@ -97,7 +97,7 @@
     monkeypatch.setattr(address, "dial", dials)
     owner, other = one.owner(), one.owner("127.0.0.9")
     id = one.off(owner.ask, 1)
-    one.until(lambda: one.service.machines.dialling)
+    one.until(lambda: one.service.machines.dials)
     has_left(one, owner, id, how)
     gate.set()
     one.placed(other, 2)  # goes out on that very connection
@@ -242,7 +242,7 @@
     one.until(lambda: one.service.driver.queue.must_wait(2))
     one.off(owner.say, Message(Kind.TEST, f"{7:016x}", cause=0))  # read, and what comes after it is held back
     one.until(lambda: one.has_read(ev.ClientMessage, f"{7:016x}"))
-    gevent.sleep(3 * client_connections.FULL_PAUSE_S)
+    gevent.sleep(3 * client_connections.QUEUE_FULL_PAUSE_S)
     has_left(one, owner, id, how)
     assert one.service.driver.queue.is_overloaded()
     one.go()
--- a/tests/platform/test_platform_descriptor_limits.py
+++ b/tests/platform/test_platform_descriptor_limits.py
@@ -105,7 +105,7 @@
         (1024, 32),
     ):
         most = min(configured, limit or configured)
-        sockets = descriptors.usable(configured, limit)
-        assert sockets <= most and sockets * 2 // 5 + sockets // 2 + descriptors.RESERVED <= most
-    assert descriptors.usable(256, None) == 256  # a tenth is enough: nothing is taken away
-    assert descriptors.usable(0, None) == descriptors.LEAST
+        sockets = descriptors.usable_descriptors(configured, limit)
+        assert sockets <= most and sockets * 2 // 5 + sockets // 2 + descriptors.RESERVED_DESCRIPTORS <= most
+    assert descriptors.usable_descriptors(256, None) == 256  # a tenth is enough: nothing is taken away
+    assert descriptors.usable_descriptors(0, None) == descriptors.MIN_DESCRIPTORS
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -31,7 +31,7 @@
     made = Service(str(path))
     yield made
     for stream in [*made.machines.streams.values(), *made.clients.streams.values()]:
-        stream.close(hard=True)
+        stream.close(abort=True)
 
 
 def hears(service: Service, monkeypatch: pytest.MonkeyPatch, note: Any) -> None:
@@ -45,9 +45,9 @@
     monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
     closed: list[bool] = []
     hears(service, monkeypatch, lambda e: closed.append(ours.closed) if isinstance(e, ev.LinkLost) else None)
-    service.machines.dialling[7] = gevent.spawn(service.machines._serve, 7, "127.0.0.1:1")
+    service.machines.dials[7] = gevent.spawn(service.machines._serve, 7, "127.0.0.1:1")
     theirs.sendall(b"noise\n")
-    service.machines.dialling[7].join(5)
+    service.machines.dials[7].join(5)
     assert closed == [True]
     theirs.close()
 
@@ -56,9 +56,9 @@
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ours, theirs = gsocket.socketpair()
-    stream = service.machines.streams[7] = streams.Stream(ours, 7, service.machines._gone)
+    stream = service.machines.streams[7] = streams.Stream(ours, 7, service.machines._disconnected)
     closed: list[bool] = []
-    hears(service, monkeypatch, lambda e: closed.append(stream.closed))
+    hears(service, monkeypatch, lambda e: closed.append(stream.is_closed))
     stream.put(b"x" * 4_000_000)
     assert closed == [True]
     theirs.close()
@@ -67,16 +67,16 @@
 def test_nothing_is_taken_before_the_board_has_said_what_came_since_the_file_was_written(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "LIST_QUIET_S", 1.0)
+    monkeypatch.setattr(module, "NODE_LIST_QUIET_S", 1.0)
     order: list[str] = []
 
     def watch() -> None:
-        service.node_watch.last_received = time.monotonic()
+        service.node_watch.last_received_s = time.monotonic()
         order.append("watched")
         for _ in range(3):
             gevent.sleep(0.02)
             order.append("told")
-            service.node_watch.last_received = time.monotonic()
+            service.node_watch.last_received_s = time.monotonic()
         gevent.sleep(30)
 
     def accept(listener: object) -> None:
@@ -92,7 +92,7 @@
 def test_a_board_that_never_speaks_keeps_no_planner_out_of_service(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "CATCH_UP_S", 0.05)
+    monkeypatch.setattr(module, "NODE_LIST_CATCH_UP_S", 0.05)
     monkeypatch.setattr(service.node_watch, "run", lambda: gevent.sleep(30))
     monkeypatch.setattr(service.clients, "accept", lambda listener: service.stop())
     with gevent.Timeout(5):
@@ -112,13 +112,13 @@
     message = Message(Kind.SET_UP, "00000000000000aa", {"class": "worker"}, body="x")
     service.core.links.links[7] = Link(7, 1)
     service.executor.execute_all([ev.SendToMachine(n, message) for n in (7, 8)])
-    assert list(service.machines.unwritten) == [
+    assert list(service.machines.unsent_by_link) == [
         7
     ]  # of the other the core knows already: it would be kept for good
     service.driver.core = Core()  # type: ignore[assignment]
     service.driver._handle([ev.LinkLost(7, frozenset({"00000000000000bb"}))])
     assert seen == [ev.LinkLost(7, frozenset({message.id, "00000000000000bb"}))]
-    assert not service.machines.unwritten
+    assert not service.machines.unsent_by_link
 
 
 def test_a_set_up_that_waits_while_the_board_speaks_is_placed_by_its_word(
@@ -126,19 +126,19 @@
 ) -> None:
     """A burst of set-ups is read first; the drain that comes meanwhile is handled before most of them."""
     handled: list[str] = []
-    monkeypatch.setattr(driver, "SLICE_S", 0.005)
-    monkeypatch.setattr(service.driver.pulse, "late", lambda: False)
+    monkeypatch.setattr(driver, "TURN_SLICE_S", 0.005)
+    monkeypatch.setattr(service.driver.stall_detector, "late", lambda: False)
 
     def handle(now: int, batch: list[ev.Event]) -> list[ev.Action]:
         handled.extend(type(event).__name__ for event in batch)
-        time.sleep(driver.SLICE_S)
+        time.sleep(driver.TURN_SLICE_S)
         return []
 
     monkeypatch.setattr(service.core, "handle", handle)
     asks = [ev.ClientMessage(1, Message(Kind.SET_UP, f"{n:016x}", {}, body="x")) for n in range(100)]
     service.driver.enqueue(*asks)
     turns = gevent.spawn(service.driver.run_turns)
-    gevent.spawn(service.driver.enqueue, ev.NodeListUpdated(module.NodeList((), (), module.clocks)))  # type: ignore[arg-type]
+    gevent.spawn(service.driver.enqueue, ev.NodeListUpdated(module.NodeList((), (), module.read_clocks)))  # type: ignore[arg-type]
     with gevent.Timeout(10):
         while len(handled) < 101:
             gevent.sleep(0.01)
@@ -164,8 +164,8 @@
 def test_the_turns_wait_between_slices(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
     """One that never waits while there is work counts as hung."""
     waits: list[float] = []
-    monkeypatch.setattr(driver, "SLICE_S", 0.0)
-    monkeypatch.setattr(service.driver.pulse, "late", lambda: False)
+    monkeypatch.setattr(driver, "TURN_SLICE_S", 0.0)
+    monkeypatch.setattr(service.driver.stall_detector, "late", lambda: False)
     real = gevent.sleep
     monkeypatch.setattr(module.gevent, "sleep", lambda s=0.0: (waits.append(s), real(s)))
     for number in range(1, 100):
@@ -186,33 +186,33 @@
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The time for one message to come whole runs anew with each: not over the connection's life."""
-    monkeypatch.setattr(client_connections, "PARTIAL_S", 0.2)
+    monkeypatch.setattr(client_connections, "PARTIAL_MESSAGE_TIMEOUT_S", 0.2)
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
     ours, theirs = gsocket.socketpair()
-    stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._gone)
+    stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._disconnected)
     reads = gevent.spawn(service.clients._serve, stream)
     data = b"".join(binary.encode(asks(n)) for n in range(1, 61))
     step = len(data) // 60 + 1  # never at the end of one but for the last
     for at in range(0, len(data), step):
         theirs.sendall(data[at : at + step])
         gevent.sleep(0.01)
-    assert not stream.ending and sum(isinstance(e, ev.ClientMessage) for e in heard) == 60
+    assert not stream.is_closing and sum(isinstance(e, ev.ClientMessage) for e in heard) == 60
     theirs.sendall(data[:9])  # and one that does not go on ends it
     reads.join(5)
-    assert stream.closed and any(isinstance(e, ev.ClientDisconnected) for e in heard)
+    assert stream.is_closed and any(isinstance(e, ev.ClientDisconnected) for e in heard)
     theirs.close()
 
 
 def test_a_machine_whose_lines_always_come_in_pieces_keeps_its_connection(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(machine_connections, "LINE_S", 0.2)
+    monkeypatch.setattr(machine_connections, "PARTIAL_LINE_TIMEOUT_S", 0.2)
     ours, theirs = gsocket.socketpair()
     monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
-    service.machines.dialling[7] = reads = gevent.spawn(service.machines._serve, 7, "127.0.0.1:1")
+    service.machines.dials[7] = reads = gevent.spawn(service.machines._serve, 7, "127.0.0.1:1")
     data = b"".join(jsonlines.encode(Message(Kind.ANSWER, f"{n:016x}", body="x" * 200)) for n in range(1, 61))
     step = len(data) // 60 + 1
     for at in range(0, len(data), step):
@@ -249,7 +249,7 @@
     stream = streams.Stream(ours, 1, lambda s: None)
     for _ in range(100):
         stream.put(b"x" * 1000)
-    assert not stream.closed
+    assert not stream.is_closed
     stream.flush()
     got = 0
     with gevent.Timeout(10):
@@ -262,7 +262,7 @@
 
 def test_the_board_is_watched_on_after_a_fault(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
     """Else every drain from then on would go unheard."""
-    monkeypatch.setattr(watching, "RETRY_S", 0.001)
+    monkeypatch.setattr(watching, "MIN_BACKOFF_S", 0.001)
     asked: list[float] = []
 
     def dial(wait: float) -> bool:
@@ -279,7 +279,7 @@
 
 def test_what_cannot_be_said_takes_nothing_else_along(service: Service) -> None:
     ours, theirs = gsocket.socketpair()
-    service.clients.streams[1] = streams.Stream(ours, 1, service.clients._gone)
+    service.clients.streams[1] = streams.Stream(ours, 1, service.clients._disconnected)
     unspeakable = Message(Kind.RELEASE, "00000000000000aa", {"no such field": "x"}, 41)
     service.executor.execute_all([ev.SendToClient(1, unspeakable), ev.SendToClient(1, asks(2))])
     service.executor.flush()
@@ -293,13 +293,13 @@
     left: list[tuple[int, int]] = []
 
     class Line(streams.Stream):
-        def _sent(self, size: int) -> None:
+        def _record_sent(self, size: int) -> None:
             left.append((self.number, size))
-            super()._sent(size)
+            super()._record_sent(size)
 
     pairs = [gsocket.socketpair() for _ in range(2)]
     for number, (ours, _) in enumerate(pairs, 1):
-        service.machines.streams[number] = Line(ours, number, service.machines._gone)
+        service.machines.streams[number] = Line(ours, number, service.machines._disconnected)
     heard = Message(Kind.HEARD, "00000000000000bb")
     given_up = Message(Kind.RELEASE, "00000000000000aa", cause=16)
     service.executor.execute_all(
@@ -316,7 +316,7 @@
     ours, theirs = gsocket.socketpair()
     stream = streams.Stream(ours, 1, lambda s: None)
     stream.put(b"last words")
-    stream.end()
+    stream.close_gracefully()
     theirs.setblocking(False)
     assert theirs.recv(100) == b"last words" and theirs.recv(100) == b""
     stream.close()
@@ -345,24 +345,24 @@
     """Else its descriptor counts for nobody until the dial's time is over."""
     monkeypatch.setattr(module.address, "dial", lambda where, wait: gevent.sleep(3600))
     service.executor.execute_all([ev.Dial(7, "127.0.0.1:1")])
-    dial = service.machines.dialling[7]
+    dial = service.machines.dials[7]
     gevent.sleep(0)
     service.executor.execute_all([ev.CloseLink(7)])
     dial.join(5)
-    assert dial.dead and not service.machines.dialling
+    assert dial.dead and not service.machines.dials
 
 
 def test_owners_are_not_read_while_too_much_waits_and_lose_nothing_by_it(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Half of a message lies unread meanwhile: its time to come whole begins with the next read."""
-    monkeypatch.setattr(client_connections, "PARTIAL_S", 0.2)
+    monkeypatch.setattr(client_connections, "PARTIAL_MESSAGE_TIMEOUT_S", 0.2)
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
     full = [True]
     monkeypatch.setattr(service.driver.queue, "must_wait", lambda conn: full[0])
     ours, theirs = gsocket.socketpair()
-    stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._gone)
+    stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._disconnected)
     reads = gevent.spawn(service.clients._serve, stream)
     data = binary.encode(asks(1))
     theirs.sendall(data[:50])
@@ -376,7 +376,7 @@
     with gevent.Timeout(10):
         while not heard:
             gevent.sleep(0.01)
-    assert isinstance(heard[0], ev.ClientMessage) and not stream.ending
+    assert isinstance(heard[0], ev.ClientMessage) and not stream.is_closing
     theirs.close()
     reads.join(5)
 
@@ -388,17 +388,17 @@
     """A read that finds bytes does not wait: all of it would be read before anybody else is."""
     heard: list[ev.Event] = []
     hears(service, monkeypatch, heard.append)
-    monkeypatch.setattr(client_connections, "CLIENT_READ", 256)
-    monkeypatch.setattr(machine_connections, "MACHINE_READ", 256)
+    monkeypatch.setattr(client_connections, "READ_BYTES", 256)
+    monkeypatch.setattr(machine_connections, "READ_BYTES", 256)
     ours, theirs = gsocket.socketpair()
     answer = Message(Kind.ANSWER, "00000000000000aa", body="x" * 200)
     theirs.sendall((binary.encode(asks(1)) if owner else jsonlines.encode(answer)) * 100)
     if owner:
-        stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._gone)
+        stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._disconnected)
         reads = gevent.spawn(service.clients._serve, stream)
     else:
         monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
-        service.machines.dialling[1] = reads = gevent.spawn(service.machines._serve, 1, "127.0.0.1:1")
+        service.machines.dials[1] = reads = gevent.spawn(service.machines._serve, 1, "127.0.0.1:1")
     gevent.sleep(0)
     assert 0 < len(heard) < 50
     theirs.close()
@@ -407,6 +407,6 @@
 
 
 def test_a_list_that_is_no_object_cannot_be_used(service: Service) -> None:
-    service.in_force.config = replace(service.config, known=(5,))  # type: ignore[arg-type]
+    service.active_config.config = replace(service.config, known_updates=(5,))  # type: ignore[arg-type]
     with pytest.raises(ConfigError):
         service.run()
--- a/tests/platform/test_platform_settings_reload.py
+++ b/tests/platform/test_platform_settings_reload.py
@@ -132,7 +132,7 @@
         new = written(tmp_path, lambda v: (both(v), put("settings", "group_size", value=2)(v))[0])
     else:
         old, new = written(tmp_path), written(tmp_path, both)
-    with pytest.raises(reload.NeedsRestart) as caught:
+    with pytest.raises(reload.RestartRequiredError) as caught:
         reload.live_change(old, new)
     assert field in [str(change) for change in caught.value.changes]
     assert f"{field}: " in str(caught.value)
@@ -145,7 +145,7 @@
 
     assert reload.live_change(parties("a"), parties("a", "b")) is not None
     for names in (("b", "a"), ("b",), ()):
-        with pytest.raises(reload.NeedsRestart, match="tenants"):
+        with pytest.raises(reload.RestartRequiredError, match="tenants"):
             reload.live_change(parties("a"), parties(*names))
 
 
@@ -601,6 +601,6 @@
 
 
 def test_a_site_s_changes_of_a_day_all_have_their_line() -> None:
-    budget = logs.LineBudget(logs.LINES_MOST, logs.LINE_EVERY_S)
+    budget = logs.LineBudget(logs.MAX_BURST_LINES, logs.LINE_INTERVAL_S)
     span = 86_400 / 2_600
     assert all(budget.take(n * span) for n in range(7 * 2_600))
--- a/tests/platform/test_platform_watch.py
+++ b/tests/platform/test_platform_watch.py
@@ -15,7 +15,7 @@
 from stairplank.platform import node_watch as module
 from stairplank.platform.node_list import NodeList
 from stairplank.platform.node_watch import NodeWatch
-from stairplank.platform.service import clocks
+from stairplank.platform.service import read_clocks
 
 ROW: dict[str, Any] = {"host": "s-1", "dial": "127.0.0.1:1", "health": "SERVING", "block": 0, "site": "a"}
 ROW |= {"class": "k", "born_ms": 0, "spare": [1.0, 1.0]}
@@ -26,7 +26,7 @@
         self.board = BoardStand([ROW])
         self.told: list[ev.Event] = []
         self.counts: list[str] = []
-        made = NodeList(("a",), ("k",), clocks)
+        made = NodeList(("a",), ("k",), read_clocks)
         self.watch = NodeWatch(made, self.board.address, self.told.append, self.counts.append)
         self.runs = gevent.spawn(self.watch.run)
 
@@ -99,7 +99,7 @@
     one.until(lambda: len(one.watch._connections) == 1)
     one.board.silent = set(range(100))
     for _ in range(100):
-        assert len(one.watch._connections) <= module.CONNECTIONS_MOST
+        assert len(one.watch._connections) <= module.MAX_CONNECTIONS
         gevent.sleep(0.03)
 
 
--- a/tests/stored/test_stored_settings.py
+++ b/tests/stored/test_stored_settings.py
@@ -403,12 +403,16 @@
 
 def test_a_platform_file_is_typed() -> None:
     config = platform_config.load(str(DATA / "platform.json"))
-    assert (config.name, config.listen, config.board) == ("n0", "127.0.0.1:7301", "127.0.0.1:7070")
+    assert (config.name, config.listen, config.node_list_address) == (
+        "n0",
+        "127.0.0.1:7301",
+        "127.0.0.1:7070",
+    )
     assert (config.seed, config.sockets, config.revision) == (0x8C1F, 256, "17")
     assert (config.zones, config.tenants) == (("hall 1", "hall 2"), ("red, one", "blue"))
     assert config.fields == ("x0", "x1", "utilization")
     assert (config.dial_timeout_us, config.idle_us, config.handshake_price) == (240_000, 29_000_000, 0.7)
-    assert config.known == ({"id": 4}, {"id": 5})
+    assert config.known_updates == ({"id": 4}, {"id": 5})
 
 
 def test_the_decision_module_is_told_what_a_platform_file_says() -> None:
