--- a/stairplank/platform/__init__.py
+++ b/stairplank/platform/__init__.py
@@ -1,7 +1,7 @@
-"""The planner as a service on a platform: clients send binary messages, machines and the node list service
-send JSON lines.
+"""The planner as a service on a platform.
 
-One more front end of the same program. ``messages``, ``binary`` and ``jsonlines`` are the message formats,
+Clients send binary messages, machines and the node list service send JSON lines. One more front end of the
+same program. ``messages``, ``binary`` and ``jsonlines`` are the message formats,
 ``config`` and ``node_list`` what a planner is configured with, ``core`` with its components ``validation``,
 ``client_requests``, ``client_sessions``, ``task_table``, ``attempts``, ``links``, ``machines``, ``adoption``
 and ``shutdown`` a state machine around the decision module, ``event_queue`` and ``driver`` the order in which
--- a/stairplank/platform/actions.py
+++ b/stairplank/platform/actions.py
@@ -15,11 +15,11 @@
 from .node_watch import NodeWatch
 from .streams import Stream
 
-TRACKED_KINDS = (Kind.SET_UP, Kind.TEST)  # the core is notified where these are not written whole
+TRACKED_KINDS = (Kind.SET_UP, Kind.TEST)  # the core is notified where these are not written completely
 
 
 class ActionExecutor:
-    """Carries out actions in order; ``flush`` writes what a turn has sent."""
+    """Carries out actions in order; messages are buffered until ``flush``."""
 
     def __init__(
         self,
@@ -29,6 +29,7 @@
         node_watch: NodeWatch,
         confirm_settings: Callable[[ev.SettingsChanged], None],
     ) -> None:
+        """Act on these connections; ``confirm_settings`` is called once the core runs by changed settings."""
         self._core = core
         self._clients = clients
         self._machines = machines
@@ -37,7 +38,7 @@
         self._unflushed: dict[Stream, None] = {}  # in the order of their first message
 
     def with_unsent(self, events: list[ev.Event]) -> list[ev.Event]:
-        """These events, where a lost link also names the messages that found it gone."""
+        """Return these events, where a lost link also names the messages that found it closed."""
         return [
             self._machines.with_unsent(event) if isinstance(event, ev.LinkLost) else event for event in events
         ]
@@ -47,15 +48,16 @@
         for action in actions:
             try:
                 self._execute(action)
-            except Exception:
-                # Danger: a message that cannot be sent would take along all that the turn has still to send.
+            except Exception:  # noqa: BLE001 - whatever the fault is, the other actions are carried out
+                # Danger: with a message that cannot be sent, the rest of what the turn sends would be lost.
                 self._core.loop.count("faults")
                 log("fault", at=traceback.format_exc(limit=-3))
 
     def flush(self) -> None:
-        """The messages of one turn to one side leave in one piece."""
+        """Write what a turn has sent: the messages to one peer in one piece."""
         while self._unflushed:
-            streams, self._unflushed = self._unflushed, {}
+            streams = self._unflushed
+            self._unflushed = {}
             for stream in streams:
                 stream.flush()
 
@@ -85,8 +87,8 @@
         stream = self._machines.stream_for(action.link, mark)
         self._write(stream, jsonlines.encode(message), mark)
         if stream is not None and message.kind is Kind.RELEASE:
-            # Danger: left to the turn's end, a set-up that is given up here may be out elsewhere before this
-            # line leaves: connections are written in the order of their first message.
+            # Danger: left to the turn's end, a placement request that is cancelled here may be sent elsewhere
+            # before this line is: connections are written in the order of their first message.
             stream.flush()
 
     def _write(self, stream: Stream | None, data: bytes, mark: str = "") -> None:
--- a/stairplank/platform/client_connections.py
+++ b/stairplank/platform/client_connections.py
@@ -1,9 +1,8 @@
-"""Connections of clients: accepted within a bound, read by a greenlet each, closed once all is written."""
+"""Connections of clients: accepted up to a bound, read by a greenlet each, closed once all is written."""
 
 from __future__ import annotations
 
 import errno
-import time
 from typing import Any
 
 import gevent
@@ -16,27 +15,24 @@
 from .client_sessions import ClientSessions
 from .driver import CoreDriver
 from .messages import Message, Unreadable
-from .streams import MAX_CONSECUTIVE_READS, RESOURCE_EXHAUSTED_ERRNOS, Stream, receive
+from .streams import RESOURCE_EXHAUSTED_ERRNOS, PacedReads, Stream
 
-# Read at once of one connection: a burst of one delays the others by no more than reading it.
+# Of one read of one connection: a burst of one delays the others by no more than reading it.
 READ_BYTES = 16_384
-MIN_DECODE_BYTES = (
-    512  # bytes decoded at once, when a round of reading has lasted as long as a slice of turns
-)
-LINGER_READ_BYTES = 65_536  # the same of one that is being closed
-PARTIAL_MESSAGE_TIMEOUT_S = (
-    2.0  # a message that has begun comes whole by then, or its connection is of no use
-)
-QUEUE_FULL_PAUSE_S = 0.02  # between reads while set-ups wait up to their bound
+MIN_DECODE_BYTES = 512  # decoded at once when a round of reading has lasted as long as a slice of turns
+LINGER_READ_BYTES = 65_536  # of one read of a connection that is being closed
+PARTIAL_MESSAGE_TIMEOUT_S = 2.0  # a message that has begun is complete by then, or its connection is closed
+QUEUE_FULL_PAUSE_S = 0.02  # between reads while as many placement requests wait as may
 ACCEPT_RETRY_S = 0.02  # after a connection that could not be accepted for want of descriptors
-CLOSE_POLL_S = 0.05
+CLOSE_POLL_S = 0.05  # between looks whether a connection has closed
 TRANSIENT_ACCEPT_ERRNOS = frozenset({errno.ECONNABORTED, errno.EPROTO, errno.EINTR})
 
 
 class ClientConnections:
-    """At most ``most`` connections, those that are being closed included."""
+    """The sockets of the core's client sessions, by the connections' numbers."""
 
     def __init__(self, driver: CoreDriver, sessions: ClientSessions, max_connections: int) -> None:
+        """Accept at most ``max_connections``, those that are being closed included."""
         self._driver = driver
         self._sessions = sessions
         self.max_connections = max_connections
@@ -78,7 +74,10 @@
         gevent.spawn(self._serve, stream)
 
     def _close_idlest(self) -> bool:
-        """Danger: silent connections would keep good clients, machines and the node list service out."""
+        """Close the idlest connection; return whether there was one.
+
+        Danger: silent connections would keep good clients, machines and the node list service out.
+        """
         number = self._sessions.idlest_connection()
         stream = self.streams.get(number) if number is not None else None
         if stream is None:
@@ -89,9 +88,10 @@
         return True
 
     def has_unread(self, number: int) -> bool:
-        """Whether something of that client waits: read and not handled, begun, or still in its socket.
+        """Return whether something of that client waits: read and not handled, begun, or still in its socket.
 
-        Danger: a set-up that lies there would be lost with a connection that is closed as idle, or for room.
+        Danger: a placement request that lies there would be lost with a connection that is closed as idle, or
+        for another one.
         """
         if number in self._driver.clients_in_turn or self._driver.queue.has_pending(number):
             return True
@@ -99,7 +99,7 @@
         return stream is not None and (stream.has_partial_message or stream.is_readable())
 
     def has_partial_message(self) -> bool:
-        """Whether a message has begun to come on any connection, and is not whole."""
+        """Return whether a message has begun to arrive on any connection, and is not complete."""
         return any(stream.has_partial_message for stream in self.streams.values())
 
     def close(self, number: int) -> None:
@@ -115,7 +115,7 @@
             self.close(number)
 
     def are_closed(self) -> bool:
-        """Whether every connection that was accepted is closed."""
+        """Return whether every connection that was accepted is closed."""
         return all(stream.is_closed for stream in self.accepted)
 
     def _disconnected(self, stream: Stream) -> None:
@@ -135,33 +135,29 @@
             self.accepted.discard(stream)
 
     def _read(self, stream: Stream) -> None:
-        reader, began, reads = binary.Reader(), 0.0, 0
+        reader = binary.Reader()
+        reads = PacedReads(stream.sock, PARTIAL_MESSAGE_TIMEOUT_S)
         while not stream.is_closed:
-            is_partial = reader.waiting and not stream.is_closing
-            most = LINGER_READ_BYTES if stream.is_closing else READ_BYTES
-            data = receive(stream.sock, most, began + PARTIAL_MESSAGE_TIMEOUT_S if is_partial else None)
-            if not is_partial:
-                began = time.monotonic()
+            is_partial = bool(reader.waiting) and not stream.is_closing
+            max_bytes = LINGER_READ_BYTES if stream.is_closing else READ_BYTES
+            data = reads.receive(max_bytes, is_partial)
             if stream.is_closing:
                 if not stream.discard(len(data)):
                     return
             elif not data:
                 return
             else:
-                if len(data) == most:
+                if len(data) == max_bytes:
                     self._check_hang_up(stream)
                 if self._decode(stream, reader, data):
-                    began = time.monotonic()  # what is left has begun with these bytes
+                    reads.restart_deadline()  # what remains has begun with these bytes
             stream.has_partial_message = bool(reader.waiting)
-            # Danger: one that sends at full speed would be read for ever, and nobody else.
-            reads += 1
-            if reads % MAX_CONSECUTIVE_READS == 0:
-                gevent.sleep(0)
+            reads.yield_to_others()
             if self._wait_while_full(stream):
-                began = time.monotonic()  # the rest of a message may lie unread meanwhile
+                reads.restart_deadline()  # the rest of a message may lie unread meanwhile
 
     def _decode(self, stream: Stream, reader: binary.Reader, data: bytes) -> bool:
-        """Cut what was read into messages and queue them; whether there were any.
+        """Decode what was read into messages and queue them; return whether there were any.
 
         Danger: with hundreds that flood, a round in which all that was read of each is decoded at once lasts
         longer than a client's departure may go unnoticed.
@@ -169,9 +165,10 @@
         found = False
         while data and not stream.is_closed and not stream.is_closing:
             size = MIN_DECODE_BYTES if self._driver.is_round_over() else READ_BYTES
-            piece, data = data[:size], data[size:]
+            piece = data[:size]
+            data = data[size:]
             stream.has_partial_message = (
-                True  # Danger: closed as idle, or for room, it would take the rest along
+                True  # Danger: closed as idle, or for another, the rest would be lost
             )
             found |= self._feed(stream, reader, piece)
             if data:
@@ -180,19 +177,22 @@
         return found
 
     def _check_hang_up(self, stream: Stream) -> None:
-        """Danger: the end of a connection lies behind all that was sent on it. Read in order, a client that
-        sends hundreds of set-ups and closes would have them placed one after the other."""
+        """Queue that the client has closed its connection, once, before what it sent is read.
+
+        Danger: the end of a connection lies behind all that was sent on it. Read in order, a client that
+        sends hundreds of placement requests and closes would have them placed one after the other.
+        """
         if not stream.hang_up_reported and not stream.is_closing and stream.is_closed_by_peer():
             stream.hang_up_reported = True
-            self._driver.core.loop.count("hung_up_unread")
+            self._driver.core.loop.count("client_hang_ups_before_read")
             self._driver.enqueue(ev.ClientHungUp(stream.number))
 
     def _feed(self, stream: Stream, reader: binary.Reader, data: bytes) -> bool:
-        """Queue the messages that are whole now; whether there are any."""
+        """Queue the messages that are complete now; return whether there are any."""
         try:
             messages = reader.feed(data)
         except Unreadable as error:
-            self._driver.core.loop.count("unreadable_owners")
+            self._driver.core.loop.count("malformed_client_messages")
             self._enqueue(stream, error.messages)  # type: ignore[attr-defined]
             self.close(stream.number)
             return False
@@ -205,14 +205,16 @@
         self._driver.enqueue(*[ev.ClientMessage(stream.number, message, now) for message in messages])
 
     def _wait_while_full(self, stream: Stream) -> bool:
-        """Slow a client down, and stop it while too many events wait; whether it was.
+        """Slow a client down, and stop it while too many events wait; return whether it was.
 
-        Danger: not read at all while set-ups wait, a client that gives up, or leaves, is not seen to.
+        Danger: not read at all while placement requests wait, a client that cancels or leaves goes unnoticed.
         """
         queue = self._driver.queue
-        is_slowed, has_waited = queue.is_full(), False
+        is_slowed = queue.is_full()
+        has_waited = False
         while (is_slowed or queue.must_wait(stream.number)) and not stream.is_closing:
             self._check_hang_up(stream)
             gevent.sleep(QUEUE_FULL_PAUSE_S)
-            is_slowed, has_waited = False, True
+            is_slowed = False
+            has_waited = True
         return has_waited
--- a/stairplank/platform/config.py
+++ b/stairplank/platform/config.py
@@ -1,4 +1,4 @@
-"""The configuration file that ``GW_CONFIG`` names. Reads files, decides nothing."""
+"""The configuration file that ``GW_CONFIG`` names: reads it, and types what it holds."""
 
 from __future__ import annotations
 
@@ -11,37 +11,57 @@
 from .. import interface as api
 from .. import wire
 
-MAX_CONFIG_BYTES = 16_000_000  # bytes
+MAX_CONFIG_BYTES = 16_000_000
+MAX_PORT = 65_535
 REVISION_DIGEST_DIGITS = (
     12  # hexadecimal digits of a file's SHA-256 that stand for a revision without a number
 )
 
 
 class ConfigError(Exception):
-    """The file cannot be used; the text gives the reason."""
+    """A configuration that cannot be used.
+
+    Attributes:
+        reason: What is wrong, in words.
+        path: The file; None where the text need not name it.
+        key: The file's key that is wrong; None where it is the file.
+        value: What that key has.
+    """
+
+    def __init__(
+        self, reason: str, *, path: str | None = None, key: str | None = None, value: object = None
+    ) -> None:
+        """The text names path, key and reason, as far as they are given."""
+        super().__init__(": ".join(part for part in (path, key, reason) if part is not None))
+        self.reason = reason
+        self.path = path
+        self.key = key
+        self.value = value
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    name: str
-    listen: str
-    node_list_address: str
+    """What a planner is configured with."""
+
+    name: str  # of the planner
+    listen: str  # the address for clients
+    node_list_address: str  # of the node list service
     seed: int
-    sockets: int
+    sockets: int  # how many connections it may have
     settings: api.Settings
     zones: tuple[str, ...]
     tenants: tuple[str, ...]
     fields: tuple[str, ...]  # of load reports, as machines name them
     dial_timeout_us: int
-    idle_us: int
-    handshake_price: float  # of a connection, as a share
-    known_updates: tuple[dict[str, Any], ...]
+    idle_us: int  # machines close a connection that is idle for so long
+    handshake_price: float  # of a connection that is made, as a fraction
+    known_updates: tuple[dict[str, Any], ...]  # of the node list, from before the start; not checked yet
     revision: str = ""  # of the file
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigFile:
-    """A file that was read; its content is not checked yet."""
+    """A configuration file that was read; its content is not checked yet."""
 
     path: str
     value: Mapping[str, Any]
@@ -49,60 +69,66 @@
 
 
 def read(path: str) -> ConfigFile:
-    """The file's object and revision. Raises ConfigError."""
+    """Read a file's JSON object and revision. Raises ConfigError."""
     try:
         with open(path, "rb") as file:
             raw = file.read(MAX_CONFIG_BYTES)
         value = json.loads(raw)
     except (OSError, ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: {error}") from None
+        raise ConfigError(str(error), path=path) from None
     if not isinstance(value, dict):
-        raise ConfigError(f"{path}: no JSON object")
+        raise ConfigError("no JSON object", path=path, value=value)
     return ConfigFile(path, value, _revision(raw, value.get("revision")))
 
 
 def _revision(raw: bytes, number: object) -> str:
-    """The number that the file has, else the beginning of its digest."""
+    """Return the number that the file has, else the beginning of its digest."""
     if isinstance(number, int) and not isinstance(number, bool):
         return str(number)
     return sha256(raw).hexdigest()[:REVISION_DIGEST_DIGITS]
 
 
 def parse_node_list_address(value: Mapping[str, Any]) -> str:
-    """The node list service's address. Raises ConfigError."""
-    board = value.get("board")
-    host, _, port = board.rpartition(":") if isinstance(board, str) else ("", "", "")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigError(f"board: {board!r} is no address")
+    """Return the node list service's address, which the file calls ``board``. Raises ConfigError."""
+    text = value.get("board")
+    host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+        raise ConfigError(f"{text!r} is no address", key="board", value=text)
     return f"{host}:{port}"
 
 
 def _parse_names(value: Any) -> tuple[str, ...]:
-    """Danger: the settings text has no blanks or commas in names; by its spelling the names that clients,
-    machines and the node list service send would match nothing."""
+    """Return a list's names as the file spells them.
+
+    Danger: the settings text has no blanks or commas in names; by its spelling the names that clients,
+    machines and the node list service send would match nothing.
+    """
     if not isinstance(value or [], list):
-        raise ValueError(f"a list of names is needed, not {value!r}")
+        # The log names the type of the error, which operators know as ValueError.
+        raise ValueError(f"a list of names is needed, not {value!r}")  # noqa: TRY004 - see above
     return tuple(str(name) for name in value or ())
 
 
 def _with_configured_names(settings: api.Settings, value: Mapping[str, Any]) -> api.Settings:
-    """The same with classes and kinds as they are named in the file."""
+    """Return the settings with classes and node types as they are named in the file."""
     classes = zip(settings.classes, value["classes"], strict=True)
-    kinds = zip(settings.node_types, _parse_names(value["kinds"]), strict=True)
+    node_types = zip(settings.node_types, _parse_names(value["kinds"]), strict=True)
     return replace(
         settings,
-        classes=tuple(replace(c, name=str(v.get("name", c.name))) for c, v in classes),
-        node_types=tuple(replace(k, name=name) for k, name in kinds),
+        classes=tuple(
+            replace(task_class, name=str(entry.get("name", task_class.name))) for task_class, entry in classes
+        ),
+        node_types=tuple(replace(node_type, name=name) for node_type, name in node_types),
     )
 
 
 def load(path: str) -> Config:
-    """Raises ConfigError."""
+    """Read and type the configuration file at ``path``. Raises ConfigError."""
     return parse(read(path))
 
 
 def parse(file: ConfigFile) -> Config:
-    """The typed configuration of a file. Raises ConfigError."""
+    """Return the typed configuration of a file. Raises ConfigError."""
     value = file.value
     try:
         options = wire.Options(wire.flattened(value["settings"]))
@@ -125,4 +151,4 @@
             revision=file.revision,
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise ConfigError(f"{file.path}: {type(error).__name__}: {error}") from None
+        raise ConfigError(f"{type(error).__name__}: {error}", path=file.path) from None
--- a/stairplank/platform/driver.py
+++ b/stairplank/platform/driver.py
@@ -1,4 +1,4 @@
-"""Drives the core: events are queued as they are read, and handled in turns of bounded length.
+"""Drives the core: events are queued as they are read and handled in turns of bounded length.
 
 Readers only queue events; one greenlet takes the core's turns, one waits for the core's timers.
 """
@@ -19,14 +19,12 @@
 from .event_queue import EventQueue
 from .logs import log
 
-TURN_SLICE_S = (
-    0.02  # of turns, before all that has come meanwhile is read: far under the grace that drains have
-)
+TURN_SLICE_S = 0.02  # of turns, before all that has arrived meanwhile is read: far under the grace of drains
 # A wait between slices. Danger: sleep(0) may come back without a look at the sockets.
 SOCKET_POLL_S = 0.001
 MAX_RESUME_BATCH = 256  # of one turn after a stall: about as many as a slice of turns takes
-MAX_RESUME_S = 0.5  # so long the time that has passed is not felt after a stall, while others flood
-MIN_LOGGED_STALL_US = 1_000_000  # a stall of so long is worth a line
+MAX_RESUME_S = 0.5  # after a stall, until timers are due although others flood
+MIN_LOGGED_STALL_US = 1_000_000  # a stall of so long is logged
 
 TurnHandler = Callable[[int, list[ev.Event]], list[ev.Action]]
 
@@ -34,21 +32,27 @@
 class Executor(Protocol):
     """Carries out what the core wants done."""
 
-    def with_unsent(self, events: list[ev.Event]) -> list[ev.Event]: ...
-    def execute_all(self, actions: list[ev.Action]) -> None: ...
-    def flush(self) -> None: ...
+    def with_unsent(self, events: list[ev.Event]) -> list[ev.Event]:
+        """Return these events, where a lost link also names the messages that found it closed."""
+
+    def execute_all(self, actions: list[ev.Action]) -> None:
+        """Carry out actions in order."""
+
+    def flush(self) -> None:
+        """Write what a turn has sent."""
 
 
 class CoreDriver:
     """The core's event queue, turns and timer."""
 
     def __init__(self, core: Core) -> None:
+        """Drive ``core``; ``executor`` is set before ``start``."""
         self.core = core
         self.executor: Executor
         self.queue = EventQueue()
         self.stall_detector = Pulse(self.queue, self._resume_after_stall)
         self.clients_in_turn: frozenset[int] = frozenset()  # of whose messages the current turn has some
-        # When the current round of reading is over (monotonic, in seconds); 0: none has begun since the last
+        # When the current round of reading is over, by the monotonic clock; 0: none has begun since the last
         # turns.
         self._round_deadline_s = 0.0
         self._is_resuming = False  # after a stall: no other turns are taken
@@ -71,8 +75,8 @@
     def run_turns(self) -> None:
         """Read all that can be read, then handle it in the event queue's order, a slice of time at once.
 
-        Danger: handled as it is read, a burst of set-ups would keep a drain, a machine's last message or
-        an adopted task waiting in its socket, and be placed against them.
+        Danger: handled as they are read, a burst of placement requests would keep a drain, a machine's last
+        message or an adopted task waiting in its socket, and be placed against them.
         """
         while True:
             self._turn_wanted.wait()
@@ -87,7 +91,7 @@
             self._rearm_timer()
 
     def is_round_over(self) -> bool:
-        """Whether what clients sent has been decoded for as long as a slice of turns, and turns are due."""
+        """Return whether what clients sent has been decoded for as long as a slice of turns."""
         now = time.monotonic()
         if not self._round_deadline_s:
             self._round_deadline_s = now + TURN_SLICE_S
@@ -101,7 +105,7 @@
                 return
 
     def _handle(self, batch: list[ev.Event], handler: TurnHandler | None = None) -> None:
-        """One turn of the core, with its actions. ``turn``: how the core handles it."""
+        """Run one turn of the core and its actions; ``handler``: the core's method, else ``handle``."""
         batch = self.executor.with_unsent(batch)
         self.clients_in_turn = frozenset(event.conn for event in batch if isinstance(event, ev.ClientMessage))
         self.executor.execute_all((handler or self.core.handle)(now_us(), batch))
@@ -109,16 +113,16 @@
         self.executor.flush()
 
     def _resume_after_stall(self, stalled_us: int) -> None:
-        """The process stood still; what came meanwhile is read by now. New set-ups wait for their slices.
+        """Handle what arrived during a stall; new placement requests wait for their slices.
 
         Danger: hundreds of them placed in one turn are a stall of their own, during which no drain is read;
         so are thousands of messages, during which clients leave unnoticed.
         """
         if self._is_resuming:
-            return  # it stood still again meanwhile: the rest is handled by the first call
-        self.core.loop.count("stood_still")
+            return  # a further stall meanwhile: the rest is handled by the first call
+        self.core.loop.count("stalls")
         if stalled_us > MIN_LOGGED_STALL_US:
-            log("stood still", ms=stalled_us // 1000, came=len(self.queue))
+            log("stalled", ms=stalled_us // 1000, came=len(self.queue))
         self._is_resuming = True
         try:
             self._handle_messages()
@@ -127,7 +131,7 @@
         self.enqueue(ev.TimerDue())
 
     def _handle_messages(self) -> None:
-        """Handle all but new set-ups, then let the core feel the time that has passed."""
+        """Handle all but new placement requests, then the timers that fell due meanwhile."""
         until = time.monotonic() + MAX_RESUME_S
         events = self.queue.take_all(placements=False, most=MAX_RESUME_BATCH)
         while self.queue.has_messages() and time.monotonic() < until:
@@ -139,7 +143,7 @@
         self._handle(events, self.core.handle_after_stall)
 
     def _rearm_timer(self) -> None:
-        """Have the timer look again where the core wants to be woken sooner."""
+        """Wake the timer's greenlet where the core has an earlier timer than it waits for."""
         due = self.core.next_due()
         if due is not None and (self._armed_for_us is None or due < self._armed_for_us):
             self._timer_changed.set()
@@ -149,6 +153,6 @@
             due = self.core.next_due()
             self._armed_for_us = due
             self._timer_changed.clear()
-            left = None if due is None else max(0, due - now_us()) / 1e6
-            if not self._timer_changed.wait(left):
+            timeout_s = None if due is None else max(0, due - now_us()) / 1e6
+            if not self._timer_changed.wait(timeout_s):
                 self.enqueue(ev.TimerDue())
--- a/stairplank/platform/machine_connections.py
+++ b/stairplank/platform/machine_connections.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import time
 from typing import Any
 
 import gevent
@@ -14,25 +13,26 @@
 from .core import Core
 from .driver import CoreDriver
 from .messages import Unreadable
-from .streams import MAX_CONSECUTIVE_READS, RESOURCE_EXHAUSTED_ERRNOS, Stream, receive
+from .streams import RESOURCE_EXHAUSTED_ERRNOS, PacedReads, Stream
 
-READ_BYTES = 65_536  # at once of one connection
-PARTIAL_LINE_TIMEOUT_S = 1.0  # a line that has begun comes whole by then, or its connection is of no use
+READ_BYTES = 65_536  # of one read of one connection
+PARTIAL_LINE_TIMEOUT_S = 1.0  # a line that has begun is complete by then, or its connection is closed
 
 
 class MachineConnections:
     """The sockets of the core's links, by the links' numbers."""
 
     def __init__(self, driver: CoreDriver, core: Core, dial_timeout_us: int) -> None:
+        """Serve the links of ``core``; a dial may take ``dial_timeout_us`` microseconds."""
         self._driver = driver
         self._core = core
         self.set_dial_timeout(dial_timeout_us)
         self.streams: dict[int, Stream] = {}
-        self.dials: dict[int, gevent.Greenlet] = {}
+        self.dials: dict[int, gevent.Greenlet[..., None]] = {}
         self.unsent_by_link: dict[int, set[str]] = {}  # for links whose loss waits in the event queue
 
     def set_dial_timeout(self, dial_timeout_us: int) -> None:
-        """How long a dial may take, from the next one on."""
+        """Set how long a dial may take, from the next one on."""
         self._dial_timeout_s = dial_timeout_us / 1e6
 
     def dial(self, link: int, machine_address: str) -> None:
@@ -40,7 +40,7 @@
         self.dials[link] = gevent.spawn(self._serve, link, machine_address)
 
     def close(self, link: int) -> None:
-        """Close a connection once all is written, or give up its dial."""
+        """Close a connection once all is written, or abandon its dial."""
         dialling = self.dials.pop(link, None)
         if dialling is not None:
             dialling.kill(block=False)  # its descriptor is free at once
@@ -49,19 +49,19 @@
             stream.close_gracefully()
 
     def are_closed(self) -> bool:
-        """Whether no connection is open and none is dialled."""
+        """Return whether no connection is open and none is dialled."""
         return not self.dials and all(stream.is_closed for stream in self.streams.values())
 
     def stream_for(self, link: int, mark: str) -> Stream | None:
-        """The connection of a link; None where it is gone, and a marked message then counts as unsent."""
+        """Return the connection of a link; where it is lost None, and a marked message counts as unsent."""
         stream = self.streams.get(link)
-        # Danger: kept for one whose loss the core has handled already, it would be kept for good.
+        # Danger: stored for one whose loss the core has handled already, it would be stored for good.
         if stream is None and mark and link in self._core.links.links:
             self.unsent_by_link.setdefault(link, set()).add(mark)
         return stream
 
     def with_unsent(self, event: ev.LinkLost) -> ev.LinkLost:
-        """The loss of a link, with the messages that were sent to it after its socket was gone."""
+        """Return the loss of a link with the messages that were sent to it after its socket was closed."""
         if event.link not in self.unsent_by_link:
             return event
         return ev.LinkLost(event.link, event.unsent | self.unsent_by_link.pop(event.link))
@@ -79,18 +79,19 @@
             pass
         finally:
             stream.reading_done.set()
-            # Danger: notified first, the core would send what was out on it elsewhere while it is still open.
+            # Danger: notified first, the core would send what was in flight on it elsewhere while it is open.
             stream.close()
             self._disconnected(stream)
 
     def _connect(self, link: int, where: str) -> Any:
-        """The socket; None where the dial has failed or was given up."""
+        """Return the socket, or None where the dial has failed or was abandoned."""
         try:
             sock = address.dial(where, self._dial_timeout_s)
         except (OSError, TimeoutError, ValueError) as error:
             if self.dials.pop(link, None) is not None:
-                ours = isinstance(error, OSError) and error.errno in RESOURCE_EXHAUSTED_ERRNOS
-                self._driver.enqueue(ev.LinkFailed(link, isinstance(error, ConnectionRefusedError), ours))
+                is_ours = isinstance(error, OSError) and error.errno in RESOURCE_EXHAUSTED_ERRNOS
+                is_refused = isinstance(error, ConnectionRefusedError)
+                self._driver.enqueue(ev.LinkFailed(link, is_refused, is_ours))
             return None
         if self.dials.pop(link, None) is None:
             sock.close()
@@ -98,25 +99,21 @@
         return sock
 
     def _read(self, stream: Stream) -> None:
-        lines, began, reads = jsonlines.Lines(), 0.0, 0
+        lines = jsonlines.Lines()
+        reads = PacedReads(stream.sock, PARTIAL_LINE_TIMEOUT_S)
         while not stream.is_closed:
-            is_partial = lines.waiting
-            data = receive(stream.sock, READ_BYTES, began + PARTIAL_LINE_TIMEOUT_S if is_partial else None)
+            data = reads.receive(READ_BYTES, bool(lines.waiting))
             if not data:
                 return
-            whole, is_readable = _complete_lines(lines, data)
-            if whole or not is_partial:
-                began = time.monotonic()  # what is left has begun with these bytes
-            events, is_decoded = _decode_lines(stream.number, whole)
+            complete, is_readable = _complete_lines(lines, data)
+            if complete:
+                reads.restart_deadline()  # what remains has begun with these bytes
+            events, is_decoded = _decode_lines(stream.number, complete)
             self._driver.enqueue(*events)
             if not is_readable or not is_decoded:
-                self._core.loop.count("spoilt_links")
+                self._core.loop.count("malformed_machine_messages")
                 return
-            reads += 1
-            if (
-                reads % MAX_CONSECUTIVE_READS == 0
-            ):  # else the next read mostly waits, and the others have their turn
-                gevent.sleep(0)
+            reads.yield_to_others()
 
     def _disconnected(self, stream: Stream) -> None:
         if self.streams.pop(stream.number, None) is not None:
@@ -126,24 +123,25 @@
         return self._core.may_leave(now_us(), stream.number, mark)
 
     def _withdrawn(self, stream: Stream, marks: frozenset[str]) -> None:
-        self._core.loop.count("taken_out_unsent")
+        self._core.loop.count("withdrawn_unsent")
         self._driver.enqueue(ev.Unsent(stream.number, marks))
 
 
 def _complete_lines(lines: jsonlines.Lines, data: bytes) -> tuple[list[bytes], bool]:
-    """The lines that are whole now, and whether what came can be followed."""
+    """Return the lines that are complete now, and whether what arrived is well formed."""
     try:
         return lines.feed(data), True
     except Unreadable as error:
         return error.lines, False  # type: ignore[attr-defined]
 
 
-def _decode_lines(link: int, whole: list[bytes]) -> tuple[list[ev.Event], bool]:
-    """The messages up to the first line that is none, and whether all are."""
+def _decode_lines(link: int, lines: list[bytes]) -> tuple[list[ev.Event], bool]:
+    """Return the messages up to the first line that is malformed, and whether all are well formed."""
     events: list[ev.Event] = []
-    try:
-        for line in whole:
-            events.append(ev.MachineMessage(link, jsonlines.decode(line)))
-    except Unreadable:
-        return events, False
+    for line in lines:
+        try:
+            message = jsonlines.decode(line)
+        except Unreadable:
+            return events, False
+        events.append(ev.MachineMessage(link, message))
     return events, True
--- a/stairplank/platform/node_watch.py
+++ b/stairplank/platform/node_watch.py
@@ -1,16 +1,17 @@
-"""The watch of the node list service on its sockets: which connections are open, and when one is made anew.
+"""The watch of the node list service: which connections are open, and when a new one is made.
 
 Invariants (tests/platform/test_platform_watch.py):
 
-1. A connection sends nothing that another has not sent or will not send: updates are numbered, the node list
-   ignores repeats. So a new one is made beside the old, which is closed once the new one has sent something.
-2. The newest connection was made, or brought an update, less than ``AGAIN_S`` ago, or the service cannot be
-   reached: one that goes on with an old revision, as one that is silent, hides updates for no longer.
-3. At most ``CONNECTIONS_MOST`` are open.
+1. A connection brings nothing that another has not brought or will not bring: updates are numbered, the node
+   list ignores repeats. So a new one is made beside the old, which is closed once the new one has sent
+   something.
+2. The newest connection was made, or brought an update, less than ``RENEWAL_INTERVAL_S`` ago, or the
+   service cannot be reached: one that goes on with an old revision, or is silent, hides updates no longer.
+3. At most ``MAX_CONNECTIONS`` are open.
 
 An update that is due while the service is broken counts as sent 2 s after a break and 4 s after a silence.
-The longest chain that is still in time: the service falls silent (``SILENT_S``), the next connection comes up
-and is silent as well, and so the one after it; or, after a break, two dials without an answer.
+The longest sequence that is still in time: the service falls silent (``SILENCE_TIMEOUT_S``), the next
+connection is made and silent as well, and so is the one after it; or, after a break, two dials time out.
 """
 
 from __future__ import annotations
@@ -31,15 +32,21 @@
 from .node_list import NodeList
 
 SILENCE_TIMEOUT_S = 1.2  # the service sends its revision each second
-RENEWAL_INTERVAL_S = 2.0
-DIAL_TIMEOUT_S, MAX_DIAL_TIMEOUT_S = 0.5, 1.5  # a dial's time, doubled with each that fails
-MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 0.5  # between connections that brought nothing
+RENEWAL_INTERVAL_S = 2.0  # a new connection is made after so long without an update
+# A dial's timeout, doubled with each that fails.
+DIAL_TIMEOUT_S = 0.5
+MAX_DIAL_TIMEOUT_S = 1.5
+# Between connections that brought nothing, doubled with each.
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.5
+MIN_READ_TIMEOUT_S = 0.01
 MAX_CONNECTIONS = 2
+READ_BYTES = 65_536
 MAX_LINE_BYTES = 4_194_304
 
 
 class NodeWatch:
-    """``enqueue`` takes updates, ``count`` what is worth a figure."""
+    """The connections to the node list service; the newest is last."""
 
     def __init__(
         self,
@@ -48,60 +55,79 @@
         enqueue: Callable[[ev.Event], None],
         count: Callable[[str], None],
     ) -> None:
+        """Watch the service at ``service_address``.
+
+        Args:
+            node_list: Applies what the service sends.
+            service_address: Host and port.
+            enqueue: Has the core handle an event.
+            count: Increments a counter.
+        """
         self.node_list = node_list
         self.address = service_address
-        self.last_received_s = 0.0  # when it last sent something, or was asked (monotonic, in seconds)
-        self._enqueue, self._count = enqueue, count
-        self._connections: list[Any] = []  # the newest last
-        self._last_progress_s = 0.0  # when the newest was made, or a update came
+        self.last_received_s = 0.0  # when it last sent something, or was asked, by the monotonic clock
+        self._enqueue = enqueue
+        self._count = count
+        self._connections: list[Any] = []
+        self._last_progress_s = 0.0  # when the newest connection was made, or an update arrived
         self._wake = Flag()
         self._address_changed = False
 
     def set_address(self, service_address: str) -> None:
-        """The service is at another address from now on."""
+        """Watch the service at this address from now on."""
         if service_address != self.address:
-            self.address, self._address_changed = service_address, True
+            self.address = service_address
+            self._address_changed = True
             self._wake.set()
 
     def ensure_connected(self) -> None:
-        """Make sure that it is connected, now."""
+        """Make sure that a connection exists or is made, now."""
         if not self._connections:
             self._wake.set()
 
     def run(self) -> None:
-        """For ever: a connection, and after it the next."""
-        wait, dial_s = MIN_BACKOFF_S, DIAL_TIMEOUT_S
+        """Make connections one after the other, for ever."""
+        backoff_s = MIN_BACKOFF_S
+        dial_timeout_s = DIAL_TIMEOUT_S
         while True:
             self._wake.clear()
             self._address_changed = False
-            rev, began, up = self.node_list.revision, time.monotonic(), False
-            try:
-                up = self._dial(dial_s)
-            except Exception:
-                # Danger: a fault of our own would end the watch, and every drain from then on goes unheard.
-                log("fault", at=traceback.format_exc(limit=-3))
-            dial_s = DIAL_TIMEOUT_S if up else min(2 * dial_s, MAX_DIAL_TIMEOUT_S)
-            if up and (not self._is_woken_early() or time.monotonic() > began + SILENCE_TIMEOUT_S):
-                wait = MIN_BACKOFF_S
-            if up and not self._wake.is_set():
+            revision_before = self.node_list.revision
+            began_s = time.monotonic()
+            is_up = self._try_dial(dial_timeout_s)
+            dial_timeout_s = DIAL_TIMEOUT_S if is_up else min(2 * dial_timeout_s, MAX_DIAL_TIMEOUT_S)
+            if is_up and (not self._is_woken_early() or time.monotonic() > began_s + SILENCE_TIMEOUT_S):
+                backoff_s = MIN_BACKOFF_S
+            if is_up and not self._wake.is_set():
                 continue  # it is only time for the next
-            self._count("board_breaks")
-            if self._address_changed or (up and self.node_list.revision != rev):
+            self._count("node_list_disconnects")
+            if self._address_changed or (is_up and self.node_list.revision != revision_before):
                 continue
             self._wake.clear()
-            self._wake.wait(wait)
-            wait = min(2 * wait, MAX_BACKOFF_S)
+            self._wake.wait(backoff_s)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     def _is_woken_early(self) -> bool:
-        """Whether something has happened to the connections before it is time for the next."""
-        while (left := self._last_progress_s + RENEWAL_INTERVAL_S - time.monotonic()) > 0:
-            if self._wake.wait(left):
+        """Wait until it is time for the next connection; return whether an earlier event ended the wait."""
+        while (remaining_s := self._last_progress_s + RENEWAL_INTERVAL_S - time.monotonic()) > 0:
+            if self._wake.wait(remaining_s):
                 return True
         return False
 
-    def _dial(self, dial_s: float) -> bool:
+    def _try_dial(self, timeout_s: float) -> bool:
+        """Dial; return whether a connection was made, whatever fails.
+
+        Danger: a fault of our own would end the watch, and every drain from then on would go unnoticed.
+        """
         try:
-            conn = address.dial(self.address, dial_s)
+            return self._dial(timeout_s)
+        except Exception:  # noqa: BLE001 - see above
+            log("fault", at=traceback.format_exc(limit=-3))
+            return False
+
+    def _dial(self, timeout_s: float) -> bool:
+        try:
+            conn = address.dial(self.address, timeout_s)
         except (OSError, TimeoutError, ValueError):
             return False
         while len(self._connections) >= MAX_CONNECTIONS:
@@ -117,48 +143,57 @@
             self._read(conn)
         except (OSError, TimeoutError, ValueError, Unreadable):
             pass
-        except Exception:
+        except Exception:  # noqa: BLE001 - a fault of our own must not end the watch
             log("fault", at=traceback.format_exc(limit=-3))
         conn.close()
         if conn in self._connections:
-            newest = self._connections[-1] is conn
+            was_newest = self._connections[-1] is conn
             self._connections.remove(conn)
-            if newest:
+            if was_newest:
                 self._wake.set()
 
     def _read(self, conn: Any) -> None:
         conn.settimeout(SILENCE_TIMEOUT_S)
         conn.sendall(b"watch %d\n" % self.node_list.revision)
-        self.last_received_s = last = time.monotonic()
+        received_s = time.monotonic()  # when this connection last brought something
+        self.last_received_s = received_s
         lines = jsonlines.Lines(MAX_LINE_BYTES)
-        silent = False
+        is_silent = False
         while True:
-            conn.settimeout(None if silent else max(0.01, last + SILENCE_TIMEOUT_S - time.monotonic()))
+            remaining_s = received_s + SILENCE_TIMEOUT_S - time.monotonic()
+            conn.settimeout(None if is_silent else max(MIN_READ_TIMEOUT_S, remaining_s))
             try:
-                data = conn.recv(65_536)
+                data = conn.recv(READ_BYTES)
             except TimeoutError:
-                # It may go on, after a stall of ours: read on beside the next one, until that has spoken.
-                silent = True
+                # It may go on, after a stall of ours: read on beside the next, until that sends something.
+                is_silent = True
                 if self._connections and self._connections[-1] is conn:
                     self._wake.set()
                 continue
             if not data:
                 return
             for line in lines.feed(data):
-                last = self.last_received_s = time.monotonic()
-                silent = False
-                update, missed = self.node_list.apply(jsonlines.parsed(line))
-                self._close_older_than(conn)
-                if update is not None:
-                    self._last_progress_s = last
-                    self._enqueue(ev.NodeListUpdated(update))
-                if missed:
+                received_s = time.monotonic()
+                self.last_received_s = received_s
+                is_silent = False
+                if not self._apply(conn, line, received_s):
                     return
-                if update is None:
-                    self._enqueue(ev.NodeListConfirmed())
             gevent.sleep(0)
 
+    def _apply(self, conn: Any, line: bytes, received_s: float) -> bool:
+        """Apply a line of the service; return whether to read on: no update was missed before it."""
+        update, missed = self.node_list.apply(jsonlines.parsed(line))
+        self._close_older_than(conn)
+        if update is not None:
+            self._last_progress_s = received_s
+            self._enqueue(ev.NodeListUpdated(update))
+        if missed:
+            return False
+        if update is None:
+            self._enqueue(ev.NodeListConfirmed())
+        return True
+
     def _close_older_than(self, conn: Any) -> None:
-        """Those that are older than one that has spoken are of no further use."""
+        """Close connections that are older than this one, which has sent something."""
         while conn in self._connections and self._connections[0] is not conn:
             self._connections.pop(0).close()
--- a/stairplank/platform/reload.py
+++ b/stairplank/platform/reload.py
@@ -1,8 +1,7 @@
-"""Which part of a configuration file that is read again comes into force while the planner runs. No I/O but
-the log.
+"""Applies a configuration file that is read again to a running planner, as far as that is possible.
 
-Settings are taken as a whole or not at all: a change that needs a restart holds back those beside it. The
-node list service's address is no setting; it is followed whatever else the file holds.
+Settings are applied completely or not at all: a change that needs a restart blocks those beside it. The node
+list service's address is no setting; it is followed whatever else the file holds. No I/O but the log.
 """
 
 from __future__ import annotations
@@ -16,8 +15,8 @@
 from .node_list import NodeList
 
 _READ_AT_START = "it is read when the process starts"
-# Danger: machines close what is idle for longer than the figure that a connection was made with; a message
-# that is written meanwhile may have run.
+# Danger: machines close what is idle for longer than a connection was made with; a task whose message is
+# written meanwhile may have run.
 RESTART_REASONS: Mapping[str, str] = {
     "name": _READ_AT_START,
     "listen": _READ_AT_START,
@@ -30,15 +29,20 @@
 
 
 class RestartRequiredError(ConfigError):
-    """The file is well formed, and holds changes that a running planner cannot take: all of them."""
+    """A file that is well formed, and has changes that a running planner cannot apply.
+
+    Attributes:
+        changes: All of these changes, each with its reason.
+    """
 
     def __init__(self, changes: list[FieldChange]) -> None:
+        """The text names each change with its reason."""
         self.changes = tuple(changes)
         super().__init__("; ".join(f"{change}: {change.restart_reason}" for change in changes))
 
 
 def changed_fields(old: Config, new: Config) -> tuple[FieldChange, ...]:
-    """Every field that differs, but for the service's address and what is known at a start."""
+    """Return every field that differs, but for the service's address and the updates known at a start."""
     return tuple(_changed_fields(old, new))
 
 
@@ -52,11 +56,11 @@
 
 
 def live_change(old: Config, new: Config) -> ev.SettingsChanged | None:
-    """What the core is to take, or None where no setting has changed. Raises NeedsRestart."""
+    """Return the change for the core, or None where no setting differs. Raises RestartRequiredError."""
     changes = changed_fields(old, new)
-    held_back = [change for change in changes if change.restart_reason is not None]
-    if held_back:
-        raise RestartRequiredError(held_back)
+    blocked = [change for change in changes if change.restart_reason is not None]
+    if blocked:
+        raise RestartRequiredError(blocked)
     if not changes:
         return None
     return ev.SettingsChanged(
@@ -71,10 +75,7 @@
 
 
 class ConfigInForce:
-    """The configuration that a planner runs by, and how it takes one that is read later.
-
-    ``enqueue`` has the core take events, ``count`` counts configurations taken and refused.
-    """
+    """The configuration that a planner runs by; applies one that is read later, or rejects it."""
 
     def __init__(
         self,
@@ -83,17 +84,25 @@
         enqueue: Callable[[ev.Event], None],
         count: Callable[[str], None],
     ) -> None:
+        """Begin with ``config``.
+
+        Args:
+            config: What the process was started with.
+            node_list: Gets the names of zones and node types.
+            enqueue: Has the core handle events.
+            count: Increments a counter of configurations applied or rejected.
+        """
         self.config = config
         self._node_list = node_list
         self._enqueue = enqueue
         self._count = count
 
     def log_start(self) -> None:
-        """The revision that the process started with, or took before it serves."""
+        """Log the revision that the process started with, or applied before it serves."""
         self._log_in_force(self.config.revision, ())
 
     def apply(self, file: ConfigFile) -> None:
-        """Have the core take the file's settings, all of them or none."""
+        """Have the core apply the file's settings, all of them or none."""
         try:
             new = parse(file)
             change = live_change(self.config, new)
@@ -107,7 +116,7 @@
             self._enqueue(change)
 
     def reject(self, error: ConfigError, revision: str = "") -> None:
-        """Nothing of that file's settings is taken."""
+        """Log why nothing of a file's settings is applied."""
         self._count("configurations_not_taken")
         log(
             "configuration not taken",
@@ -117,12 +126,12 @@
         )
 
     def confirm(self, change: ev.SettingsChanged) -> None:
-        """The core has taken the change; the node list's names follow.
+        """Have the node list follow: the core has applied the change.
 
-        Danger: named by the node list before the core knows it, a kind's machines would be passed over.
+        Danger: named by the node list before the core knows it, a node type's machines would be passed over.
         """
-        kinds = tuple(kind.name for kind in change.settings.node_types)
-        update = self._node_list.set_names(change.zones, kinds)
+        node_types = tuple(node_type.name for node_type in change.settings.node_types)
+        update = self._node_list.set_names(change.zones, node_types)
         if update is not None:
             self._enqueue(ev.NodeListUpdated(update))
         self._log_in_force(change.revision, change.changed)
--- a/stairplank/platform/run.py
+++ b/stairplank/platform/run.py
@@ -13,9 +13,16 @@
 
 
 def main(early_signals: Iterable[int] = (), path: str | None = None) -> int:
-    """Serve in the foreground until SIGTERM; ``early``: signals that came before. The exit code: 0 well, 2
-    bad input."""
-    from .service import Service
+    """Serve in the foreground until SIGTERM.
+
+    Args:
+        early_signals: Signals that came before this call.
+        path: The configuration file; that of ``GW_CONFIG`` by default.
+
+    Returns:
+        The exit code: 0 after a shutdown, 2 for a configuration that cannot be used.
+    """
+    from .service import Service  # after the signal handlers of ``__main__``: it takes long to load
 
     make_stderr_nonblocking()
     path = path or os.environ.get("GW_CONFIG", "")
@@ -27,10 +34,10 @@
     gevent.signal_handler(signal.SIGHUP, service.reload)
     gevent.signal_handler(signal.SIGTERM, service.stop)
     gevent.signal_handler(signal.SIGINT, service.stop)
-    early_signals = set(early_signals)  # looked at once the new handlers stand
-    if signal.SIGHUP in early_signals:
+    signals_so_far = set(early_signals)  # read only now that the new handlers are installed
+    if signal.SIGHUP in signals_so_far:
         service.reload()
-    if signal.SIGTERM in early_signals:
+    if signal.SIGTERM in signals_so_far:
         service.stop()
     try:
         return service.run()
--- a/stairplank/platform/service.py
+++ b/stairplank/platform/service.py
@@ -1,4 +1,4 @@
-"""The platform's planner as a process: its life from the first connection to the last answer.
+"""The platform's planner as a process, from its first connection to its graceful shutdown.
 
 ``driver`` runs the core, ``client_connections``, ``machine_connections`` and ``node_watch`` have the sockets,
 ``actions`` carries out what the core wants done. Nothing here decides on tasks.
@@ -30,49 +30,49 @@
 
 LISTEN_BACKLOG = 1024
 NODE_LIST_CATCH_UP_S = 1.5  # the node list service sends its revision each second
-NODE_LIST_QUIET_S = 0.1  # it sends at once all later updates: well under the grace that drains have
-RELOAD_RETRY_S, MAX_RELOAD_READS = 0.1, 10  # between looks at a file that cannot be used, and how many
+NODE_LIST_QUIET_S = 0.1  # it sends all later updates at once: well under the grace of drains
+RELOAD_RETRY_S = 0.1  # between reads of a file that cannot be used
+MAX_RELOAD_READS = 10
 SHUTDOWN_TIMEOUT_S = 60.0
 SHUTDOWN_POLL_S = 0.02
 CLIENT_CLOSE_TIMEOUT_S = 0.3
 MACHINE_CLOSE_TIMEOUT_S = 0.2  # for machines to close what we have closed
-PARTIAL_MESSAGE_GRACE_US = (
-    1_200_000  # after SIGTERM set-ups come for 0.6 s; one that has begun by then is waited for so long
-)
+# Placement requests arrive for 0.6 s after SIGTERM; one that has begun by then is awaited so long after it.
+PARTIAL_MESSAGE_GRACE_US = 1_200_000
+# Of the garbage collector: collections are rare, and what is allocated at the start is left out of them.
+GC_THRESHOLDS = (20_000, 20, 50)
 
 
 def read_clocks() -> tuple[int, int]:
-    """Unix time and our own, in microseconds."""
+    """Return Unix time and the planner's own, in microseconds."""
     return time.time_ns() // 1000, now_us()
 
 
 class Service:
-    """One life of a planner, by the configuration file at ``path``."""
+    """One planner process: its configuration, core and connections."""
 
     def __init__(self, path: str) -> None:
+        """Load the configuration file at ``path``. Raises ConfigError."""
         self.path = path
-        c = config.load(path)
-        kinds = tuple(k.name for k in c.settings.node_types)
-        self.node_list = NodeList(c.zones, kinds, read_clocks)
-        priced = c.handshake_price > 0
-        dial_us = c.dial_timeout_us
-        sockets = descriptors.usable_descriptors(c.sockets, descriptors.process_limit())
-        self.core = Core(c.settings, c.fields, c.seed, sockets, dial_us, priced, c.idle_us, c.tenants)
-        self.core.survives_faults = True
+        loaded = config.load(path)
+        node_types = tuple(node_type.name for node_type in loaded.settings.node_types)
+        self.node_list = NodeList(loaded.zones, node_types, read_clocks)
+        sockets = descriptors.usable_descriptors(loaded.sockets, descriptors.process_limit())
+        self.core = _make_core(loaded, sockets)
         self.driver = CoreDriver(self.core)
-        self.active_config = ConfigInForce(c, self.node_list, self.driver.enqueue, self.core.loop.count)
-        self.node_watch = NodeWatch(
-            self.node_list, c.node_list_address, self.driver.enqueue, self.core.loop.count
-        )
-        # Clients hold a third of the descriptors; half is for machines, the rest is ours.
+        enqueue = self.driver.enqueue
+        count = self.core.loop.count
+        self.active_config = ConfigInForce(loaded, self.node_list, enqueue, count)
+        self.node_watch = NodeWatch(self.node_list, loaded.node_list_address, enqueue, count)
+        # Clients have two fifths of the descriptors; half is for machines, the rest is the process's own.
         self.clients = ClientConnections(self.driver, self.core.sessions, sockets * 2 // 5)
         self.core.sessions.has_unread = self.clients.has_unread
-        self.machines = MachineConnections(self.driver, self.core, dial_us)
+        self.machines = MachineConnections(self.driver, self.core, loaded.dial_timeout_us)
         self.executor = ActionExecutor(
             self.core, self.clients, self.machines, self.node_watch, self.active_config.confirm
         )
         self.driver.executor = self.executor
-        self.listen_address = ""  # it listens there
+        self.listen_address = ""  # where clients connect, once it listens
         self._stop_requested = Flag()
         self._stop_requested_at = 0
         self._reload_count = 0
@@ -83,7 +83,7 @@
         return self.active_config.config
 
     def run(self) -> int:
-        """Serve until ``stop``; the exit code."""
+        """Serve until ``stop``; return the exit code. Raises ConfigError."""
         known = self._known_updates()
         listener, self.listen_address = address.listen(self.config.listen, LISTEN_BACKLOG)
         self._start(known)
@@ -98,47 +98,46 @@
         )
         self._stop_requested.wait()
         tasks = self.core.tasks
-        log("leaves", open=tasks.open_count, standing=len(tasks.by_id))
+        log("shutting down", open=tasks.open_count, standing=len(tasks.by_id))
         self._finish_requests()
         accepting.kill()
         listener.close()
         self._close_clients()
-        log("has left", unusable_entries=self.node_list.unusable_entries, **self.core.counts)
+        log("shut down", unusable_entries=self.node_list.unusable_entries, **self.core.counts)
         return 0
 
     def stop(self) -> None:
-        """Leave: answer what is owed, then end ``run``."""
+        """Shut down gracefully: answer what is owed, then end ``run``."""
         self._stop_requested_at = self._stop_requested_at or now_us()
         self._stop_requested.set()
 
     def reload(self) -> None:
-        """Take the file's settings and the node list service's address; a file that cannot be read changes
-        nothing.
+        """Apply the file's settings and the node list service's address; keep both if it cannot be read.
 
-        Danger: read as it is being written, it would never be taken; so it is looked at again for a second.
+        Danger: read as it is being written, it would never be applied; so it is read again for a second.
         """
         self._reload_count += 1
-        mine = self._reload_count
-        for left in reversed(range(MAX_RELOAD_READS)):
+        reload_number = self._reload_count
+        for remaining in reversed(range(MAX_RELOAD_READS)):
             try:
                 file = config.read(self.path)
-                found = config.parse_node_list_address(file.value)
+                node_list_address = config.parse_node_list_address(file.value)
             except config.ConfigError as error:
-                if not left:
+                if not remaining:
                     self.active_config.reject(error)
                     return
                 gevent.sleep(RELOAD_RETRY_S)
-                if mine != self._reload_count:
-                    return  # a later signal looks
+                if reload_number != self._reload_count:
+                    return  # a later signal reads it
             else:
-                self.node_watch.set_address(found)
+                self.node_watch.set_address(node_list_address)
                 self.active_config.apply(file)
                 return
 
-    # Start
+    # Startup
 
     def _known_updates(self) -> list[NodeListUpdate]:
-        """The node list updates that the configuration file has. Raises ConfigError."""
+        """Apply the node list updates that the configuration file has. Raises ConfigError."""
         known = []
         for value in self.config.known_updates:
             update = self._known_update(value)
@@ -150,29 +149,32 @@
         try:
             return self.node_list.apply(value)[0]
         except (Unreadable, AttributeError) as error:
-            raise config.ConfigError(f"known: {error}") from None
+            raise config.ConfigError(str(error), key="known", value=value) from None
 
     def _start(self, known: list[NodeListUpdate]) -> None:
         self.executor.execute_all(self.core.start(now_us(), known))
         gc.collect()
         gc.freeze()
-        gc.set_threshold(20_000, 20, 50)
+        gc.set_threshold(*GC_THRESHOLDS)
         self.driver.start()
         gevent.spawn(self.node_watch.run)
 
     def _wait_for_node_list(self) -> None:
-        """Danger: ``known`` was written before the process had loaded; later updates, drains among them, come
-        with the list service's first lines, and a task placed before them may go to a machine that leaves.
+        """Wait until the node list service has sent the updates that came since the file was written.
+
+        Danger: ``known`` was written before the process had loaded; later updates, drains among them, come
+        with the list service's first lines, and a task placed before them may go to a machine that drains.
         Connections wait unaccepted meanwhile, not longer than the service may be silent: one that never sends
         must not keep a planner out of service.
         """
-        until = time.monotonic() + NODE_LIST_CATCH_UP_S
-        while not self._stop_requested.is_set() and (now := time.monotonic()) < until:
-            quiet = now - self.node_watch.last_received_s if self.node_watch.last_received_s else 0.0
-            if quiet >= NODE_LIST_QUIET_S:
+        deadline_s = time.monotonic() + NODE_LIST_CATCH_UP_S
+        while not self._stop_requested.is_set() and (now_s := time.monotonic()) < deadline_s:
+            received_s = self.node_watch.last_received_s
+            quiet_s = now_s - received_s if received_s else 0.0
+            if quiet_s >= NODE_LIST_QUIET_S:
                 return
-            gevent.sleep(min(NODE_LIST_QUIET_S - quiet, until - now))
-        self.core.loop.count("began_without_board")
+            gevent.sleep(min(NODE_LIST_QUIET_S - quiet_s, deadline_s - now_s))
+        self.core.loop.count("started_without_node_list")
 
     # Shutdown
 
@@ -188,13 +190,17 @@
                 gevent.sleep(SHUTDOWN_POLL_S)
 
     def _is_done(self) -> bool:
-        """Danger: what has been read and waits its turn is owed an answer as well, and so is what still lies
-        in a socket: the turns look at those until nothing comes."""
-        queue, shutdown = self.driver.queue, self.core.shutdown
+        """Return whether no answer is owed.
+
+        Danger: what has been read and waits its turn is owed an answer as well, and so is what still lies
+        in a socket: the turns look at those until nothing comes.
+        """
+        queue = self.driver.queue
+        shutdown = self.core.shutdown
         if queue or not shutdown.is_done():
             return False
-        # Danger: of a set-up that has begun to come the rest is on its way. When it does harm: one that never
-        # comes keeps us, so not for long.
+        # Danger: of a placement request that has begun to arrive the rest is on its way. When it does harm:
+        # one that never arrives delays the shutdown, so not for long.
         if self.clients.has_partial_message() and now_us() < shutdown.leaving_at + PARTIAL_MESSAGE_GRACE_US:
             return False
         for _ in range(2):
@@ -203,17 +209,35 @@
         return not queue and shutdown.is_done()
 
     def _close_machines(self) -> None:
-        """Danger: once clients' connections have gone, what a machine reports of a task that stands is
-        received here and forwarded to nobody. Sent on no connection, it comes on the next that opens, to the
-        next life."""
+        """Close the connections to machines, and wait until they are closed.
+
+        Danger: once clients' connections are closed, what a machine reports of a running task is received
+        here and forwarded to nobody. Sent on no connection, it comes on the next that opens, to the next
+        incarnation.
+        """
         self.driver.enqueue(ev.MachinesClosing())
         with gevent.Timeout(MACHINE_CLOSE_TIMEOUT_S, False):  # type: ignore[arg-type]
             while self.driver.queue or not self.machines.are_closed():
                 gevent.sleep(SOCKET_POLL_S)
 
     def _close_clients(self) -> None:
-        """The last answers leave: a plain exit may reset what is under way."""
+        """Wait until the last answers are sent: a plain exit may reset what is on its way."""
         self.clients.close_all()
         with gevent.Timeout(CLIENT_CLOSE_TIMEOUT_S, False):  # type: ignore[arg-type]
             while not self.clients.are_closed():
                 gevent.sleep(SHUTDOWN_POLL_S)
+
+
+def _make_core(loaded: config.Config, sockets: int) -> Core:
+    core = Core(
+        loaded.settings,
+        loaded.fields,
+        loaded.seed,
+        sockets,
+        loaded.dial_timeout_us,
+        loaded.handshake_price > 0,
+        loaded.idle_us,
+        loaded.tenants,
+    )
+    core.survives_faults = True
+    return core
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -150,10 +150,10 @@
         gevent.sleep(0.02)
         stream = next(iter(one.service.machines.streams.values()))
         before = -1
-        while (written := stream._queued_bytes - len(stream._buffer)) != before:
+        while (written := stream._buffer.sent_bytes) != before:
             before = written
             gevent.sleep(0.2)  # what the system still takes
-        if sum(1 for begin, _, _ in stream._marks if begin >= written) >= 2:
+        if sum(message.begin >= written for message in stream._buffer._marked) >= 2:
             return ids
     raise AssertionError("all of it left")
 
@@ -177,7 +177,7 @@
     machine.reads.set()
     one.until(lambda: not any(s._buffer for s in one.service.machines.streams.values()))
     if why == "drain":
-        one.until(lambda: one.service.core.counts.get("taken_out_unsent"))
+        one.until(lambda: one.service.core.counts.get("withdrawn_unsent"))
     else:
         one.until(lambda: any(m.id == last and m.kind is Kind.RELEASE for _, m in machine.heard))
     gevent.sleep(0.2)
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -97,7 +97,7 @@
     monkeypatch.setattr(service.clients, "accept", lambda listener: service.stop())
     with gevent.Timeout(5):
         assert service.run() == 0
-    assert service.core.counts["began_without_board"] == 1
+    assert service.core.counts["started_without_node_list"] == 1
 
 
 def test_a_set_up_for_a_connection_that_is_over_counts_as_not_written(service: Service) -> None:
