--- a/tests/platform/flooding_client.py
+++ b/tests/platform/flooding_client.py
@@ -1,5 +1,7 @@
-"""A client that sends set-ups at full speed on many connections: ``flooding_client.py HOST:PORT NUMBER``. It
-prints a line once all are open, and goes on until it is killed."""
+"""A client that sends placement requests at full speed on many connections.
+
+``flooding_client.py HOST:PORT NUMBER`` prints a line once all are open, and goes on until it is killed.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +12,13 @@
 from stairplank.platform import binary
 from stairplank.platform.messages import Kind, Message
 
-FIRST = 1 << 40  # its tasks' ids: far above those of other clients
+FIRST_ID = 1 << 40  # its tasks' ids: far above those of other clients
 BATCH = 64
 SOURCES = 100  # addresses that it comes from: one alone may not have many tasks open
-READ = 262_144
+READ_BYTES = 262_144
 
 
-def set_up(number: int) -> bytes:
+def placement_request(number: int) -> bytes:
     id = f"{number:016x}"
     fields = {"class": "worker", "left": "6000", "key": id, "extras": f"cores:0.01;memory:0.01;service:{id}"}
     return binary.encode(Message(Kind.SET_UP, id, fields, body="x" * 100))
@@ -26,8 +28,8 @@
     def __init__(self, where: str, connections: int) -> None:
         host, port = where.rsplit(":", 1)
         self.selector = selectors.DefaultSelector()
-        self.number = FIRST
-        self.template = set_up(FIRST)
+        self.number = FIRST_ID
+        self.template = placement_request(FIRST_ID)
         for number in range(connections):
             source = (f"127.0.1.{1 + number % SOURCES}", 0)
             sock = socket.create_connection((host, int(port)), 10.0, source_address=source)
@@ -47,7 +49,7 @@
     def _serve(self, key: selectors.SelectorKey, events: int) -> None:
         sock, unsent = key.fileobj, key.data
         assert isinstance(sock, socket.socket)
-        if events & selectors.EVENT_READ and not sock.recv(READ):
+        if events & selectors.EVENT_READ and not sock.recv(READ_BYTES):
             raise ConnectionResetError
         if events & selectors.EVENT_WRITE:
             if not unsent:
@@ -56,7 +58,7 @@
 
     def _next(self) -> bytes:
         self.number += 1
-        return self.template.replace(FIRST.to_bytes(8, "big"), self.number.to_bytes(8, "big"), 1)
+        return self.template.replace(FIRST_ID.to_bytes(8, "big"), self.number.to_bytes(8, "big"), 1)
 
 
 if __name__ == "__main__":
--- a/tests/platform/platform_standins.py
+++ b/tests/platform/platform_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of owners, machines and the notice board on loopback, with faults, and the process under test."""
+"""Fake clients, machines and node list service on loopback, with faults, and the process under test."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import sys
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from pathlib import Path
 from typing import Any
 
@@ -25,10 +25,10 @@
 from stairplank.platform.service import Service
 
 ROOT = Path(__file__).resolve().parents[2]
-WAIT = 20.0
+WAIT_S = 20.0
 
 
-def listening() -> tuple[socket.socket, str]:
+def listen() -> tuple[socket.socket, str]:
     sock = socket.create_server(("127.0.0.1", 0), backlog=256)
     return sock, f"127.0.0.1:{sock.getsockname()[1]}"
 
@@ -38,8 +38,8 @@
     sock.close()
 
 
-def until(what: Callable[[], Any], wait: float = WAIT) -> Any:
-    """Its first true value. Raises AssertionError after the wait."""
+def wait_until(what: Callable[[], Any], wait: float = WAIT_S) -> Any:
+    """Return its first true value. Raises AssertionError after the wait."""
     end = time.monotonic() + wait
     while not (got := what()):
         assert time.monotonic() < end, "it did not come about"
@@ -47,12 +47,12 @@
     return got
 
 
-class Server:
+class FakeServer:
     """Accepts, one thread a connection."""
 
     def __init__(self) -> None:
-        self.listener, self.address = listening()
-        self.socks: list[socket.socket] = []
+        self.listener, self.address = listen()
+        self.connections: list[socket.socket] = []
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
@@ -61,7 +61,7 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            self.socks.append(sock)
+            self.connections.append(sock)
             threading.Thread(target=self._guarded, args=(sock,), daemon=True).start()
 
     def _guarded(self, sock: socket.socket) -> None:
@@ -81,25 +81,28 @@
         except OSError:
             pass  # closed already
         self.listener.close()
-        for sock in self.socks:
+        for sock in self.connections:
             try:
                 reset(sock)
             except OSError:
                 pass
 
 
-class Machine(Server):
-    """Answers set-ups with ``running``; ``fault`` may do otherwise and return True. While ``reads`` is not
-    set it reads nothing; once a connection is closed by the planner it says ``last_words`` on it."""
+class FakeMachine(FakeServer):
+    """Answers placement requests with ``running``; ``fault`` may do otherwise and return True.
+
+    While ``reads`` is not set it reads nothing; once the planner has closed a connection it sends
+    ``final_messages`` on it.
+    """
 
     def __init__(self, name: str, fault: Callable[[socket.socket, Message], bool] | None = None) -> None:
         self.name = name
         self.fault = fault
-        self.heard: list[tuple[float, Message]] = []
-        self._on: dict[str, socket.socket] = {}
+        self.received: list[tuple[float, Message]] = []
+        self._connection_by_id: dict[str, socket.socket] = {}
         self.reads = threading.Event()
         self.reads.set()
-        self.last_words: list[Message] = []
+        self.final_messages: list[Message] = []
         super().__init__()
 
     def row(self, health: str = "SERVING") -> dict[str, Any]:
@@ -120,59 +123,59 @@
             "spare": [30.0, 90.0],
         }
 
-    def last(self, id: str) -> socket.socket:
-        """The connection on which that task was last spoken of."""
-        return self._on[id]
+    def connection_of(self, id: str) -> socket.socket:
+        """The connection on which the last message on that task arrived."""
+        return self._connection_by_id[id]
 
-    def launched(self) -> list[Message]:
-        return [m for _, m in self.heard if m.kind is Kind.SET_UP]
+    def placement_requests(self) -> list[Message]:
+        return [m for _, m in self.received if m.kind is Kind.SET_UP]
 
     def serve(self, sock: socket.socket) -> None:
         lines = jsonlines.Lines()
         while True:
-            self.reads.wait(WAIT)
+            self.reads.wait(WAIT_S)
             if not (data := sock.recv(65_536)):
                 break
             for line in lines.feed(data):
                 message = jsonlines.decode(line)
-                self._on[message.id] = sock
-                self.heard.append((time.monotonic(), message))
+                self._connection_by_id[message.id] = sock
+                self.received.append((time.monotonic(), message))
                 if message.kind is Kind.TEST:
                     load = {"load": "x0:30;x1:90;utilization:0.1"} if message.cause else {}
-                    self.say(sock, Message(Kind.TESTED, message.id, load, 1))
+                    self.send(sock, Message(Kind.TESTED, message.id, load, 1))
                 elif message.kind is Kind.SET_UP and not (self.fault and self.fault(sock, message)):
-                    self.say(sock, running(message))
-        while self.last_words:
-            self.say(sock, self.last_words.pop(0))
+                    self.send(sock, running_answer(message))
+        while self.final_messages:
+            self.send(sock, self.final_messages.pop(0))
         sock.close()
 
-    def say(self, sock: socket.socket, message: Message) -> None:
+    def send(self, sock: socket.socket, message: Message) -> None:
         sock.sendall(jsonlines.encode(message))
 
 
-def running(message: Message) -> Message:
+def running_answer(message: Message) -> Message:
     return Message(Kind.ANSWER, message.id, body="stands " + message.id)
 
 
-def cut(after: int) -> Callable[[socket.socket, Message], bool]:
-    """A fault: the answer breaks off after so many bytes, with a reset."""
+def truncated(after: int) -> Callable[[socket.socket, Message], bool]:
+    """Return a fault: the answer breaks off after so many bytes, with a reset."""
 
     def fault(sock: socket.socket, message: Message) -> bool:
-        sock.sendall(jsonlines.encode(running(message))[:after])
+        sock.sendall(jsonlines.encode(running_answer(message))[:after])
         reset(sock)
         return True
 
     return fault
 
 
-def held(gate: threading.Event, *words: Kind) -> Callable[[socket.socket, Message], bool]:
-    """A fault: what is said comes once the gate is open, a second answer where it is named twice."""
+def delayed(gate: threading.Event, *kinds: Kind) -> Callable[[socket.socket, Message], bool]:
+    """Return a fault: these messages are sent once the gate is open, two answers where it is named twice."""
 
     def later(sock: socket.socket, message: Message) -> None:
-        gate.wait(WAIT)
-        for kind in words:
+        gate.wait(WAIT_S)
+        for kind in kinds:
             ended = Message(Kind.RELEASE, message.id, cause=int(Cause.ENDED))
-            sock.sendall(jsonlines.encode(running(message) if kind is Kind.ANSWER else ended))
+            sock.sendall(jsonlines.encode(running_answer(message) if kind is Kind.ANSWER else ended))
 
     def fault(sock: socket.socket, message: Message) -> bool:
         threading.Thread(target=later, args=(sock, message), daemon=True).start()
@@ -181,31 +184,35 @@
     return fault
 
 
-class BoardStand(Server):
-    """Keeps notices; ``frozen`` makes it say nothing more, ``mangled`` break off in the middle of the next.
-    ``stuck`` connections (by their number, from 0) go on with the number they have; ``silent`` ones come up
-    and say nothing; ``bare`` ones say the last number without the notices before it. While ``away`` is set
-    every connection is reset; ``dialled`` counts connections, ``told`` is the last number that was said."""
+class FakeNodeListService(FakeServer):
+    """A node list service with faults.
+
+    ``frozen`` makes it send nothing more, ``breaks_off`` break off in the middle of the next update. Of
+    connections, by their number from 0, ``stale`` ones go on with the revision they have, ``silent`` ones
+    send nothing, those ``without_updates`` send the last revision without the updates before it. While
+    ``resets`` is set every connection is reset. ``connection_count`` counts connections, ``last_sent`` is the
+    last revision that was sent.
+    """
 
     def __init__(self, rows: list[dict[str, Any]]) -> None:
         self.lines = [json.dumps({"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": rows}}).encode()]
-        self.frozen = self.mangled = False
+        self.frozen = self.breaks_off = False
         self.watches: list[int] = []
-        self.stuck: set[int] = set()
+        self.stale: set[int] = set()
         self.silent: set[int] = set()
-        self.bare: set[int] = set()
-        self.away = threading.Event()
-        self.dialled = self.told = 0
+        self.without_updates: set[int] = set()
+        self.resets = threading.Event()
+        self.connection_count = self.last_sent = 0
         super().__init__()
 
-    def tell(self, *rows: Any, whole: bool = False) -> None:
+    def publish(self, *rows: Any, whole: bool = False) -> None:
         rev = len(self.lines) + 1
         pool = {"seq": rev, "whole": whole, "hosts": list(rows)}
         self.lines.append(json.dumps({"rev": rev, "pool": pool}).encode())
 
     def serve(self, sock: socket.socket) -> None:
-        self.dialled += 1
-        if self.away.is_set():
+        self.connection_count += 1
+        if self.resets.is_set():
             reset(sock)
             return
         line = b""
@@ -216,23 +223,23 @@
         self.watches.append(at)
         spoke = 0.0
         while True:
-            if self.away.is_set():
+            if self.resets.is_set():
                 reset(sock)
                 return
             if number in self.silent:
                 pass
-            elif number in self.bare:
+            elif number in self.without_updates:
                 sock.sendall(b'{"rev":%d}\n' % len(self.lines))
                 time.sleep(0.05)
-            elif not self.frozen and at < len(self.lines) and number not in self.stuck:
-                if self.mangled:
-                    self.mangled = False
+            elif not self.frozen and at < len(self.lines) and number not in self.stale:
+                if self.breaks_off:
+                    self.breaks_off = False
                     sock.sendall(self.lines[at][:40])
                     sock.close()
                     return
                 sock.sendall(self.lines[at] + b"\n" + self.lines[at] + b"\n")
                 at += 1
-                self.told = at
+                self.last_sent = at
             elif not self.frozen and time.monotonic() - spoke > 0.4:
                 spoke = time.monotonic()
                 sock.sendall(b'{"rev":%d}\n' % at)
@@ -240,26 +247,26 @@
                 return
 
 
-class Owner:
-    """One connection of an owner."""
+class FakeClient:
+    """One connection of a client."""
 
     def __init__(self, where: str, source: str = "127.0.0.1") -> None:
         host, port = where.rsplit(":", 1)
-        self.sock = socket.create_connection((host, int(port)), WAIT, source_address=(source, 0))
+        self.sock = socket.create_connection((host, int(port)), WAIT_S, source_address=(source, 0))
         self.reader = binary.Reader()
         self.received: list[Message] = []
-        self.ended = False
+        self.is_closed = False
 
-    def say(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         self.sock.sendall(binary.encode(message))
 
-    def ask(self, number: int, sort: str = "worker", **changes: str) -> str:
+    def request_placement(self, number: int, sort: str = "worker", **changes: str) -> str:
         id = f"{number:016x}"
         fields = {"class": sort, "left": "6000", "key": f"{number + 4096:016x}"}
         fields["extras"] = f"cores:1;memory:2;service:{number:016x}"
         if sort == "ingest":
             fields["idem"] = f"{number:032x}"
-        self.say(Message(Kind.SET_UP, id, fields | changes, body=f"body {number}"))
+        self.send(Message(Kind.SET_UP, id, fields | changes, body=f"body {number}"))
         return id
 
     def read(self, wait: float) -> None:
@@ -271,13 +278,13 @@
         except OSError:
             data = b""
         if not data:
-            self.ended = True
+            self.is_closed = True
         self.received += self.reader.feed(data)
 
-    def replies(self, id: str, count: int = 1, wait: float = WAIT) -> list[Message]:
-        """What was said of that task, once so much has come or the wait is over."""
+    def replies(self, id: str, count: int = 1, wait: float = WAIT_S) -> list[Message]:
+        """Return the messages on that task, once so many have come or the wait is over."""
         end = time.monotonic() + wait
-        while not self.ended and time.monotonic() < end:
+        while not self.is_closed and time.monotonic() < end:
             got = [m for m in self.received if m.id == id]
             if len(got) >= count:
                 return got
@@ -286,20 +293,22 @@
 
     def closed_within(self, wait: float) -> bool:
         end = time.monotonic() + wait
-        while not self.ended and time.monotonic() < end:
+        while not self.is_closed and time.monotonic() < end:
             self.read(max(0.01, end - time.monotonic()))
-        return self.ended
+        return self.is_closed
 
 
-class Process:
-    """The real process, as ``run`` starts it. ``files_limit``: how many files it may have open; ``changes``:
-    of its configuration; ``command``: the interpreter's arguments. With ``waits`` it serves by the time this
-    returns."""
+class PlannerProcess:
+    """The real process, as ``run`` starts it.
+
+    ``files_limit``: how many files it may have open; ``changes``: of its configuration; ``command``: the
+    interpreter's arguments. With ``waits`` it serves by the time this returns.
+    """
 
     def __init__(
         self,
         folder: Path,
-        board: BoardStand,
+        board: FakeNodeListService,
         sockets: int = 256,
         files_limit: int | None = None,
         changes: dict[str, Any] | None = None,
@@ -307,7 +316,7 @@
         command: tuple[str, ...] = ("-m", "stairplank.platform"),
     ) -> None:
         self.path = folder / "config.json"
-        self.board = board
+        self.node_list_service = board
         self.sockets = sockets
         self.changes = changes or {}
         self.write(board.address)
@@ -323,15 +332,15 @@
             stdout=subprocess.DEVNULL,
         )
         threading.Thread(target=self._read, daemon=True).start()
-        self.where = self.serves() if waits else ""
+        self.address = self.wait_for_address() if waits else ""
 
-    def serves(self, wait: float = WAIT) -> str:
+    def wait_for_address(self, wait: float = WAIT_S) -> str:
         """Its address, once it accepts clients."""
-        found = until(lambda: next((e for e in self.log if e["event"] == "serves"), None), wait)
+        found = wait_until(lambda: next((e for e in self.log if e["event"] == "serves"), None), wait)
         return str(found["listen"])
 
     def write(self, board: str) -> None:
-        known = {"rev": 1, "notices": [json.loads(self.board.lines[0])]}
+        known = {"rev": 1, "notices": [json.loads(self.node_list_service.lines[0])]}
         value = CONFIG | {"board": board, "known": known, "limits": {"sockets": self.sockets}} | self.changes
         self.path.write_text(json.dumps(value))
 
@@ -349,72 +358,94 @@
     def descriptors(self) -> int:
         return len(os.listdir(f"/proc/{self.child.pid}/fd"))
 
-    def end(self) -> None:
+    def close(self) -> None:
         if self.child.poll() is None:
             self.child.kill()
-        self.child.wait(WAIT)
+        self.child.wait(WAIT_S)
         assert not self.events("not a log line"), self.log
 
 
-class Live:
-    """The service in this process, with real connections to stand-ins, and a gate before its turns: while
-    ``held``, all that comes is read and nothing is handled."""
+class LiveService:
+    """The service in this process, with real connections to fakes and a gate before its turns.
+
+    While it is paused, all that comes is read and nothing is handled.
+    """
 
     def __init__(
         self, folder: Path, machines: int = 1, changes: dict[str, Any] | None = None, known: int | None = None
     ) -> None:
-        self.fleet = [Machine(f"s-{n:08x}") for n in range(1, machines + 1)]
-        rows = [m.row() for m in self.fleet]
-        self.board = BoardStand(rows)
+        self.machines = [FakeMachine(f"s-{n:08x}") for n in range(1, machines + 1)]
+        rows = [m.row() for m in self.machines]
+        self.node_list_service = FakeNodeListService(rows)
         first = {"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": rows[:known]}}
-        self.config = CONFIG | {"board": self.board.address, "known": {"rev": 1, "notices": [first]}}
+        self.config = CONFIG | {
+            "board": self.node_list_service.address,
+            "known": {"rev": 1, "notices": [first]},
+        }
         (folder / "config.json").write_text(json.dumps(self.config | (changes or {})))
         self.service = Service(str(folder / "config.json"))
-        self.read: list[ev.Event] = []  # by the service, whether handled or not
-        enqueue, self._late = self.service.driver.enqueue, self.service.driver.stall_detector.late
+        self.events_read: list[ev.Event] = []  # by the service, whether handled or not
+        enqueue, self._is_stalled = self.service.driver.enqueue, self.service.driver.stall_detector.late
 
         def enqueues(*events: ev.Event) -> None:
-            self.read.extend(events)
+            self.events_read.extend(events)
             enqueue(*events)
 
         self.service.driver.enqueue = enqueues  # type: ignore[method-assign]
         self.service.node_watch._enqueue = enqueues
-        self.runs = gevent.spawn(self.service.run)
-        self.until(lambda: self.service.listen_address and self.service.core.requests.ready)
+        self.greenlet = gevent.spawn(self.service.run)
+        self.wait_until(lambda: self.service.listen_address and self.service.core.requests.ready)
 
-    def until(self, what: Callable[[], Any], wait: float = WAIT) -> Any:
+    def wait_until(self, what: Callable[[], Any], wait: float = WAIT_S) -> Any:
         with gevent.Timeout(wait, AssertionError("it did not come about")):
             while not (got := what()):
                 gevent.sleep(0.005)
         return got
 
-    def off(self, call: Callable[..., Any], *args: Any, **named: Any) -> Any:
-        """A stand-in's blocking call, while the service goes on."""
+    def run_in_thread(self, call: Callable[..., Any], *args: Any, **named: Any) -> Any:
+        """Run a fake's blocking call, while the service goes on."""
         return gevent.get_hub().threadpool.apply(call, args, named)
 
-    def owner(self, source: str = "127.0.0.1") -> Owner:
-        return self.off(Owner, self.service.listen_address, source)
+    def connect_client(self, source: str = "127.0.0.1") -> FakeClient:
+        return self.run_in_thread(FakeClient, self.service.listen_address, source)
 
-    def placed(self, owner: Owner, number: int, sort: str = "worker") -> str:
-        """A task that stands."""
-        id = self.off(owner.ask, number, sort)
-        assert [m.kind for m in self.off(owner.replies, id)] == [Kind.ANSWER]
+    def place(self, owner: FakeClient, number: int, sort: str = "worker") -> str:
+        """Place a task; its id."""
+        id = self.run_in_thread(owner.request_placement, number, sort)
+        assert [m.kind for m in self.run_in_thread(owner.replies, id)] == [Kind.ANSWER]
         return id
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         self.service.driver.stall_detector.late = lambda: True  # type: ignore[method-assign]
 
-    def go(self) -> None:
+    def resume(self) -> None:
         self.service.driver.stall_detector.at = now_us()
-        self.service.driver.stall_detector.late = self._late  # type: ignore[method-assign]
+        self.service.driver.stall_detector.late = self._is_stalled  # type: ignore[method-assign]
         self.service.driver._turn_wanted.set()
 
     def has_read(self, kind: type, id: str = "") -> bool:
-        return any(isinstance(e, kind) and (not id or e.message.id == id) for e in self.read)
+        return any(isinstance(e, kind) and (not id or e.message.id == id) for e in self.events_read)
 
-    def end(self) -> None:
-        self.runs.kill()
-        for thing in [self.board, *self.fleet]:
-            thing.close()
+    def close(self) -> None:
+        self.greenlet.kill()
+        for server in [self.node_list_service, *self.machines]:
+            server.close()
         for stream in [*self.service.machines.streams.values(), *self.service.clients.accepted]:
             stream.close(abort=True)
+
+
+MakeService = Callable[..., LiveService]
+
+
+def live_services(folder: Path) -> Iterator[MakeService]:
+    """For fixtures: a function that starts services, which are closed and checked for faults in the end."""
+    made: list[LiveService] = []
+
+    def make(machines: int = 1, **more: Any) -> LiveService:
+        made.append(LiveService(folder, machines, **more))
+        return made[-1]
+
+    yield make
+    for service in made:
+        service.close()
+    assert not any(service.service.core.counts.get("faults") for service in made)
--- a/tests/platform/recording_planner.py
+++ b/tests/platform/recording_planner.py
@@ -1,5 +1,7 @@
-"""The platform's planner, that writes to its log when it sends a set-up of a client that may leave, or takes
-one back, with the processor time that it has used by then."""
+"""The platform's planner, with log lines of what it sends to machines for clients that may leave.
+
+Each has the processor time that the planner has used by then.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +10,7 @@
 import sys
 from pathlib import Path
 
-from flooding_client import FIRST
+from flooding_client import FIRST_ID
 
 from stairplank.platform import events
 from stairplank.platform.actions import ActionExecutor
@@ -24,7 +26,7 @@
 
 def record(executor: ActionExecutor, action: events.Action) -> None:
     execute(executor, action)
-    if isinstance(action, events.SendToMachine) and 0 < int(action.message.id, 16) < FIRST:
+    if isinstance(action, events.SendToMachine) and 0 < int(action.message.id, 16) < FIRST_ID:
         kind, cpu_ms = action.message.kind.name, processor_time_ms()
         line = json.dumps({"event": "sent", "id": action.message.id, "kind": kind, "cpu_ms": cpu_ms})
         os.write(2, line.encode() + b"\n")
--- a/tests/platform/test_platform_departed_clients.py
+++ b/tests/platform/test_platform_departed_clients.py
@@ -10,18 +10,35 @@
 import sys
 import threading
 import time
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from contextlib import suppress
 from pathlib import Path
 from typing import Any
 
 import gevent
 import pytest
+from departures import (
+    encoded_placement_request,
+    fill_send_buffer,
+    is_departure_of,
+    leave,
+    leave_and_notice,
+    shrink_buffers,
+)
 from desk import Desk, name
 from gevent.event import Event as Flag
-from platform_standins import ROOT, BoardStand, Live, Machine, Owner, Process, reset, until
+from platform_standins import (
+    ROOT,
+    FakeClient,
+    FakeMachine,
+    FakeNodeListService,
+    LiveService,
+    MakeService,
+    PlannerProcess,
+    live_services,
+    wait_until,
+)
 from recording_planner import processor_time_ms
-from test_platform_crossings import jammed, small_buffers
 
 from stairplank import interface as api
 from stairplank.platform import binary, client_connections, event_queue, jsonlines
@@ -29,53 +46,21 @@
 from stairplank.platform.messages import Cause, Kind, Message
 from stairplank.rpc import address
 
-Make = Callable[..., Live]
 HOW = pytest.mark.parametrize("how", ["cancel", "close", "reset"])
 GONE_WITHIN_S = 0.1  # no attempt may begin later
 
 
 @pytest.fixture
-def live(tmp_path: Path) -> Iterator[Make]:
-    made: list[Live] = []
+def live(tmp_path: Path) -> Iterator[MakeService]:
+    yield from live_services(tmp_path)
 
-    def makes(machines: int = 1, **more: Any) -> Live:
-        made.append(Live(tmp_path, machines, **more))
-        return made[-1]
 
-    yield makes
-    for one in made:
-        one.end()
-    assert not any(one.service.core.counts.get("faults") for one in made)
-
-
-def leave(owner: Owner, id: str, how: str) -> None:
-    if how == "cancel":
-        owner.say(Message(Kind.RELEASE, id, cause=int(Cause.ENDED)))
-    elif how == "close":
-        owner.sock.close()
-    else:
-        reset(owner.sock)
-
-
-def is_departure_of(event: ev.Event, id: str, how: str) -> bool:
-    if how == "cancel":
-        is_release = isinstance(event, ev.ClientMessage) and event.message.kind is Kind.RELEASE
-        return is_release and event.message.id == id  # type: ignore[union-attr]
-    return isinstance(event, (ev.ClientHungUp, ev.ClientDisconnected))
-
-
-def has_left(one: Live, owner: Owner, id: str, how: str) -> None:
-    """It leaves, and the service has read so."""
-    one.off(leave, owner, id, how)
-    one.until(lambda: any(is_departure_of(event, id, how) for event in one.read))
-
-
-def is_withdrawn(one: Live, id: str) -> bool:
+def is_withdrawn(one: LiveService, id: str) -> bool:
     return id not in one.service.core.tasks.by_id and not len(one.service.driver.queue)
 
 
-def attempts(one: Live, id: str) -> int:
-    return [m.id for machine in one.fleet for m in machine.launched()].count(id)
+def attempts(one: LiveService, id: str) -> int:
+    return [m.id for machine in one.machines for m in machine.placement_requests()].count(id)
 
 
 def silent(sock: Any, message: Message) -> bool:
@@ -84,99 +69,101 @@
 
 @HOW
 def test_a_task_that_waits_for_a_dial_goes_nowhere(
-    live: Make, monkeypatch: pytest.MonkeyPatch, how: str
+    live: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     one = live()
     gate, dial = Flag(), address.dial
 
     def dials(where: str, wait: float) -> Any:
-        if where == one.fleet[0].address:
+        if where == one.machines[0].address:
             gate.wait()
         return dial(where, wait)
 
     monkeypatch.setattr(address, "dial", dials)
-    owner, other = one.owner(), one.owner("127.0.0.9")
-    id = one.off(owner.ask, 1)
-    one.until(lambda: one.service.machines.dials)
-    has_left(one, owner, id, how)
+    client, other = one.connect_client(), one.connect_client("127.0.0.9")
+    id = one.run_in_thread(client.request_placement, 1)
+    one.wait_until(lambda: one.service.machines.dials)
+    leave_and_notice(one, client, id, how)
     gate.set()
-    one.placed(other, 2)  # goes out on that very connection
+    one.place(other, 2)  # goes out on that very connection
     assert attempts(one, id) == 0
 
 
 @HOW
-def test_a_task_that_waits_for_room_for_a_connection_goes_nowhere(live: Make, how: str) -> None:
+def test_a_task_that_waits_for_room_for_a_connection_goes_nowhere(live: MakeService, how: str) -> None:
     one = live(machines=2)
-    for machine in one.fleet:
+    for machine in one.machines:
         machine.fault = silent
     one.service.core.links.links_most = 1
-    owner, other = one.owner(), one.owner("127.0.0.9")
-    first = one.off(other.ask, 1)
-    taken = one.until(lambda: next((m for m in one.fleet if m.launched()), None))
-    free = next(m for m in one.fleet if m is not taken)
-    one.board.tell(taken.row("DRAINING"))
-    one.until(lambda: one.service.node_list.revision == 2)
+    client, other = one.connect_client(), one.connect_client("127.0.0.9")
+    first = one.run_in_thread(other.request_placement, 1)
+    taken = one.wait_until(lambda: next((m for m in one.machines if m.placement_requests()), None))
+    free = next(m for m in one.machines if m is not taken)
+    one.node_list_service.publish(taken.row("DRAINING"))
+    one.wait_until(lambda: one.service.node_list.revision == 2)
     one.service.core.links.dial_timeout_us = 60_000_000  # it waits as long as it must
-    id = one.off(owner.ask, 2)
-    one.until(lambda: one.service.core.links.wanted)
-    has_left(one, owner, id, how)
+    id = one.run_in_thread(client.request_placement, 2)
+    one.wait_until(lambda: one.service.core.links.wanted)
+    leave_and_notice(one, client, id, how)
     free.fault = None
-    one.off(taken.say, taken.last(first), Message(Kind.RELEASE, first, cause=int(Cause.ERROR)))
-    assert [m.kind for m in one.off(other.replies, first)] == [Kind.ANSWER]  # there is room now
-    one.placed(other, 3)
+    one.run_in_thread(
+        taken.send, taken.connection_of(first), Message(Kind.RELEASE, first, cause=int(Cause.ERROR))
+    )
+    assert [m.kind for m in one.run_in_thread(other.replies, first)] == [Kind.ANSWER]  # there is room now
+    one.place(other, 3)
     assert attempts(one, id) == 0
 
 
 @HOW
-def test_a_task_that_no_machine_fits_goes_nowhere(live: Make, how: str) -> None:
+def test_a_task_that_no_machine_fits_goes_nowhere(live: MakeService, how: str) -> None:
     one = live()
-    one.board.tell(one.fleet[0].row("DRAINING"))
-    one.until(lambda: one.service.node_list.revision == 2)
-    owner, other = one.owner(), one.owner("127.0.0.9")
-    id = one.off(owner.ask, 1)
-    one.until(lambda: id in one.service.core.tasks.by_id)
-    has_left(one, owner, id, how)
-    one.board.tell(one.fleet[0].row())
-    one.placed(other, 2)
+    one.node_list_service.publish(one.machines[0].row("DRAINING"))
+    one.wait_until(lambda: one.service.node_list.revision == 2)
+    client, other = one.connect_client(), one.connect_client("127.0.0.9")
+    id = one.run_in_thread(client.request_placement, 1)
+    one.wait_until(lambda: id in one.service.core.tasks.by_id)
+    leave_and_notice(one, client, id, how)
+    one.node_list_service.publish(one.machines[0].row())
+    one.place(other, 2)
     assert attempts(one, id) == 0
 
 
-def waits_for_retry(one: Live, owner: Owner) -> str:
+def waits_for_retry(one: LiveService, client: FakeClient) -> str:
     """A task that two machines have refused: the third attempt waits for a timer. A connection to each
     machine is up and free: it would leave at once."""
     number = 100
-    while not all(machine.launched() for machine in one.fleet):
+    while not all(machine.placement_requests() for machine in one.machines):
         number += 1
-        one.placed(owner, number)
+        one.place(client, number)
 
     def refuses(sock: Any, message: Message) -> bool:
         sock.sendall(jsonlines.encode(Message(Kind.RELEASE, message.id, {"note": "nc"}, int(Cause.FULL))))
         return True
 
-    for machine in one.fleet:
+    for machine in one.machines:
         machine.fault = refuses
-    id = one.off(owner.ask, 1)
-    one.until(lambda: attempts(one, id) == 2 and one.service.core.counts.get("ended_refused") == 2)
-    for machine in one.fleet:
+    id = one.run_in_thread(client.request_placement, 1)
+    one.wait_until(lambda: attempts(one, id) == 2 and one.service.core.counts.get("ended_refused") == 2)
+    for machine in one.machines:
         machine.fault = None
     return id
 
 
 @pytest.mark.parametrize("when", ["before the timer", "as the timer is due"])
 @HOW
-def test_a_task_that_waits_for_its_retry_goes_nowhere(live: Make, how: str, when: str) -> None:
+def test_a_task_that_waits_for_its_retry_goes_nowhere(live: MakeService, how: str, when: str) -> None:
     """Timers were felt before the events of a turn: the one that is due began a further attempt."""
     one = live(machines=3)
-    owner, other = one.owner(), one.owner("127.0.0.9")
-    id = waits_for_retry(one, owner)
-    one.hold()
-    has_left(one, owner, id, how)
+    client, other = one.connect_client(), one.connect_client("127.0.0.9")
+    id = waits_for_retry(one, client)
+    one.pause()
+    leave_and_notice(one, client, id, how)
     if when == "as the timer is due":
         gevent.sleep(0.4)  # the module's timer is set for 0.25 s
-    one.go()
-    one.until(lambda: is_withdrawn(one, id))
+    one.resume()
+    one.wait_until(lambda: is_withdrawn(one, id))
     gevent.sleep(0.4)
-    one.placed(other, 2)
+    one.place(other, 2)
     assert attempts(one, id) == 2
 
 
@@ -203,63 +190,65 @@
 
 @HOW
 def test_a_task_that_lies_in_a_buffer_behind_a_machine_that_does_not_read_goes_nowhere(
-    live: Make, monkeypatch: pytest.MonkeyPatch, how: str
+    live: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    small_buffers(monkeypatch)
+    shrink_buffers(monkeypatch)
     one = live()
-    machine, owner = one.fleet[0], one.owner()
+    machine, client = one.machines[0], one.connect_client()
     machine.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    one.placed(owner, 1)
-    id = jammed(one, machine, owner)[-1]
-    has_left(one, owner, id, how)
-    one.until(lambda: is_withdrawn(one, id))
+    one.place(client, 1)
+    id = fill_send_buffer(one, machine, client)[-1]
+    leave_and_notice(one, client, id, how)
+    one.wait_until(lambda: is_withdrawn(one, id))
     machine.reads.set()
-    one.until(lambda: not any(s._buffer for s in one.service.machines.streams.values()))
-    one.until(lambda: any(m.id == id and m.kind is Kind.RELEASE for _, m in machine.heard))
+    one.wait_until(lambda: not any(s._buffer for s in one.service.machines.streams.values()))
+    one.wait_until(lambda: any(m.id == id and m.kind is Kind.RELEASE for _, m in machine.received))
     assert attempts(one, id) == 0
 
 
 # While others flood
 
 
-def flood(one: Live, owner: Owner, count: int) -> None:
+def flood(one: LiveService, client: FakeClient, count: int) -> None:
     """Messages that wait to be handled."""
     data = b"".join(binary.encode(Message(Kind.TEST, f"{n:016x}", cause=0)) for n in range(1, count + 1))
-    one.off(owner.sock.sendall, data)
+    one.run_in_thread(client.sock.sendall, data)
 
 
 @HOW
 def test_a_departure_is_read_while_others_fill_the_event_queue(
-    live: Make, monkeypatch: pytest.MonkeyPatch, how: str
+    live: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     """No client was read while so many events waited."""
     monkeypatch.setattr(event_queue, "EVENTS_MOST", 200)
     one = live(machines=3)
-    owner, other = one.owner(), one.owner("127.0.0.9")
-    id = waits_for_retry(one, owner)
-    one.hold()
+    client, other = one.connect_client(), one.connect_client("127.0.0.9")
+    id = waits_for_retry(one, client)
+    one.pause()
     flood(one, other, 2000)
-    one.until(lambda: one.service.driver.queue.must_wait(2))
-    one.off(owner.say, Message(Kind.TEST, f"{7:016x}", cause=0))  # read, and what comes after it is held back
-    one.until(lambda: one.has_read(ev.ClientMessage, f"{7:016x}"))
+    one.wait_until(lambda: one.service.driver.queue.must_wait(2))
+    one.run_in_thread(
+        client.send, Message(Kind.TEST, f"{7:016x}", cause=0)
+    )  # read, and what comes after it is held back
+    one.wait_until(lambda: one.has_read(ev.ClientMessage, f"{7:016x}"))
     gevent.sleep(3 * client_connections.QUEUE_FULL_PAUSE_S)
-    has_left(one, owner, id, how)
+    leave_and_notice(one, client, id, how)
     assert one.service.driver.queue.is_overloaded()
-    one.go()
-    one.until(lambda: is_withdrawn(one, id))
+    one.resume()
+    one.wait_until(lambda: is_withdrawn(one, id))
     assert attempts(one, id) == 2
 
 
 @HOW
-def test_a_departure_is_handled_before_thousands_of_other_messages(live: Make, how: str) -> None:
+def test_a_departure_is_handled_before_thousands_of_other_messages(live: MakeService, how: str) -> None:
     """It came behind them, in the order in which they were read."""
     one = live(machines=3)
-    owner, other = one.owner(), one.owner("127.0.0.9")
-    id = waits_for_retry(one, owner)
-    one.hold()
+    client, other = one.connect_client(), one.connect_client("127.0.0.9")
+    id = waits_for_retry(one, client)
+    one.pause()
     flood(one, other, 2000)
-    one.until(lambda: len(one.service.driver.queue) >= 2000)
-    has_left(one, owner, id, how)
+    one.wait_until(lambda: len(one.service.driver.queue) >= 2000)
+    leave_and_notice(one, client, id, how)
     handled: list[ev.Event] = []
     handle = one.service.core.handle
 
@@ -268,54 +257,61 @@
         return handle(now, events)
 
     one.service.core.handle = handles  # type: ignore[method-assign, assignment]
-    one.go()
-    one.until(lambda: is_withdrawn(one, id))
+    one.resume()
+    one.wait_until(lambda: is_withdrawn(one, id))
     before = next(n for n, event in enumerate(handled) if is_departure_of(event, id, how))
     assert not any(isinstance(e, ev.ClientMessage) and e.message.kind is Kind.TEST for e in handled[:before])
     assert attempts(one, id) == 2
 
 
 def test_a_close_is_noticed_behind_all_that_was_sent_before_it(
-    live: Make, monkeypatch: pytest.MonkeyPatch
+    live: MakeService, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It lay behind hundreds of set-ups, which were placed one after the other before it was read."""
     monkeypatch.setattr(event_queue, "PLACEMENTS_MOST", 100)
     monkeypatch.setattr(event_queue, "EVENTS_MOST", 200)
     one = live(machines=3)
-    owner = one.owner()
-    id = waits_for_retry(one, owner)
-    one.hold()
-    data = b"".join(_set_up(number) for number in range(10_000, 10_400))  # what a receive buffer holds
-    one.off(owner.sock.sendall, data)
-    one.until(one.service.driver.queue.is_overloaded)
-    one.off(owner.sock.close)
-    one.until(lambda: one.has_read(ev.ClientHungUp))
+    client = one.connect_client()
+    id = waits_for_retry(one, client)
+    one.pause()
+    data = b"".join(
+        encoded_placement_request(number) for number in range(10_000, 10_400)
+    )  # what a receive buffer holds
+    one.run_in_thread(client.sock.sendall, data)
+    one.wait_until(one.service.driver.queue.is_overloaded)
+    one.run_in_thread(client.sock.close)
+    one.wait_until(lambda: one.has_read(ev.ClientHungUp))
     assert one.service.clients.streams[1].is_readable()  # most of it is unread
     gevent.sleep(0.4)  # the timer of the retry is due
-    one.go()
-    one.until(lambda: not one.service.driver.queue and 1 not in one.service.clients.streams)
-    later = [m.id for machine in one.fleet for m in machine.launched() if int(m.id, 16) >= 10_000]
+    one.resume()
+    one.wait_until(lambda: not one.service.driver.queue and 1 not in one.service.clients.streams)
+    later = [
+        m.id for machine in one.machines for m in machine.placement_requests() if int(m.id, 16) >= 10_000
+    ]
     assert attempts(one, id) == 2 and later == []
 
 
 def test_a_round_of_reading_ends_in_time_however_many_clients_flood(
-    live: Make, monkeypatch: pytest.MonkeyPatch
+    live: MakeService, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All that was read of a connection was decoded, four times in a row, before others had their turn."""
     one = live()
-    one.fleet[0].fault = silent
+    one.machines[0].fault = silent
     feed = binary.Reader.feed
 
     def slow_feed(reader: binary.Reader, data: bytes) -> list[Message]:
         time.sleep(len(data) / 1024 * 0.0015)  # a process that is slow, whatever this machine is
         return feed(reader, data)
 
-    others = [one.owner(f"127.0.0.{number}") for number in range(20, 60)]
-    owner = one.owner()
-    id = one.off(owner.ask, 1)
-    one.until(lambda: attempts(one, id) == 1)
+    others = [one.connect_client(f"127.0.0.{number}") for number in range(20, 60)]
+    client = one.connect_client()
+    id = one.run_in_thread(client.request_placement, 1)
+    one.wait_until(lambda: attempts(one, id) == 1)
     monkeypatch.setattr(binary.Reader, "feed", slow_feed)
-    data = [b"".join(_set_up(1000 * n + k, "x" * 5000) for k in range(10)) for n in range(1, len(others) + 1)]
+    data = [
+        b"".join(encoded_placement_request(1000 * n + k, "x" * 5000) for k in range(10))
+        for n in range(1, len(others) + 1)
+    ]
     for other, sent in zip(others, data, strict=True):
         other.sock.sendall(sent)  # this greenlet does not wait: all of it lies there
     noticed: list[float] = []
@@ -327,18 +323,12 @@
 
     one.service.core._handlers[ev.ClientDisconnected] = notices
     left = time.monotonic()
-    owner.sock.close()
-    one.until(lambda: id not in one.service.core.tasks.by_id)
+    client.sock.close()
+    one.wait_until(lambda: id not in one.service.core.tasks.by_id)
     assert noticed[0] - left < 1.0  # 3 s for all that lies there
     monkeypatch.setattr(binary.Reader, "feed", feed)
 
 
-def _set_up(number: int, body: str = "b") -> bytes:
-    id = f"{number:016x}"
-    fields = {"class": "worker", "left": "6000", "key": id, "extras": f"cores:0.01;memory:0.01;service:{id}"}
-    return binary.encode(Message(Kind.SET_UP, id, fields, body=body))
-
-
 # The real process, with its whole share of a core in use
 
 FLOODING = 100  # connections
@@ -350,31 +340,33 @@
     """Clients whose tasks are out at machines that say nothing; each leaves, and 0.15 s later the machines
     refuse its tasks, so that further attempts would begin."""
 
-    def __init__(self, process: Process, fleet: list[Machine]) -> None:
+    def __init__(self, process: PlannerProcess, fleet: list[FakeMachine]) -> None:
         self.process, self.fleet = process, fleet
         self.left: dict[str, float] = {}  # task: the planner's processor time as its client had left, in ms
-        self.clients: list[tuple[Owner, list[str]]] = []
+        self.clients: list[tuple[FakeClient, list[str]]] = []
         for number in range(1, CLIENTS + 1):
-            owner = Owner(process.where, f"127.0.2.{number}")
-            self.clients.append((owner, [owner.ask(100 * number + n) for n in range(TASKS)]))
-        until(lambda: sum(len(m.launched()) for m in fleet) == CLIENTS * TASKS)
+            client = FakeClient(process.address, f"127.0.2.{number}")
+            self.clients.append((client, [client.request_placement(100 * number + n) for n in range(TASKS)]))
+        wait_until(lambda: sum(len(m.placement_requests()) for m in fleet) == CLIENTS * TASKS)
 
     def leave(self, how: str) -> None:
-        for owner, ids in self.clients:
+        for client, ids in self.clients:
             if how == "cancel":
                 for id in ids:
-                    leave(owner, id, how)
+                    leave(client, id, how)
             else:
-                leave(owner, ids[0], how)
+                leave(client, ids[0], how)
             self.left |= dict.fromkeys(ids, processor_time_ms(str(self.process.child.pid)))
             threading.Timer(0.15, self._refuse, (ids,)).start()
             time.sleep(0.02)
 
     def _refuse(self, ids: list[str]) -> None:
         for machine in self.fleet:
-            for id in {m.id for m in machine.launched()} & set(ids):
+            for id in {m.id for m in machine.placement_requests()} & set(ids):
                 with suppress(OSError):  # given up, and its connection closed
-                    machine.say(machine.last(id), Message(Kind.RELEASE, id, {"note": "nc"}, int(Cause.FULL)))
+                    machine.send(
+                        machine.connection_of(id), Message(Kind.RELEASE, id, {"note": "nc"}, int(Cause.FULL))
+                    )
 
     def sent(self, kind: Kind) -> dict[str, float]:
         """The last time after its client left, in ms of the planner's processor time, by task."""
@@ -388,13 +380,13 @@
 ) -> None:
     """Measured in the planner's processor time: that of a machine with other work is no fault of its own.
     After a stall all that came meanwhile was handled in one turn of some tenths of a second."""
-    fleet = [Machine(f"s-{n:08x}", silent) for n in range(1, 7)]
-    board = BoardStand([m.row() for m in fleet])
-    process = Process(tmp_path, board, 512, command=(str(HERE / "recording_planner.py"),))
+    fleet = [FakeMachine(f"s-{n:08x}", silent) for n in range(1, 7)]
+    board = FakeNodeListService([m.row() for m in fleet])
+    process = PlannerProcess(tmp_path, board, 512, command=(str(HERE / "recording_planner.py"),))
     flood = None
     try:
         crowd = Crowd(process, fleet)
-        run = [sys.executable, str(HERE / "flooding_client.py"), process.where, str(FLOODING)]
+        run = [sys.executable, str(HERE / "flooding_client.py"), process.address, str(FLOODING)]
         flood = subprocess.Popen(run, env=os.environ | {"PYTHONPATH": str(ROOT)}, stdout=subprocess.PIPE)
         assert flood.stdout is not None and flood.stdout.readline() == b"open\n"
         time.sleep(0.5)
@@ -403,7 +395,7 @@
             time.sleep(0.4)
             process.child.send_signal(signal.SIGCONT)
         crowd.leave(how)
-        until(lambda: len(crowd.sent(Kind.RELEASE)) == CLIENTS * TASKS)
+        wait_until(lambda: len(crowd.sent(Kind.RELEASE)) == CLIENTS * TASKS)
         time.sleep(0.3)
         most = GONE_WITHIN_S * 1e3
         assert max(crowd.sent(Kind.SET_UP).values()) <= most
@@ -413,7 +405,7 @@
         if flood is not None:
             flood.kill()
             flood.wait()
-        process.end()
+        process.close()
         for machine in fleet:
             machine.close()
         board.close()
--- a/tests/platform/test_platform_descriptor_limits.py
+++ b/tests/platform/test_platform_descriptor_limits.py
@@ -9,7 +9,14 @@
 from pathlib import Path
 
 import pytest
-from platform_standins import BoardStand, Machine, Owner, Process, held, until
+from platform_standins import (
+    FakeClient,
+    FakeMachine,
+    FakeNodeListService,
+    PlannerProcess,
+    delayed,
+    wait_until,
+)
 
 from stairplank.platform import descriptors
 from stairplank.platform.messages import Kind, Message
@@ -20,78 +27,80 @@
 TASKS = 64
 BACK_WITHIN_S = 5.0  # the watch dials at least each half second, and a dial may take 1.5 s
 
-Start = Callable[..., tuple[Process, BoardStand, list[Machine], threading.Event]]
+Start = Callable[..., tuple[PlannerProcess, FakeNodeListService, list[FakeMachine], threading.Event]]
 
 
 @pytest.fixture
 def start(tmp_path: Path) -> Iterator[Start]:
-    made: list[Process | Machine | BoardStand] = []
+    made: list[PlannerProcess | FakeMachine | FakeNodeListService] = []
 
-    def starts(sockets: int) -> tuple[Process, BoardStand, list[Machine], threading.Event]:
+    def starts(
+        sockets: int,
+    ) -> tuple[PlannerProcess, FakeNodeListService, list[FakeMachine], threading.Event]:
         gate = threading.Event()
-        fleet = [Machine(f"s-{n:08x}", held(gate, Kind.ANSWER)) for n in range(1, MACHINES + 1)]
-        board = BoardStand([m.row() for m in fleet])
-        process = Process(tmp_path, board, sockets, FILES_LIMIT)
+        fleet = [FakeMachine(f"s-{n:08x}", delayed(gate, Kind.ANSWER)) for n in range(1, MACHINES + 1)]
+        board = FakeNodeListService([m.row() for m in fleet])
+        process = PlannerProcess(tmp_path, board, sockets, FILES_LIMIT)
         made.extend([process, board, *fleet])
         return process, board, fleet, gate
 
     yield starts
     for thing in made:
-        if isinstance(thing, Process):
-            thing.end()
+        if isinstance(thing, PlannerProcess):
+            thing.close()
         else:
             thing.close()
 
 
-def fill(where: str, count: int) -> list[Owner]:
+def fill(where: str, count: int) -> list[FakeClient]:
     """Clients that pass a test, so that they are not taken for silent ones, and then do nothing."""
     clients = []
     for number in range(1, count + 1):
-        client = Owner(where)
+        client = FakeClient(where)
         try:
-            client.say(Message(Kind.TEST, f"{number:016x}", cause=0))
+            client.send(Message(Kind.TEST, f"{number:016x}", cause=0))
         except OSError:
             pass  # turned away
         clients.append(client)
     return clients
 
 
-def ask(client: Owner, number: int) -> str:
-    return client.ask(number, extras=f"cores:0.1;memory:0.1;service:{number:016x}")
+def ask(client: FakeClient, number: int) -> str:
+    return client.request_placement(number, extras=f"cores:0.1;memory:0.1;service:{number:016x}")
 
 
 @pytest.mark.parametrize("sockets", [FILES_LIMIT, 4 * FILES_LIMIT], ids=["settings", "process"])
 def test_idle_clients_leave_descriptors_for_the_planners_own_connections(start: Start, sockets: int) -> None:
     """The limit of the settings and that of the process: the lower one holds."""
     process, board, fleet, gate = start(sockets)
-    until(lambda: board.watches)
-    board.away.set()
-    idle = fill(process.where, CLIENTS)
-    client = Owner(process.where, "127.0.0.9")
+    wait_until(lambda: board.watches)
+    board.resets.set()
+    idle = fill(process.address, CLIENTS)
+    client = FakeClient(process.address, "127.0.0.9")
     ids = [ask(client, number) for number in range(1, TASKS + 1)]  # as many connections to machines as may be
-    until(lambda: len({m.id for machine in fleet for m in machine.launched()}) == TASKS)
+    wait_until(lambda: len({m.id for machine in fleet for m in machine.placement_requests()}) == TASKS)
     # The watch dials on while the service is away, and something is left for it.
-    dialled, most = board.dialled, 0
+    dialled, most = board.connection_count, 0
     end = time.monotonic() + 1.0
     while time.monotonic() < end:
         most = max(most, process.descriptors())
         time.sleep(0.005)
-    assert board.dialled > dialled
+    assert board.connection_count > dialled
     assert most < FILES_LIMIT - 1
     still_open = sum(1 for one in idle if not one.closed_within(0.01))
     assert FILES_LIMIT // 4 <= still_open <= FILES_LIMIT // 2  # the rest has been turned away
-    board.away.clear()
+    board.resets.clear()
     seen = len(board.watches)
-    until(lambda: len(board.watches) > seen, BACK_WITHIN_S)
+    wait_until(lambda: len(board.watches) > seen, BACK_WITHIN_S)
     gate.set()
     assert [[m.kind for m in client.replies(id)] for id in ids] == [[Kind.ANSWER]] * TASKS
     # A notice that only the new watch can bring is followed, and a task is placed.
-    board.tell(*[m.row("DRAINING") for m in fleet[1:]])
-    until(lambda: board.told == len(board.lines))
+    board.publish(*[m.row("DRAINING") for m in fleet[1:]])
+    wait_until(lambda: board.last_sent == len(board.lines))
     time.sleep(0.25)  # the grace that drains have
     last = ask(client, TASKS + 1)
     assert [m.kind for m in client.replies(last)] == [Kind.ANSWER]
-    assert last in [m.id for m in fleet[0].launched()]
+    assert last in [m.id for m in fleet[0].placement_requests()]
 
 
 def test_the_share_of_connections_leaves_the_process_its_own() -> None:
--- a/tests/platform/test_platform_process.py
+++ b/tests/platform/test_platform_process.py
@@ -14,31 +14,39 @@
 
 import pytest
 from platform_config import CONFIG
-from platform_standins import BoardStand, Machine, Owner, Process, reset, running, until
+from platform_standins import (
+    FakeClient,
+    FakeMachine,
+    FakeNodeListService,
+    PlannerProcess,
+    reset,
+    running_answer,
+    wait_until,
+)
 
 from stairplank.platform import binary, jsonlines, shutdown
 from stairplank.platform.messages import Cause, Kind, Message
 
-Start = Callable[..., tuple[Process, BoardStand, list[Machine]]]
+Start = Callable[..., tuple[PlannerProcess, FakeNodeListService, list[FakeMachine]]]
 
 
 @pytest.fixture
 def start(tmp_path: Path) -> Iterator[Start]:
-    made: list[Process | Machine | BoardStand] = []
+    made: list[PlannerProcess | FakeMachine | FakeNodeListService] = []
 
     def starts(
         machines: int = 2, fault: Callable[[socket.socket, Message], bool] | None = None, sockets: int = 256
-    ) -> tuple[Process, BoardStand, list[Machine]]:
-        fleet = [Machine(f"s-{n:08x}", fault) for n in range(1, machines + 1)]
-        board = BoardStand([m.row() for m in fleet])
-        process = Process(tmp_path, board, sockets)
+    ) -> tuple[PlannerProcess, FakeNodeListService, list[FakeMachine]]:
+        fleet = [FakeMachine(f"s-{n:08x}", fault) for n in range(1, machines + 1)]
+        board = FakeNodeListService([m.row() for m in fleet])
+        process = PlannerProcess(tmp_path, board, sockets)
         made.extend([process, board, *fleet])
         return process, board, fleet
 
     yield starts
     for thing in made:
-        if isinstance(thing, Process):
-            thing.end()
+        if isinstance(thing, PlannerProcess):
+            thing.close()
         else:
             thing.close()
 
@@ -47,31 +55,31 @@
     return [(m.kind, m.cause) for m in words]
 
 
-def test_it_passes_its_test_places_tells_the_end_and_leaves(start: Start) -> None:
+def test_it_passes_its_health_check_places_reports_the_end_and_shuts_down(start: Start) -> None:
     process, _, fleet = start()
-    owner = Owner(process.where)
-    owner.say(Message(Kind.TEST, f"{1:016x}", cause=0))
-    assert owner.replies(f"{1:016x}")[0].cause == 1
-    ids = [owner.ask(n, ("worker", "ingest")[n % 2]) for n in range(10, 20)]
+    client = FakeClient(process.address)
+    client.send(Message(Kind.TEST, f"{1:016x}", cause=0))
+    assert client.replies(f"{1:016x}")[0].cause == 1
+    ids = [client.request_placement(n, ("worker", "ingest")[n % 2]) for n in range(10, 20)]
     for id in ids:
-        (word,) = owner.replies(id)
+        (word,) = client.replies(id)
         assert (word.kind, word.body) == (Kind.ANSWER, "stands " + id)
-    first = next(m for f in fleet for m in f.launched() if m.id == ids[1])
+    first = next(m for f in fleet for m in f.placement_requests() if m.id == ids[1])
     assert first.body == "body 11" and first.fields["idem"] == f"{11:032x}"
     assert 5_000 < int(first.fields["left"]) <= 6_000
-    holder = next(f for f in fleet if any(m.id == ids[0] for m in f.launched()))
-    holder.say(holder.socks[-1], Message(Kind.RELEASE, ids[0], cause=int(Cause.ENDED)))
-    assert kinds(owner.replies(ids[0], 2))[1] == (Kind.RELEASE, Cause.ENDED)
+    holder = next(f for f in fleet if any(m.id == ids[0] for m in f.placement_requests()))
+    holder.send(holder.connections[-1], Message(Kind.RELEASE, ids[0], cause=int(Cause.ENDED)))
+    assert kinds(client.replies(ids[0], 2))[1] == (Kind.RELEASE, Cause.ENDED)
     process.child.send_signal(signal.SIGTERM)
-    late = owner.ask(50)  # still taken
-    assert owner.replies(late)[0].kind is Kind.ANSWER
+    late = client.request_placement(50)  # still taken
+    assert client.replies(late)[0].kind is Kind.ANSWER
     assert process.child.wait(20) == 0
-    stops = [m for f in fleet for _, m in f.heard if m.kind is Kind.RELEASE]
+    stops = [m for f in fleet for _, m in f.received if m.kind is Kind.RELEASE]
     assert stops == []  # what stands runs on
 
 
 def noise(sock: socket.socket, message: Message) -> bool:
-    sock.sendall(b"\x00\xff}{\n" + jsonlines.encode(running(message)))
+    sock.sendall(b"\x00\xff}{\n" + jsonlines.encode(running_answer(message)))
     return True
 
 
@@ -81,7 +89,7 @@
 
 
 def short(sock: socket.socket, message: Message) -> bool:
-    sock.sendall(jsonlines.encode(running(message))[:-9])
+    sock.sendall(jsonlines.encode(running_answer(message))[:-9])
     return True
 
 
@@ -91,39 +99,45 @@
 
 
 @pytest.mark.parametrize("fault", [noise, endless, short, broken])
-def test_a_spoilt_answer_fails_and_is_neither_passed_on_nor_called_harmless(
+def test_a_malformed_answer_fails_and_is_neither_forwarded_nor_called_harmless(
     start: Start, fault: Callable[[socket.socket, Message], bool]
 ) -> None:
     process, _, fleet = start(1, fault)
-    owner = Owner(process.where)
-    id = owner.ask(1, "ingest")
-    assert kinds(owner.replies(id)) == [(Kind.RELEASE, Cause.RESET)]
-    assert len(fleet[0].launched()) == 1
+    client = FakeClient(process.address)
+    id = client.request_placement(1, "ingest")
+    assert kinds(client.replies(id)) == [(Kind.RELEASE, Cause.RESET)]
+    assert len(fleet[0].placement_requests()) == 1
     fleet[0].fault = None
-    good = until(lambda: [w for n in [time.monotonic_ns() % 2**40] for w in owner.replies(owner.ask(n))])
-    assert kinds(owner.replies(id)) == [(Kind.RELEASE, Cause.RESET)] and good
+    good = wait_until(
+        lambda: [
+            w for n in [time.monotonic_ns() % 2**40] for w in client.replies(client.request_placement(n))
+        ]
+    )
+    assert kinds(client.replies(id)) == [(Kind.RELEASE, Cause.RESET)] and good
 
 
 def test_more_than_belongs_to_an_answer_does_no_harm(start: Start) -> None:
     def double(sock: socket.socket, message: Message) -> bool:
         stranger = Message(Kind.ANSWER, "f" * 16, body="another's")
-        sock.sendall(b"".join(map(jsonlines.encode, (stranger, running(message), running(message)))))
+        sock.sendall(
+            b"".join(map(jsonlines.encode, (stranger, running_answer(message), running_answer(message))))
+        )
         return True
 
     process, _, _ = start(1, double)
-    owner = Owner(process.where)
-    first, second = owner.ask(1), owner.ask(2)
-    assert [m.body for m in owner.replies(first, 2, 1.0)] == ["stands " + first]
-    assert [m.body for m in owner.replies(second, 2, 1.0)] == ["stands " + second]
+    client = FakeClient(process.address)
+    first, second = client.request_placement(1), client.request_placement(2)
+    assert [m.body for m in client.replies(first, 2, 1.0)] == ["stands " + first]
+    assert [m.body for m in client.replies(second, 2, 1.0)] == ["stands " + second]
 
 
-def test_a_machine_that_dies_releases_what_stood_there(start: Start) -> None:
+def test_a_machine_that_dies_releases_what_ran_there(start: Start) -> None:
     process, _, fleet = start(1)
-    owner = Owner(process.where)
-    id = owner.ask(1)
-    owner.replies(id)
+    client = FakeClient(process.address)
+    id = client.request_placement(1)
+    client.replies(id)
     fleet[0].close()
-    assert kinds(owner.replies(id, 2))[1] == (Kind.RELEASE, Cause.RESET)
+    assert kinds(client.replies(id, 2))[1] == (Kind.RELEASE, Cause.RESET)
 
 
 BAD = [
@@ -137,102 +151,102 @@
 ]
 
 
-def test_bad_clients_get_a_word_or_a_close_in_time_and_good_ones_are_served(start: Start) -> None:
+def test_bad_clients_get_a_message_or_a_close_in_time_and_good_ones_are_served(start: Start) -> None:
     process, _, fleet = start()
-    good = Owner(process.where, "127.0.0.9")
-    bad = [Owner(process.where) for _ in BAD]
+    good = FakeClient(process.address, "127.0.0.9")
+    bad = [FakeClient(process.address) for _ in BAD]
     for one, data in zip(bad, BAD, strict=True):
         one.sock.sendall(data)
-    flood = Owner(process.where)
+    flood = FakeClient(process.address)
     flood.sock.settimeout(0.2)
     try:
         for _ in range(200):
             flood.sock.sendall(b"\xee" * 100_000)
     except OSError:
         pass
-    id = good.ask(1)
+    id = good.request_placement(1)
     assert good.replies(id)[0].kind is Kind.ANSWER
     for one in bad:
-        until(lambda one=one: one.closed_within(0.1) or one.received)
+        wait_until(lambda one=one: one.closed_within(0.1) or one.received)
         assert all(m.kind is Kind.RELEASE and m.cause == Cause.INVALID for m in one.received)
     assert flood.closed_within(20)
-    assert {m.id for f in fleet for m in f.launched()} == {id}
+    assert {m.id for f in fleet for m in f.placement_requests()} == {id}
 
 
-def test_silent_connections_do_not_keep_owners_out_and_descriptors_stay_bounded(start: Start) -> None:
+def test_silent_connections_do_not_keep_clients_out_and_descriptors_stay_bounded(start: Start) -> None:
     process, _, _ = start(sockets=64)
-    silent = [Owner(process.where) for _ in range(100)]
-    good = Owner(process.where, "127.0.0.9")
-    id = good.ask(1)
+    silent = [FakeClient(process.address) for _ in range(100)]
+    good = FakeClient(process.address, "127.0.0.9")
+    id = good.request_placement(1)
     assert good.replies(id)[0].kind is Kind.ANSWER
     assert process.descriptors() < 64
     assert all(s.closed_within(20) for s in silent)
 
 
-def test_the_board_may_break_off_fall_silent_and_move(start: Start) -> None:
+def test_the_node_list_service_may_break_off_fall_silent_and_move(start: Start) -> None:
     process, board, fleet = start()
-    until(lambda: board.watches)
-    board.mangled = True
-    board.tell(fleet[0].row("DRAINING"))
-    until(lambda: len(board.watches) >= 2)
+    wait_until(lambda: board.watches)
+    board.breaks_off = True
+    board.publish(fleet[0].row("DRAINING"))
+    wait_until(lambda: len(board.watches) >= 2)
     assert board.watches[1] == 1  # nothing of the broken line was taken
-    owner = Owner(process.where)
-    until(lambda: len(board.watches) >= 2 and board.watches[-1] == 1)
+    client = FakeClient(process.address)
+    wait_until(lambda: len(board.watches) >= 2 and board.watches[-1] == 1)
     time.sleep(0.3)
     for number in range(1, 8):
-        owner.replies(owner.ask(number))
-    assert fleet[0].launched() == [] and len(fleet[1].launched()) == 7
+        client.replies(client.request_placement(number))
+    assert fleet[0].placement_requests() == [] and len(fleet[1].placement_requests()) == 7
     # it falls silent: watched anew
     board.frozen = True
     seen = len(board.watches)
-    until(lambda: len(board.watches) > seen)
+    wait_until(lambda: len(board.watches) > seen)
     board.frozen = False
     # and moves: a file that cannot be used changes nothing, a good one is followed at once
     process.path.write_text("{")
     process.child.send_signal(signal.SIGHUP)
-    until(lambda: process.events("configuration not taken"))
-    other = BoardStand([])
+    wait_until(lambda: process.events("configuration not taken"))
+    other = FakeNodeListService([])
     other.lines = list(board.lines)
     process.write(other.address)
     process.child.send_signal(signal.SIGHUP)
-    until(lambda: other.watches)
+    wait_until(lambda: other.watches)
     assert other.watches[0] == 2
-    other.tell(fleet[0].row("SERVING"), fleet[1].row("DRAINING"))
+    other.publish(fleet[0].row("SERVING"), fleet[1].row("DRAINING"))
     time.sleep(0.5)
-    id = owner.ask(30)
-    assert owner.replies(id)[0].kind is Kind.ANSWER
-    assert [m.id for m in fleet[0].launched()] == [id]
+    id = client.request_placement(30)
+    assert client.replies(id)[0].kind is Kind.ANSWER
+    assert [m.id for m in fleet[0].placement_requests()] == [id]
     other.close()
 
 
-def test_a_stopped_process_takes_what_it_finds_before_it_gives_anything_up(start: Start) -> None:
+def test_a_stopped_process_handles_what_it_finds_before_it_abandons_anything(start: Start) -> None:
     def later(sock: socket.socket, message: Message) -> bool:
         process.child.send_signal(signal.SIGSTOP)
-        sock.sendall(jsonlines.encode(running(message)))
+        sock.sendall(jsonlines.encode(running_answer(message)))
         return True
 
     process, _, _ = start(1, later)
-    owner = Owner(process.where)
-    id = owner.ask(1, "ingest", left="1500")
-    until(lambda: _state(process) == "T")
-    time.sleep(2.0)  # past its owner's wait
+    client = FakeClient(process.address)
+    id = client.request_placement(1, "ingest", left="1500")
+    wait_until(lambda: _state(process) == "T")
+    time.sleep(2.0)  # past its client's wait
     process.child.send_signal(signal.SIGCONT)
-    assert kinds(owner.replies(id)) == [(Kind.ANSWER, None)]
+    assert kinds(client.replies(id)) == [(Kind.ANSWER, None)]
 
 
-def _state(process: Process) -> str:
+def _state(process: PlannerProcess) -> str:
     return Path(f"/proc/{process.child.pid}/stat").read_text().rsplit(")", 1)[1].split()[0]
 
 
 def test_sigterm_answers_all_that_was_taken(start: Start) -> None:
     process, _, fleet = start(1, lambda sock, message: True)  # says nothing
-    owner = Owner(process.where)
-    repeat, keyed = owner.ask(1), owner.ask(2, "ingest")
-    until(lambda: len(fleet[0].launched()) == 2)
+    client = FakeClient(process.address)
+    repeat, keyed = client.request_placement(1), client.request_placement(2, "ingest")
+    wait_until(lambda: len(fleet[0].placement_requests()) == 2)
     began = time.monotonic()
     process.child.send_signal(signal.SIGTERM)
-    assert kinds(owner.replies(repeat)) == [(Kind.RELEASE, Cause.BUSY)]
-    assert kinds(owner.replies(keyed)) == [(Kind.RELEASE, Cause.RESET)]
+    assert kinds(client.replies(repeat)) == [(Kind.RELEASE, Cause.BUSY)]
+    assert kinds(client.replies(keyed)) == [(Kind.RELEASE, Cause.RESET)]
     assert process.child.wait(20) == 0
     assert time.monotonic() - began >= shutdown.LEAVING_US / 1e6  # it went on accepting
 
--- a/tests/platform/test_platform_restart_readiness.py
+++ b/tests/platform/test_platform_restart_readiness.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from platform_standins import BoardStand, Machine, Owner, Process
+from platform_standins import FakeClient, FakeMachine, FakeNodeListService, PlannerProcess
 
 from stairplank.platform.messages import Kind, Message
 
@@ -27,14 +27,14 @@
 
 def listed(number: int) -> dict[str, Any]:
     """A machine at an address where nobody listens."""
-    return Machine.row_of(f"s-{number:08x}", f"127.0.{1 + number // 250}.{1 + number % 250}:9")
+    return FakeMachine.row_of(f"s-{number:08x}", f"127.0.{1 + number // 250}.{1 + number % 250}:9")
 
 
 @pytest.fixture
-def services() -> Iterator[list[BoardStand]]:
+def services() -> Iterator[list[FakeNodeListService]]:
     """Node list services: one that works, one that accepts and sends nothing, one that is down."""
     rows = [listed(number) for number in range(LISTED)]
-    made = [BoardStand(rows) for _ in range(3)]
+    made = [FakeNodeListService(rows) for _ in range(3)]
     made[1].silent = set(range(100 * PROCESSES))
     made[2].close()
     yield made
@@ -46,16 +46,16 @@
     """Processes that are started at once on a few cores; ``ready`` has how long each took to pass its first
     test, in seconds."""
 
-    def __init__(self, folder: Path, services: list[BoardStand], listen: list[str]) -> None:
+    def __init__(self, folder: Path, services: list[FakeNodeListService], listen: list[str]) -> None:
         self.began = time.monotonic()
         self.ready: dict[int, float] = {}
-        self.clients: list[Owner] = []
-        self.processes: list[Process] = []
+        self.clients: list[FakeClient] = []
+        self.processes: list[PlannerProcess] = []
         cores = set(sorted(os.sched_getaffinity(0))[:CORES])
         for number in range(PROCESSES):
             (folder / str(number)).mkdir(exist_ok=True)
             board, changes = services[number % len(services)], {"listen": listen[number]}
-            process = Process(folder / str(number), board, changes=changes, waits=False)
+            process = PlannerProcess(folder / str(number), board, changes=changes, waits=False)
             os.sched_setaffinity(process.child.pid, cores)
             self.processes.append(process)
         threads = [threading.Thread(target=self._test, args=(n,), daemon=True) for n in range(PROCESSES)]
@@ -67,8 +67,8 @@
     def _test(self, number: int) -> None:
         try:
             left = self.began + GIVEN_UP_S - time.monotonic()
-            client = Owner(self.processes[number].serves(left))
-            client.say(TEST)
+            client = FakeClient(self.processes[number].wait_for_address(left))
+            client.send(TEST)
             replies = client.replies(TEST.id, 1, max(0.1, self.began + GIVEN_UP_S - time.monotonic()))
         except (AssertionError, OSError):
             return
@@ -80,7 +80,7 @@
         for process in self.processes:
             process.child.kill()
         for process in self.processes:
-            process.end()
+            process.close()
 
 
 def assert_ready(fleet: Fleet) -> None:
@@ -89,12 +89,12 @@
 
 
 def test_nine_in_ten_of_the_processes_that_restart_at_once_are_ready_in_time(
-    tmp_path: Path, services: list[BoardStand]
+    tmp_path: Path, services: list[FakeNodeListService]
 ) -> None:
     first = Fleet(tmp_path, services, ["127.0.0.1:0"] * PROCESSES)
     try:
         assert_ready(first)
-        addresses = [process.serves() for process in first.processes]
+        addresses = [process.wait_for_address() for process in first.processes]
     finally:
         first.kill()  # with clients connected
     second = Fleet(tmp_path, services, addresses)
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -38,7 +38,7 @@
     monkeypatch.setattr(service.driver, "enqueue", lambda *events: [note(event) for event in events])
 
 
-def test_a_spoilt_connection_is_closed_before_the_core_hears_of_it(
+def test_a_connection_with_malformed_messages_is_closed_before_the_core_is_notified(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ours, theirs = gsocket.socketpair()
@@ -52,7 +52,7 @@
     theirs.close()
 
 
-def test_a_connection_that_cannot_be_written_is_closed_before_the_core_hears_of_it(
+def test_a_connection_that_cannot_be_written_is_closed_before_the_core_is_notified(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ours, theirs = gsocket.socketpair()
@@ -64,7 +64,7 @@
     theirs.close()
 
 
-def test_nothing_is_taken_before_the_board_has_said_what_came_since_the_file_was_written(
+def test_nothing_is_accepted_before_the_node_list_service_has_sent_what_came_since_the_file(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "NODE_LIST_QUIET_S", 1.0)
@@ -89,7 +89,7 @@
     assert order == ["watched", "told", "told", "told", "accepts"]
 
 
-def test_a_board_that_never_speaks_keeps_no_planner_out_of_service(
+def test_a_node_list_service_that_never_sends_keeps_no_planner_out_of_service(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "NODE_LIST_CATCH_UP_S", 0.05)
@@ -100,7 +100,7 @@
     assert service.core.counts["started_without_node_list"] == 1
 
 
-def test_a_set_up_for_a_connection_that_is_over_counts_as_not_written(service: Service) -> None:
+def test_a_placement_request_for_a_connection_that_is_lost_counts_as_unsent(service: Service) -> None:
     """Its loss waits in the inbox as the core's turn speaks to it: nothing of it can have left."""
     seen: list[ev.Event] = []
 
@@ -121,7 +121,7 @@
     assert not service.machines.unsent_by_link
 
 
-def test_a_set_up_that_waits_while_the_board_speaks_is_placed_by_its_word(
+def test_a_placement_request_that_waits_during_a_node_list_update_is_placed_by_it(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A burst of set-ups is read first; the drain that comes meanwhile is handled before most of them."""
@@ -182,7 +182,7 @@
     return Message(Kind.SET_UP, f"{number:016x}", {"class": "worker"}, body="x" * 200)
 
 
-def test_an_owner_whose_messages_always_come_in_pieces_keeps_its_connection(
+def test_a_client_whose_messages_always_arrive_in_pieces_keeps_its_connection(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The time for one message to come whole runs anew with each: not over the connection's life."""
@@ -225,7 +225,7 @@
     theirs.close()
 
 
-def test_what_came_while_the_process_stood_still_is_read_before_a_wait_ends() -> None:
+def test_what_arrived_during_a_stall_is_read_before_a_wait_ends() -> None:
     """Timer and bytes are ready together after a stall."""
 
     class Late:
@@ -243,7 +243,7 @@
     assert streams.receive(Late(), 10, time.monotonic() - 1.0) == b"rest"
 
 
-def test_much_said_in_one_turn_costs_no_reader_its_connection() -> None:
+def test_much_sent_in_one_turn_costs_no_reader_its_connection() -> None:
     ours, theirs = gsocket.socketpair()
     ours.setblocking(True)
     stream = streams.Stream(ours, 1, lambda s: None)
@@ -260,7 +260,9 @@
     theirs.close()
 
 
-def test_the_board_is_watched_on_after_a_fault(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_node_list_service_is_watched_on_after_a_fault(
+    service: Service, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Else every drain from then on would go unheard."""
     monkeypatch.setattr(watching, "MIN_BACKOFF_S", 0.001)
     asked: list[float] = []
@@ -277,7 +279,7 @@
     assert not watch.dead
 
 
-def test_what_cannot_be_said_takes_nothing_else_along(service: Service) -> None:
+def test_a_message_that_cannot_be_encoded_costs_no_other(service: Service) -> None:
     ours, theirs = gsocket.socketpair()
     service.clients.streams[1] = streams.Stream(ours, 1, service.clients._disconnected)
     unspeakable = Message(Kind.RELEASE, "00000000000000aa", {"no such field": "x"}, 41)
@@ -287,7 +289,7 @@
     theirs.close()
 
 
-def test_what_is_given_up_leaves_before_a_copy_on_a_connection_that_was_spoken_to_earlier(
+def test_a_cancellation_is_sent_before_a_duplicate_on_a_connection_written_to_earlier(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     left: list[tuple[int, int]] = []
@@ -312,7 +314,7 @@
         theirs.close()
 
 
-def test_a_connection_is_closed_as_it_is_said_and_not_when_its_greenlet_has_its_turn() -> None:
+def test_a_connection_is_closed_at_once_and_not_when_its_greenlet_has_its_turn() -> None:
     ours, theirs = gsocket.socketpair()
     stream = streams.Stream(ours, 1, lambda s: None)
     stream.put(b"last words")
@@ -323,7 +325,7 @@
     theirs.close()
 
 
-def test_after_a_stall_new_set_ups_are_placed_in_slices(
+def test_after_a_stall_new_placement_requests_are_placed_in_slices(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All in one turn they are the next stall, and the drain that comes meanwhile is not read."""
@@ -341,7 +343,7 @@
     assert sum(isinstance(e, ev.ClientMessage) for e in service.driver.queue.take_all()) == 99
 
 
-def test_a_dial_that_is_called_off_ends_at_once(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_dial_that_is_abandoned_ends_at_once(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
     """Else its descriptor counts for nobody until the dial's time is over."""
     monkeypatch.setattr(module.address, "dial", lambda where, wait: gevent.sleep(3600))
     service.executor.execute_all([ev.Dial(7, "127.0.0.1:1")])
@@ -352,7 +354,7 @@
     assert dial.dead and not service.machines.dials
 
 
-def test_owners_are_not_read_while_too_much_waits_and_lose_nothing_by_it(
+def test_clients_are_not_read_while_too_much_waits_and_lose_nothing_by_it(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Half of a message lies unread meanwhile: its time to come whole begins with the next read."""
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("path", list(leaves(CONFIG)), ids=lambda path: ".".join(map(str, path)))
-def test_a_file_is_served_by_or_refused_with_its_reason(tmp_path: Path, path: tuple[Any, ...]) -> None:
+def test_a_file_is_used_or_rejected_with_its_reason(tmp_path: Path, path: tuple[Any, ...]) -> None:
     """Each field in turn absent, zero, huge, of another kind: nothing else than these two comes of it."""
     file = tmp_path / "config.json"
     loaded = 0
--- a/tests/platform/test_platform_settings_reload.py
+++ b/tests/platform/test_platform_settings_reload.py
@@ -17,7 +17,14 @@
 from desk import Desk, name, row, set_up
 from helpers import SECOND
 from platform_config import CONFIG
-from platform_standins import BoardStand, Live, Machine, Owner, Process, until
+from platform_standins import (
+    FakeClient,
+    FakeMachine,
+    FakeNodeListService,
+    LiveService,
+    PlannerProcess,
+    wait_until,
+)
 
 from stairplank import interface as api
 from stairplank.platform import config, logs, reload
@@ -122,7 +129,7 @@
         (put("settings", "dcs", value=["hall 2"]), "zones"),
     ],
 )
-def test_what_needs_a_restart_holds_all_back(tmp_path: Path, edit: Edit, field: str) -> None:
+def test_what_needs_a_restart_blocks_the_whole_change(tmp_path: Path, edit: Edit, field: str) -> None:
     def both(value: dict[str, Any]) -> None:
         edit(value)
         put("settings", "limits", "max_attempts", value=5)(value)
@@ -350,7 +357,7 @@
 HUGE = {"class": "huge"}
 
 
-def test_machines_of_a_kind_that_comes_later_are_listed_with_it() -> None:
+def test_machines_of_a_node_type_that_comes_later_are_listed_with_it() -> None:
     node_list = node_list_with(row(1), row(2, **HUGE), row(3, **{"class": "other"}))
     assert names_of(node_list) == [("s-00000002", 1)]
     assert names_of(node_list) == []
@@ -422,44 +429,48 @@
 
 
 @pytest.fixture
-def live(tmp_path: Path, lines: Lines) -> Iterator[Live]:
-    one = Live(tmp_path, 2)
+def live(tmp_path: Path, lines: Lines) -> Iterator[LiveService]:
+    one = LiveService(tmp_path, 2)
     yield one
-    one.end()
+    one.close()
 
 
-def reload_with(one: Live, edit: Edit, **more: Any) -> None:
+def reload_with(one: LiveService, edit: Edit, **more: Any) -> None:
     value = copy.deepcopy(one.config) | more
     edit(value)
     Path(one.service.path).write_text(json.dumps(value))
     one.service.reload()
 
 
-def test_changed_settings_come_into_force_with_a_line_of_their_revision(live: Live, lines: Lines) -> None:
-    (start,) = live.until(lambda: lines.of("configuration in force"))
+def test_changed_settings_come_into_force_with_a_line_of_their_revision(
+    live: LiveService, lines: Lines
+) -> None:
+    (start,) = live.wait_until(lambda: lines.of("configuration in force"))
     assert start["revision"] == live.service.config.revision
-    owner = live.owner()
-    live.placed(owner, 1)
+    owner = live.connect_client()
+    live.place(owner, 1)
     reload_with(live, add_class, revision=17)
-    live.until(lambda: len(lines.of("configuration in force")) == 2)
+    live.wait_until(lambda: len(lines.of("configuration in force")) == 2)
     assert lines.of("configuration in force")[-1] == {
         "event": "configuration in force",
         "revision": "17",
         "changed": ("classes",),
     }
-    live.placed(owner, 2, "fresh")
+    live.place(owner, 2, "fresh")
     assert live.service.core.counts["configurations_in_force"] == 2
     assert live.service.config.revision == "17"
 
 
-def test_the_time_that_a_dial_may_take_follows(live: Live) -> None:
+def test_the_time_that_a_dial_may_take_follows(live: LiveService) -> None:
     reload_with(live, put("settings", "limits", "dial_timeout_us", value=400_000))
-    live.until(lambda: live.service.machines._dial_timeout_s == 0.4)
+    live.wait_until(lambda: live.service.machines._dial_timeout_s == 0.4)
 
 
-def test_a_class_that_is_removed_is_refused_and_the_lists_address_is_taken(live: Live, lines: Lines) -> None:
+def test_a_class_that_is_removed_is_rejected_and_the_lists_address_is_applied(
+    live: LiveService, lines: Lines
+) -> None:
     before = (live.service.config, live.service.core.module.s)
-    other = BoardStand([machine.row() for machine in live.fleet])
+    other = FakeNodeListService([machine.row() for machine in live.machines])
 
     def edit(value: dict[str, Any]) -> None:
         put("settings", "classes", 0, "name", value="other")(value)
@@ -471,8 +482,8 @@
     assert (line["revision"], line["in_force"]) == ("18", before[0].revision)
     assert (live.service.config, live.service.core.module.s) == before
     assert live.service.core.counts["configurations_not_taken"] == 1
-    live.until(lambda: other.watches)
-    live.placed(live.owner(), 1)
+    live.wait_until(lambda: other.watches)
+    live.place(live.connect_client(), 1)
     other.close()
 
 
@@ -485,8 +496,8 @@
         lambda value: value.pop("settings"),
     ],
 )
-def test_settings_that_cannot_be_read_are_refused_and_the_lists_address_is_taken(
-    live: Live, lines: Lines, edit: Edit
+def test_settings_that_cannot_be_read_are_rejected_and_the_lists_address_is_applied(
+    live: LiveService, lines: Lines, edit: Edit
 ) -> None:
     before = live.service.config
     reload_with(live, edit, board="127.0.0.1:9")
@@ -495,7 +506,7 @@
     assert live.service.node_watch.address == "127.0.0.1:9"
 
 
-def test_a_file_that_cannot_be_read_changes_nothing(live: Live, lines: Lines) -> None:
+def test_a_file_that_cannot_be_read_changes_nothing(live: LiveService, lines: Lines) -> None:
     before, address = live.service.config, live.service.node_watch.address
     Path(live.service.path).write_text("{")
     live.service.reload()
@@ -504,10 +515,10 @@
     assert (live.service.config, live.service.node_watch.address) == (before, address)
 
 
-def test_the_same_settings_disturb_nothing(live: Live, lines: Lines) -> None:
-    owner = live.owner()
-    live.placed(owner, 1)
-    watches, links = len(live.board.watches), set(live.service.machines.streams)
+def test_the_same_settings_disturb_nothing(live: LiveService, lines: Lines) -> None:
+    owner = live.connect_client()
+    live.place(owner, 1)
+    watches, links = len(live.node_list_service.watches), set(live.service.machines.streams)
     handled: list[ev.Event] = []
     handle = live.service.core._handlers[ev.SettingsChanged]
     live.service.core._handlers[ev.SettingsChanged] = lambda event: (handled.append(event), handle(event))[0]
@@ -517,30 +528,30 @@
     gevent.sleep(0.1)
     assert (handled, live.service.core.module.s is module) == ([], True)
     assert set(live.service.machines.streams) == links
-    assert len(live.board.watches) <= watches + 1
+    assert len(live.node_list_service.watches) <= watches + 1
     assert [line["changed"] for line in lines.of("configuration in force")] == [()] * 21
-    live.placed(owner, 2)
+    live.place(owner, 2)
 
 
-def test_machines_of_a_new_kind_are_used_at_once(tmp_path: Path, lines: Lines) -> None:
-    one = Live(tmp_path, 1)
-    huge = Machine("s-0000beef")
-    one.board.tell(huge.row() | {"class": "node-96", "spare": [96.0, 300.0]})
-    one.until(lambda: one.service.node_list.revision == 2)
-    one.board.tell(one.fleet[0].row("DRAINING"))
-    one.until(lambda: one.service.node_list.revision == 3)
+def test_machines_of_a_new_node_type_are_used_at_once(tmp_path: Path, lines: Lines) -> None:
+    one = LiveService(tmp_path, 1)
+    huge = FakeMachine("s-0000beef")
+    one.node_list_service.publish(huge.row() | {"class": "node-96", "spare": [96.0, 300.0]})
+    one.wait_until(lambda: one.service.node_list.revision == 2)
+    one.node_list_service.publish(one.machines[0].row("DRAINING"))
+    one.wait_until(lambda: one.service.node_list.revision == 3)
     reload_with(one, add_kind)
-    owner = one.owner()
-    one.placed(owner, 1)
-    assert [m.id for m in huge.launched()] == [f"{1:016x}"]
+    owner = one.connect_client()
+    one.place(owner, 1)
+    assert [m.id for m in huge.placement_requests()] == [f"{1:016x}"]
     huge.close()
-    one.end()
+    one.close()
 
 
 def test_a_signal_before_the_start_is_taken_with_it(tmp_path: Path, lines: Lines) -> None:
     """The list that the file names is read by the names that the process started with."""
-    huge = Machine("s-0000beef")
-    board = BoardStand([huge.row() | {"class": "node-96", "spare": [96.0, 300.0]}])
+    huge = FakeMachine("s-0000beef")
+    board = FakeNodeListService([huge.row() | {"class": "node-96", "spare": [96.0, 300.0]}])
     first = {"rev": 1, "notices": [json.loads(board.lines[0])]}
     value = copy.deepcopy(CONFIG) | {"board": board.address, "known": first}
     path = tmp_path / "config.json"
@@ -562,30 +573,32 @@
 
 
 def test_a_signal_to_the_process_brings_the_file_into_force(tmp_path: Path) -> None:
-    machine = Machine("s-00000001")
-    board = BoardStand([machine.row()])
-    process = Process(tmp_path, board)
+    machine = FakeMachine("s-00000001")
+    board = FakeNodeListService([machine.row()])
+    process = PlannerProcess(tmp_path, board)
     try:
-        owner = Owner(process.where)
-        assert owner.replies(owner.ask(1))[0].kind is Kind.ANSWER
+        owner = FakeClient(process.address)
+        assert owner.replies(owner.request_placement(1))[0].kind is Kind.ANSWER
         value = json.loads(process.path.read_text()) | {"revision": 5}
         add_class(value)
         process.path.write_text(json.dumps(value))
         began = time.monotonic()
         process.child.send_signal(signal.SIGHUP)
-        until(lambda: [line for line in process.events("configuration in force") if line["revision"] == "5"])
+        wait_until(
+            lambda: [line for line in process.events("configuration in force") if line["revision"] == "5"]
+        )
         assert time.monotonic() - began < 15
-        assert owner.replies(owner.ask(2, "fresh"))[0].kind is Kind.ANSWER
+        assert owner.replies(owner.request_placement(2, "fresh"))[0].kind is Kind.ANSWER
         value["settings"]["position"] = 1
         value["settings"]["group_size"] = 2
         process.path.write_text(json.dumps(value))
         process.child.send_signal(signal.SIGHUP)
-        until(lambda: process.events("configuration not taken"))
+        wait_until(lambda: process.events("configuration not taken"))
         assert process.events("configuration not taken")[0]["in_force"] == "5"
-        assert owner.replies(owner.ask(3, "fresh"))[0].kind is Kind.ANSWER
+        assert owner.replies(owner.request_placement(3, "fresh"))[0].kind is Kind.ANSWER
         assert process.events("fault") == []
     finally:
-        process.end()
+        process.close()
         board.close()
         machine.close()
 
--- a/tests/platform/test_platform_watch.py
+++ b/tests/platform/test_platform_watch.py
@@ -1,4 +1,4 @@
-"""The notice board on real connections: the ways in which it hides news, and how soon they are heard."""
+"""The node list service on real connections: how it may hide updates, and how soon they are received."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import gevent
 import pytest
-from platform_standins import BoardStand
+from platform_standins import FakeNodeListService
 
 from stairplank import interface as api
 from stairplank.platform import events as ev
@@ -23,62 +23,64 @@
 
 class Watched:
     def __init__(self) -> None:
-        self.board = BoardStand([ROW])
-        self.told: list[ev.Event] = []
+        self.service = FakeNodeListService([ROW])
+        self.events: list[ev.Event] = []
         self.counts: list[str] = []
         made = NodeList(("a",), ("k",), read_clocks)
-        self.watch = NodeWatch(made, self.board.address, self.told.append, self.counts.append)
-        self.runs = gevent.spawn(self.watch.run)
+        self.watch = NodeWatch(made, self.service.address, self.events.append, self.counts.append)
+        self.greenlet = gevent.spawn(self.watch.run)
 
-    def until(self, what: Callable[[], Any]) -> Any:
+    def wait_until(self, what: Callable[[], Any]) -> Any:
         with gevent.Timeout(20, AssertionError("it did not come about")):
             while not (got := what()):
                 gevent.sleep(0.005)
         return got
 
-    def hears(self, rev: int) -> float:
-        """Seconds until it has that notice."""
+    def wait_for_revision(self, rev: int) -> float:
+        """Return the seconds until it has that revision."""
         began = time.monotonic()
-        self.until(lambda: self.watch.node_list.revision >= rev)
+        self.wait_until(lambda: self.watch.node_list.revision >= rev)
         return time.monotonic() - began
 
 
 @pytest.fixture
-def one() -> Iterator[Watched]:
+def watched() -> Iterator[Watched]:
     made = Watched()
-    made.hears(1)
+    made.wait_for_revision(1)
     yield made
-    made.runs.kill()
-    made.board.close()
+    made.greenlet.kill()
+    made.service.close()
 
 
 @pytest.mark.parametrize("silent", [0, 1, 2])
-def test_a_board_that_falls_silent_is_heard_again_within_four_seconds(one: Watched, silent: int) -> None:
-    """``silent``: so many of the next connections come up and say nothing either."""
-    seen = len(one.board.watches)
-    one.board.silent = set(range(seen + silent))
-    one.board.tell(ROW | {"health": "DRAINING"})
-    assert one.hears(2) < 4.0
-    assert len(one.board.watches) == seen + silent + 1
+def test_a_service_that_falls_silent_is_received_again_within_four_seconds(
+    watched: Watched, silent: int
+) -> None:
+    """``silent``: so many of the next connections come up and send nothing either."""
+    seen = len(watched.service.watches)
+    watched.service.silent = set(range(seen + silent))
+    watched.service.publish(ROW | {"health": "DRAINING"})
+    assert watched.wait_for_revision(2) < 4.0
+    assert len(watched.service.watches) == seen + silent + 1
 
 
-def test_one_that_goes_on_with_an_old_number_is_asked_again(one: Watched) -> None:
-    """It says its number each second, and nothing shows that it leaves something out."""
-    one.board.stuck = set(range(len(one.board.watches)))
-    one.board.tell(ROW | {"health": "DRAINING"})
-    assert one.hears(2) < 4.0
+def test_a_service_that_goes_on_with_an_old_revision_is_asked_again(watched: Watched) -> None:
+    """It sends its revision each second, and nothing shows that updates are missing."""
+    watched.service.stale = set(range(len(watched.service.watches)))
+    watched.service.publish(ROW | {"health": "DRAINING"})
+    assert watched.wait_for_revision(2) < 4.0
 
 
-def test_a_number_without_its_notice_is_asked_for_at_once_and_not_in_a_loop(one: Watched) -> None:
-    seen = len(one.board.watches)
-    one.board.bare = set(range(seen + 3))
-    one.board.tell(ROW | {"health": "DRAINING"})
-    assert one.hears(2) < 4.0
-    assert seen + 3 < len(one.board.watches) < seen + 6
+def test_a_revision_without_its_update_is_asked_for_at_once_and_not_in_a_loop(watched: Watched) -> None:
+    seen = len(watched.service.watches)
+    watched.service.without_updates = set(range(seen + 3))
+    watched.service.publish(ROW | {"health": "DRAINING"})
+    assert watched.wait_for_revision(2) < 4.0
+    assert seen + 3 < len(watched.service.watches) < seen + 6
 
 
 def test_a_working_watch_is_kept_while_no_new_one_comes_up(
-    one: Watched, monkeypatch: pytest.MonkeyPatch
+    watched: Watched, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     dials: list[float] = []
 
@@ -87,24 +89,26 @@
         raise ConnectionRefusedError
 
     monkeypatch.setattr(module.address, "dial", refused)
-    one.until(lambda: len(dials) >= 3)
-    one.board.tell(ROW | {"health": "DRAINING"})
-    assert one.hears(2) < 1.0
+    watched.wait_until(lambda: len(dials) >= 3)
+    watched.service.publish(ROW | {"health": "DRAINING"})
+    assert watched.wait_for_revision(2) < 1.0
     assert all(b - a > 0.02 for a, b in zip(dials, dials[1:], strict=False))
 
 
-def test_at_most_two_connections_are_open_and_the_old_one_goes_once_the_new_one_speaks(one: Watched) -> None:
-    seen = len(one.board.watches)
-    one.until(lambda: len(one.board.watches) > seen)  # it is only time
-    one.until(lambda: len(one.watch._connections) == 1)
-    one.board.silent = set(range(100))
+def test_at_most_two_connections_are_open_and_the_old_one_closes_once_the_new_one_sends(
+    watched: Watched,
+) -> None:
+    seen = len(watched.service.watches)
+    watched.wait_until(lambda: len(watched.service.watches) > seen)  # it is only time
+    watched.wait_until(lambda: len(watched.watch._connections) == 1)
+    watched.service.silent = set(range(100))
     for _ in range(100):
-        assert len(one.watch._connections) <= module.MAX_CONNECTIONS
+        assert len(watched.watch._connections) <= module.MAX_CONNECTIONS
         gevent.sleep(0.03)
 
 
-def test_after_a_break_two_silent_dials_are_borne_within_two_seconds(
-    one: Watched, monkeypatch: pytest.MonkeyPatch
+def test_after_a_break_two_dials_that_time_out_are_made_up_within_two_seconds(
+    watched: Watched, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     dial, dials = module.address.dial, [0]
 
@@ -116,13 +120,13 @@
         raise TimeoutError
 
     monkeypatch.setattr(module.address, "dial", lost)
-    one.board.mangled = True
-    one.board.tell(ROW | {"health": "DRAINING"})
-    assert one.hears(2) < 2.0
+    watched.service.breaks_off = True
+    watched.service.publish(ROW | {"health": "DRAINING"})
+    assert watched.wait_for_revision(2) < 2.0
 
 
 def test_a_move_while_the_old_address_is_being_dialled_is_followed(
-    one: Watched, monkeypatch: pytest.MonkeyPatch
+    watched: Watched, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     dial = module.address.dial
     gate: list[str] = []
@@ -133,18 +137,20 @@
         return dial(where, wait)
 
     monkeypatch.setattr(module.address, "dial", slow)
-    other = BoardStand([])
-    other.lines = [*one.board.lines]
-    one.until(lambda: gate)
-    one.watch.set_address("127.0.0.1:9")
-    one.watch.set_address(other.address)  # two in a row: the last counts
-    other.tell(ROW | {"health": "DRAINING"})
-    assert one.hears(2) < 2.0 and other.watches == [1]
+    other = FakeNodeListService([])
+    other.lines = [*watched.service.lines]
+    watched.wait_until(lambda: gate)
+    watched.watch.set_address("127.0.0.1:9")
+    watched.watch.set_address(other.address)  # two in a row: the last counts
+    other.publish(ROW | {"health": "DRAINING"})
+    assert watched.wait_for_revision(2) < 2.0 and other.watches == [1]
     other.close()
 
 
-def test_an_entry_that_cannot_be_used_hides_no_drain(one: Watched) -> None:
-    one.board.tell({"host": "s-2", "health": "SERVING"}, 5, ROW | {"health": "DRAINING", "spare": "?"})
-    assert one.hears(2) < 1.0
-    (told,) = (e for e in one.told[1:] if isinstance(e, ev.NodeListUpdated))
-    assert [m.entry.status for m in told.update.machines] == [api.NodeStatus.DRAINING]
+def test_an_entry_that_cannot_be_used_hides_no_drain(watched: Watched) -> None:
+    watched.service.publish(
+        {"host": "s-2", "health": "SERVING"}, 5, ROW | {"health": "DRAINING", "spare": "?"}
+    )
+    assert watched.wait_for_revision(2) < 1.0
+    (updated,) = (e for e in watched.events[1:] if isinstance(e, ev.NodeListUpdated))
+    assert [m.entry.status for m in updated.update.machines] == [api.NodeStatus.DRAINING]
