--- a/tests/platform/platform_standins.py
+++ b/tests/platform/platform_standins.py
@@ -221,7 +221,7 @@
         at = int(line.split()[1])
         number = len(self.watches)
         self.watches.append(at)
-        spoke = 0.0
+        sent_at = 0.0
         while True:
             if self.resets.is_set():
                 reset(sock)
@@ -240,8 +240,8 @@
                 sock.sendall(self.lines[at] + b"\n" + self.lines[at] + b"\n")
                 at += 1
                 self.last_sent = at
-            elif not self.frozen and time.monotonic() - spoke > 0.4:
-                spoke = time.monotonic()
+            elif not self.frozen and time.monotonic() - sent_at > 0.4:
+                sent_at = time.monotonic()
                 sock.sendall(b'{"rev":%d}\n' % at)
             if select.select([sock], [], [], 0.02)[0] and not sock.recv(100):
                 return
@@ -308,7 +308,7 @@
     def __init__(
         self,
         folder: Path,
-        board: FakeNodeListService,
+        node_list_service: FakeNodeListService,
         sockets: int = 256,
         files_limit: int | None = None,
         changes: dict[str, Any] | None = None,
@@ -316,10 +316,10 @@
         command: tuple[str, ...] = ("-m", "stairplank.platform"),
     ) -> None:
         self.path = folder / "config.json"
-        self.node_list_service = board
+        self.node_list_service = node_list_service
         self.sockets = sockets
         self.changes = changes or {}
-        self.write(board.address)
+        self.write(node_list_service.address)
         self.log: list[dict[str, Any]] = []
         run = [sys.executable, *command]
         if files_limit is not None:
@@ -339,9 +339,13 @@
         found = wait_until(lambda: next((e for e in self.log if e["event"] == "serves"), None), wait)
         return str(found["listen"])
 
-    def write(self, board: str) -> None:
+    def write(self, node_list_address: str) -> None:
         known = {"rev": 1, "notices": [json.loads(self.node_list_service.lines[0])]}
-        value = CONFIG | {"board": board, "known": known, "limits": {"sockets": self.sockets}} | self.changes
+        value = (
+            CONFIG
+            | {"board": node_list_address, "known": known, "limits": {"sockets": self.sockets}}
+            | self.changes
+        )
         self.path.write_text(json.dumps(value))
 
     def _read(self) -> None:
@@ -409,10 +413,10 @@
     def connect_client(self, source: str = "127.0.0.1") -> FakeClient:
         return self.run_in_thread(FakeClient, self.service.listen_address, source)
 
-    def place(self, owner: FakeClient, number: int, sort: str = "worker") -> str:
+    def place(self, client: FakeClient, number: int, sort: str = "worker") -> str:
         """Place a task; its id."""
-        id = self.run_in_thread(owner.request_placement, number, sort)
-        assert [m.kind for m in self.run_in_thread(owner.replies, id)] == [Kind.ANSWER]
+        id = self.run_in_thread(client.request_placement, number, sort)
+        assert [m.kind for m in self.run_in_thread(client.replies, id)] == [Kind.ANSWER]
         return id
 
     def pause(self) -> None:
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -1,6 +1,6 @@
 """Two events that cross, in the bad order every time: real connections, and a gate before the turns.
 
-Where a mend is at stake, the test failed with it taken out; those under "Answers" were right before.
+Where a fix is at stake, the test failed without it; those under "Answers" were right before.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 def test_a_placement_request_whose_client_leaves_while_it_waits_goes_nowhere(
     live: MakeService, how: str
 ) -> None:
-    """Seen in the code: the giving up was put behind its set-up, which then went out before it."""
+    """Seen in the code: the cancellation was queued behind its request, which was then sent before it."""
     one = live()
     stays, leaves = one.connect_client("127.0.0.9"), one.connect_client()
     one.place(stays, 1)  # a connection to the machine is up and free
@@ -64,7 +64,7 @@
 def test_a_client_that_leaves_is_noticed_however_many_placement_requests_wait(
     live: MakeService, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Clients were not read at all while so many waited; now what is beyond is turned away."""
+    """Clients were not read at all while so many waited; now what is beyond is rejected."""
     monkeypatch.setattr(event_queue, "PLACEMENTS_MOST", 3)
     one = live()
     client = one.connect_client()
@@ -81,14 +81,14 @@
 
 
 def test_a_cancellation_is_not_delayed_by_what_machines_reject(live: MakeService) -> None:
-    """A jam of refusals, each a task to be placed anew, stood before it; the task went out once more."""
+    """Many rejections, each a task to be placed again, were queued before it; the task was sent once more."""
     one = live(machines=2)
     client, number = one.connect_client(), 1
     while not all(m.placement_requests() for m in one.machines):  # a connection to each is up and free
         number += 1
         one.place(client, number)
     for machine in one.machines:
-        machine.fault = lambda sock, message: True  # says nothing
+        machine.fault = lambda sock, message: True  # answers nothing
     id = one.run_in_thread(client.request_placement, 1)
     first = one.wait_until(
         lambda: next((m for m in one.machines if id in [s.id for s in m.placement_requests()]), None)
@@ -104,7 +104,7 @@
     assert [m.id for machine in one.machines for m in machine.placement_requests()].count(id) == 1
 
 
-@pytest.mark.parametrize("why", ["given up", "drain"])
+@pytest.mark.parametrize("why", ["cancelled", "drain"])
 def test_what_lies_in_a_send_buffer_is_sent_only_if_it_may_be_sent_then(
     live: MakeService, monkeypatch: pytest.MonkeyPatch, why: str
 ) -> None:
@@ -203,14 +203,14 @@
 
 
 def test_what_a_machine_sends_during_a_shutdown_reaches_the_client(live: MakeService) -> None:
-    """Connections to machines are closed, and read out, before those to clients are."""
+    """Connections to machines are closed, and read to their end, before those to clients are."""
     one = live()
     client = one.connect_client()
     id = one.place(client, 1)
     one.machines[0].final_messages.append(Message(Kind.RELEASE, id, cause=int(Cause.ENDED)))
     one.service.stop()
-    words = one.run_in_thread(client.replies, id, 2)
-    assert [(m.kind, m.cause) for m in words[1:]] == [(Kind.RELEASE, Cause.ENDED)]
+    messages = one.run_in_thread(client.replies, id, 2)
+    assert [(m.kind, m.cause) for m in messages[1:]] == [(Kind.RELEASE, Cause.ENDED)]
     one.wait_until(lambda: one.greenlet.dead)
 
 
@@ -270,7 +270,7 @@
 
 
 def test_a_task_at_a_machine_that_the_list_does_not_name_yet_stands(live: MakeService) -> None:
-    """Its client was told that it is over, while it ran: it would be run twice."""
+    """Its client was notified that it had ended, while it ran: it would be run twice."""
     one = live(machines=2, known=1)
     one.wait_until(lambda: one.service.node_list.revision == 1)
     client = one.connect_client()
@@ -281,7 +281,7 @@
     assert one.run_in_thread(client.replies, id, 1, 0.3) == []
     one.node_list_service.frozen = False
     one.node_list_service.publish(holder.row())
-    one.wait_until(lambda: holder.connections)  # it is dialled, and heard
+    one.wait_until(lambda: holder.connections)  # it is dialled, and read
     holder.send(holder.connections[-1], Message(Kind.RELEASE, id, cause=int(Cause.ENDED)))
     assert [(m.kind, m.cause) for m in one.run_in_thread(client.replies, id)] == [(Kind.RELEASE, Cause.ENDED)]
 
@@ -313,7 +313,7 @@
 
 
 def test_a_task_whose_end_came_before_it_was_handed_over_is_over(live: MakeService) -> None:
-    """It stood for good: its machine had said its last word on it."""
+    """It stayed for good: its machine had sent its last message on it."""
     one = live()
     client = one.connect_client()
     one.place(client, 1)
@@ -330,7 +330,7 @@
 def test_a_restart_that_is_reported_after_a_hand_over_ends_what_its_machine_does_not_report(
     live: MakeService, noted: bool
 ) -> None:
-    """It stood for good: the machine had started anew before, and knew nothing of it."""
+    """It stayed for good: the machine had restarted before, and knew nothing of it."""
     one = live()
     client = one.connect_client()
     born = int(time.time() * 1000)
@@ -345,8 +345,8 @@
         one.wait_until(lambda: one.service.core.tasks.by_id[id].attempt.noted)  # type: ignore[union-attr]
     one.node_list_service.publish(machine.row() | {"born_ms": born})
     one.wait_until(lambda: one.service.node_list.revision == 2 and not one.service.driver.queue)
-    words = [(m.kind, m.cause) for m in one.run_in_thread(client.replies, id, 1, 0.5 if noted else 20.0)]
-    assert words == ([] if noted else [(Kind.RELEASE, Cause.RESET)])
+    messages = [(m.kind, m.cause) for m in one.run_in_thread(client.replies, id, 1, 0.5 if noted else 20.0)]
+    assert messages == ([] if noted else [(Kind.RELEASE, Cause.RESET)])
 
 
 # Answers
--- a/tests/platform/test_platform_departed_clients.py
+++ b/tests/platform/test_platform_departed_clients.py
@@ -1,5 +1,7 @@
-"""A client that closes its connection or cancels has gone: no further attempt begins for it, wherever its
-task waits. Real connections; where a guard is at stake, its test fails with the guard taken out."""
+"""A client that closes its connection or cancels has left: no retry begins for it, wherever its task waits.
+
+Real connections; where a guard is at stake, its test fails without the guard.
+"""
 
 from __future__ import annotations
 
@@ -63,7 +65,7 @@
     return [m.id for machine in one.machines for m in machine.placement_requests()].count(id)
 
 
-def silent(sock: Any, message: Message) -> bool:
+def answers_nothing(sock: Any, message: Message) -> bool:
     return True
 
 
@@ -93,7 +95,7 @@
 def test_a_task_that_waits_for_room_for_a_connection_goes_nowhere(live: MakeService, how: str) -> None:
     one = live(machines=2)
     for machine in one.machines:
-        machine.fault = silent
+        machine.fault = answers_nothing
     one.service.core.links.links_most = 1
     client, other = one.connect_client(), one.connect_client("127.0.0.9")
     first = one.run_in_thread(other.request_placement, 1)
@@ -267,7 +269,7 @@
 def test_a_close_is_noticed_behind_all_that_was_sent_before_it(
     live: MakeService, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It lay behind hundreds of set-ups, which were placed one after the other before it was read."""
+    """It lay behind hundreds of requests, which were placed one after the other before it was read."""
     monkeypatch.setattr(event_queue, "PLACEMENTS_MOST", 100)
     monkeypatch.setattr(event_queue, "EVENTS_MOST", 200)
     one = live(machines=3)
@@ -296,7 +298,7 @@
 ) -> None:
     """All that was read of a connection was decoded, four times in a row, before others had their turn."""
     one = live()
-    one.machines[0].fault = silent
+    one.machines[0].fault = answers_nothing
     feed = binary.Reader.feed
 
     def slow_feed(reader: binary.Reader, data: bytes) -> list[Message]:
@@ -336,9 +338,11 @@
 HERE = Path(__file__).parent
 
 
-class Crowd:
-    """Clients whose tasks are out at machines that say nothing; each leaves, and 0.15 s later the machines
-    refuse its tasks, so that further attempts would begin."""
+class DepartingClients:
+    """Clients whose tasks are in flight at machines that answer nothing.
+
+    Each leaves, and 0.15 s later the machines reject its tasks, so that retries would begin.
+    """
 
     def __init__(self, process: PlannerProcess, fleet: list[FakeMachine]) -> None:
         self.process, self.fleet = process, fleet
@@ -363,7 +367,7 @@
     def _refuse(self, ids: list[str]) -> None:
         for machine in self.fleet:
             for id in {m.id for m in machine.placement_requests()} & set(ids):
-                with suppress(OSError):  # given up, and its connection closed
+                with suppress(OSError):  # cancelled, and its connection closed
                     machine.send(
                         machine.connection_of(id), Message(Kind.RELEASE, id, {"note": "nc"}, int(Cause.FULL))
                     )
@@ -380,12 +384,12 @@
 ) -> None:
     """Measured in the planner's processor time: that of a machine with other work is no fault of its own.
     After a stall all that came meanwhile was handled in one turn of some tenths of a second."""
-    fleet = [FakeMachine(f"s-{n:08x}", silent) for n in range(1, 7)]
-    board = FakeNodeListService([m.row() for m in fleet])
-    process = PlannerProcess(tmp_path, board, 512, command=(str(HERE / "recording_planner.py"),))
+    fleet = [FakeMachine(f"s-{n:08x}", answers_nothing) for n in range(1, 7)]
+    node_list_service = FakeNodeListService([m.row() for m in fleet])
+    process = PlannerProcess(tmp_path, node_list_service, 512, command=(str(HERE / "recording_planner.py"),))
     flood = None
     try:
-        crowd = Crowd(process, fleet)
+        clients = DepartingClients(process, fleet)
         run = [sys.executable, str(HERE / "flooding_client.py"), process.address, str(FLOODING)]
         flood = subprocess.Popen(run, env=os.environ | {"PYTHONPATH": str(ROOT)}, stdout=subprocess.PIPE)
         assert flood.stdout is not None and flood.stdout.readline() == b"open\n"
@@ -394,13 +398,13 @@
             process.child.send_signal(signal.SIGSTOP)
             time.sleep(0.4)
             process.child.send_signal(signal.SIGCONT)
-        crowd.leave(how)
-        wait_until(lambda: len(crowd.sent(Kind.RELEASE)) == CLIENTS * TASKS)
+        clients.leave(how)
+        wait_until(lambda: len(clients.sent(Kind.RELEASE)) == CLIENTS * TASKS)
         time.sleep(0.3)
         most = GONE_WITHIN_S * 1e3
-        assert max(crowd.sent(Kind.SET_UP).values()) <= most
+        assert max(clients.sent(Kind.SET_UP).values()) <= most
         # After a stall nothing begins for 0.1 s, in which what came meanwhile is read.
-        assert max(crowd.sent(Kind.RELEASE).values()) <= (2 * most if stalls else most)
+        assert max(clients.sent(Kind.RELEASE).values()) <= (2 * most if stalls else most)
     finally:
         if flood is not None:
             flood.kill()
@@ -408,4 +412,4 @@
         process.close()
         for machine in fleet:
             machine.close()
-        board.close()
+        node_list_service.close()
--- a/tests/platform/test_platform_descriptor_limits.py
+++ b/tests/platform/test_platform_descriptor_limits.py
@@ -39,10 +39,10 @@
     ) -> tuple[PlannerProcess, FakeNodeListService, list[FakeMachine], threading.Event]:
         gate = threading.Event()
         fleet = [FakeMachine(f"s-{n:08x}", delayed(gate, Kind.ANSWER)) for n in range(1, MACHINES + 1)]
-        board = FakeNodeListService([m.row() for m in fleet])
-        process = PlannerProcess(tmp_path, board, sockets, FILES_LIMIT)
-        made.extend([process, board, *fleet])
-        return process, board, fleet, gate
+        node_list_service = FakeNodeListService([m.row() for m in fleet])
+        process = PlannerProcess(tmp_path, node_list_service, sockets, FILES_LIMIT)
+        made.extend([process, node_list_service, *fleet])
+        return process, node_list_service, fleet, gate
 
     yield starts
     for thing in made:
@@ -60,7 +60,7 @@
         try:
             client.send(Message(Kind.TEST, f"{number:016x}", cause=0))
         except OSError:
-            pass  # turned away
+            pass  # rejected
         clients.append(client)
     return clients
 
@@ -72,31 +72,31 @@
 @pytest.mark.parametrize("sockets", [FILES_LIMIT, 4 * FILES_LIMIT], ids=["settings", "process"])
 def test_idle_clients_leave_descriptors_for_the_planners_own_connections(start: Start, sockets: int) -> None:
     """The limit of the settings and that of the process: the lower one holds."""
-    process, board, fleet, gate = start(sockets)
-    wait_until(lambda: board.watches)
-    board.resets.set()
+    process, node_list_service, fleet, gate = start(sockets)
+    wait_until(lambda: node_list_service.watches)
+    node_list_service.resets.set()
     idle = fill(process.address, CLIENTS)
     client = FakeClient(process.address, "127.0.0.9")
     ids = [ask(client, number) for number in range(1, TASKS + 1)]  # as many connections to machines as may be
     wait_until(lambda: len({m.id for machine in fleet for m in machine.placement_requests()}) == TASKS)
     # The watch dials on while the service is away, and something is left for it.
-    dialled, most = board.connection_count, 0
+    dialled, most = node_list_service.connection_count, 0
     end = time.monotonic() + 1.0
     while time.monotonic() < end:
         most = max(most, process.descriptors())
         time.sleep(0.005)
-    assert board.connection_count > dialled
+    assert node_list_service.connection_count > dialled
     assert most < FILES_LIMIT - 1
     still_open = sum(1 for one in idle if not one.closed_within(0.01))
-    assert FILES_LIMIT // 4 <= still_open <= FILES_LIMIT // 2  # the rest has been turned away
-    board.resets.clear()
-    seen = len(board.watches)
-    wait_until(lambda: len(board.watches) > seen, BACK_WITHIN_S)
+    assert FILES_LIMIT // 4 <= still_open <= FILES_LIMIT // 2  # the rest has been rejected
+    node_list_service.resets.clear()
+    seen = len(node_list_service.watches)
+    wait_until(lambda: len(node_list_service.watches) > seen, BACK_WITHIN_S)
     gate.set()
     assert [[m.kind for m in client.replies(id)] for id in ids] == [[Kind.ANSWER]] * TASKS
     # A notice that only the new watch can bring is followed, and a task is placed.
-    board.publish(*[m.row("DRAINING") for m in fleet[1:]])
-    wait_until(lambda: board.last_sent == len(board.lines))
+    node_list_service.publish(*[m.row("DRAINING") for m in fleet[1:]])
+    wait_until(lambda: node_list_service.last_sent == len(node_list_service.lines))
     time.sleep(0.25)  # the grace that drains have
     last = ask(client, TASKS + 1)
     assert [m.kind for m in client.replies(last)] == [Kind.ANSWER]
--- a/tests/platform/test_platform_process.py
+++ b/tests/platform/test_platform_process.py
@@ -38,10 +38,10 @@
         machines: int = 2, fault: Callable[[socket.socket, Message], bool] | None = None, sockets: int = 256
     ) -> tuple[PlannerProcess, FakeNodeListService, list[FakeMachine]]:
         fleet = [FakeMachine(f"s-{n:08x}", fault) for n in range(1, machines + 1)]
-        board = FakeNodeListService([m.row() for m in fleet])
-        process = PlannerProcess(tmp_path, board, sockets)
-        made.extend([process, board, *fleet])
-        return process, board, fleet
+        node_list_service = FakeNodeListService([m.row() for m in fleet])
+        process = PlannerProcess(tmp_path, node_list_service, sockets)
+        made.extend([process, node_list_service, *fleet])
+        return process, node_list_service, fleet
 
     yield starts
     for thing in made:
@@ -51,8 +51,8 @@
             thing.close()
 
 
-def kinds(words: list[Message]) -> list[tuple[Kind, int | None]]:
-    return [(m.kind, m.cause) for m in words]
+def kinds(messages: list[Message]) -> list[tuple[Kind, int | None]]:
+    return [(m.kind, m.cause) for m in messages]
 
 
 def test_it_passes_its_health_check_places_reports_the_end_and_shuts_down(start: Start) -> None:
@@ -62,8 +62,8 @@
     assert client.replies(f"{1:016x}")[0].cause == 1
     ids = [client.request_placement(n, ("worker", "ingest")[n % 2]) for n in range(10, 20)]
     for id in ids:
-        (word,) = client.replies(id)
-        assert (word.kind, word.body) == (Kind.ANSWER, "stands " + id)
+        (message,) = client.replies(id)
+        assert (message.kind, message.body) == (Kind.ANSWER, "stands " + id)
     first = next(m for f in fleet for m in f.placement_requests() if m.id == ids[1])
     assert first.body == "body 11" and first.fields["idem"] == f"{11:032x}"
     assert 5_000 < int(first.fields["left"]) <= 6_000
@@ -184,29 +184,29 @@
 
 
 def test_the_node_list_service_may_break_off_fall_silent_and_move(start: Start) -> None:
-    process, board, fleet = start()
-    wait_until(lambda: board.watches)
-    board.breaks_off = True
-    board.publish(fleet[0].row("DRAINING"))
-    wait_until(lambda: len(board.watches) >= 2)
-    assert board.watches[1] == 1  # nothing of the broken line was taken
+    process, node_list_service, fleet = start()
+    wait_until(lambda: node_list_service.watches)
+    node_list_service.breaks_off = True
+    node_list_service.publish(fleet[0].row("DRAINING"))
+    wait_until(lambda: len(node_list_service.watches) >= 2)
+    assert node_list_service.watches[1] == 1  # nothing of the broken line was taken
     client = FakeClient(process.address)
-    wait_until(lambda: len(board.watches) >= 2 and board.watches[-1] == 1)
+    wait_until(lambda: len(node_list_service.watches) >= 2 and node_list_service.watches[-1] == 1)
     time.sleep(0.3)
     for number in range(1, 8):
         client.replies(client.request_placement(number))
     assert fleet[0].placement_requests() == [] and len(fleet[1].placement_requests()) == 7
     # it falls silent: watched anew
-    board.frozen = True
-    seen = len(board.watches)
-    wait_until(lambda: len(board.watches) > seen)
-    board.frozen = False
+    node_list_service.frozen = True
+    seen = len(node_list_service.watches)
+    wait_until(lambda: len(node_list_service.watches) > seen)
+    node_list_service.frozen = False
     # and moves: a file that cannot be used changes nothing, a good one is followed at once
     process.path.write_text("{")
     process.child.send_signal(signal.SIGHUP)
     wait_until(lambda: process.events("configuration not taken"))
     other = FakeNodeListService([])
-    other.lines = list(board.lines)
+    other.lines = list(node_list_service.lines)
     process.write(other.address)
     process.child.send_signal(signal.SIGHUP)
     wait_until(lambda: other.watches)
@@ -239,7 +239,7 @@
 
 
 def test_sigterm_answers_all_that_was_taken(start: Start) -> None:
-    process, _, fleet = start(1, lambda sock, message: True)  # says nothing
+    process, _, fleet = start(1, lambda sock, message: True)  # answers nothing
     client = FakeClient(process.address)
     repeat, keyed = client.request_placement(1), client.request_placement(2, "ingest")
     wait_until(lambda: len(fleet[0].placement_requests()) == 2)
--- a/tests/platform/test_platform_restart_readiness.py
+++ b/tests/platform/test_platform_restart_readiness.py
@@ -54,8 +54,8 @@
         cores = set(sorted(os.sched_getaffinity(0))[:CORES])
         for number in range(PROCESSES):
             (folder / str(number)).mkdir(exist_ok=True)
-            board, changes = services[number % len(services)], {"listen": listen[number]}
-            process = PlannerProcess(folder / str(number), board, changes=changes, waits=False)
+            node_list_service, changes = services[number % len(services)], {"listen": listen[number]}
+            process = PlannerProcess(folder / str(number), node_list_service, changes=changes, waits=False)
             os.sched_setaffinity(process.child.pid, cores)
             self.processes.append(process)
         threads = [threading.Thread(target=self._test, args=(n,), daemon=True) for n in range(PROCESSES)]
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -34,7 +34,7 @@
         stream.close(abort=True)
 
 
-def hears(service: Service, monkeypatch: pytest.MonkeyPatch, note: Any) -> None:
+def record_events(service: Service, monkeypatch: pytest.MonkeyPatch, note: Any) -> None:
     monkeypatch.setattr(service.driver, "enqueue", lambda *events: [note(event) for event in events])
 
 
@@ -44,7 +44,9 @@
     ours, theirs = gsocket.socketpair()
     monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
     closed: list[bool] = []
-    hears(service, monkeypatch, lambda e: closed.append(ours.closed) if isinstance(e, ev.LinkLost) else None)
+    record_events(
+        service, monkeypatch, lambda e: closed.append(ours.closed) if isinstance(e, ev.LinkLost) else None
+    )
     service.machines.dials[7] = gevent.spawn(service.machines._serve, 7, "127.0.0.1:1")
     theirs.sendall(b"noise\n")
     service.machines.dials[7].join(5)
@@ -58,7 +60,7 @@
     ours, theirs = gsocket.socketpair()
     stream = service.machines.streams[7] = streams.Stream(ours, 7, service.machines._disconnected)
     closed: list[bool] = []
-    hears(service, monkeypatch, lambda e: closed.append(stream.is_closed))
+    record_events(service, monkeypatch, lambda e: closed.append(stream.is_closed))
     stream.put(b"x" * 4_000_000)
     assert closed == [True]
     theirs.close()
@@ -75,7 +77,7 @@
         order.append("watched")
         for _ in range(3):
             gevent.sleep(0.02)
-            order.append("told")
+            order.append("updated")
             service.node_watch.last_received_s = time.monotonic()
         gevent.sleep(30)
 
@@ -86,7 +88,7 @@
     monkeypatch.setattr(service.node_watch, "run", watch)
     monkeypatch.setattr(service.clients, "accept", accept)
     assert service.run() == 0
-    assert order == ["watched", "told", "told", "told", "accepts"]
+    assert order == ["watched", "updated", "updated", "updated", "accepts"]
 
 
 def test_a_node_list_service_that_never_sends_keeps_no_planner_out_of_service(
@@ -101,7 +103,7 @@
 
 
 def test_a_placement_request_for_a_connection_that_is_lost_counts_as_unsent(service: Service) -> None:
-    """Its loss waits in the inbox as the core's turn speaks to it: nothing of it can have left."""
+    """Its loss waits in the event queue as the core's turn sends on it: nothing of it can have been sent."""
     seen: list[ev.Event] = []
 
     class Core:
@@ -124,7 +126,7 @@
 def test_a_placement_request_that_waits_during_a_node_list_update_is_placed_by_it(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A burst of set-ups is read first; the drain that comes meanwhile is handled before most of them."""
+    """A burst of requests is read first; the drain that comes meanwhile is handled before most of them."""
     handled: list[str] = []
     monkeypatch.setattr(driver, "TURN_SLICE_S", 0.005)
     monkeypatch.setattr(service.driver.stall_detector, "late", lambda: False)
@@ -162,7 +164,7 @@
 
 
 def test_the_turns_wait_between_slices(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
-    """One that never waits while there is work counts as hung."""
+    """One that never waits while there is work counts as unresponsive."""
     waits: list[float] = []
     monkeypatch.setattr(driver, "TURN_SLICE_S", 0.0)
     monkeypatch.setattr(service.driver.stall_detector, "late", lambda: False)
@@ -187,8 +189,8 @@
 ) -> None:
     """The time for one message to come whole runs anew with each: not over the connection's life."""
     monkeypatch.setattr(client_connections, "PARTIAL_MESSAGE_TIMEOUT_S", 0.2)
-    heard: list[ev.Event] = []
-    hears(service, monkeypatch, heard.append)
+    received: list[ev.Event] = []
+    record_events(service, monkeypatch, received.append)
     ours, theirs = gsocket.socketpair()
     stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._disconnected)
     reads = gevent.spawn(service.clients._serve, stream)
@@ -197,10 +199,10 @@
     for at in range(0, len(data), step):
         theirs.sendall(data[at : at + step])
         gevent.sleep(0.01)
-    assert not stream.is_closing and sum(isinstance(e, ev.ClientMessage) for e in heard) == 60
+    assert not stream.is_closing and sum(isinstance(e, ev.ClientMessage) for e in received) == 60
     theirs.sendall(data[:9])  # and one that does not go on ends it
     reads.join(5)
-    assert stream.is_closed and any(isinstance(e, ev.ClientDisconnected) for e in heard)
+    assert stream.is_closed and any(isinstance(e, ev.ClientDisconnected) for e in received)
     theirs.close()
 
 
@@ -210,18 +212,18 @@
     monkeypatch.setattr(machine_connections, "PARTIAL_LINE_TIMEOUT_S", 0.2)
     ours, theirs = gsocket.socketpair()
     monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
-    heard: list[ev.Event] = []
-    hears(service, monkeypatch, heard.append)
+    received: list[ev.Event] = []
+    record_events(service, monkeypatch, received.append)
     service.machines.dials[7] = reads = gevent.spawn(service.machines._serve, 7, "127.0.0.1:1")
     data = b"".join(jsonlines.encode(Message(Kind.ANSWER, f"{n:016x}", body="x" * 200)) for n in range(1, 61))
     step = len(data) // 60 + 1
     for at in range(0, len(data), step):
         theirs.sendall(data[at : at + step])
         gevent.sleep(0.01)
-    assert sum(isinstance(e, ev.MachineMessage) for e in heard) == 60 and not ours.closed
+    assert sum(isinstance(e, ev.MachineMessage) for e in received) == 60 and not ours.closed
     theirs.sendall(data[:9])
     reads.join(5)
-    assert ours.closed and isinstance(heard[-1], ev.LinkLost)
+    assert ours.closed and isinstance(received[-1], ev.LinkLost)
     theirs.close()
 
 
@@ -263,7 +265,7 @@
 def test_the_node_list_service_is_watched_on_after_a_fault(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Else every drain from then on would go unheard."""
+    """Else every drain from then on would go unnoticed."""
     monkeypatch.setattr(watching, "MIN_BACKOFF_S", 0.001)
     asked: list[float] = []
 
@@ -302,10 +304,10 @@
     pairs = [gsocket.socketpair() for _ in range(2)]
     for number, (ours, _) in enumerate(pairs, 1):
         service.machines.streams[number] = Line(ours, number, service.machines._disconnected)
-    heard = Message(Kind.HEARD, "00000000000000bb")
+    received = Message(Kind.HEARD, "00000000000000bb")
     given_up = Message(Kind.RELEASE, "00000000000000aa", cause=16)
     service.executor.execute_all(
-        [ev.SendToMachine(2, heard), ev.SendToMachine(1, given_up), ev.SendToMachine(2, asks(0xAA))]
+        [ev.SendToMachine(2, received), ev.SendToMachine(1, given_up), ev.SendToMachine(2, asks(0xAA))]
     )
     service.executor.flush()
     first = [number for number, _ in left]
@@ -359,8 +361,8 @@
 ) -> None:
     """Half of a message lies unread meanwhile: its time to come whole begins with the next read."""
     monkeypatch.setattr(client_connections, "PARTIAL_MESSAGE_TIMEOUT_S", 0.2)
-    heard: list[ev.Event] = []
-    hears(service, monkeypatch, heard.append)
+    received: list[ev.Event] = []
+    record_events(service, monkeypatch, received.append)
     full = [True]
     monkeypatch.setattr(service.driver.queue, "must_wait", lambda conn: full[0])
     ours, theirs = gsocket.socketpair()
@@ -376,36 +378,36 @@
     gevent.sleep(0.05)
     theirs.sendall(data[60:])
     with gevent.Timeout(10):
-        while not heard:
+        while not received:
             gevent.sleep(0.01)
-    assert isinstance(heard[0], ev.ClientMessage) and not stream.is_closing
+    assert isinstance(received[0], ev.ClientMessage) and not stream.is_closing
     theirs.close()
     reads.join(5)
 
 
-@pytest.mark.parametrize("owner", [True, False])
+@pytest.mark.parametrize("is_client", [True, False])
 def test_one_that_sends_at_full_speed_leaves_the_others_their_turns(
-    service: Service, monkeypatch: pytest.MonkeyPatch, owner: bool
+    service: Service, monkeypatch: pytest.MonkeyPatch, is_client: bool
 ) -> None:
     """A read that finds bytes does not wait: all of it would be read before anybody else is."""
-    heard: list[ev.Event] = []
-    hears(service, monkeypatch, heard.append)
+    received: list[ev.Event] = []
+    record_events(service, monkeypatch, received.append)
     monkeypatch.setattr(client_connections, "READ_BYTES", 256)
     monkeypatch.setattr(machine_connections, "READ_BYTES", 256)
     ours, theirs = gsocket.socketpair()
     answer = Message(Kind.ANSWER, "00000000000000aa", body="x" * 200)
-    theirs.sendall((binary.encode(asks(1)) if owner else jsonlines.encode(answer)) * 100)
-    if owner:
+    theirs.sendall((binary.encode(asks(1)) if is_client else jsonlines.encode(answer)) * 100)
+    if is_client:
         stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._disconnected)
         reads = gevent.spawn(service.clients._serve, stream)
     else:
         monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
         service.machines.dials[1] = reads = gevent.spawn(service.machines._serve, 1, "127.0.0.1:1")
     gevent.sleep(0)
-    assert 0 < len(heard) < 50
+    assert 0 < len(received) < 50
     theirs.close()
     reads.join(5)
-    assert len(heard) > 100
+    assert len(received) > 100
 
 
 def test_a_list_that_is_no_object_cannot_be_used(service: Service) -> None:
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""Other customers' settings: what the file may say, and what it may leave out or have wrong."""
+"""Other customers' settings: what the file may contain, and what it may leave out or have wrong."""
 
 from __future__ import annotations
 
@@ -45,16 +45,16 @@
     """A moment of a day: two machines, a few tasks of each class, time passes."""
     priced = c.handshake_price > 0
     core = Core(c.settings, c.fields, c.seed, c.sockets, c.dial_timeout_us, priced, c.idle_us, c.tenants)
-    board = NodeList(c.zones, tuple(k.name for k in c.settings.node_types), lambda: (10**15, 10**9))
+    node_list = NodeList(c.zones, tuple(k.name for k in c.settings.node_types), lambda: (10**15, 10**9))
     rows = [
         {"host": f"s-{n}", "dial": f"127.8.1.{n}:1", "site": "hall 1", "class": "node-32", "block": 1}
         | {"health": "SERVING", "born_ms": 0, "spare": [30.0, 90.0]}
         for n in (1, 2)
     ]
-    told, _ = board.apply({"rev": 1, "pool": {"whole": True, "hosts": rows}})
-    assert told is not None
+    update, _ = node_list.apply({"rev": 1, "pool": {"whole": True, "hosts": rows}})
+    assert update is not None
     now = 10**9
-    actions = core.start(now, [told])
+    actions = core.start(now, [update])
     actions += core.handle(now, [ev.ClientConnected(1, "c")])
     for number, sort in enumerate(c.settings.classes, 1):
         message = set_up(number, sort.name, idem="5c0f6e1a2b3d4c59a8b7c6d5e4f30211", left="900")
--- a/tests/platform/test_platform_settings_reload.py
+++ b/tests/platform/test_platform_settings_reload.py
@@ -284,7 +284,7 @@
 
 
 def drawn_life(core: Core, now: int, seed: int) -> list[Any]:
-    """What a core does over drawn set-ups, of which machines take some."""
+    """What a core does over random placement requests, of which machines accept some."""
     rng = random.Random(seed)
     out: list[Any] = []
     links: list[int] = []
@@ -447,8 +447,8 @@
 ) -> None:
     (start,) = live.wait_until(lambda: lines.of("configuration in force"))
     assert start["revision"] == live.service.config.revision
-    owner = live.connect_client()
-    live.place(owner, 1)
+    client = live.connect_client()
+    live.place(client, 1)
     reload_with(live, add_class, revision=17)
     live.wait_until(lambda: len(lines.of("configuration in force")) == 2)
     assert lines.of("configuration in force")[-1] == {
@@ -456,7 +456,7 @@
         "revision": "17",
         "changed": ("classes",),
     }
-    live.place(owner, 2, "fresh")
+    live.place(client, 2, "fresh")
     assert live.service.core.counts["configurations_in_force"] == 2
     assert live.service.config.revision == "17"
 
@@ -516,8 +516,8 @@
 
 
 def test_the_same_settings_disturb_nothing(live: LiveService, lines: Lines) -> None:
-    owner = live.connect_client()
-    live.place(owner, 1)
+    client = live.connect_client()
+    live.place(client, 1)
     watches, links = len(live.node_list_service.watches), set(live.service.machines.streams)
     handled: list[ev.Event] = []
     handle = live.service.core._handlers[ev.SettingsChanged]
@@ -530,7 +530,7 @@
     assert set(live.service.machines.streams) == links
     assert len(live.node_list_service.watches) <= watches + 1
     assert [line["changed"] for line in lines.of("configuration in force")] == [()] * 21
-    live.place(owner, 2)
+    live.place(client, 2)
 
 
 def test_machines_of_a_new_node_type_are_used_at_once(tmp_path: Path, lines: Lines) -> None:
@@ -541,8 +541,8 @@
     one.node_list_service.publish(one.machines[0].row("DRAINING"))
     one.wait_until(lambda: one.service.node_list.revision == 3)
     reload_with(one, add_kind)
-    owner = one.connect_client()
-    one.place(owner, 1)
+    client = one.connect_client()
+    one.place(client, 1)
     assert [m.id for m in huge.placement_requests()] == [f"{1:016x}"]
     huge.close()
     one.close()
@@ -551,9 +551,9 @@
 def test_a_signal_before_the_start_is_taken_with_it(tmp_path: Path, lines: Lines) -> None:
     """The list that the file names is read by the names that the process started with."""
     huge = FakeMachine("s-0000beef")
-    board = FakeNodeListService([huge.row() | {"class": "node-96", "spare": [96.0, 300.0]}])
-    first = {"rev": 1, "notices": [json.loads(board.lines[0])]}
-    value = copy.deepcopy(CONFIG) | {"board": board.address, "known": first}
+    node_list_service = FakeNodeListService([huge.row() | {"class": "node-96", "spare": [96.0, 300.0]}])
+    first = {"rev": 1, "notices": [json.loads(node_list_service.lines[0])]}
+    value = copy.deepcopy(CONFIG) | {"board": node_list_service.address, "known": first}
     path = tmp_path / "config.json"
     path.write_text(json.dumps(value))
     from stairplank.platform.service import Service
@@ -568,17 +568,17 @@
             gevent.sleep(0.01)
     assert [node.cores for node in service.core.module.nodes.values()] == [96]
     runs.kill()
-    board.close()
+    node_list_service.close()
     huge.close()
 
 
 def test_a_signal_to_the_process_brings_the_file_into_force(tmp_path: Path) -> None:
     machine = FakeMachine("s-00000001")
-    board = FakeNodeListService([machine.row()])
-    process = PlannerProcess(tmp_path, board)
+    node_list_service = FakeNodeListService([machine.row()])
+    process = PlannerProcess(tmp_path, node_list_service)
     try:
-        owner = FakeClient(process.address)
-        assert owner.replies(owner.request_placement(1))[0].kind is Kind.ANSWER
+        client = FakeClient(process.address)
+        assert client.replies(client.request_placement(1))[0].kind is Kind.ANSWER
         value = json.loads(process.path.read_text()) | {"revision": 5}
         add_class(value)
         process.path.write_text(json.dumps(value))
@@ -588,18 +588,18 @@
             lambda: [line for line in process.events("configuration in force") if line["revision"] == "5"]
         )
         assert time.monotonic() - began < 15
-        assert owner.replies(owner.request_placement(2, "fresh"))[0].kind is Kind.ANSWER
+        assert client.replies(client.request_placement(2, "fresh"))[0].kind is Kind.ANSWER
         value["settings"]["position"] = 1
         value["settings"]["group_size"] = 2
         process.path.write_text(json.dumps(value))
         process.child.send_signal(signal.SIGHUP)
         wait_until(lambda: process.events("configuration not taken"))
         assert process.events("configuration not taken")[0]["in_force"] == "5"
-        assert owner.replies(owner.request_placement(3, "fresh"))[0].kind is Kind.ANSWER
+        assert client.replies(client.request_placement(3, "fresh"))[0].kind is Kind.ANSWER
         assert process.events("fault") == []
     finally:
         process.close()
-        board.close()
+        node_list_service.close()
         machine.close()
 
 
