--- a/stairplank/platform/client_connections.py
+++ b/stairplank/platform/client_connections.py
@@ -46,7 +46,7 @@
             try:
                 sock, peer = listener.accept()
             except OSError as error:
-                if not self._may_keep_accepting(error):
+                if not self._can_accept_more(error):
                     return
                 continue
             if len(self.accepted) >= self.max_connections and not self._close_idlest():
@@ -56,7 +56,7 @@
             # Danger: hundreds come at once, and those that are here would not be read until all are in.
             gevent.sleep(0)
 
-    def _may_keep_accepting(self, error: OSError) -> bool:
+    def _can_accept_more(self, error: OSError) -> bool:
         if error.errno in RESOURCE_EXHAUSTED_ERRNOS:
             # Danger: out of descriptors, accepting would spin and nothing else would run.
             self._close_idlest()
--- a/stairplank/platform/machine_connections.py
+++ b/stairplank/platform/machine_connections.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Any
 
 import gevent
@@ -19,6 +20,14 @@
 PARTIAL_LINE_TIMEOUT_S = 1.0  # a line that has begun is complete by then, or its connection is closed
 
 
+@dataclass(slots=True)
+class DecodedBatch:
+    """What one read completed: the messages up to the first malformed line, and whether there was none."""
+
+    events: list[ev.Event]
+    is_well_formed: bool
+
+
 class MachineConnections:
     """The sockets of the core's links, by the links' numbers."""
 
@@ -105,12 +114,11 @@
             data = reads.receive(READ_BYTES, bool(lines.waiting))
             if not data:
                 return
-            complete, is_readable = _complete_lines(lines, data)
-            if complete:
+            batch = _decode(stream.number, lines, data)
+            if batch.events:
                 reads.restart_deadline()  # what remains has begun with these bytes
-            events, is_decoded = _decode_lines(stream.number, complete)
-            self._driver.enqueue(*events)
-            if not is_readable or not is_decoded:
+            self._driver.enqueue(*batch.events)
+            if not batch.is_well_formed:
                 self._core.loop.count("malformed_machine_messages")
                 return
             reads.yield_to_others()
@@ -127,21 +135,19 @@
         self._driver.enqueue(ev.Unsent(stream.number, marks))
 
 
-def _complete_lines(lines: jsonlines.Lines, data: bytes) -> tuple[list[bytes], bool]:
-    """Return the lines that are complete now, and whether what arrived is well formed."""
+def _decode(link: int, lines: jsonlines.Lines, data: bytes) -> DecodedBatch:
+    """Decode the lines that are complete with ``data``."""
+    is_well_formed = True
     try:
-        return lines.feed(data), True
+        complete = lines.feed(data)
     except Unreadable as error:
-        return error.lines, False  # type: ignore[attr-defined]
-
-
-def _decode_lines(link: int, lines: list[bytes]) -> tuple[list[ev.Event], bool]:
-    """Return the messages up to the first line that is malformed, and whether all are well formed."""
+        complete = error.lines  # type: ignore[attr-defined]
+        is_well_formed = False
     events: list[ev.Event] = []
-    for line in lines:
+    for line in complete:
         try:
             message = jsonlines.decode(line)
         except Unreadable:
-            return events, False
+            return DecodedBatch(events, is_well_formed=False)
         events.append(ev.MachineMessage(link, message))
-    return events, True
+    return DecodedBatch(events, is_well_formed)
--- a/stairplank/platform/node_watch.py
+++ b/stairplank/platform/node_watch.py
@@ -158,15 +158,15 @@
         received_s = time.monotonic()  # when this connection last brought something
         self.last_received_s = received_s
         lines = jsonlines.Lines(MAX_LINE_BYTES)
-        is_silent = False
+        is_unresponsive = False
         while True:
             remaining_s = received_s + SILENCE_TIMEOUT_S - time.monotonic()
-            conn.settimeout(None if is_silent else max(MIN_READ_TIMEOUT_S, remaining_s))
+            conn.settimeout(None if is_unresponsive else max(MIN_READ_TIMEOUT_S, remaining_s))
             try:
                 data = conn.recv(READ_BYTES)
             except TimeoutError:
                 # It may go on, after a stall of ours: read on beside the next, until that sends something.
-                is_silent = True
+                is_unresponsive = True
                 if self._connections and self._connections[-1] is conn:
                     self._wake.set()
                 continue
@@ -175,7 +175,7 @@
             for line in lines.feed(data):
                 received_s = time.monotonic()
                 self.last_received_s = received_s
-                is_silent = False
+                is_unresponsive = False
                 if not self._apply(conn, line, received_s):
                     return
             gevent.sleep(0)
