--- a/stairplank/platform/actions.py
+++ b/stairplank/platform/actions.py
@@ -15,11 +15,11 @@
 from .node_watch import NodeWatch
 from .streams import Stream
 
-MARKED = (Kind.PLACE, Kind.HEALTH_CHECK)  # the core is notified where these are not written whole
+TRACKED_KINDS = (Kind.PLACE, Kind.HEALTH_CHECK)  # the core is notified where these are not written completely
 
 
 class ActionExecutor:
-    """Carries out actions in order; ``flush`` writes what a turn has sent."""
+    """Carries out actions in order; messages are buffered until ``flush``."""
 
     def __init__(
         self,
@@ -27,20 +27,20 @@
         clients: ClientConnections,
         machines: MachineConnections,
         node_watch: NodeWatch,
-        settings_in_force: Callable[[ev.SettingsChanged], None],
+        confirm_settings: Callable[[ev.SettingsChanged], None],
     ) -> None:
+        """Act on these connections; ``confirm_settings`` is called once the core runs by changed settings."""
         self._core = core
         self._clients = clients
         self._machines = machines
         self._node_watch = node_watch
-        self._settings_in_force = settings_in_force
+        self._confirm_settings = confirm_settings
         self._unflushed: dict[Stream, None] = {}  # in the order of their first message
 
-    def with_unwritten(self, events: list[ev.Event]) -> list[ev.Event]:
-        """These events, where a lost link also names the messages that found it gone."""
+    def with_unsent(self, events: list[ev.Event]) -> list[ev.Event]:
+        """Return these events, where a lost link also names the messages that found it closed."""
         return [
-            self._machines.with_unwritten(event) if isinstance(event, ev.LinkLost) else event
-            for event in events
+            self._machines.with_unsent(event) if isinstance(event, ev.LinkLost) else event for event in events
         ]
 
     def execute_all(self, actions: list[ev.Action]) -> None:
@@ -48,33 +48,34 @@
         for action in actions:
             try:
                 self._execute(action)
-            except Exception:
-                # Danger: a message that cannot be sent would take along all that the turn has still to send.
+            except Exception:  # noqa: BLE001 - whatever the fault is, the other actions are carried out
+                # Danger: with a message that cannot be sent, the rest of what the turn sends would be lost.
                 self._core.loop.count("faults")
                 log("fault", at=traceback.format_exc(limit=-3))
 
     def flush(self) -> None:
-        """The messages of one turn to one side leave in one piece."""
+        """Write what a turn has sent: the messages to one peer in one piece."""
         while self._unflushed:
-            streams, self._unflushed = self._unflushed, {}
+            streams = self._unflushed
+            self._unflushed = {}
             for stream in streams:
                 stream.flush()
 
     def _execute(self, action: ev.Action) -> None:
         match action:
             case ev.SendToClient():
-                self._put(self._clients.streams.get(action.conn), binary.encode(action.message))
+                self._write(self._clients.streams.get(action.conn), binary.encode(action.message))
             case ev.SendToMachine():
                 self._send_to_machine(action)
             case ev.CloseClient():
-                self._clients.end(action.conn)
+                self._clients.close(action.conn)
             case ev.Dial():
                 self._machines.dial(action.link, action.address)
             case ev.CloseLink():
                 self._machines.close(action.link)
             case ev.SettingsInForce():
                 self._machines.set_dial_timeout(action.change.dial_timeout_us)
-                self._settings_in_force(action.change)
+                self._confirm_settings(action.change)
             case ev.WatchNodeList():
                 self._node_watch.ensure_connected()
             case ev.Report():
@@ -82,15 +83,15 @@
 
     def _send_to_machine(self, action: ev.SendToMachine) -> None:
         message = action.message
-        mark = message.id if message.kind in MARKED else ""
+        mark = message.id if message.kind in TRACKED_KINDS else ""
         stream = self._machines.stream_for(action.link, mark)
-        self._put(stream, jsonlines.encode(message), mark)
+        self._write(stream, jsonlines.encode(message), mark)
         if stream is not None and message.kind is Kind.RELEASE:
-            # Danger: left to the turn's end, a set-up that is given up here may be out elsewhere before this
-            # line leaves: connections are written in the order of their first message.
+            # Danger: left to the turn's end, a placement request that is cancelled here may be sent elsewhere
+            # before this line is: connections are written in the order of their first message.
             stream.flush()
 
-    def _put(self, stream: Stream | None, data: bytes, mark: str = "") -> None:
+    def _write(self, stream: Stream | None, data: bytes, mark: str = "") -> None:
         if stream is not None:
             stream.put(data, mark)
             self._unflushed[stream] = None
--- a/stairplank/platform/reload.py
+++ b/stairplank/platform/reload.py
@@ -1,8 +1,7 @@
-"""Which part of a configuration file that is read again comes into force while the planner runs. No I/O but
-the log.
+"""Applies a configuration file that is read again to a running planner, as far as that is possible.
 
-Settings are taken as a whole or not at all: a change that needs a restart holds back those beside it. The
-node list service's address is no setting; it is followed whatever else the file holds.
+Settings are applied completely or not at all: a change that needs a restart blocks those beside it. The node
+list service's address is no setting; it is followed whatever else the file holds. No I/O but the log.
 """
 
 from __future__ import annotations
@@ -15,48 +14,53 @@
 from .logs import log
 from .node_list import NodeList
 
-_AT_START = "it is read when the process starts"
-# Danger: machines close what is idle for longer than the figure that a connection was made with; a message
-# that is written meanwhile may have run.
-NEEDS_RESTART: Mapping[str, str] = {
-    "name": _AT_START,
-    "listen": _AT_START,
-    "seed": _AT_START,
+_READ_AT_START = "it is read when the process starts"
+# Danger: machines close what is idle for longer than a connection was made with; a task whose message is
+# written meanwhile may have run.
+RESTART_REASONS: Mapping[str, str] = {
+    "name": _READ_AT_START,
+    "listen": _READ_AT_START,
+    "seed": _READ_AT_START,
     "sockets": "the process's connections are divided by it",
     "fields": "it is what machines' reports hold, in their order",
     "idle_us": "connections that stand were made with it",
 }
-LIVE = ("dial_timeout_us", "handshake_price")
+LIVE_FIELDS = ("dial_timeout_us", "handshake_price")
 
 
-class NeedsRestart(ConfigError):
-    """The file is well formed, and holds changes that a running planner cannot take: all of them."""
+class RestartRequiredError(ConfigError):
+    """A file that is well formed, and has changes that a running planner cannot apply.
+
+    Attributes:
+        changes: All of these changes, each with its reason.
+    """
 
     def __init__(self, changes: list[FieldChange]) -> None:
+        """The text names each change with its reason."""
         self.changes = tuple(changes)
         super().__init__("; ".join(f"{change}: {change.restart_reason}" for change in changes))
 
 
 def changed_fields(old: Config, new: Config) -> tuple[FieldChange, ...]:
-    """Every field that differs, but for the service's address and what is known at a start."""
+    """Return every field that differs, but for the service's address and the updates known at a start."""
     return tuple(_changed_fields(old, new))
 
 
 def _changed_fields(old: Config, new: Config) -> Iterator[FieldChange]:
-    for name in (*NEEDS_RESTART, *LIVE):
+    for name in (*RESTART_REASONS, *LIVE_FIELDS):
         if getattr(old, name) != getattr(new, name):
-            yield FieldChange((name,), NEEDS_RESTART.get(name))
+            yield FieldChange((name,), RESTART_REASONS.get(name))
     yield from changed_settings(old.settings, new.settings)
     yield from changed_names("zones", old.zones, new.zones)
     yield from changed_names("tenants", old.tenants, new.tenants)
 
 
 def live_change(old: Config, new: Config) -> ev.SettingsChanged | None:
-    """What the core is to take, or None where no setting has changed. Raises NeedsRestart."""
+    """Return the change for the core, or None where no setting differs. Raises RestartRequiredError."""
     changes = changed_fields(old, new)
-    held_back = [change for change in changes if change.restart_reason is not None]
-    if held_back:
-        raise NeedsRestart(held_back)
+    blocked = [change for change in changes if change.restart_reason is not None]
+    if blocked:
+        raise RestartRequiredError(blocked)
     if not changes:
         return None
     return ev.SettingsChanged(
@@ -71,10 +75,7 @@
 
 
 class ConfigInForce:
-    """The configuration that a planner runs by, and how it takes one that is read later.
-
-    ``enqueue`` has the core take events, ``count`` counts configurations taken and refused.
-    """
+    """The configuration that a planner runs by; applies one that is read later, or rejects it."""
 
     def __init__(
         self,
@@ -83,31 +84,39 @@
         enqueue: Callable[[ev.Event], None],
         count: Callable[[str], None],
     ) -> None:
+        """Begin with ``config``.
+
+        Args:
+            config: What the process was started with.
+            node_list: Gets the names of zones and node types.
+            enqueue: Has the core handle events.
+            count: Increments a counter of configurations applied or rejected.
+        """
         self.config = config
         self._node_list = node_list
         self._enqueue = enqueue
         self._count = count
 
     def log_start(self) -> None:
-        """The revision that the process started with, or took before it serves."""
-        self._log(self.config.revision, ())
+        """Log the revision that the process started with, or applied before it serves."""
+        self._log_in_force(self.config.revision, ())
 
-    def take(self, file: ConfigFile) -> None:
-        """Have the core take the file's settings, all of them or none."""
+    def apply(self, file: ConfigFile) -> None:
+        """Have the core apply the file's settings, all of them or none."""
         try:
             new = parse(file)
             change = live_change(self.config, new)
         except ConfigError as error:
-            self.refuse(error, file.revision)
+            self.reject(error, file.revision)
             return
         self.config = new
         if change is None:
-            self._log(new.revision, ())
+            self._log_in_force(new.revision, ())
         else:
             self._enqueue(change)
 
-    def refuse(self, error: ConfigError, revision: str = "") -> None:
-        """Nothing of that file's settings is taken."""
+    def reject(self, error: ConfigError, revision: str = "") -> None:
+        """Log why nothing of a file's settings is applied."""
         self._count("configurations_not_taken")
         log(
             "configuration not taken",
@@ -117,16 +126,16 @@
         )
 
     def confirm(self, change: ev.SettingsChanged) -> None:
-        """The core has taken the change; the node list's names follow.
+        """Have the node list follow: the core has applied the change.
 
-        Danger: named by the node list before the core knows it, a kind's machines would be passed over.
+        Danger: named by the node list before the core knows it, a node type's machines would be passed over.
         """
-        kinds = tuple(kind.name for kind in change.settings.node_types)
-        update = self._node_list.set_names(change.zones, kinds)
+        node_types = tuple(node_type.name for node_type in change.settings.node_types)
+        update = self._node_list.set_names(change.zones, node_types)
         if update is not None:
             self._enqueue(ev.NodeListUpdated(update))
-        self._log(change.revision, change.changed)
+        self._log_in_force(change.revision, change.changed)
 
-    def _log(self, revision: str, changed: tuple[str, ...]) -> None:
+    def _log_in_force(self, revision: str, changed: tuple[str, ...]) -> None:
         self._count("configurations_in_force")
         log("configuration in force", revision=revision, changed=changed)
