--- a/stairplank/platform/links.py
+++ b/stairplank/platform/links.py
@@ -150,7 +150,6 @@
 
     def complete(self, request: OutboundRequest, *, unanswered: bool = False) -> None:
         """Nothing more is awaited for it. ``unanswered``: its answer did not come in time."""
-        """A machine's message; a connection that is being closed is still read."""
         link = self.links.get(request.link)
         if link is None or link.outstanding.get(request.id) is not request:
             machine = self.machines.get(request.machine)
@@ -305,6 +304,7 @@
             self.close(link)
 
     def received(self, event: ev.MachineMessage) -> None:
+        """A machine's message; a connection that is being closed is still read."""
         link = self.links.get(event.link)
         if link is None:
             if event.link in self.pool.closing:
