--- a/tests/platform/test_platform_restart_readiness.py
+++ b/tests/platform/test_platform_restart_readiness.py
@@ -110,7 +110,8 @@
     run = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, text=True)
     needless = {
         "stairplank.planner.events",
-        "stairplank.planner.links",
+        "stairplank.planner.link_state",
+        "stairplank.planner.node_links",
         "stairplank.planner.daemon",
         "h2",
         "google",
