--- a/stairplank/decisions/attempts.py
+++ b/stairplank/decisions/attempts.py
@@ -1,4 +1,4 @@
-"""One offer of a task to a node."""
+"""The record of one offer of a task to a node."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UnconfirmedChange(NamedTuple):
-    """Own bind (amounts above 0) or release (below 0) that the node list does not show yet."""
+    """A bind (amounts above 0) or release (below 0) by this planner that the node list does not show yet."""
 
     at: int
     cores: float
@@ -18,8 +18,8 @@
 class Attempt:
     """One offer of a task, from its send to its outcome.
 
-    ``node`` is the id of the node; ``group``, ``zone`` and ``node_started_at`` are the node's as known at
-    the send, -1 and 0 where the node was not listed.
+    ``node`` is the id of the node. ``group``, ``zone`` and ``node_started_at`` are copied from the node's
+    list entry at the time of the send; if the node was not listed they are -1, -1 and 0.
     """
 
     __slots__ = (
@@ -38,7 +38,7 @@
     def __init__(
         self, task: api.Task, number: int, node: int, entry: api.NodeEntry | None, sent_at: int
     ) -> None:
-        """Describe attempt ``number`` of the task, sent to the node with the list entry ``entry``."""
+        """Create attempt ``number`` of the task, sent to ``node``, whose list entry is ``entry``."""
         self.task = task
         self.number = number
         self.node = node
@@ -48,4 +48,4 @@
         self.node_started_at = entry.started_us if entry else 0
         self.unconfirmed_bind: UnconfirmedChange | None = None
         self.placed = False
-        self.start_weight = 1.0  # in starts that need no fetching of the program
+        self.start_weight = 1.0  # expected load of the start; 1.0: the node has the program cached
--- a/stairplank/decisions/context.py
+++ b/stairplank/decisions/context.py
@@ -1,4 +1,4 @@
-"""What all decisions of one planner share: settings, time, random draws, timers and the actions so far."""
+"""State that all decisions of one planner share: settings, time, random numbers, timers and actions."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 
 class Context:
-    """The shared part of one planner's state. Times are microseconds on the caller's clock."""
+    """State that a planner's decision modules share. Times are microseconds on the caller's clock."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Start with no time passed and no timer set."""
+        """Start at time 0 with no timer set; ``seed`` makes the random numbers reproducible."""
         self.settings = settings
         self.rng = random.Random(seed)
         self.now = 0
         self.started_at = -1
-        self.actions: list[api.Action] = []  # of the event that is being handled
+        self.actions: list[api.Action] = []  # actions returned for the event being handled
         self.timers: dict[int, Callable[[], None]] = {}
         self._last_token = 0
 
-    def set_timer(self, at: int, call: Callable[[], None]) -> None:
-        """Have ``call`` made at ``at``, or now if that is past."""
+    def set_timer(self, at: int, callback: Callable[[], None]) -> None:
+        """Run ``callback`` at time ``at``, or as soon as possible if that time has passed."""
         self._last_token = (self._last_token + 1) & TOKEN_MASK
-        self.timers[self._last_token] = call
+        self.timers[self._last_token] = callback
         self.actions.append(api.SetTimer(max(at, self.now), self._last_token))
 
     def fire_timer(self, token: int) -> None:
-        """Make the call of a timer that is due; an unknown token is passed over."""
-        call = self.timers.pop(token, None)
-        if call is not None:
-            call()
+        """Run the callback of a timer that is due; an unknown token is ignored."""
+        callback = self.timers.pop(token, None)
+        if callback is not None:
+            callback()
--- a/stairplank/decisions/health_checks.py
+++ b/stairplank/decisions/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: of unresponsive nodes, and of those of the own partition least recently heard of."""
+"""Health checks of unresponsive nodes, and of nodes in the own partition whose state is least recent."""
 
 from __future__ import annotations
 
@@ -9,23 +9,24 @@
 from .node_table import NodeTable
 from .outlier_ejection import MAX_EJECTION_US, UNRESPONSIVE_EJECTION_US
 
-MIN_REPORT_AGE_US = 300_000  # a node's report is not refreshed faster than this, so it is not asked for
-MAX_CHECK_PRICE = 0.01  # points for a check up to which one is made with every task
+MIN_REPORT_AGE_US = 300_000  # nodes refresh their report no faster, so a sooner check gains nothing
+MAX_CHECK_PRICE = 0.01  # in points; at a higher price no checks are sent with task requests
 
 
 class HealthChecks:
-    """Asks for health checks and takes their results."""
+    """Requests health checks and applies their results."""
 
     def __init__(self, context: Context, table: NodeTable, load: LoadModel) -> None:
-        """Check nodes of ``table``; reports go to ``load``."""
+        """Check nodes of ``table`` and pass their load reports to ``load``."""
         self._context = context
         self._table = table
         self._load = load
 
     def record_result(self, event: api.HealthChecked) -> None:
-        """Judge an unresponsive node by its checks.
+        """Apply the result of a health check.
 
-        Danger: an answer that went missing is no dead node.
+        An unresponsive node returns to use when a check succeeds and is ejected for longer when one fails.
+        A single missing answer does not show that a node has failed, so the checks decide.
         """
         node = self._table.nodes.get(event.node)
         if node is None:
@@ -45,14 +46,14 @@
             self._context.set_timer(health.ejected_until, lambda: self._check_unresponsive(event.node))
 
     def record_unresponsive(self, node: Node) -> None:
-        """Eject a node that gave no answer and have it checked, where checks are allowed."""
+        """Eject a node that did not answer, and start checking it if the settings allow health checks."""
         node.health.record_unresponsive(self._context.now)
         if self._context.settings.may_check_health and not node.health.unresponsive:
             node.health.unresponsive = True
             self._check_unresponsive(node.entry.id)
 
     def check_least_recent(self) -> None:
-        """Each task requested buys one check, of the home partition's node least recently heard of."""
+        """Check the home partition's node with the oldest state; called once for each requested task."""
         settings = self._context.settings
         if not settings.may_check_health or settings.price_health_check > MAX_CHECK_PRICE:
             return
@@ -64,7 +65,7 @@
             self._context.actions.append(api.HealthCheck(node.entry.id))
 
     def _check_unresponsive(self, node_id: int) -> None:
-        """Check an unresponsive node rather than try a task on it."""
+        """Request a health check of an unresponsive node, so that no task is risked on it."""
         node = self._table.nodes.get(node_id)
         if node is None or not node.health.unresponsive:
             return
--- a/stairplank/decisions/list_delay.py
+++ b/stairplank/decisions/list_delay.py
@@ -1,23 +1,23 @@
-"""How late the node list is: a running mean, learned from own binds that are found in it."""
+"""Estimate of the node list's delay: a running mean of the time until own binds appear in the list."""
 
 from __future__ import annotations
 
-INITIAL_LIST_DELAY_US = 1_500_000  # taken to be so until own binds have been seen in the list
-LIST_DELAY_WEIGHT = 0.1  # of one sighting in the running mean: a dozen sightings settle it
-MAX_LIST_DELAY_US = 15_000_000  # an own change older than this is in any list that still moves
+INITIAL_LIST_DELAY_US = 1_500_000  # assumed until own binds have appeared in the list
+LIST_DELAY_WEIGHT = 0.1  # weight of one sample; the mean converges after about a dozen samples
+MAX_LIST_DELAY_US = 15_000_000  # a list that is still updated shows every change older than this
 
 
 class ListDelay:
-    """The running mean of the node list's delay."""
+    """Keeps a running mean of the delay with which the node list shows a change."""
 
     def __init__(self) -> None:
-        """Start with the usual delay."""
+        """Start with the initial estimate."""
         self.mean_us = float(INITIAL_LIST_DELAY_US)
 
     def record(self, delay_us: int) -> None:
-        """Take one sighting: an own change showed up in the list after ``delay_us``."""
+        """Add one sample: a change by this planner appeared in the list after ``delay_us``."""
         self.mean_us += LIST_DELAY_WEIGHT * (min(delay_us, MAX_LIST_DELAY_US) - self.mean_us)
 
     def latest_visible_us(self, now: int) -> int:
-        """The time up to which a list that arrives now is taken to show changes."""
+        """Return the time of the latest change that a list arriving now is assumed to show."""
         return now - int(self.mean_us)
--- a/stairplank/decisions/outcomes.py
+++ b/stairplank/decisions/outcomes.py
@@ -1,6 +1,6 @@
-"""What the end of an attempt, or a status update, says about the node it was sent to.
+"""Updates a node's health and load from attempt outcomes and status updates.
 
-Health by symptom: errors, silence and lost tasks eject a node, whatever lies behind them.
+Errors, missing answers and lost tasks eject a node, whatever their cause.
 """
 
 from __future__ import annotations
@@ -13,16 +13,17 @@
 from .node_state import Node
 from .retry import PendingTask
 
-QUEUE_FULL_EJECTION_US = 150_000  # after "too many offers wait": about one queue of starts
-MEMORY_PRESSURE_EJECTION_US = 1_200_000  # of a node whose memory runs short
-ANSWERS = frozenset({api.Result.FINISHED, api.Result.ERROR, api.Result.REJECTED})  # that a node gave
+QUEUE_FULL_EJECTION_US = 150_000  # after a "queue full" rejection: about the time to work off a queue
+MEMORY_PRESSURE_EJECTION_US = 1_200_000  # ejection of a node that reports memory pressure
+# Results that only a node that responds can cause.
+ANSWERS = frozenset({api.Result.FINISHED, api.Result.ERROR, api.Result.REJECTED})
 
 
 class OutcomeRecorder:
-    """Notes at the nodes what outcomes and status updates say of them."""
+    """Applies attempt outcomes and status updates to the state of the nodes."""
 
     def __init__(self, context: Context, health_checks: HealthChecks, load: LoadModel) -> None:
-        """Have unresponsive nodes checked by ``health_checks``; figures of use go to ``load``."""
+        """Report unresponsive nodes to ``health_checks`` and memory use to ``load``."""
         self._context = context
         self._health_checks = health_checks
         self._load = load
@@ -30,7 +31,7 @@
     def record_outcome(
         self, node: Node, attempt: Attempt, pending: PendingTask | None, event: api.Outcome
     ) -> None:
-        """Take the outcome of an attempt at ``node``; ``pending`` is its task, if that is owed an answer."""
+        """Apply an attempt's outcome to ``node``; ``pending`` is None if the task is already answered."""
         node.remove(attempt, attempt.placed)
         node.release(attempt, event.result in api.PROVES_NOT_RUN, self._context.now)
         if event.result is api.Result.REJECTED:
@@ -45,16 +46,17 @@
             node.health.record_answer(self._context.now)
 
     def record_status(self, node: Node | None, attempt: Attempt | None, event: api.StatusUpdate) -> None:
-        """Take a status update; ``node`` and ``attempt`` are None where they are not known any more."""
+        """Apply a status update; ``node`` and ``attempt`` are None if they are no longer known."""
         short_of_memory = (
             event.kind is api.StatusKind.NODE_MEMORY_SHARE and event.level > MEMORY_PRESSURE_SHARE
         )
         if node is not None and short_of_memory:
-            node.health.eject_until(self._context.now + MEMORY_PRESSURE_EJECTION_US)  # next it would evict
+            # A node under memory pressure may soon evict tasks.
+            node.health.eject_until(self._context.now + MEMORY_PRESSURE_EJECTION_US)
         if attempt is not None and event.kind is api.StatusKind.MEMORY_USED:
             self._load.record_memory_used(attempt.task, event.level)
         if node is not None and event.kind is api.StatusKind.RUNNING:
-            node.health.record_success()  # an acceptance alone proves nothing: the start may still fail
+            node.health.record_success()  # acceptance does not count: the start may still fail
 
     def _record_rejection(self, node: Node, task: api.Task, reason: api.Reason) -> None:
         now = self._context.now
@@ -67,18 +69,18 @@
 
     def _record_lost(self, node: Node, reason: api.Reason) -> None:
         if reason is api.Reason.SENT_AWAY:
-            node.drains = True
+            node.is_draining = True
         elif reason is api.Reason.UNTOLD:
             self._health_checks.record_unresponsive(node)
 
     def _record_error(self, node: Node, task_id: int, pending: PendingTask | None) -> None:
-        """Eject the node, unless the task has ended in an error elsewhere.
+        """Eject the node, unless the task has already ended in an error at another node.
 
-        Danger: a task that no node can start would eject every node it is tried on. Its second error, at
-        another node, is taken for its own fault, and absolves the first node.
+        A task that no node can start would otherwise eject every node it is tried on. A second error at
+        another node is attributed to the task, and the first node's error is withdrawn.
         """
         if pending is not None and pending.error_node is not None and pending.error_node is not node:
-            pending.error_node.health.absolve(task_id)
+            pending.error_node.health.withdraw_error(task_id)
             return
         node.health.record_error(task_id, self._context.now)
         if pending is not None:
--- a/stairplank/decisions/partition.py
+++ b/stairplank/decisions/partition.py
@@ -1,23 +1,24 @@
-"""How the ready nodes are cut into partitions, of which each planner has one as its home."""
+"""Divides the ready nodes into partitions by hash; each planner has one home partition."""
 
 from __future__ import annotations
 
 from .hashing import splitmix64
 
-MIN_PARTITION_NODES = 4  # nodes a partition should have: fewer leave nothing to draw from
+MIN_PARTITION_NODES = 4  # a partition with fewer nodes leaves too little choice
 
 
 def partition_count(nodes: int, planners: int) -> int:
-    """How many partitions so many ready nodes are cut into; at least one.
+    """Return the number of partitions for this many ready nodes; at least one.
 
-    One partition for each planner would leave most empty; a count in fine steps would move services as a
-    fleet grows. So the count is rounded down to two significant bits: 1, 2, 3, 4, 6, 8, 12, 16 ...
+    One partition per planner would leave most of them empty, and a count that follows every change of the
+    fleet's size would keep moving services between partitions. So the count is rounded down to two
+    significant bits: 1, 2, 3, 4, 6, 8, 12, 16 ...
     """
-    most = max(1, min(planners, nodes // MIN_PARTITION_NODES))
-    dropped_bits = max(0, most.bit_length() - 2)
-    return most >> dropped_bits << dropped_bits
+    max_count = max(1, min(planners, nodes // MIN_PARTITION_NODES))
+    dropped_bits = max(0, max_count.bit_length() - 2)
+    return max_count >> dropped_bits << dropped_bits
 
 
 def partition_of(node: int, partitions: int) -> int:
-    """The number of the partition that the node with this id falls into."""
+    """Return the index of the partition that contains the node with this id."""
     return splitmix64(node) % partitions
--- a/stairplank/decisions/planner.py
+++ b/stairplank/decisions/planner.py
@@ -1,7 +1,7 @@
-"""One planner: routes each event to the decisions that it concerns and returns the actions.
+"""One planner: routes each event to the modules that it concerns and returns the resulting actions.
 
-Ordinary path of a task: ``_request`` -> ``_try_place`` -> ``NodeSelector.select`` -> ``_bind``, and back:
-``_record_placed`` and ``_record_outcome``.
+Usual calls for a task: ``_request`` -> ``_try_place`` -> ``NodeSelector.select`` -> ``_bind``; then, on the
+node's answer, ``_record_placed`` and ``_record_outcome``.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from .spread import SpreadCounts
 from .task_queue import TaskQueue
 
-SHED_RETRY_AFTER_US = 200_000  # advice to the client of a shed task; clients wait a second or more anyhow
-COLD_START_WEIGHT = 8.0  # starts that one from nothing is worth: the program must be fetched first
+SHED_RETRY_AFTER_US = 200_000  # Retry-After of a shed task; clients wait at least a second regardless
+COLD_START_WEIGHT = 8.0  # a cold start counts as this many warm ones: the program must be fetched first
 
 TaskEvent = (
     api.TaskRequested | api.TaskAdopted | api.Placed | api.Outcome | api.TaskCancelled | api.StatusUpdate
@@ -32,12 +32,12 @@
 class Planner:
     """One planner: ``handle`` takes the time and an event and returns the actions to carry out.
 
-    Times are whole microseconds on the caller's clock and never go back. Invariant: a task has at most one
-    attempt in flight, and is answered once.
+    Times are whole microseconds on the caller's clock and never decrease. Invariant: a task has at most one
+    attempt in flight, and is answered exactly once.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Make a planner that knows no node yet; ``seed`` fixes all its random draws."""
+        """Create a planner that knows no node yet; ``seed`` makes its random choices reproducible."""
         self.context = Context(settings, seed)
         list_delay = ListDelay()
         slow_start = SlowStart(self.context, list_delay)
@@ -49,12 +49,14 @@
         self.outcomes = OutcomeRecorder(self.context, self.health_checks, self.load)
         self.timeouts = AttemptTimeouts(self.context)
         self.queue = TaskQueue(self.context, self._try_place)
-        self.pending: dict[int, PendingTask] = {}  # tasks that are owed an answer
-        self.attempts: dict[tuple[int, int], Attempt] = {}  # those without an outcome, by task and number
+        self.pending: dict[int, PendingTask] = {}  # tasks that are not answered yet, by id
+        self.attempts: dict[
+            tuple[int, int], Attempt
+        ] = {}  # attempts without an outcome, by task id and number
 
     @property
     def settings(self) -> api.Settings:
-        """The settings in force; new ones hold from the next event on."""
+        """The settings in force; new settings apply from the next event on."""
         return self.context.settings
 
     @settings.setter
@@ -62,7 +64,7 @@
         self.context.settings = settings
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event; returns the actions to carry out, in this order."""
+        """Process one event; returns the actions to carry out, in order."""
         context = self.context
         context.now = now
         context.actions = []
@@ -105,7 +107,7 @@
         self._try_place(pending)
 
     def _try_place(self, pending: PendingTask) -> None:
-        """Bind the task, queue it until something fits, or answer where no further attempt is allowed."""
+        """Bind the task to a node, queue it if none fits, or give up if no further attempt is allowed."""
         self.queue.remove(pending.task.id)
         now = self.context.now
         settings = self.context.settings
@@ -137,7 +139,7 @@
         self.spread.add(attempt)
 
     def _adopt(self, task: api.Task, node_id: int) -> None:
-        """Count a task that runs already; the list shows it, so no change is unconfirmed."""
+        """Count a task that is already running; the node list shows it, so no unconfirmed bind is added."""
         classes = self.context.settings.classes
         if (task.id, 0) in self.attempts or not 0 <= task.class_index < len(classes):
             return
@@ -187,23 +189,27 @@
             self._try_place(pending)
 
     def _node_of(self, attempt: Attempt) -> Node | None:
-        """The node of an attempt, unless it has restarted since."""
+        """Return the node of an attempt, or None if it is unlisted or has restarted since."""
         return self.table.node_of(attempt.node, max(attempt.node_started_at, attempt.sent_at))
 
     def _reach_deadline(self, task_id: int) -> None:
-        """Rule 1. Danger: an attempt is still in flight, or its time-out comes late; an answer is owed."""
+        """Answer the task at its deadline (rule 1).
+
+        An attempt still in flight gets half of the answer slack, because its outcome may come late. After
+        that the task fails, so that the client is answered in any case.
+        """
         pending = self.pending.get(task_id)
         if pending is None:
             return
         settings = self.context.settings
-        late = pending.task.expires_us + settings.answer_slack_us // 2
-        if pending.in_flight is not None and self.context.now < late - settings.tick_us:
-            self.context.set_timer(late, lambda: self._reach_deadline(task_id))
+        last_chance = pending.task.expires_us + settings.answer_slack_us // 2
+        if pending.in_flight is not None and self.context.now < last_chance - settings.tick_us:
+            self.context.set_timer(last_chance, lambda: self._reach_deadline(task_id))
         else:
             self._give_up(pending)
 
     def _give_up(self, pending: PendingTask) -> None:
-        """Shed the task where the client may safely retry, else fail it."""
+        """Shed the task if the client may safely retry it, else fail it."""
         task_id = pending.task.id
         if pending.in_flight is None and pending.may_shed():
             retry_after_us = min(SHED_RETRY_AFTER_US, self.context.settings.max_retry_after_us)
--- a/stairplank/decisions/retry.py
+++ b/stairplank/decisions/retry.py
@@ -1,4 +1,4 @@
-"""A task that is owed an answer: whether and where it may be retried without harm (rules 1 and 2)."""
+"""Retry state of an unanswered task: whether and where it may safely be retried (rules 1 and 2)."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 from .context import Context
 from .node_state import Node
 
-GIVE_UP_TICKS = 3  # ticks before the deadline at which a queued task is answered: two to act, one to spare
-RETRY_BACKOFF_US = 250_000  # wait before the third attempt after rejections, doubling: haste loses races
-TIMEOUT_STARTS = 5.0  # an attempt that may be repeated is given up after so many usual times to an answer
-MIN_START_TIMEOUT_US = 1_500_000  # but not before a start from nothing can have ended,
-MIN_ACCEPT_TIMEOUT_US = 400_000  # or, where acceptance is the answer, a queue of starts
-TIMEOUT_MARGIN = 1.3  # times the time-out that must be left until the deadline
-INITIAL_START_US = 1_000_000  # usual time to a start until some have come
-INITIAL_ACCEPT_US = 100_000  # the same to an acceptance
-ANSWER_TIME_WEIGHT = 0.05  # of one answer in the running mean of the time to an answer
+GIVE_UP_TICKS = 3  # a queued task is answered so long before its deadline: two ticks to act plus one
+# Wait before the third attempt after rejections; doubles, because quick retries lose races for capacity.
+RETRY_BACKOFF_US = 250_000
+TIMEOUT_MULTIPLE = 5.0  # time-out of a repeatable attempt, as a multiple of the mean time to an answer
+MIN_START_TIMEOUT_US = 1_500_000  # least time-out for a start: a cold start must fit in
+MIN_ACCEPT_TIMEOUT_US = 400_000  # least time-out for an acceptance: a queue of starts must fit in
+TIMEOUT_MARGIN = 1.3  # time left until the deadline must be at least this multiple of the time-out
+INITIAL_START_US = 1_000_000  # assumed time to a confirmed start until some are measured
+INITIAL_ACCEPT_US = 100_000  # assumed time to an acceptance until some are measured
+ANSWER_TIME_WEIGHT = 0.05  # weight of one sample in the running mean of the time to an answer
 
 
 class PendingTask:
-    """A task that is owed an answer."""
+    """A task whose client has not been answered yet."""
 
     __slots__ = (
         "task",
@@ -41,14 +42,17 @@
         self.tried_nodes: set[int] = set()
         self.backoff_until = 0
         self.first_risk: Attempt | None = None  # the first attempt that may have run
-        self.error_node: Node | None = None  # the first node at which it ended in an error
+        self.error_node: Node | None = None  # the first node at which an attempt ended in an error
 
     def give_up_at(self, tick_us: int) -> int:
-        """From here on the task is answered where no attempt is in flight."""
+        """Return the time from which the task is rejected or failed if no attempt is in flight."""
         return self.task.expires_us - GIVE_UP_TICKS * tick_us
 
     def may_retry(self, now: int, tick_us: int) -> bool:
-        """Rule 2: whether a further attempt may go anywhere once an earlier one may have run."""
+        """Return whether any further attempt is safe (rule 2).
+
+        Once an attempt may have run, the class must be idempotent, or its deduplication window still open.
+        """
         first = self.first_risk
         effect = self.task_class.effect
         if first is None or effect is api.Effect.IDEMPOTENT:
@@ -58,7 +62,10 @@
         return now + 2 * tick_us < first.sent_at + self.task_class.dedup_window_us
 
     def may_retry_at(self, entry: api.NodeEntry) -> bool:
-        """Rule 2: whether a further attempt may go to this node once an earlier one may have run."""
+        """Return whether a further attempt at this node is safe (rule 2).
+
+        Once an attempt may have run, the node must be in the deduplication scope of that attempt's node.
+        """
         first = self.first_risk
         if first is None or self.task_class.effect is api.Effect.IDEMPOTENT:
             return True
@@ -70,18 +77,22 @@
         return scope is api.Scope.GROUP and entry.group == first.group
 
     def may_shed(self) -> bool:
-        """Rule 2: to shed a task promises that the client's retry does no harm."""
+        """Return whether the task may be shed (rule 2).
+
+        Shedding tells the client that a retry is safe, which is untrue if an attempt may have run and a
+        second start at some node would do harm.
+        """
         return self.first_risk is None or self.is_idempotent_anywhere()
 
     def is_idempotent_anywhere(self) -> bool:
-        """Whether a second start does no harm at any node."""
+        """Return whether a second start is harmless at every node."""
         effect = self.task_class.effect
         if effect is api.Effect.IDEMPOTENT:
             return True
         return effect is api.Effect.IDEMPOTENT_BY_KEY and self.task_class.dedup_scope is api.Scope.ALL
 
     def record_ended(self, attempt: Attempt, event: api.Outcome, now: int) -> None:
-        """Note how an attempt ended; rejections make the task wait from the third attempt on."""
+        """Record how an attempt ended; a rejection delays the third and later attempts."""
         if self.in_flight is attempt:
             self.in_flight = None
         if event.result not in api.PROVES_NOT_RUN and self.first_risk is None:
@@ -91,28 +102,28 @@
 
 
 class AttemptTimeouts:
-    """After which time an attempt is given up, by a running mean of the time to an answer."""
+    """Computes attempt time-outs from a running mean of the time to an answer."""
 
     def __init__(self, context: Context) -> None:
-        """Start with the usual time to the answer that the settings name."""
+        """Start with the initial mean for the kind of answer that the settings select."""
         self._context = context
         confirms_running = context.settings.confirms_running
         self._answer_us = float(INITIAL_START_US if confirms_running else INITIAL_ACCEPT_US)
 
     def record_answer(self, latency_us: int) -> None:
-        """Take the time that one attempt took to its placement."""
+        """Add the time from an attempt's send to its placement to the running mean."""
         self._answer_us += ANSWER_TIME_WEIGHT * (latency_us - self._answer_us)
 
     def timeout_us(self, pending: PendingTask) -> int:
-        """The time-out of the task's attempt that was just made; 0: none but the deadline.
+        """Return the time-out of the task's newest attempt; 0 means that only the deadline applies.
 
-        A short time-out pays only where a further attempt may go anywhere; else it loses the task.
+        A short time-out helps only if a further attempt may go to any node; otherwise the task would fail.
         """
         settings = self._context.settings
-        left = pending.task.expires_us - self._context.now
-        least = MIN_START_TIMEOUT_US if settings.confirms_running else MIN_ACCEPT_TIMEOUT_US
-        wait = max(least, int(TIMEOUT_STARTS * self._answer_us))
+        remaining = pending.task.expires_us - self._context.now
+        minimum = MIN_START_TIMEOUT_US if settings.confirms_running else MIN_ACCEPT_TIMEOUT_US
+        timeout = max(minimum, int(TIMEOUT_MULTIPLE * self._answer_us))
         is_last = pending.attempts_made >= settings.max_attempts
-        if not pending.is_idempotent_anywhere() or is_last or wait * TIMEOUT_MARGIN > left:
+        if not pending.is_idempotent_anywhere() or is_last or timeout * TIMEOUT_MARGIN > remaining:
             return 0
-        return wait
+        return timeout
--- a/stairplank/decisions/slow_start.py
+++ b/stairplank/decisions/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how many offers a node that has just come up gets from this planner (rule 4)."""
+"""Slow start: limits the offers that this planner sends to a recently started node (rule 4)."""
 
 from __future__ import annotations
 
@@ -6,31 +6,32 @@
 from .list_delay import MAX_LIST_DELAY_US, ListDelay
 from .node_state import Node
 
-SLOW_START_SHARE_USED = 0.8  # of the surely borne offers: jitter may push some into the next window
-SLOW_START_RAMP = 4.0  # by the end of the slow start so many times as many more: it gains pace on the way
-RESTART_DOUBT = 2.0  # times the list's delay: a node heard again may have restarted so long unseen
-SLOW_START_MAX_UNANSWERED = 2  # binds on a node in slow start: its pace is a fraction of the usual
+SLOW_START_SHARE_USED = 0.8  # share of the allowed offers used: jitter may move some into the next window
+SLOW_START_RAMP = 4.0  # increase of the unanswered-offer limit over the slow start, as a multiple
+RESTART_UNCERTAINTY = 2.0  # list delays for which a node that answers again may have restarted unnoticed
+SLOW_START_MAX_UNANSWERED = 2  # unanswered binds allowed on a node that has just started and is slow
 
 
 def slow_start_turn(slot: int, position: int, planners: int, budget: int) -> int:
-    """How many of the ``budget`` offers in a time slot fall to one planner: they are dealt in turn.
+    """Return how many of the ``budget`` offers in a time slot one planner may send.
 
-    All planners together get exactly the budget, one planner all of it, and of many each now and then one.
+    The offers of successive slots are dealt to the planners in turn. The shares of all planners add up to
+    the budget; with more planners than offers, a planner gets an offer only in some slots.
     """
-    spare = planners - 1 - position
-    return ((slot + 1) * budget + spare) // planners - (slot * budget + spare) // planners
+    offset = planners - 1 - position
+    return ((slot + 1) * budget + offset) // planners - (slot * budget + offset) // planners
 
 
 class SlowStart:
-    """Which nodes are in slow start, and whether one may get a further offer."""
+    """Decides which nodes are in slow start and whether such a node may get a further offer."""
 
     def __init__(self, context: Context, list_delay: ListDelay) -> None:
-        """Use the planner's clock and settings, and the delay of its node list."""
+        """Use the planner's clock and settings and the estimated delay of its node list."""
         self._context = context
         self._list_delay = list_delay
 
     def started_at(self, node: Node) -> int:
-        """When a node that is in slow start, or may be, came up; 0 for one that is warm."""
+        """Return the start time of a node that is, or may be, in slow start; 0 if the node is warm."""
         now = self._context.now
         slow_start_us = self._context.settings.slow_start_us
         started = node.entry.started_us
@@ -39,34 +40,37 @@
         health = node.health
         if not health.unresponsive_since:
             return 0
-        # Danger: an unresponsive node may have restarted, and until the list shows it all planners would
-        # send it what a warm one bears. Does harm where it was only cut off: it is served slowly meanwhile.
-        doubt = RESTART_DOUBT * self._list_delay.mean_us if health.answered_at else MAX_LIST_DELAY_US
-        until = (health.answered_at or health.unresponsive_since) + min(doubt, slow_start_us)
+        # An unresponsive node may have restarted. Until the node list shows that, planners would send it as
+        # many offers as a warm node. If it was only disconnected, it gets fewer offers than it could take.
+        uncertainty = (
+            RESTART_UNCERTAINTY * self._list_delay.mean_us if health.answered_at else MAX_LIST_DELAY_US
+        )
+        until = (health.answered_at or health.unresponsive_since) + min(uncertainty, slow_start_us)
         return health.unresponsive_since if now < until else 0
 
     def allows(self, node: Node) -> bool:
-        """Whether the node may get one more offer now.
+        """Return whether the node may get one more offer now.
 
-        Danger: all planners find a fresh node emptiest; they take turns, slot by slot.
+        A recently started node looks emptiest to every planner, so planners take turns by time slot to
+        avoid overloading it.
         """
         start = self.started_at(node)
         if not start:
             return True
         context = self._context
         settings = context.settings
-        since = max(0, context.now - start)
+        elapsed = max(0, context.now - start)
         width = max(1, settings.overload_window_us)
-        slot = since // width
+        slot = elapsed // width
         slot_begin = start + slot * width
         if slot_begin <= context.started_at:
-            return False  # what an earlier incarnation of this planner sent in the slot is not known
-        if slot_begin > node.slow_start_slot + width // 2:  # a start is read a little differently each time
+            return False  # offers by an earlier incarnation of this planner in the slot are unknown
+        if slot_begin > node.slow_start_slot + width // 2:  # a node's reported start time varies slightly
             node.slow_start_slot = slot_begin
             node.slow_start_used = 0
-        # A window may lie across two slots.
+        # Half the allowance per slot, because an overload window may span two slots.
         budget = int(SLOW_START_SHARE_USED * settings.slow_start_offers / 2)
         position = (settings.position + node.hash) % settings.planners
-        turn = slow_start_turn(slot, position, settings.planners, budget)
-        ramp = 1 + SLOW_START_RAMP * since / settings.slow_start_us
-        return node.slow_start_used < turn and node.unanswered() < SLOW_START_MAX_UNANSWERED * ramp
+        share = slow_start_turn(slot, position, settings.planners, budget)
+        ramp = 1 + SLOW_START_RAMP * elapsed / settings.slow_start_us
+        return node.slow_start_used < share and node.unanswered() < SLOW_START_MAX_UNANSWERED * ramp
--- a/stairplank/decisions/spread.py
+++ b/stairplank/decisions/spread.py
@@ -1,4 +1,4 @@
-"""Spread: how many tasks of a service may be in one group, zone or node (rule 5)."""
+"""Spread limits: how many tasks of a service may be in one group, in one zone or on one node (rule 5)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def place_of(scope: api.Scope, node: int, group: int, zone: int) -> int:
-    """The number of the place, of this scope, that a node with these ids lies in."""
+    """Return the id of the node, group or zone, as the scope selects, that contains this node."""
     if scope is api.Scope.NODE:
         return node
     if scope is api.Scope.GROUP:
@@ -19,15 +19,15 @@
 
 
 class SpreadCounts:
-    """Attempts without an outcome by service and place: pending, placed and adopted ones all count."""
+    """Counts attempts without an outcome by service and place, including placed and adopted tasks."""
 
     def __init__(self, context: Context) -> None:
-        """Start with no attempt."""
+        """Start with no attempts counted."""
         self._context = context
         self.counts: Counter[tuple[int, api.Scope, int]] = Counter()
 
     def allows(self, task: api.Task, task_class: api.TaskClass, entry: api.NodeEntry) -> bool:
-        """Whether one more task of the service may go to the node's place."""
+        """Return whether the spread limit allows one more task of the service at the node's place."""
         scope = task_class.spread
         if scope is api.Scope.NONE:
             return True
@@ -39,7 +39,7 @@
         self._change(attempt, 1)
 
     def remove(self, attempt: Attempt) -> None:
-        """Drop an attempt that has its outcome."""
+        """Stop counting an attempt that has its outcome."""
         self._change(attempt, -1)
 
     def _change(self, attempt: Attempt, by: int) -> None:
--- a/stairplank/decisions/task_queue.py
+++ b/stairplank/decisions/task_queue.py
@@ -1,4 +1,4 @@
-"""Tasks that fit nowhere: they are queued and tried again until shortly before their deadline."""
+"""The queue of tasks that fit on no node; they are retried until shortly before their deadline."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from .context import Context
 from .retry import PendingTask
 
-QUEUE_RETRY_US = 40_000  # a queued task is tried again so often: far under any objective, cheap in CPU
-MAX_RETRY_MISSES = 6  # queued tasks that find no room before a round ends: in a jam the rest would not fit
+QUEUE_RETRY_US = 40_000  # retry interval of queued tasks: far below any latency objective, low CPU cost
+MAX_RETRY_MISSES = 6  # failed placements that end a round: on a full cluster the rest would fail too
 
 
 class TaskQueue:
-    """The queued tasks and the timer of their next round. A task is queued at most once."""
+    """Holds the queued tasks and the timer of the next retry round. A task is queued at most once."""
 
     def __init__(self, context: Context, try_place: Callable[[PendingTask], None]) -> None:
-        """Have tasks placed by ``try_place``, which queues those that still fit nowhere."""
+        """Retry tasks with ``try_place``, which queues a task again if it still fits on no node."""
         self._context = context
         self._try_place = try_place
         self._queued: dict[int, PendingTask] = {}
@@ -29,14 +29,15 @@
             self._context.set_timer(self._context.now + QUEUE_RETRY_US, self._retry_queued)
 
     def remove(self, task_id: int) -> None:
-        """Drop a task, if it is queued."""
+        """Remove a task if it is queued."""
         self._queued.pop(task_id, None)
 
     def _retry_queued(self) -> None:
-        """One round: tasks of more weight first, until some have found no room."""
+        """Retry queued tasks, highest priority weight first, until too many have failed to fit."""
         self._retry_is_due = False
         waiting = list(self._queued.values())
-        self._context.rng.shuffle(waiting)  # else the same few that never fit would end each round
+        # Without shuffling, the same few tasks that never fit could end every round.
+        self._context.rng.shuffle(waiting)
         self._queued.clear()
         misses = 0
         for pending in sorted(waiting, key=lambda p: -p.task_class.priority_weight):
--- a/stairplank/decisions/threshold.py
+++ b/stairplank/decisions/threshold.py
@@ -8,11 +8,11 @@
 
 
 def keeps_home(exact: int, at_upper: bool, other_upper: int) -> bool:
-    """Whether a task stays in the planner's own partition (Theorem 2, Case 2).
+    """Return whether a task stays in the planner's own partition (Theorem 2, Case 2).
 
     Args:
-        exact: the own load in steps.
-        at_upper: nothing was seen leaving the own partition since the shared count.
-        other_upper: the larger of the two loads that the other partition is believed to have, in steps.
+        exact: the load of the own partition, in steps.
+        at_upper: whether the own partition is known to have released nothing since the last shared count.
+        other_upper: the larger of the two loads that the other partition may have, in steps.
     """
     return other_upper >= exact + 1 if at_upper else other_upper >= exact
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 from stairplank.decisions.hashing import splitmix64
 from stairplank.decisions.list_delay import INITIAL_LIST_DELAY_US, MAX_LIST_DELAY_US
 from stairplank.decisions.partition import partition_of
-from stairplank.decisions.slow_start import RESTART_DOUBT, SLOW_START_MAX_UNANSWERED, slow_start_turn
+from stairplank.decisions.slow_start import RESTART_UNCERTAINTY, SLOW_START_MAX_UNANSWERED, slow_start_turn
 from stairplank.interface import (
     Bind,
     Fail,
@@ -197,7 +197,7 @@
     world.now += 3 * SECOND  # its rest is over
     share = SETTINGS.slow_start_offers / SETTINGS.planners
     assert 0 < refused_sends(world, 100, 40) <= share
-    world.now += int(RESTART_DOUBT * INITIAL_LIST_DELAY_US)
+    world.now += int(RESTART_UNCERTAINTY * INITIAL_LIST_DELAY_US)
     assert refused_sends(world, 200, 40) == 40
 
 
@@ -207,7 +207,7 @@
     assert refused_sends(world, 100, 5) == 0
     world.now += min(MAX_LIST_DELAY_US, SETTINGS.slow_start_us)
     assert refused_sends(world, 200, 5) > 0
-    world.now += int(RESTART_DOUBT * INITIAL_LIST_DELAY_US)  # after its answer
+    world.now += int(RESTART_UNCERTAINTY * INITIAL_LIST_DELAY_US)  # after its answer
     assert refused_sends(world, 300, 5) == 5
 
 
@@ -279,7 +279,7 @@
 
 
 def asked(world: World, node: int) -> float:
-    return world.planner.table.nodes[node].asked()[0]
+    return world.planner.table.nodes[node].requested()[0]
 
 
 def test_a_bind_is_counted_once_before_and_after_the_list_shows_it() -> None:
@@ -307,7 +307,7 @@
     node = world.planner.table.nodes[0]
     assert [a.task.id for a in node.attempts.values()] == [2]
     assert dict(node.services) == {6: 1}
-    assert node.asked()[0] == 1.0  # not shown by the list yet
+    assert node.requested()[0] == 1.0  # not shown by the list yet
     world.ends(new, Result.FINISHED, closed=True)
     assert not node.attempts and not node.services
 
