--- a/stairplank/__init__.py
+++ b/stairplank/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a cluster scheduler of which many planners run side by side, sharing nothing."""
+"""A cluster scheduler whose planners run in parallel and share no state."""
 
 from .decisions import Planner
 from .interface import Settings
--- a/stairplank/__main__.py
+++ b/stairplank/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m stairplank`` is the command ``stairplank``."""
+"""Runs the ``stairplank`` command as ``python -m stairplank``."""
 
 from .cli import main
 
--- a/stairplank/interface.py
+++ b/stairplank/interface.py
@@ -1,6 +1,6 @@
-"""The interface of the decision module: its settings, the events it is fed and the actions it returns.
+"""The interface of the decision module: its settings, its input events and the actions it returns.
 
-Everything here is a frozen dataclass or an enum; nothing here decides. Times are whole microseconds on
+This file has frozen dataclasses and enums only, and no decision logic. Times are whole microseconds on
 the caller's clock. Ids of tasks, nodes, services and groups are opaque integers.
 """
 
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """What a second start of a task would do."""
+    """Whether a second start of a task does harm."""
 
     IDEMPOTENT = "repeatable"
     IDEMPOTENT_BY_KEY = "keyed"
@@ -19,9 +19,9 @@
 
 
 class Scope(Enum):
-    """A set of nodes seen from one of them: the node alone, its group, its zone, or every node."""
+    """A set of nodes around a given node: none, the node itself, its group, its zone, or all nodes."""
 
-    __hash__ = object.__hash__  # the enum's own is computed anew from the name at each look-up
+    __hash__ = object.__hash__  # faster: Enum.__hash__ hashes the member's name at each look-up
 
     NONE = "none"
     NODE = "node"
@@ -31,7 +31,7 @@
 
 
 class NodeStatus(IntEnum):
-    """What the node list says of a node."""
+    """The status of a node in the node list."""
 
     GONE = 0
     DRAINING = 1
@@ -39,7 +39,7 @@
 
 
 class ListKind(Enum):
-    """How a node list arrived."""
+    """Whether a node list is full, cached or a set of changes, or could not be fetched."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -52,10 +52,10 @@
 
     FINISHED = "finished"  # the task ran to its end
     ERROR = "error"  # the node answered with an error
-    REJECTED = "refused"  # turned down or handed back before it ran
+    REJECTED = "refused"  # the node rejected or returned the task before it ran
     TIMEOUT = "timeout"
-    UNREACHABLE = "unreachable"  # no connection could be made
-    LOST = "lost"  # after placement: evicted, pushed out, sent away or lost; before it: answer broke off
+    UNREACHABLE = "unreachable"  # no connection to the node could be made
+    LOST = "lost"  # evicted, preempted, drained or lost once placed; or the answer broke off before
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
 
@@ -64,7 +64,7 @@
 
 
 class Reason(IntEnum):
-    """Why an attempt was refused or a placed task was lost."""
+    """Why a node rejected an attempt, or why a placed task was lost."""
 
     UNTOLD = 0
     NO_CORES = 1
@@ -77,7 +77,7 @@
 
 
 class StatusKind(IntEnum):
-    """What a status update tells; all but RUNNING come with a level."""
+    """The kinds of status update; all except RUNNING carry a level."""
 
     RUNNING = 1
     CORES_USED = 2
@@ -88,28 +88,28 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskClass:
-    """What all tasks of one class have in common."""
+    """The parameters that all tasks of one class share."""
 
     name: str
     effect: Effect
-    dedup_scope: Scope  # KEYED: the nodes that drop repeats of a task
-    dedup_window_us: int  # KEYED: for how long they remember
-    latency_objective_us: int  # a start within this time earns its full worth
+    dedup_scope: Scope  # for IDEMPOTENT_BY_KEY: the nodes that together drop duplicates of a task
+    dedup_window_us: int  # for IDEMPOTENT_BY_KEY: how long nodes remember a key
+    latency_objective_us: int  # a start within this time has its full value
     deadline_us: int
-    priority_weight: float = 1.0  # of one second of full service
-    start_bonus_s: float = 0.0  # a start in time is worth so many seconds of service
+    priority_weight: float = 1.0  # value of one second of full service
+    start_bonus_s: float = 0.0  # value of a start in time, in seconds of full service
     late_start_weight: float = 0.0
     spread: Scope = Scope.NONE
     max_per_place: int = 0
     node_type: int | None = None
     priority: int = 0
-    full_service_utilization: float = 1.0  # served in full while the cores are busy up to this share
-    service_loss_range: float = 1.0  # and not at all from so much more on
+    full_service_utilization: float = 1.0  # tasks get full service up to this utilisation of the cores
+    service_loss_range: float = 1.0  # further utilisation at which service has dropped to zero
 
 
 @dataclass(frozen=True, slots=True)
 class NodeType:
-    """What all nodes of one type have; cores and memory in the units that tasks ask for."""
+    """The capacity of all nodes of one type, in the same units as task requests."""
 
     name: str
     cores: float
@@ -118,18 +118,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a planner is told once, at its start."""
+    """The settings of a planner."""
 
     planners: int
     position: int
     zone: int
     classes: tuple[TaskClass, ...]
     node_types: tuple[NodeType, ...]
-    mean_cores: float  # of one task
+    mean_cores: float  # mean cores that one task requests
     mean_memory: float
-    cores_limit: float  # a node accepts until its tasks ask for this many times its cores
+    cores_limit: float  # a node accepts tasks that request up to this multiple of its cores
     memory_limit: float
-    confirms_running: bool  # Placed means "it runs", not only "it was accepted"
+    confirms_running: bool  # True: Placed means that the task runs; False: that it was accepted
     preempts: bool
     max_attempts: int
     answer_slack_us: int
@@ -139,7 +139,7 @@
     overload_multiple: float
     overload_window_us: int
     slow_start_offers: float
-    polls_node_list: bool  # the node list comes only when asked for
+    polls_node_list: bool  # True: the node list is sent only on request
     poll_within_us: int
     tick_us: int
     lists_free_capacity: bool = True
@@ -162,21 +162,21 @@
     def __post_init__(self) -> None:
         """Raise a ValueError that names the first field that is wrong."""
 
-        def need(ok: bool, field: str) -> None:
+        def require(ok: bool, field: str) -> None:
             if not ok:
                 raise ValueError(f"settings: bad {field}: {getattr(self, field)!r}")
 
-        need(self.planners >= 1, "planners")
-        need(0 <= self.position < self.planners, "position")
-        need(len(self.classes) >= 1, "classes")
-        need(len(self.node_types) >= 1, "node_types")
-        need(
+        require(self.planners >= 1, "planners")
+        require(0 <= self.position < self.planners, "position")
+        require(len(self.classes) >= 1, "classes")
+        require(len(self.node_types) >= 1, "node_types")
+        require(
             all(c.node_type is None or 0 <= c.node_type < len(self.node_types) for c in self.classes),
             "classes",
         )
-        need(all(k.cores > 0 and k.memory > 0 for k in self.node_types), "node_types")
+        require(all(k.cores > 0 and k.memory > 0 for k in self.node_types), "node_types")
         for name in ("mean_cores", "mean_memory", "cores_limit", "memory_limit", "max_attempts", "tick_us"):
-            need(getattr(self, name) > 0, name)
+            require(getattr(self, name) > 0, name)
         for name in (
             "answer_slack_us",
             "drain_grace_us",
@@ -185,13 +185,13 @@
             "slow_start_offers",
             "poll_within_us",
         ):
-            need(getattr(self, name) >= 0, name)
-        need(all(q >= 0 for q in self.tenant_quota_cores), "tenant_quota_cores")
+            require(getattr(self, name) >= 0, name)
+        require(all(q >= 0 for q in self.tenant_quota_cores), "tenant_quota_cores")
 
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """One task; ``expires_us`` is the time by which its client is owed an answer."""
+    """One task; its client must be answered by ``expires_us``."""
 
     id: int
     class_index: int
@@ -201,14 +201,14 @@
     service: int
     cores: float
     memory: float
-    expected_duration_us: int | None = None  # how long it is still expected to run, where told
-    resubmitted: bool = False  # it came back after a refusal, failure, move or loss
-    excluded_nodes: frozenset[int] = frozenset()  # nodes that it must not go to, whatever else allows them
+    expected_duration_us: int | None = None  # expected remaining run time, if known
+    resubmitted: bool = False  # submitted again after a rejection, failure, migration or loss
+    excluded_nodes: frozenset[int] = frozenset()  # nodes that must not get the task under any rule
 
 
 @dataclass(frozen=True, slots=True)
 class NodeEntry:
-    """One line of the node list; the free figures were true some time ago."""
+    """One entry of the node list; its free amounts may be out of date."""
 
     id: int
     zone: int
@@ -217,7 +217,7 @@
     status: NodeStatus
     free_cores: float
     free_memory: float
-    started_us: int = 0  # 0: long ago
+    started_us: int = 0  # start time of the node; 0: long ago
 
 
 # Events
@@ -225,12 +225,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """First event of a planner's life."""
+    """The planner has started; this is always its first event."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeList:
-    """A node list or changes of it, or word that it could not be had."""
+    """A full node list, a set of changes to it, or a failure to get it."""
 
     kind: ListKind
     nodes: tuple[NodeEntry, ...] = ()
@@ -239,14 +239,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRequested:
-    """A client wants the task placed."""
+    """A client requests the placement of a task."""
 
     task: Task
 
 
 @dataclass(frozen=True, slots=True)
 class TaskAdopted:
-    """A task that runs already and is this planner's to look after from now on."""
+    """A task that is already running and that this planner manages from now on."""
 
     task: Task
     node: int
@@ -254,7 +254,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """A node has accepted an attempt, or runs it where the settings say so."""
+    """A node has accepted an attempt or, with ``confirms_running``, has started it."""
 
     task: int
     attempt: int
@@ -264,7 +264,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an attempt ended; ``is_final`` says that the task is over and no answer is owed."""
+    """How an attempt ended; ``is_final`` means that the task has ended and needs no answer."""
 
     task: int
     attempt: int
@@ -278,7 +278,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusUpdate:
-    """A node tells of a running attempt, or of itself."""
+    """A node reports the state of a running attempt or of the node itself."""
 
     task: int
     attempt: int
@@ -289,21 +289,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskCancelled:
-    """The client has withdrawn the task: no answer is owed any more."""
+    """The client has withdrawn the task, which needs no answer any more."""
 
     task: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the planner has set is due."""
+    """A timer that the planner set is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthChecked:
-    """How a health check ended."""
+    """The result of a health check."""
 
     node: int
     ok: bool
@@ -334,12 +334,12 @@
 
     task: int
     node: int
-    timeout_us: int = 0  # 0: until the owner gives up
+    timeout_us: int = 0  # 0: no time-out other than the client's deadline
 
 
 @dataclass(frozen=True, slots=True)
 class Shed:
-    """Reject the task for now; the client may try again after so long."""
+    """Reject the task for now; the client may retry it after ``retry_after_us``."""
 
     task: int
     retry_after_us: int = 0
@@ -347,14 +347,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer that the task has failed; a retry may run it twice."""
+    """Answer that the task has failed; a retry by the client may run it twice."""
 
     task: int
 
 
 @dataclass(frozen=True, slots=True)
 class StopAttempt:
-    """Cancel an attempt whose result is not wanted any more."""
+    """Cancel an attempt whose result is no longer needed."""
 
     task: int
     attempt: int
@@ -362,14 +362,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Evict:
-    """Stop a placed task so that its owner has it placed anew."""
+    """Stop a placed task so that its client submits it again."""
 
     task: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Feed a TimerFired with this token when the time has come."""
+    """Pass the planner a TimerFired event with this token at ``at_us``."""
 
     at_us: int
     token: int
@@ -377,21 +377,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """Check the health of a node, once."""
+    """Send one health check to a node."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchNodeList:
-    """Ask for changes of the node list from now on."""
+    """Subscribe to changes of the node list, or unsubscribe if not ``active``."""
 
     active: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchNodeList:
-    """Ask for the whole node list, once."""
+    """Request the full node list once."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/stairplank/settings_text.py
+++ b/stairplank/settings_text.py
@@ -1,4 +1,4 @@
-"""The settings of a planner as text: paths and values, as the simulator and the platform's file give them."""
+"""Reads planner settings from ``key=value`` text, as sent by the simulator or read from the settings file."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def flatten(nested: Mapping[str, Any]) -> dict[str, str]:
-    """Nested settings as the paths and values of the settings text."""
+    """Convert nested settings to a flat mapping of dotted keys to text values."""
     return dict(_paths("", nested))
 
 
@@ -53,39 +53,39 @@
 
 
 class SettingsReader:
-    """The settings text as typed look-ups.
+    """Typed access to the values of a settings text.
 
-    Each look-up raises a ValueError that names the key where it is required and missing, or unreadable.
+    Each method raises a ValueError that names the key if its value is unreadable, or required but missing.
     """
 
     def __init__(self, source: str | Mapping[str, str]) -> None:
-        """Read from a text of ``key=value`` lines or from its keys and values."""
+        """Read a text of ``key=value`` lines, or a mapping of keys to text values."""
         if isinstance(source, str):
             source = dict(line.split("=", 1) for line in source.splitlines() if "=" in line)
         self.values = source
 
     def whole(self, key: str, default: int | None = None) -> int:
-        """A whole number; digits after the point are cut off. Required where there is no default."""
+        """Return a whole number, truncated if it has a fraction. Required if there is no default."""
         number: int = self._read(key, _whole, default)
         return number
 
     def number(self, key: str, default: float | None = None) -> float:
-        """A number. Required where there is no default."""
+        """Return a floating-point number. Required if there is no default."""
         number: float = self._read(key, float, default)
         return number
 
     def flag(self, key: str, default: bool = False) -> bool:
-        """True or false."""
+        """Return a boolean; if it is missing, the default."""
         flag: bool = self._read(key, lambda raw: FLAGS[raw.lower()], default)
         return flag
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A text as it stands. Required where there is no default."""
+        """Return the text unchanged. Required if there is no default."""
         text: str = self._read(key, str, default)
         return text
 
     def choice(self, key: str, names: Mapping[str, Any], default: str | None = None) -> Any:
-        """What the text names in ``names``. Required where there is no default."""
+        """Return the value that ``names`` maps the text to. Required if there is no default."""
         raw = self.text(key, default)
         if raw not in names:
             raise ValueError(f"settings: key {key} has an unreadable value {raw!r}")
@@ -94,7 +94,10 @@
     def items(
         self, key: str, convert: Callable[[str], Any], size: int | None = None, default: Any = None
     ) -> tuple[Any, ...]:
-        """Values separated by commas, ``size`` of them if that is told; a missing one is the default."""
+        """Return a tuple of comma-separated values.
+
+        If ``size`` is given, there must be that many. A missing key gives ``size`` copies of the default.
+        """
         raw = self.values.get(key, "")
         if raw == "" and default is not None:
             return (default,) * (size or 0)
@@ -119,9 +122,9 @@
 
 
 def settings_from(source: str | SettingsReader) -> api.Settings:
-    """The settings of a planner, from their text or read already; unknown keys are passed over.
+    """Build the settings of a planner from their text or from a reader; unknown keys are ignored.
 
-    Raises a ValueError that names the first key, or field, that is wrong.
+    Raises a ValueError that names the first invalid key or field.
     """
     reader = source if isinstance(source, SettingsReader) else SettingsReader(source)
     classes = _task_classes(reader)
@@ -142,7 +145,7 @@
 
 
 def _task_classes(reader: SettingsReader) -> tuple[api.TaskClass, ...]:
-    """The classes: most keys are of one class, some list a value for each."""
+    """Read the task classes; some keys belong to one class, others list one value per class."""
     count = reader.whole("classes.count")
     spread = reader.items("family_info.spread_by", SCOPES.__getitem__, count, api.Scope.NONE)
     max_per_place = reader.items("family_info.class_most", _whole, count, 0)
@@ -155,7 +158,8 @@
     for c in range(count):
         prefix = f"classes.{c}."
         effect = reader.choice(prefix + "effect", EFFECTS)
-        default_window_us = None if effect is api.Effect.IDEMPOTENT_BY_KEY else 0  # None: required
+        # IDEMPOTENT_BY_KEY needs a window; the default None makes the key required.
+        default_window_us = None if effect is api.Effect.IDEMPOTENT_BY_KEY else 0
         classes.append(
             api.TaskClass(
                 name=reader.text(prefix + "name", str(c)),
@@ -186,7 +190,7 @@
 
 
 def _placement(reader: SettingsReader) -> dict[str, Any]:
-    """What tasks ask for and nodes accept."""
+    """Read the mean task sizes, the limits up to which nodes accept tasks, and the number of attempts."""
     return {
         "mean_cores": reader.number("family_info.unit_cores"),
         "mean_memory": reader.number("family_info.unit_memory"),
@@ -199,7 +203,7 @@
 
 
 def _contract(reader: SettingsReader) -> dict[str, Any]:
-    """What the planners owe to clients and to nodes."""
+    """Read the limits that planners must keep towards clients and nodes."""
     return {
         "answer_slack_us": reader.whole("contract.answer_slack_us"),
         "drain_grace_us": reader.whole("contract.drain_grace_us"),
@@ -212,7 +216,7 @@
 
 
 def _messages(reader: SettingsReader) -> dict[str, Any]:
-    """What can be asked of the node list, of nodes and of clients, and what they tell by themselves."""
+    """Read which messages the node list, nodes and clients support, and which they send unrequested."""
     return {
         "polls_node_list": reader.text("registry_mode") == "ask",
         "poll_within_us": reader.whole("contract.ask_within_us", 0),
@@ -228,7 +232,7 @@
 
 
 def _max_retry_after_us(reader: SettingsReader) -> int:
-    """0 where clients take no Retry-After; its length is not read then."""
+    """Return 0 if clients do not support Retry-After; the key is not read in that case."""
     return reader.whole("limits.max_retry_after_us", 0) if reader.flag("limits.retry_after") else 0
 
 
--- a/stairplank/simhost.py
+++ b/stairplank/simhost.py
@@ -1,4 +1,7 @@
-"""Hosts many independent planners on the simulator's wire (standard input and output). Decides nothing."""
+"""Hosts many independent planners for a simulator that talks over standard input and output.
+
+The host only translates between wire records and planner events; it makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -12,31 +15,31 @@
 
 
 class Host:
-    """The planners of one process; they share nothing."""
+    """Holds the planners of one process; they share no state."""
 
     def __init__(self) -> None:
-        """Start with no planner."""
+        """Start without planners."""
         self.decoder = wire.Decoder()
         self.planners: dict[int, Planner] = {}
-        self.broken: set[int] = set()
+        self.broken: set[int] = set()  # instances that raised an exception
 
     def answer(self, frame: bytes) -> bytes:
-        """The reply to one frame of events. Raises a WireError where the frame is malformed."""
+        """Return the reply to one frame of events. Raises a WireError if the frame is malformed."""
         now, records = self.decoder.records(frame)
-        out: list[bytes] = []
+        encoded: list[bytes] = []
         for instance, event in records:
             if instance in self.broken and not isinstance(event, wire.NewInstance):
                 continue
             try:
-                out += [wire.encode(instance, action) for action in self._feed(instance, now, event)]
+                encoded += [wire.encode(instance, action) for action in self._feed(instance, now, event)]
             except wire.WireError:
                 raise
-            except Exception as error:  # noqa: BLE001 - a fault of one planner must spare the others
+            except Exception as error:  # noqa: BLE001 - a fault in one planner must not stop the others
                 self.broken.add(instance)
                 self.planners.pop(instance, None)
                 reason = " ".join(f"{type(error).__name__}: {error}".split())
-                out.append(wire.encode_broken(instance, reason))
-        return wire.reply(out)
+                encoded.append(wire.encode_broken(instance, reason))
+        return wire.reply(encoded)
 
     def _feed(self, instance: int, now: int, event: object) -> list[api.Action]:
         if event is None:
@@ -47,13 +50,13 @@
             self.planners[instance] = Planner(settings_from(event.options), event.seed)
             return self.planners[instance].handle(now, api.Started())
         planner = self.planners.get(instance)
-        if planner is None:  # killed meanwhile: what was on its way to it concerns nobody
+        if planner is None:  # the instance was killed, so late events for it are dropped
             return []
-        return planner.handle(now, event)  # type: ignore[arg-type]  # the decoder makes interface events
+        return planner.handle(now, event)  # type: ignore[arg-type]  # the decoder yields api.Event objects
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer every frame until the end of input. Raises a WireError where one is malformed."""
+    """Answer every frame until the end of input. Raises a WireError if a frame is malformed."""
     host = Host()
     while (frame := wire.read_frame(source)) is not None:
         sink.write(host.answer(frame))
@@ -61,7 +64,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; returns the exit code, 2 for malformed input."""
+    """Serve standard input and output. Returns the exit code, which is 2 for malformed input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/stairplank/tasks.py
+++ b/stairplank/tasks.py
@@ -1,6 +1,6 @@
-"""A task, an attempt and a group's member as the daemon knows them, and how a task is rejected.
+"""Types of the planner process for a task, an attempt, a group member and a rejection.
 
-The decisions have types of their own (``interface``); the links have messages (``proto``).
+The decision module has its own types (``interface``), and the network messages are in ``proto``.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskSpec:
-    """A task as its client describes it; names are not looked up yet."""
+    """A task as described by its client; class and tenant names are not resolved yet."""
 
     client: str
     key: int
@@ -25,7 +25,7 @@
 
 
 class AttemptId(NamedTuple):
-    """Names an attempt on the links: the incarnation of the planner, its placement, and the attempt."""
+    """Identifies an attempt in messages to nodes: planner incarnation, placement and attempt number."""
 
     incarnation: int
     placement: int
@@ -33,18 +33,18 @@
 
 
 class GroupTag(NamedTuple):
-    """What a node knows of a member's group."""
+    """The data about a member's group that is sent to a node."""
 
     incarnation: int
     group: int
-    size: int  # members that must run together
+    size: int  # number of members that must run together
     member: int
     lease_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A task that was not admitted. ``code`` is a gRPC status code by name."""
+    """Why a task was not admitted. ``code`` is the name of a gRPC status code."""
 
     code: str
     field: str
--- a/stairplank/wire.py
+++ b/stairplank/wire.py
@@ -1,4 +1,4 @@
-"""Codec of the simulator's wire: frames and records. It translates and decides nothing."""
+"""Codec of the simulator's wire protocol: converts frames and records to events, and actions to records."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class WireError(Exception):
-    """The input is malformed; the text names what and where."""
+    """Raised for malformed input; the message names the fault and its position."""
 
 
 class ActionCode(IntEnum):
-    """First byte of a record that the host sends."""
+    """Type code of a record that the host sends; it is the first byte of the record."""
 
     BIND = 65
     SHED = 66
@@ -70,29 +70,29 @@
     499: api.Result.CANCELLED,
     410: api.Result.NOT_SENT,
 }
-_CHECK_PASSED = 200  # status of a health check
-_HAS_DURATION = 1  # flags of a task
-_RESUBMITTED = 2 | 16  # it came back after a rejection, failure, migration or loss
-_LAST_REASON = 7  # higher ones may be added
+_CHECK_PASSED = 200  # status code of a successful health check
+_HAS_DURATION = 1  # bit in a task's flags: the duration field is set
+_RESUBMITTED = 2 | 16  # bits in a task's flags: submitted again after a rejection, failure, migration or loss
+_LAST_REASON = 7  # highest known reason code; newer simulators may send higher ones
 _STATUS_KINDS = range(1, 6)
 _MAX_TEXT_BYTES = 65535
-_CHUNK_BYTES = 1 << 20  # read at once from the stream
+_CHUNK_BYTES = 1 << 20  # largest single read from the stream
 
 
 class Reader:
-    """Reads fields of one frame in order; raises a WireError where the frame ends too early."""
+    """Reads the fields of one frame in order; raises a WireError if the frame ends too early."""
 
     def __init__(self, data: bytes, at: int = 0) -> None:
-        """Read ``data`` from the byte ``at`` on."""
+        """Start reading ``data`` at byte offset ``at``."""
         self.data = data
         self.at = at
 
     def take(self, layout: struct.Struct, what: str) -> tuple[Any, ...]:
-        """The next fields; ``what`` names them in an error."""
+        """Return the next fields, unpacked by ``layout``; ``what`` names them in an error message."""
         return layout.unpack(self.raw(layout.size, what))
 
     def raw(self, size: int, what: str) -> bytes:
-        """The next ``size`` bytes."""
+        """Return the next ``size`` bytes; ``what`` names them in an error message."""
         end = self.at + size
         if end > len(self.data):
             have = len(self.data)
@@ -103,7 +103,10 @@
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """One complete frame, or None at the end of input between frames. Raises a WireError inside of one."""
+    """Return one complete frame, or None at the end of input.
+
+    Raises a WireError if the input ends within a frame or its length is impossible.
+    """
     head = stream.read(REPLY_HEADER.size)
     if not head:
         return None
@@ -112,19 +115,19 @@
     (size,) = REPLY_HEADER.unpack(head)
     if size < EVENT_HEADER.size:
         raise WireError(f"impossible frame length {size}: the header alone has {EVENT_HEADER.size} bytes")
-    parts = [head]
+    chunks = [head]
     have = len(head)
     while have < size:
         chunk = stream.read(min(size - have, _CHUNK_BYTES))
         if not chunk:
             raise WireError(f"frame cut off after {have} of {size} bytes")
-        parts.append(chunk)
+        chunks.append(chunk)
         have += len(chunk)
-    return b"".join(parts)
+    return b"".join(chunks)
 
 
 def entry_from(row: tuple[Any, ...]) -> api.NodeEntry:
-    """A line of the node list from its fields."""
+    """Convert the unpacked fields of a node list entry."""
     node, cores, zone, node_type, group, state, _share, memory, started_us = row
     try:
         status = api.NodeStatus(state)
@@ -148,24 +151,24 @@
 
 
 class NewInstance:
-    """A planner starts with this seed and these settings."""
+    """The record that starts a planner instance with a seed and a settings text."""
 
     def __init__(self, seed: int, options: str) -> None:
-        """Keep both as they came."""
+        """Store the seed and the unparsed settings text."""
         self.seed = seed
         self.options = options
 
 
 class Decoder:
-    """Turns frames into (instance, event) pairs; keeps the numbered lists, which belong to no instance.
+    """Decodes frames to (instance, event) pairs and stores the numbered node lists that instances share.
 
-    ``event`` is an interface event, a settings text with a seed (a new instance), or None (killed).
+    ``event`` is an ``api.Event``, a ``NewInstance``, or None if the instance was killed.
     """
 
     def __init__(self) -> None:
-        """Start with no list."""
+        """Start without node lists."""
         self.lists: dict[int, tuple[api.NodeEntry, ...]] = {}
-        self._readers: dict[int, Callable[[Reader], tuple[int, object] | None]] = {
+        self._record_decoders: dict[int, Callable[[Reader], tuple[int, object] | None]] = {
             1: self._new_instance,
             2: self._node_list,
             3: self._task_requested,
@@ -182,26 +185,26 @@
         }
 
     def records(self, frame: bytes) -> tuple[int, Iterator[tuple[int, object]]]:
-        """The time of a frame and its events in order. Raises a WireError where one is malformed."""
+        """Return the time of a frame and its events in order. Raises a WireError if it is malformed."""
         reader = Reader(frame)
         size, now, count = reader.take(EVENT_HEADER, "frame header")
         if size != len(frame):
             raise WireError(f"frame length {size} does not match its {len(frame)} bytes")
-        return now, self._each(reader, count)
+        return now, self._decode_records(reader, count)
 
-    def _each(self, reader: Reader, count: int) -> Iterator[tuple[int, object]]:
+    def _decode_records(self, reader: Reader, count: int) -> Iterator[tuple[int, object]]:
         for index in range(count):
             start = reader.at
             (code,) = reader.take(_U8, f"record {index}")
-            read = self._readers.get(code)
-            if read is None:
+            decode = self._record_decoders.get(code)
+            if decode is None:
                 raise WireError(f"unknown event code {code} in record {index} at byte {start}")
-            event = read(reader)
+            event = decode(reader)
             if event is not None:
                 yield event
-        left = len(reader.data) - reader.at
-        if left:
-            raise WireError(f"{left} bytes left over after {count} records at byte {reader.at}")
+        remaining = len(reader.data) - reader.at
+        if remaining:
+            raise WireError(f"{remaining} bytes left over after {count} records at byte {reader.at}")
 
     def _new_instance(self, reader: Reader) -> tuple[int, object]:
         instance, seed, size = reader.take(_NEW_INSTANCE, "NewInstance")
@@ -245,7 +248,7 @@
     def _status_update(self, reader: Reader) -> tuple[int, object] | None:
         instance, task, kind, attempt, level, node = reader.take(_STATUS_UPDATE, "Notice")
         if kind not in _STATUS_KINDS:
-            return None  # kinds may be added
+            return None  # newer simulators may send kinds that are unknown here
         return instance, api.StatusUpdate(task, attempt, node, api.StatusKind(kind), level)
 
     def _outcome(self, reader: Reader) -> tuple[int, object]:
@@ -279,7 +282,7 @@
 
 
 def encode(instance: int, action: api.Action) -> bytes:
-    """One action of an instance as a record."""
+    """Encode one action of an instance as a record."""
     match action:
         case api.Bind(task, node, timeout_us):
             return _BIND.pack(ActionCode.BIND, instance, task, node, timeout_us)
@@ -313,12 +316,12 @@
 
 
 def encode_broken(instance: int, text: str) -> bytes:
-    """The record that says that an instance has ended by a fault of its own."""
+    """Encode the record that reports that an instance ended with an exception."""
     return _text(ActionCode.BROKEN, instance, text)
 
 
 def reply(records: list[bytes]) -> bytes:
-    """The frame that answers one frame of events."""
+    """Build the reply frame from the records of its actions."""
     body = b"".join(records)
     return REPLY_HEADER.pack(REPLY_HEADER.size + len(body)) + body
 
