--- a/tests/endings.py
+++ b/tests/endings.py
@@ -1,4 +1,4 @@
-"""Ends what a test has started."""
+"""Stops the greenlets that a test has started."""
 
 from __future__ import annotations
 
@@ -7,25 +7,26 @@
 
 import gevent
 
-ROUNDS = 5  # what is ended may start something to close behind it
-END_S = 10.0
+MAX_ROUNDS = 5  # a killed greenlet may spawn others to clean up, which need a further round
+KILL_TIMEOUT_S = 10.0
 
 
 @contextmanager
 def ended() -> Iterator[None]:
-    """Afterwards no greenlet runs that was started inside. Danger: a planner that a test left behind redials
-    its machines for ever, and one of their ports may be a later test's, which then counts a connection that
-    it did not make.
+    """Kill every greenlet that was started within the block when the block ends.
+
+    A planner left running by a test would redial its machines forever. A later test may reuse one of their
+    ports and would then count a connection that it did not open.
     """
     started: list[gevent.Greenlet] = []
-    keep = started.append
-    gevent.Greenlet.add_spawn_callback(keep)
+    record_greenlet = started.append
+    gevent.Greenlet.add_spawn_callback(record_greenlet)
     try:
         yield
     finally:
-        for _ in range(ROUNDS):
+        for _ in range(MAX_ROUNDS):
             running, started[:] = [g for g in started if not g.dead], []
             if not running:
                 break
-            gevent.killall(running, timeout=END_S)
-        gevent.Greenlet.remove_spawn_callback(keep)
+            gevent.killall(running, timeout=KILL_TIMEOUT_S)
+        gevent.Greenlet.remove_spawn_callback(record_greenlet)
--- a/tests/golden/golden_decisions.py
+++ b/tests/golden/golden_decisions.py
@@ -1,8 +1,8 @@
-"""The decision module on recorded streams of events; its actions are written down by position.
+"""Golden traces of the decision module: replays recorded event streams and traces the planner's actions.
 
 ``data/decision-events.json.gz`` holds streams of ``[settings, seed, [[time, event type, event], ...]]`` in
-the plain form of ``golden_records``: emulated days, drawn days of the platform and random histories, recorded
-by ``RecordedPlanner`` in the place of the planner.
+the plain form of ``golden_records``. They come from emulated runs of the gRPC planners, random runs of the
+platform and random event sequences, in which ``RecordingPlanner`` took the place of ``Planner``.
 """
 
 from __future__ import annotations
@@ -40,17 +40,17 @@
     api.HealthCheck,
     api.WatchNodeList,
     api.FetchNodeList,
-)  # a Log action is not part of a trace: its text may be worded anew
+)  # Log actions are not traced, so that log texts may be reworded
 
 
 def load_streams() -> list[Any]:
-    """The recorded streams, by number."""
+    """Return the recorded streams; a stream's index is its number in the digests."""
     streams: list[Any] = json.loads(gzip.decompress(FILE.read_bytes()))
     return streams
 
 
 def replay(stream: Any, trace: Trace) -> None:
-    """Feed one recorded stream to a new planner and write down its actions."""
+    """Feed one recorded stream to a new planner and add its actions to the trace."""
     settings, seed, steps = stream
     planner = Planner(from_plain(api.Settings, settings), seed)
     for now, event_type, event in steps:
@@ -59,8 +59,8 @@
                 trace.add(now, ACTION_TYPES.index(type(action)), to_plain(action))
 
 
-class RecordedPlanner(Planner):
-    """A planner that keeps what it is fed, as a stream."""
+class RecordingPlanner(Planner):
+    """A planner that records its settings, seed and events as a stream."""
 
     streams: list[Any] = []
 
@@ -75,6 +75,6 @@
 
 
 def write_streams(streams: list[Any]) -> None:
-    """Write the recorded streams, always as the same bytes."""
+    """Write the streams to the data file; the same streams give the same bytes."""
     text = json.dumps(streams, separators=(",", ":"))
     FILE.write_bytes(gzip.compress(text.encode(), mtime=0))
--- a/tests/golden/golden_digests.py
+++ b/tests/golden/golden_digests.py
@@ -1,7 +1,7 @@
-"""Plays all golden days and streams and prints their digests as JSON.
+"""Records all golden traces and prints their digests as JSON.
 
-Without an argument, all digests: ``python tests/golden/golden_digests.py``. With the name of a trace, its
-lines, for a comparison: ``python tests/golden/golden_digests.py "grpc drawn-room 1"``.
+``python tests/golden/golden_digests.py`` prints all digests. With the name of a trace as argument, such as
+``"grpc drawn-room 1"``, it prints the lines of that trace, for comparison with another revision's.
 """
 
 from __future__ import annotations
@@ -23,34 +23,34 @@
 DIGESTS = Path(__file__).resolve().parent / "digests.json"
 
 
-def plays() -> Iterator[tuple[str, Callable[[Trace], None]]]:
-    """Every golden trace by its name."""
+def trace_recorders() -> Iterator[tuple[str, Callable[[Trace], None]]]:
+    """Yield the name of every golden trace with the function that records it."""
     for scenario, seed in golden_grpc_days.DAYS:
-        yield f"grpc {scenario} {seed}", partial(golden_grpc_days.play, scenario, seed)
+        yield f"grpc {scenario} {seed}", partial(golden_grpc_days.record_trace, scenario, seed)
     for settings, seed in golden_platform_days.DAYS:
-        yield f"platform {settings} {seed}", partial(golden_platform_days.play, settings, seed)
+        yield f"platform {settings} {seed}", partial(golden_platform_days.record_trace, settings, seed)
     for number, stream in enumerate(golden_decisions.load_streams()):
         yield f"decisions {number}", partial(golden_decisions.replay, stream)
 
 
 def digest_of(name: str) -> str:
-    """The digest of one golden trace."""
+    """Record the golden trace with this name and return its digest."""
     trace = Trace()
-    dict(plays())[name](trace)
+    dict(trace_recorders())[name](trace)
     return trace.digest()
 
 
 def main() -> None:
-    """Print the digests, or one trace."""
+    """Print all digests, or the lines of the trace named on the command line."""
     if len(sys.argv) > 1:
         trace = Trace(keep_lines=True)
-        dict(plays())[sys.argv[1]](trace)
+        dict(trace_recorders())[sys.argv[1]](trace)
         print("\n".join(trace.lines or ()))
         return
     digests = {}
-    for name, play in plays():
+    for name, record in trace_recorders():
         trace = Trace()
-        play(trace)
+        record(trace)
         digests[name] = trace.digest()
     print(json.dumps(digests, indent=2))
 
--- a/tests/golden/golden_platform_days.py
+++ b/tests/golden/golden_platform_days.py
@@ -1,4 +1,4 @@
-"""What the platform's planner sends on drawn days: bytes to clients and machines, dials and closes."""
+"""Golden traces of the platform planner: its messages, dials and closes in random simulated runs."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     ("strange", 1007),
     ("strange", 1012),
 ]
-STEPS = 1500  # of ten simulated milliseconds in which something may happen
+STEPS = 1500  # steps of ten simulated milliseconds, each with random events
 
 
 class TracedDay(DrawnDay):
-    """A drawn day that writes down what the planner sends."""
+    """A simulated run that adds every action of the planner to a trace."""
 
     def __init__(self, seed: int, strange: bool, trace: Trace) -> None:
         self.trace = trace
@@ -34,10 +34,10 @@
 
     def _take(self, actions: list[ev.Action]) -> None:
         for action in actions:
-            self._write_down(action)
+            self._trace_action(action)
         super()._take(actions)
 
-    def _write_down(self, action: ev.Action) -> None:
+    def _trace_action(self, action: ev.Action) -> None:
         match action:
             case ev.SendToClient(connection, message):
                 self.trace.add(self.now, "client", connection, binary.encode(message))
@@ -52,12 +52,12 @@
             case ev.WatchNodeList():
                 self.trace.add(self.now, "watch")
             case ev.SettingsInForce() | ev.Report():
-                pass  # nothing of it leaves the process but a log line
+                pass  # these actions only cause log lines, which are not traced
             case _:
                 raise TypeError(f"an action that no trace has: {action!r}")
 
 
-def play(settings: str, seed: int, trace: Trace) -> None:
-    """One drawn day, with the tests' usual settings or with ``strange`` ones that are drawn as well."""
+def record_trace(settings: str, seed: int, trace: Trace) -> None:
+    """Run one simulation from the seed, with the tests' "usual" settings or with random, "strange" ones."""
     faults = TracedDay(seed, settings == "strange", trace).play(STEPS)
     trace.add("faults", faults)
--- a/tests/golden/golden_records.py
+++ b/tests/golden/golden_records.py
@@ -1,7 +1,7 @@
-"""Typed records as plain data by position, and back, so that no name of a type or field is part of a trace.
+"""Converts typed records to plain data by position and back, so that traces contain no type or field names.
 
-A dataclass becomes the list of its fields in their order, an enum member its place in its enum, a tuple a
-list and a frozenset a sorted list. Decoding is led by the type hints of the record that is expected.
+A dataclass becomes a list of its fields in order, an enum member its index in the enum, a tuple a list and
+a frozenset a sorted list. Decoding follows the type hints of the expected record.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Trace:
-    """Digest over a sequence of lines. ``lines`` keeps them where asked to, for finding a difference."""
+    """Computes the digest of a sequence of lines; with ``keep_lines`` it also stores them for comparison."""
 
     def __init__(self, keep_lines: bool = False) -> None:
         self.count = 0
@@ -24,7 +24,7 @@
         self._sha256 = hashlib.sha256()
 
     def add(self, *values: Any) -> None:
-        """Append one line; bytes are written as hexadecimal digits."""
+        """Append one line made of the values; bytes are written as hexadecimal digits."""
         line = " ".join(value.hex() if isinstance(value, bytes) else repr(value) for value in values)
         self.count += 1
         self._sha256.update(line.encode() + b"\n")
@@ -32,12 +32,12 @@
             self.lines.append(line)
 
     def digest(self) -> str:
-        """Number of lines and their SHA-256."""
+        """Return the number of lines and their SHA-256 hash as a text."""
         return f"{self.count} {self._sha256.hexdigest()}"
 
 
 def to_plain(value: Any) -> Any:
-    """A record as nested lists of numbers, strings, booleans and None."""
+    """Convert a record to nested lists of numbers, strings, booleans and None."""
     if isinstance(value, Enum):
         return list(type(value)).index(value)
     if is_dataclass(value):
@@ -50,7 +50,7 @@
 
 
 def from_plain(expected: Any, value: Any) -> Any:
-    """The record of type ``expected`` that ``to_plain`` made ``value`` from."""
+    """Convert ``value``, the output of ``to_plain``, back to a record of type ``expected``."""
     origin, arguments = typing.get_origin(expected), typing.get_args(expected)
     if origin in (typing.Union, types.UnionType):
         (present,) = [argument for argument in arguments if argument is not type(None)]
--- a/tests/golden/test_golden_traces.py
+++ b/tests/golden/test_golden_traces.py
@@ -1,7 +1,7 @@
-"""What leaves the process on fixed days is the same as ever: bytes, times, order.
+"""Golden trace tests: in fixed simulated runs, output bytes, times and order match the stored digests.
 
-A digest that differs is a change of behaviour. ``golden_digests.py NAME`` prints the lines of a trace; the
-first line that differs from an earlier revision's says where.
+A digest that differs means that behaviour has changed. ``golden_digests.py NAME`` prints the lines of a
+trace; comparing them with an earlier revision's shows the first difference.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 TIMEOUT_S = 300
 
 
-def test_traces_are_the_same_in_processes_with_other_hash_seeds() -> None:
+def test_traces_match_the_stored_digests_under_different_hash_seeds() -> None:
     command = [sys.executable, golden_digests.__file__]
     processes = [
         subprocess.Popen(command, stdout=subprocess.PIPE, env=os.environ | {"PYTHONHASHSEED": hash_seed})
@@ -36,7 +36,7 @@
         assert json.loads(output) == EXPECTED
 
 
-def test_every_kind_of_trace_is_there() -> None:
+def test_stored_digests_cover_every_kind_of_trace() -> None:
     kinds = [name.split()[0] for name in EXPECTED]
     assert kinds.count("grpc") == len(golden_grpc_days.DAYS) >= 6
     assert kinds.count("platform") == len(golden_platform_days.DAYS) >= 4
@@ -55,7 +55,7 @@
         (client_requests, "ANSWER_MARGIN_US", "platform strange 1012"),
     ],
 )
-def test_an_altered_constant_is_noticed(
+def test_a_changed_constant_changes_the_digest(
     module: object, constant: str, name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, constant, getattr(module, constant) * 2)
@@ -63,6 +63,6 @@
 
 
 @pytest.mark.parametrize("name", ["decisions 0", "grpc first-bad-day 1", "platform usual 2"])
-def test_an_altered_branch_is_noticed(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_changed_branch_changes_the_digest(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(node_state.Node, "is_warm_for", lambda node, service: False)
     assert golden_digests.digest_of(name) != EXPECTED[name]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small world for tests of the module alone."""
+"""Settings and a harness for tests that run the decision module alone."""
 
 from __future__ import annotations
 
@@ -66,59 +66,61 @@
 )
 
 
-def entry(node: int, **changes: object) -> NodeEntry:
-    base = NodeEntry(node, node % 3, 0, node // 3, NodeStatus.READY, 16.0, 32.0)
-    return replace(base, **changes)  # type: ignore[arg-type]
+def node_entry(node: int, **changes: object) -> NodeEntry:
+    default = NodeEntry(node, node % 3, 0, node // 3, NodeStatus.READY, 16.0, 32.0)
+    return replace(default, **changes)  # type: ignore[arg-type]
 
 
-class World:
-    """Feeds a planner and keeps what it did."""
+class PlannerHarness:
+    """Drives one planner with events on a simulated clock and records its actions."""
 
     def __init__(self, nodes: int = 6, **settings: object) -> None:
         self.planner = Planner(replace(SETTINGS, **settings), 7)  # type: ignore[arg-type]
         self.now = 100 * SECOND
-        self.done: list[Action] = []
+        self.actions: list[Action] = []
         self.feed(Started())
-        self.list(*(entry(n) for n in range(nodes)), kind=ListKind.FULL)
+        self.send_node_list(*(node_entry(n) for n in range(nodes)), kind=ListKind.FULL)
 
     def feed(self, event: Event, after: int = 0) -> list[Action]:
         self.now += after
         actions = self.planner.handle(self.now, event)
-        self.done += actions
+        self.actions += actions
         return actions
 
-    def list(self, *entries: NodeEntry, kind: ListKind = ListKind.CHANGES, after: int = 0) -> list[Action]:
+    def send_node_list(
+        self, *entries: NodeEntry, kind: ListKind = ListKind.CHANGES, after: int = 0
+    ) -> list[Action]:
         return self.feed(NodeList(kind, tuple(entries)), after)
 
     def task(
         self, id: int, class_index: int = 0, service: int = 5, cores: float = 1.0, memory: float = 2.0
     ) -> Task:
-        wait = CLASSES[class_index].deadline_us
-        return Task(id, class_index, 0, id, self.now + wait, service, cores, memory)
+        deadline_us = CLASSES[class_index].deadline_us
+        return Task(id, class_index, 0, id, self.now + deadline_us, service, cores, memory)
 
-    def ask(self, id: int, class_index: int = 0, after: int = 0, **task: object) -> list[Action]:
+    def request(self, id: int, class_index: int = 0, after: int = 0, **task_fields: object) -> list[Action]:
         self.now += after
-        return self.feed(TaskRequested(self.task(id, class_index, **task)))  # type: ignore[arg-type]
+        return self.feed(TaskRequested(self.task(id, class_index, **task_fields)))  # type: ignore[arg-type]
 
-    def placed(self, bind: Bind, attempt: int = 0, after: int = 50_000) -> list[Action]:
+    def report_placed(self, bind: Bind, attempt: int = 0, after: int = 50_000) -> list[Action]:
         return self.feed(Placed(bind.task, attempt, bind.node, after), after)
 
-    def ends(
+    def report_outcome(
         self,
         bind: Bind,
         result: Result,
         attempt: int = 0,
         after: int = 50_000,
-        closed: bool = False,
+        is_final: bool = False,
         reason: Reason = Reason.UNTOLD,
     ) -> list[Action]:
-        return self.feed(Outcome(bind.task, attempt, bind.node, result, closed, reason, after), after)
+        return self.feed(Outcome(bind.task, attempt, bind.node, result, is_final, reason, after), after)
 
 
 def binds(actions: list[Action]) -> list[Bind]:
     return [a for a in actions if isinstance(a, Bind)]
 
 
-def bind_of(actions: list[Action]) -> Bind:
+def single_bind(actions: list[Action]) -> Bind:
     (bind,) = binds(actions)
     return bind
--- a/tests/test_embedding.py
+++ b/tests/test_embedding.py
@@ -1,10 +1,10 @@
-"""The example of docs/embedding.md runs as it stands."""
+"""Tests that the example in docs/embedding.md runs unchanged and prints what it should."""
 
 import re
 from pathlib import Path
 
 
-def test_the_example_runs(capsys) -> None:  # type: ignore[no-untyped-def]
+def test_the_documented_example_runs(capsys) -> None:  # type: ignore[no-untyped-def]
     text = (Path(__file__).parent.parent / "docs" / "embedding.md").read_text()
     (example,) = re.findall(r"```python\n(.*?)```", text, re.S)
     exec(compile(example, "embedding.md", "exec"), {})
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""That a test's greenlets end with it, what they start in ending included."""
+"""Tests that a test's greenlets are killed when it ends, including those spawned during clean-up."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 def test_no_greenlet_outlives_its_test() -> None:
-    seen: list[gevent.Greenlet] = []
+    greenlets: list[gevent.Greenlet] = []
 
-    def closes() -> None:
+    def clean_up() -> None:
         gevent.sleep(3600)
 
-    def runs() -> None:
+    def run_and_clean_up() -> None:
         try:
             gevent.sleep(3600)
         finally:
-            seen.append(gevent.spawn(closes))
+            greenlets.append(gevent.spawn(clean_up))
 
     with ended():
-        seen.append(gevent.spawn(runs))
-        seen.append(gevent.spawn_later(3600, closes))
+        greenlets.append(gevent.spawn(run_and_clean_up))
+        greenlets.append(gevent.spawn_later(3600, clean_up))
         gevent.sleep(0)
-    assert len(seen) == 3
-    assert all(g.dead for g in seen)
+    assert len(greenlets) == 3
+    assert all(g.dead for g in greenlets)
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -1,11 +1,11 @@
-"""Randomized event sequences: the five rules checked by an independent account of lists and sends."""
+"""Random event sequences: a model of clients and nodes checks the planner against the five rules."""
 
 from __future__ import annotations
 
 from collections import Counter
 from dataclasses import replace
 
-from helpers import CLASSES, SECOND, SETTINGS, entry
+from helpers import CLASSES, SECOND, SETTINGS, node_entry
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -33,25 +33,33 @@
     TimerFired,
 )
 
-# Few offers are borne, so that the budget of a cold node is soon at its end.
+# Few offers are allowed in slow start, so that a cold node's budget is soon used up.
 RULES = replace(SETTINGS, slow_start_offers=4.0)
-ENDS = [Result.ERROR, Result.REJECTED, Result.UNREACHABLE, Result.LOST, Result.CANCELLED, Result.NOT_SENT]
+FAILED_RESULTS = [
+    Result.ERROR,
+    Result.REJECTED,
+    Result.UNREACHABLE,
+    Result.LOST,
+    Result.CANCELLED,
+    Result.NOT_SENT,
+]
 
 
-class Ledger:
-    """Plays clients, nodes and clock, and keeps its own account of the five rules."""
+class ModelChecker:
+    """Simulates clients, nodes and a clock, and checks the planner's actions against the five rules."""
 
     def __init__(self, seed: int) -> None:
         self.now = 50 * SECOND
         self.planner = Planner(RULES, seed)
-        self.listed = {n: entry(n) for n in range(6)}
+        self.listed = {n: node_entry(n) for n in range(6)}
         self.drained_since: dict[int, int] = {}
         self.tasks: dict[int, Task] = {}
-        self.owed: set[int] = set()
+        self.unanswered: set[int] = set()
         self.attempts_made: Counter[int] = Counter()
         self.in_flight: dict[tuple[int, int], Bind] = {}
         self.running: dict[tuple[int, int], int] = {}
-        self.risk: dict[int, tuple[int, int]] = {}  # first attempt that may have run: node, send
+        # By task: the node and send time of the first attempt that may have run.
+        self.first_risk: dict[int, tuple[int, int]] = {}
         self.sent_at: dict[tuple[int, int], int] = {}
         self.slow_start_sends: dict[int, list[int]] = {}
         self.timers: list[SetTimer] = []
@@ -66,71 +74,81 @@
                 case Bind():
                     self.check_bind(action)
                 case Shed(task) | Fail(task):
-                    assert task in self.owed, "an answer that was not owed"
+                    assert task in self.unanswered, "answer to a task that needs none"
                     if isinstance(action, Shed):
-                        self.check_refusal(task)
-                    self.owed.discard(task)
+                        self.check_shed(task)
+                    self.unanswered.discard(task)
 
-    def check_refusal(self, task: int) -> None:
+    def check_shed(self, task: int) -> None:
         task_class = CLASSES[self.tasks[task].class_index]
-        may_have_run = task in self.risk or any(k[0] == task for k in self.in_flight)
+        may_have_run = task in self.first_risk or any(k[0] == task for k in self.in_flight)
         if may_have_run and task_class.effect is not Effect.IDEMPOTENT:
             assert task_class.effect is Effect.IDEMPOTENT_BY_KEY and task_class.dedup_scope is Scope.ALL, (
-                "rule 2: refused"
+                "rule 2: shed although it may have run"
             )
 
     def check_bind(self, bind: Bind) -> None:
         task = self.tasks[bind.task]
         task_class = CLASSES[task.class_index]
-        assert bind.task in self.owed, "rule 1: sent after the end"
-        assert not [k for k in self.in_flight if k[0] == bind.task], "two attempts out"
+        assert bind.task in self.unanswered, "rule 1: bind of an answered task"
+        assert not [k for k in self.in_flight if k[0] == bind.task], "two attempts in flight"
         assert self.attempts_made[bind.task] < RULES.max_attempts
         node = self.listed[bind.node]
-        if bind.task in self.risk and task_class.effect is not Effect.IDEMPOTENT:
-            first, sent = self.risk[bind.task]
-            assert task_class.effect is Effect.IDEMPOTENT_BY_KEY, "rule 2: sent again"
-            assert self.now <= sent + task_class.dedup_window_us, "rule 2: after the window"
-            assert task_class.dedup_scope is Scope.ALL or first // 3 == node.group, "rule 2: another group"
-        away = self.drained_since.get(bind.node)
-        assert away is None or self.now <= away + RULES.drain_grace_us, "rule 3"
+        if bind.task in self.first_risk and task_class.effect is not Effect.IDEMPOTENT:
+            first_node, first_sent_at = self.first_risk[bind.task]
+            assert task_class.effect is Effect.IDEMPOTENT_BY_KEY, "rule 2: retried although it may have run"
+            assert self.now <= first_sent_at + task_class.dedup_window_us, (
+                "rule 2: retried after the deduplication window"
+            )
+            assert task_class.dedup_scope is Scope.ALL or first_node // 3 == node.group, (
+                "rule 2: retried in another group"
+            )
+        drained_at = self.drained_since.get(bind.node)
+        assert drained_at is None or self.now <= drained_at + RULES.drain_grace_us, (
+            "rule 3: bind to a draining or unlisted node"
+        )
         if node.started_us and self.now < node.started_us + RULES.slow_start_us:
             sends = self.slow_start_sends.setdefault(bind.node, [])
             sends.append(self.now)
             recent = [t for t in sends if t > self.now - RULES.overload_window_us]
-            assert len(recent) <= RULES.slow_start_offers / RULES.planners, "rule 4"
+            assert len(recent) <= RULES.slow_start_offers / RULES.planners, (
+                "rule 4: too many offers to a cold node"
+            )
         key = (bind.task, self.attempts_made[bind.task])
         self.attempts_made[bind.task] += 1
         self.in_flight[key] = bind
         self.sent_at[key] = self.now
         if task_class.spread is Scope.ZONE:
-            nodes = [b.node for k, b in self.in_flight.items() if self.same(k[0], task)]
-            nodes += [n for k, n in self.running.items() if self.same(k[0], task)]
-            assert sum(n % 3 == bind.node % 3 for n in nodes) <= task_class.max_per_place, "rule 5"
+            nodes = [b.node for k, b in self.in_flight.items() if self.has_same_service_and_class(k[0], task)]
+            nodes += [n for k, n in self.running.items() if self.has_same_service_and_class(k[0], task)]
+            assert sum(n % 3 == bind.node % 3 for n in nodes) <= task_class.max_per_place, (
+                "rule 5: spread limit exceeded"
+            )
 
-    def same(self, other: int, task: Task) -> bool:
-        o = self.tasks[other]
-        return (o.service, o.class_index) == (task.service, task.class_index)
+    def has_same_service_and_class(self, other_id: int, task: Task) -> bool:
+        other = self.tasks[other_id]
+        return (other.service, other.class_index) == (task.service, task.class_index)
 
-    def end(self, key: tuple[int, int], result: Result, closed: bool) -> None:
+    def end_attempt(self, key: tuple[int, int], result: Result, is_final: bool) -> None:
         bind = self.in_flight.pop(key, None)
         node = bind.node if bind else self.running.pop(key)
-        if result not in PROVES_NOT_RUN and key[0] not in self.risk:
-            self.risk[key[0]] = (node, self.sent_at[key])
-        if closed:
-            self.owed.discard(key[0])
-        self.feed(Outcome(key[0], key[1], node, result, closed))
+        if result not in PROVES_NOT_RUN and key[0] not in self.first_risk:
+            self.first_risk[key[0]] = (node, self.sent_at[key])
+        if is_final:
+            self.unanswered.discard(key[0])
+        self.feed(Outcome(key[0], key[1], node, result, is_final))
 
     def advance(self, by: int) -> None:
-        """Time passes: timers fire, time-outs and deadlines strike, late answers are a broken rule."""
+        """Advance the clock: fire timers, end attempts at their time limits, and check for late answers."""
         until = self.now + by
         while True:
-            moments = [(t.at_us, 0, t.token) for t in self.timers]
+            due_times = [(t.at_us, 0, t.token) for t in self.timers]
             for key, bind in self.in_flight.items():
                 limit = self.tasks[key[0]].expires_us
                 if bind.timeout_us:
                     limit = min(limit, self.sent_at[key] + bind.timeout_us)
-                moments.append((limit, 1, key[0] * 10 + key[1]))
-            due = min((m for m in moments if m[0] <= until), default=None)
+                due_times.append((limit, 1, key[0] * 10 + key[1]))
+            due = min((m for m in due_times if m[0] <= until), default=None)
             if due is None:
                 break
             self.now = max(self.now, due[0])
@@ -138,18 +156,18 @@
                 self.timers = [t for t in self.timers if t.token != due[2]]
                 self.feed(TimerFired(due[2]))
             else:
-                self.end(divmod(due[2], 10), Result.TIMEOUT, False)
-            self.check_owed()
+                self.end_attempt(divmod(due[2], 10), Result.TIMEOUT, False)
+            self.check_unanswered()
         self.now = until
-        self.check_owed()
+        self.check_unanswered()
 
-    def check_owed(self) -> None:
-        for task in self.owed:
-            assert self.now <= self.tasks[task].expires_us + RULES.answer_slack_us, "rule 1: no answer"
+    def check_unanswered(self) -> None:
+        for task in self.unanswered:
+            assert self.now <= self.tasks[task].expires_us + RULES.answer_slack_us, "rule 1: answer overdue"
 
-    def step(self, what: int, a: int, b: int) -> None:
+    def step(self, operation: int, a: int, b: int) -> None:
         keys = sorted(self.in_flight)
-        if what <= 3:
+        if operation <= 3:
             number = len(self.tasks) + 1
             task_class = CLASSES[a % len(CLASSES)]
             task = Task(
@@ -163,52 +181,52 @@
                 2.0,
             )
             self.tasks[number] = task
-            if what == 3 and b % 6 in self.listed:
+            if operation == 3 and b % 6 in self.listed:
                 self.running[number, 0] = b % 6
                 self.sent_at[number, 0] = self.now
                 self.feed(TaskAdopted(task, b % 6))
             else:
-                self.owed.add(number)
+                self.unanswered.add(number)
                 self.feed(TaskRequested(task))
-        elif what == 4 and keys:
+        elif operation == 4 and keys:
             key = keys[a % len(keys)]
-            self.end(key, ENDS[b % len(ENDS)], key[0] not in self.owed)
-        elif what == 5 and keys:
+            self.end_attempt(key, FAILED_RESULTS[b % len(FAILED_RESULTS)], key[0] not in self.unanswered)
+        elif operation == 5 and keys:
             key = keys[a % len(keys)]
-            if key[0] in self.owed:
-                self.owed.discard(key[0])
+            if key[0] in self.unanswered:
+                self.unanswered.discard(key[0])
                 self.running[key] = self.in_flight.pop(key).node
                 self.feed(Placed(key[0], key[1], self.running[key], 1000))
-        elif what == 6 and self.running:
+        elif operation == 6 and self.running:
             key = sorted(self.running)[a % len(self.running)]
-            self.end(key, Result.FINISHED if b % 2 else Result.LOST, True)
-        elif what == 7:
+            self.end_attempt(key, Result.FINISHED if b % 2 else Result.LOST, True)
+        elif operation == 7:
             self.advance(a * 20_000)
-        elif what == 8:
+        elif operation == 8:
             node = a % 6
             status = (NodeStatus.READY, NodeStatus.DRAINING, NodeStatus.GONE)[b % 3]
-            launched = self.now if status is NodeStatus.READY and b % 4 else 0
+            started_us = self.now if status is NodeStatus.READY and b % 4 else 0
             if status is NodeStatus.READY:
                 self.drained_since.pop(node, None)
                 self.slow_start_sends.pop(node, None)
             else:
                 self.drained_since.setdefault(node, self.now)
-            self.listed[node] = entry(node, status=status, started_us=launched)
+            self.listed[node] = node_entry(node, status=status, started_us=started_us)
             self.feed(NodeList(ListKind.CHANGES, (self.listed[node],)))
-        elif what == 9 and self.owed:
-            task = sorted(self.owed)[a % len(self.owed)]
-            self.owed.discard(task)
+        elif operation == 9 and self.unanswered:
+            task = sorted(self.unanswered)[a % len(self.unanswered)]
+            self.unanswered.discard(task)
             self.feed(TaskCancelled(task))
 
-    def recount(self) -> None:
-        """The planner's counts of attempts agree with the history."""
+    def check_counts(self) -> None:
+        """Check the planner's attempt and spread counts against this model."""
         assert set(self.planner.attempts) == set(self.in_flight) | set(self.running)
-        assert set(self.planner.pending) == self.owed
+        assert set(self.planner.pending) == self.unanswered
         total = sum(self.planner.spread.counts.values())
-        mine = [
+        expected = [
             k for k in self.planner.attempts if CLASSES[self.tasks[k[0]].class_index].spread is Scope.ZONE
         ]
-        assert total == len(mine)
+        assert total == len(expected)
 
 
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 60), st.integers(0, 60))
@@ -217,9 +235,9 @@
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.integers(0, 2**32), st.lists(STEP, min_size=50, max_size=90))
 def test_the_five_rules_hold_on_random_histories(seed: int, steps: list[tuple[int, int, int]]) -> None:
-    ledger = Ledger(seed)
-    for what, a, b in steps:
-        ledger.step(what, a, b)
-        ledger.recount()
-    ledger.advance(20 * SECOND)
-    assert not ledger.owed
+    checker = ModelChecker(seed)
+    for operation, a, b in steps:
+        checker.step(operation, a, b)
+        checker.check_counts()
+    checker.advance(20 * SECOND)
+    assert not checker.unanswered
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec on the wire document's printed bytes, and what happens to malformed input."""
+"""Tests of the simulator's wire codec on example bytes from its document, and on malformed input."""
 
 import io
 import subprocess
@@ -18,7 +18,7 @@
     "07 0300 4d000000"
     "06 0500 192b6f0eb1870000"
 )
-MEMBERS = bytes.fromhex(
+NODE_LIST_RECORDS = bytes.fromhex(
     "0d 00 02000000"
     "074a1203 00006040 00 00 0000 02 0000803f 00004041 0000000000000000"
     "f211902c 00009040 00 00 0000 02 0000c03f 00004041 20145d0000000000"
@@ -35,16 +35,16 @@
     return wire.EVENT_HEADER.pack(16 + len(body), 8_412_250, len(records) if count is None else count) + body
 
 
-def only(*records: bytes, count: int | None = None) -> tuple[int, object]:
+def decode_last(*records: bytes, count: int | None = None) -> tuple[int, object]:
     _, events = wire.Decoder().records(frame(*records, count=count))
     return list(events)[-1]
 
 
 def test_printed_batch() -> None:
     now, events = wire.Decoder().records(BATCH)
-    ask, due, lapsed = events
+    task_requested, timer_fired, task_cancelled = events
     assert now == 0x805C5A
-    assert ask == (
+    assert task_requested == (
         3,
         api.TaskRequested(
             api.Task(
@@ -60,14 +60,14 @@
             )
         ),
     )
-    assert due == (3, api.TimerFired(77))
-    assert lapsed == (5, api.TaskCancelled(OTHER))
+    assert timer_fired == (3, api.TimerFired(77))
+    assert task_cancelled == (5, api.TaskCancelled(OTHER))
 
 
 def test_printed_list() -> None:
-    i, event = only(MEMBERS, count=2)
+    instance, event = decode_last(NODE_LIST_RECORDS, count=2)
     ready = api.NodeStatus.READY
-    assert i == 3 and event == api.NodeList(
+    assert instance == 3 and event == api.NodeList(
         api.ListKind.CACHED,
         (
             api.NodeEntry(NODE, 0, 0, 0, ready, 3.5, 12.0, 0),
@@ -92,14 +92,14 @@
     ],
 )
 def test_printed_events(text: str, event: api.Event) -> None:
-    assert only(bytes.fromhex(text)) == (3, event)
+    assert decode_last(bytes.fromhex(text)) == (3, event)
 
 
-def test_printed_probe_result_and_kill() -> None:
-    _, probed = only(bytes.fromhex("08 0300 f211902c c800 78050000 03 cdcccc3e0000a03f52b81e3f"))
-    assert isinstance(probed, api.HealthChecked) and probed.ok and probed.latency_us == 1400
-    assert probed.report == pytest.approx((0.4, 1.25, 0.62))
-    assert only(bytes.fromhex("0a 0300")) == (3, None)
+def test_printed_health_check_result_and_kill() -> None:
+    _, result = decode_last(bytes.fromhex("08 0300 f211902c c800 78050000 03 cdcccc3e0000a03f52b81e3f"))
+    assert isinstance(result, api.HealthChecked) and result.ok and result.latency_us == 1400
+    assert result.report == pytest.approx((0.4, 1.25, 0.62))
+    assert decode_last(bytes.fromhex("0a 0300")) == (3, None)
 
 
 def test_printed_adoption() -> None:
@@ -107,7 +107,7 @@
         "0b 0300 192b6f0eb1870000 0000 0000 640ad2557c3bf091 da05840000000000 e02e0000 107cf3d901648e2b"
         " 00000040 0000c03f 01 f211902c"
     )
-    _, event = only(bytes.fromhex(text))
+    _, event = decode_last(bytes.fromhex(text))
     assert isinstance(event, api.TaskAdopted) and event.node == NODE2 and event.task.id == OTHER
 
 
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "message"),
     [
         (BATCH[:2], "cut off after 2 bytes"),
         (BATCH[:40], "cut off after 40 of 86 bytes"),
@@ -151,25 +151,28 @@
         (frame(bytes.fromhex("07 0300 4d000000"), b"xx", count=1), "2 bytes left over"),
     ],
 )
-def test_malformed_input_is_named_and_ends_the_adapter(data: bytes, says: str) -> None:
-    good = bytes.fromhex("10000000 5a5c800000000000 00000000")
+def test_malformed_input_gives_one_error_line_and_ends_the_adapter(data: bytes, message: str) -> None:
+    valid_frame = bytes.fromhex("10000000 5a5c800000000000 00000000")
     run = subprocess.run(
-        [sys.executable, "-m", "stairplank.simhost"], input=good + data, capture_output=True, timeout=30
+        [sys.executable, "-m", "stairplank.simhost"],
+        input=valid_frame + data,
+        capture_output=True,
+        timeout=30,
     )
     assert run.returncode != 0
     assert run.stdout == bytes.fromhex("04000000")
     (line,) = run.stderr.decode().splitlines()
-    assert says in line
+    assert message in line
 
 
-def test_end_of_input_between_frames_is_clean() -> None:
+def test_end_of_input_between_frames_exits_without_error() -> None:
     run = subprocess.run(
         [sys.executable, "-m", "stairplank.simhost"], input=b"", capture_output=True, timeout=30
     )
     assert (run.returncode, run.stdout, run.stderr) == (0, b"", b"")
 
 
-def test_reads_frames_from_a_slow_stream() -> None:
+def test_reads_one_frame_from_a_stream() -> None:
     assert wire.read_frame(io.BytesIO(BATCH)) == BATCH
 
 
@@ -204,20 +207,20 @@
 }
 
 
-def text(**changes: str | None) -> str:
+def settings_text(**changes: str | None) -> str:
     values = OPTIONS | {k.replace("__", "."): v for k, v in changes.items()}
     return "\n".join(f"{k}={v}" for k, v in values.items() if v is not None)
 
 
 def test_settings() -> None:
-    s = settings_from(text())
-    assert (s.planners, s.position, s.polls_node_list) == (2, 1, True)
-    assert s.node_types[1] == api.NodeType("node-64", 61.0, 179.0)
-    assert (s.classes[0].spread, s.classes[0].max_per_place) == (api.Scope.GROUP, 3)
+    settings = settings_from(settings_text())
+    assert (settings.planners, settings.position, settings.polls_node_list) == (2, 1, True)
+    assert settings.node_types[1] == api.NodeType("node-64", 61.0, 179.0)
+    assert (settings.classes[0].spread, settings.classes[0].max_per_place) == (api.Scope.GROUP, 3)
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "says"),
+    ("key", "value", "message"),
     [
         ("group_size", None, "group_size is missing"),
         ("group_size", "many", "group_size has an unreadable value 'many'"),
@@ -227,17 +230,19 @@
         ("group_size", "0", "bad planners: 0"),
     ],
 )
-def test_bad_settings_name_the_key(key: str, value: str | None, says: str) -> None:
-    with pytest.raises(ValueError, match=says.replace("(", r"\(")):
-        settings_from(text(**{key: value}))
+def test_error_for_invalid_settings_names_the_key(key: str, value: str | None, message: str) -> None:
+    with pytest.raises(ValueError, match=message.replace("(", r"\(")):
+        settings_from(settings_text(**{key: value}))
 
 
-def test_a_fault_of_one_planner_becomes_one_line_and_spares_the_others() -> None:
-    def start(i: int, options: str) -> bytes:
+def test_an_exception_in_one_planner_is_reported_in_one_line_and_does_not_stop_others() -> None:
+    def new_instance(instance: int, options: str) -> bytes:
         raw = options.encode()
-        return b"\x01" + i.to_bytes(2, "little") + bytes(8) + len(raw).to_bytes(4, "little") + raw
+        return b"\x01" + instance.to_bytes(2, "little") + bytes(8) + len(raw).to_bytes(4, "little") + raw
 
-    out = Host().answer(frame(start(1, text(group_size="0")), start(2, text())))
-    assert out[4:7] == bytes.fromhex("4a 0100")
-    assert b"ValueError: settings: bad planners: 0" in out and b"\n" not in out
-    assert out.endswith(bytes.fromhex("4b 0200 01"))
+    reply = Host().answer(
+        frame(new_instance(1, settings_text(group_size="0")), new_instance(2, settings_text()))
+    )
+    assert reply[4:7] == bytes.fromhex("4a 0100")
+    assert b"ValueError: settings: bad planners: 0" in reply and b"\n" not in reply
+    assert reply.endswith(bytes.fromhex("4b 0200 01"))
