--- a/stairplank/decisions/load.py
+++ b/stairplank/decisions/load.py
@@ -17,7 +17,7 @@
 
 
 class LoadModel:
-    """Computes the load level of nodes and partitions from requested amounts and measured use."""
+    """Computes the load level of nodes and partitions from requested amounts and reported use."""
 
     def __init__(self, context: Context) -> None:
         """Start with the initial memory use; the use of cores is unknown until a report arrives."""
--- a/stairplank/decisions/node_state.py
+++ b/stairplank/decisions/node_state.py
@@ -11,7 +11,7 @@
 
 AMOUNT_TOLERANCE = 1e-4  # amounts of cores or memory that differ by less than this are equal
 CACHED_PROGRAMS = 4  # programs assumed to stay cached at a node after their last task; a low estimate
-NO_CAPACITY_US = 1_500_000  # how long a rejection for lack of capacity holds for tasks as large
+NO_CAPACITY_US = 1_500_000  # how long a rejection for capacity holds for tasks as large, if not updated
 MIN_REQUESTED_SHARE = 0.2  # below this requested share of the cores, use over request is mostly noise
 NODE_USE_WEIGHT = 0.5  # weight of one report in a node's mean use; high because tasks change within seconds
 
--- a/stairplank/decisions/node_table.py
+++ b/stairplank/decisions/node_table.py
@@ -25,9 +25,8 @@
         self.nodes: dict[int, Node] = {}
         self.ready: list[Node] = []  # nodes listed as ready, in list order
         self._partitions: list[list[Node]] | None = None  # ready nodes by partition; None: outdated
-        self._unlisted_in_slow_start: dict[
-            int, Node
-        ] = {}  # nodes unlisted during slow start, kept until it would end
+        # Nodes unlisted during slow start, kept until it would end.
+        self._unlisted_in_slow_start: dict[int, Node] = {}
         self._watch_failures = 0
 
     def watch(self) -> None:
--- a/stairplank/decisions/outlier_ejection.py
+++ b/stairplank/decisions/outlier_ejection.py
@@ -8,8 +8,8 @@
 from .. import interface as api
 
 BASE_EJECTION_US = 700_000  # first ejection after a failure; doubles with each further failure
-UNRESPONSIVE_EJECTION_US = 2_000_000  # first ejection of an unresponsive node, which is checked when it ends
-MAX_EJECTION_US = 8_000_000  # covers a reboot, yet a recovered node is soon used again
+UNRESPONSIVE_EJECTION_US = 2_000_000  # first ejection of an unresponsive node; a health check follows
+MAX_EJECTION_US = 8_000_000  # long enough for a reboot, short enough to find a recovered node soon
 MAX_ERROR_EJECTION_US = 1_000_000  # limit after a quick error: a retry is cheap, an idle node is not
 MAX_DOUBLINGS = 8  # limit on how often an ejection doubles
 SUCCESS_CREDIT = 0.34  # failures that one good start offsets; a node failing every third start stays out
@@ -24,9 +24,8 @@
         """Start with no recorded failure."""
         self.consecutive_failures = 0.0  # a success offsets a part of one failure
         self.ejected_until = 0
-        self.suspected_tasks: dict[
-            int, int
-        ] = {}  # tasks that ended in an error here, and the end of the ejection for each
+        # Tasks that ended in an error here, and the end of the ejection for each.
+        self.suspected_tasks: dict[int, int] = {}
         self.unresponsive = False  # did not answer, and has not answered since
         self.unresponsive_since = 0  # when an answer was last missing; 0: never
         self.answered_at = 0  # first answer after ``unresponsive_since``; 0: none yet
@@ -71,7 +70,7 @@
     def record_rejection(self, task: api.Task, now: int) -> None:
         """Pause the task's class and tenant at this node, for longer each time.
 
-        A node may be slow to reject a single class or tenant; all others can still use it.
+        A node may reject only one class or tenant, and slowly; it stays usable for all others.
         """
         key = (task.class_index, task.tenant)
         until, span = self.class_rejections.get(key, (0, CLASS_REJECTION_US // 2))
--- a/stairplank/decisions/planner.py
+++ b/stairplank/decisions/planner.py
@@ -50,9 +50,8 @@
         self.timeouts = AttemptTimeouts(self.context)
         self.queue = TaskQueue(self.context, self._try_place)
         self.pending: dict[int, PendingTask] = {}  # tasks that are not answered yet, by id
-        self.attempts: dict[
-            tuple[int, int], Attempt
-        ] = {}  # attempts without an outcome, by task id and number
+        # Attempts without an outcome, by task id and number.
+        self.attempts: dict[tuple[int, int], Attempt] = {}
 
     @property
     def settings(self) -> api.Settings:
--- a/stairplank/decisions/retry.py
+++ b/stairplank/decisions/retry.py
@@ -7,15 +7,15 @@
 from .context import Context
 from .node_state import Node
 
-GIVE_UP_TICKS = 3  # a queued task is answered so long before its deadline: two ticks to act plus one
+GIVE_UP_TICKS = 3  # a queued task is answered this long before its deadline: two ticks to act, one spare
 # Wait before the third attempt after rejections; doubles, because quick retries lose races for capacity.
 RETRY_BACKOFF_US = 250_000
 TIMEOUT_MULTIPLE = 5.0  # time-out of a repeatable attempt, as a multiple of the mean time to an answer
 MIN_START_TIMEOUT_US = 1_500_000  # least time-out for a start: a cold start must fit in
 MIN_ACCEPT_TIMEOUT_US = 400_000  # least time-out for an acceptance: a queue of starts must fit in
 TIMEOUT_MARGIN = 1.3  # time left until the deadline must be at least this multiple of the time-out
-INITIAL_START_US = 1_000_000  # assumed time to a confirmed start until some are measured
-INITIAL_ACCEPT_US = 100_000  # assumed time to an acceptance until some are measured
+INITIAL_START_US = 1_000_000  # assumed time to a confirmed start until the first ones are recorded
+INITIAL_ACCEPT_US = 100_000  # assumed time to an acceptance until the first ones are recorded
 ANSWER_TIME_WEIGHT = 0.05  # weight of one sample in the running mean of the time to an answer
 
 
--- a/stairplank/decisions/selection.py
+++ b/stairplank/decisions/selection.py
@@ -18,7 +18,7 @@
 
 PROGRAM_FETCH_LEVEL = 0.2  # extra load level accepted on a node or partition that has the program cached
 CANDIDATES = 3  # nodes compared in a partition; with two, load balance depends too much on chance
-FALLBACK_SAMPLE = 16  # random nodes examined when neither partition has capacity; enough to find what is left
+FALLBACK_SAMPLE = 16  # random nodes tried if neither partition has capacity; usually enough to find some
 LATE_TASK_RESERVE = 0.3  # share of a node closed to tasks that can no longer start in time
 
 
--- a/stairplank/decisions/slow_start.py
+++ b/stairplank/decisions/slow_start.py
@@ -7,7 +7,7 @@
 from .node_state import Node
 
 SLOW_START_SHARE_USED = 0.8  # share of the allowed offers used: jitter may move some into the next window
-SLOW_START_RAMP = 4.0  # increase of the unanswered-offer limit over the slow start, as a multiple
+SLOW_START_RAMP = 4.0  # the limit on unanswered offers grows by this multiple while the node warms up
 RESTART_UNCERTAINTY = 2.0  # list delays for which a node that answers again may have restarted unnoticed
 SLOW_START_MAX_UNANSWERED = 2  # unanswered binds allowed on a node that has just started and is slow
 
--- a/stairplank/decisions/spread.py
+++ b/stairplank/decisions/spread.py
@@ -10,7 +10,7 @@
 
 
 def place_of(scope: api.Scope, node: int, group: int, zone: int) -> int:
-    """Return the id of the node, group or zone, as the scope selects, that contains this node."""
+    """Return the id of the node itself, its group or its zone, as the scope selects; else 0."""
     if scope is api.Scope.NODE:
         return node
     if scope is api.Scope.GROUP:
--- a/stairplank/decisions/threshold.py
+++ b/stairplank/decisions/threshold.py
@@ -12,7 +12,7 @@
 
     Args:
         exact: the load of the own partition, in steps.
-        at_upper: whether the own partition is known to have released nothing since the last shared count.
+        at_upper: whether no release was seen in the own partition since the last shared count.
         other_upper: the larger of the two loads that the other partition may have, in steps.
     """
     return other_upper >= exact + 1 if at_upper else other_upper >= exact
--- a/stairplank/interface.py
+++ b/stairplank/interface.py
@@ -220,7 +220,7 @@
     started_us: int = 0  # start time of the node; 0: long ago
 
 
-# Events
+# Events that a planner receives
 
 
 @dataclass(frozen=True, slots=True)
@@ -325,12 +325,12 @@
 )
 
 
-# Actions
+# Actions that a planner returns
 
 
 @dataclass(frozen=True, slots=True)
 class Bind:
-    """Offer the task to a node; attempts of a task are numbered 0, 1, 2 ... in this order."""
+    """Offer the task to a node; a task's attempts are numbered 0, 1, 2 ... in the order of its binds."""
 
     task: int
     node: int
--- a/stairplank/settings_text.py
+++ b/stairplank/settings_text.py
@@ -25,30 +25,30 @@
 
 def flatten(nested: Mapping[str, Any]) -> dict[str, str]:
     """Convert nested settings to a flat mapping of dotted keys to text values."""
-    return dict(_paths("", nested))
+    return dict(_flatten_items("", nested))
 
 
-def _paths(path: str, value: Any) -> Iterator[tuple[str, str]]:
+def _flatten_items(path: str, value: Any) -> Iterator[tuple[str, str]]:
     if isinstance(value, Mapping):
         for key, inner in value.items():
-            yield from _paths(f"{path}.{key}" if path else str(key), inner)
+            yield from _flatten_items(f"{path}.{key}" if path else str(key), inner)
     elif not isinstance(value, (list, tuple)):
-        yield path, _plain(value)
+        yield path, _format_value(value)
     elif any(isinstance(item, Mapping) for item in value):
         yield f"{path}.count", str(len(value))
         for number, item in enumerate(value):
-            yield from _paths(f"{path}.{number}", item)
+            yield from _flatten_items(f"{path}.{number}", item)
     else:
-        yield path, ",".join(_plain(item) for item in value)
+        yield path, ",".join(_format_value(item) for item in value)
 
 
-def _plain(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return "" if value is None else str(value).replace(" ", "_").replace(",", "_")
 
 
-def _whole(raw: str) -> int:
+def _parse_whole(raw: str) -> int:
     return int(float(raw))
 
 
@@ -66,7 +66,7 @@
 
     def whole(self, key: str, default: int | None = None) -> int:
         """Return a whole number, truncated if it has a fraction. Required if there is no default."""
-        number: int = self._read(key, _whole, default)
+        number: int = self._read(key, _parse_whole, default)
         return number
 
     def number(self, key: str, default: float | None = None) -> float:
@@ -148,10 +148,10 @@
     """Read the task classes; some keys belong to one class, others list one value per class."""
     count = reader.whole("classes.count")
     spread = reader.items("family_info.spread_by", SCOPES.__getitem__, count, api.Scope.NONE)
-    max_per_place = reader.items("family_info.class_most", _whole, count, 0)
+    max_per_place = reader.items("family_info.class_most", _parse_whole, count, 0)
     start_bonus_s = reader.items("family_info.class_start_s", float, count, 0.0)
-    node_type = reader.items("family_info.class_kind", _whole, count, -1)
-    priority = reader.items("family_info.priority_by_class", _whole, count, 0)
+    node_type = reader.items("family_info.class_kind", _parse_whole, count, -1)
+    priority = reader.items("family_info.priority_by_class", _parse_whole, count, 0)
     full_service = reader.items("family_info.easy_until", float, count, 1.0)
     service_loss = reader.items("family_info.lost_after", float, count, 1.0)
     classes = []
@@ -232,7 +232,7 @@
 
 
 def _max_retry_after_us(reader: SettingsReader) -> int:
-    """Return 0 if clients do not support Retry-After; the key is not read in that case."""
+    """Return the longest Retry-After; 0, without reading the key, if clients do not support it."""
     return reader.whole("limits.max_retry_after_us", 0) if reader.flag("limits.retry_after") else 0
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -104,9 +104,9 @@
 def test_a_task_idempotent_by_key_is_retried_only_in_its_scope_and_window() -> None:
     harness = PlannerHarness()
     bind = single_bind(harness.request(1, class_index=1))
-    again = single_bind(harness.report_outcome(bind, Result.ERROR))
-    assert again.node != bind.node and again.node // 3 == bind.node // 3
-    late = harness.report_outcome(again, Result.UNREACHABLE, attempt=1, after=4 * SECOND)
+    second = single_bind(harness.report_outcome(bind, Result.ERROR))
+    assert second.node != bind.node and second.node // 3 == bind.node // 3
+    late = harness.report_outcome(second, Result.UNREACHABLE, attempt=1, after=4 * SECOND)
     assert late == [Fail(1)]
 
 
@@ -427,9 +427,9 @@
 
 def test_a_service_moves_from_a_full_node_to_a_less_loaded_one() -> None:
     harness = PlannerHarness(nodes=60, planners=350)
-    usual = single_bind(harness.request(1)).node
-    harness.send_node_list(node_entry(usual, free_cores=0.5), after=3 * SECOND)
-    assert single_bind(harness.request(2)).node != usual
+    selected = single_bind(harness.request(1)).node
+    harness.send_node_list(node_entry(selected, free_cores=0.5), after=3 * SECOND)
+    assert single_bind(harness.request(2)).node != selected
 
 
 def test_same_seed_same_actions() -> None:
