--- a/tests/golden/golden_grpc_days.py
+++ b/tests/golden/golden_grpc_days.py
@@ -71,7 +71,7 @@
             case ev.LogEvent():
                 pass  # log texts are not traced
             case _:
-                raise TypeError(f"an action that no trace has: {action!r}")
+                raise TypeError(f"no trace format for action {action!r}")
 
 
 def record_trace(scenario_name: str, seed: int, trace: Trace) -> None:
--- a/tests/golden/golden_platform_days.py
+++ b/tests/golden/golden_platform_days.py
@@ -54,7 +54,7 @@
             case ev.SettingsInForce() | ev.Report():
                 pass  # these actions only cause log lines, which are not traced
             case _:
-                raise TypeError(f"an action that no trace has: {action!r}")
+                raise TypeError(f"no trace format for action {action!r}")
 
 
 def record_trace(settings: str, seed: int, trace: Trace) -> None:
