--- a/stairplank/platform/adoption.py
+++ b/stairplank/platform/adoption.py
@@ -1,18 +1,20 @@
-"""Adoption of running tasks after a restart: tasks that their clients say a machine holds already, until both
-sides are known here. No I/O or clock.
+"""Adoption of running tasks after a restart of the planner. No I/O or clock.
 
-After a restart the clients report their running tasks, the node list reports the machines, and the machines
-report tasks that ended meanwhile; these three come in any order.
+After a restart, clients report their running tasks, the node list reports the machines, and the machines
+report tasks that ended while no planner was connected. These messages arrive in any order.
 
 Invariants (tests/platform/test_platform_adoption.py):
 
-1. A task at a machine that is not on the list waits until the list is confirmed as complete,
-   ``LISTING_WAIT_US`` at most: as long as the list may be late. Then it is over, and its client is notified.
-2. A task of which its machine has reported the end is over as it is adopted (``ENDED_US``, ``MAX_ENDED``).
-3. One whose client ends it while it waits is ended at its machine as soon as that is listed.
+1. A task at an unlisted machine waits until the node list is confirmed as complete, at most
+   ``LISTING_WAIT_US``, the longest delay of the list. If the machine is still unlisted then, the task is
+   ended and its client is notified.
+2. A task whose end its machine has already reported is ended when it is adopted (``ENDED_US``,
+   ``MAX_ENDED``).
+3. If a client ends its task while the task waits here, the task is ended at its machine as soon as the
+   machine is listed.
 
-Tables: ``waiting`` by the machine's name and the id (``MAX_WAITING``: one that its client has ended
-meanwhile counts among no client's tasks any more), ``ended`` by machine and id.
+Tables: ``waiting`` by the machine's name and the task's id, bounded by ``MAX_WAITING`` because a task that
+its client has ended no longer counts towards the client's own bound; ``ended`` by machine and task id.
 """
 
 from __future__ import annotations
@@ -27,30 +29,30 @@
 from .tables import Task, TaskState
 
 CONFIRMATION_GRACE_US = (
-    50_000  # a confirmation of the list so soon after an adoption may have been sent before it
+    50_000  # a confirmation of the list this soon after an adoption may have been sent before it
 )
-# A list update arrives within 4 s after the list service's connection broke or fell silent, and the end of a
-# task is due to its client after 8 s. Danger: notified at once that its task is over, a client has it run
-# twice.
+# A list update arrives within 4 s after the connection to the node list service broke or stopped responding,
+# and a client must learn of the end of its task within 8 s. If the client were notified without this wait, it
+# would start a second copy of a task that still runs.
 LISTING_WAIT_US = 4_500_000
 ENDED_US, MAX_ENDED = 10_000_000, 1024
-MAX_WAITING = 4096  # beyond, a task is over at once
+MAX_WAITING = 4096  # a task beyond this number is ended at once
 
 
 class Attempts(Protocol):
-    """What adoption needs of the attempts at machines."""
+    """The methods of the attempts at machines that adoption uses."""
 
     def adopt(self, task: Task, machine: int) -> None: ...
 
 
 class ClientRequests(Protocol):
-    """What adoption needs of the clients' requests."""
+    """The methods of the clients' requests that adoption uses."""
 
     def ended(self, task: Task, cause: int | None) -> None: ...
 
 
 class Links(Protocol):
-    """What adoption needs of the connections to machines."""
+    """The methods of the connections to machines that adoption uses."""
 
     def send_message(
         self, machine: int, message: Message, link: int = 0, *, must_arrive: bool = False
@@ -59,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingTask:
-    """A task whose machine is not on the list yet, and when its client reported it."""
+    """A task whose machine is not on the node list yet, and the time at which its client reported it."""
 
     since: int
     task: Task
@@ -67,14 +69,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedEnd:
-    """The end of a task that nothing here knew, as its machine reported it."""
+    """The end of a task that was unknown to this planner when its machine reported the end."""
 
     at: int
     cause: int
 
 
 class Adoption:
-    """Tasks that run already, until both their clients and their machines are known here."""
+    """Running tasks that are being taken over, until both their clients and their machines are known."""
 
     def __init__(self, loop: EventLoop, attempts: Attempts, requests: ClientRequests, links: Links) -> None:
         self.loop = loop
@@ -83,30 +85,30 @@
         self.links = links
         self.find_machine: Callable[[str], int | None]
         self.waiting: dict[str, dict[str, WaitingTask]] = {}
-        self.waiting_count = 0  # of them
+        self.waiting_count = 0  # number of tasks in ``waiting``
         self.ended: dict[tuple[int, str], ReportedEnd] = {}
 
     def take(self, task: Task) -> None:
-        """Adopt a client's task that runs at the machine which it names."""
+        """Adopt a client's running task, or keep it until the machine that it names is listed."""
         machine = self.find_machine(task.request.at)
         if machine is not None:
             self._adopt(task, machine)
             return
         self.loop.count("adopted_unlisted")
-        # Danger: adopted and ended again without a pause, they would be kept without a bound.
+        # Without this bound, a client that hands over tasks and ends them again could fill the memory.
         if self.waiting_count >= MAX_WAITING:
             self.requests.ended(task, int(Cause.RESET))
             return
-        there = self.waiting.setdefault(task.request.at, {})
-        self.waiting_count += task.id not in there
-        there[task.id] = WaitingTask(self.loop.now, task)
+        waiting_at_machine = self.waiting.setdefault(task.request.at, {})
+        self.waiting_count += task.id not in waiting_at_machine
+        waiting_at_machine[task.id] = WaitingTask(self.loop.now, task)
         self.loop.call_at(self.loop.now + LISTING_WAIT_US, self._not_listed, task)
 
     def machine_listed(self, name: str, machine: int) -> None:
-        """That machine is on the list now."""
-        there = self.waiting.pop(name, {})
-        self.waiting_count -= len(there)
-        for task in (waiting.task for waiting in there.values()):
+        """Adopt the tasks that waited for this machine, which is listed now; end those that clients ended."""
+        waiting_at_machine = self.waiting.pop(name, {})
+        self.waiting_count -= len(waiting_at_machine)
+        for task in (waiting.task for waiting in waiting_at_machine.values()):
             if task.state is TaskState.RUNNING:
                 self._adopt(task, machine)
             else:
@@ -114,29 +116,33 @@
                 self.links.send_message(machine, message, must_arrive=True)
 
     def list_confirmed(self) -> None:
-        """The list is complete. Danger: notified at once, without this, a client's task may run on; notified
-        late, the end of a task while no planner was here is reported more than 8 s after it.
+        """End waiting tasks whose machine is missing from the node list, now that the list is complete.
+
+        If clients were notified before the list is complete, their tasks might still be running. If every
+        task waited for ``LISTING_WAIT_US``, the end of a task while no planner was running would be reported
+        more than 8 s late.
         """
         before = self.loop.now - CONFIRMATION_GRACE_US
-        waiting = [found for there in self.waiting.values() for found in there.values()]
-        late = [found.task for found in waiting if found.since < before]
-        for task in late:
+        waiting = [entry for entries in self.waiting.values() for entry in entries.values()]
+        unlisted = [entry.task for entry in waiting if entry.since < before]
+        for task in unlisted:
             self._not_listed(task)
 
     def task_ended(self, machine: int, message: Message) -> None:
-        """That machine ends a task which nothing here knows."""
+        """Record that a machine ended a task that is unknown here, as its client may still hand it over."""
         self.ended.pop((machine, message.id), None)
         self.ended[machine, message.id] = ReportedEnd(self.loop.now, message.cause or 0)
         while self.ended:
-            first = next(iter(self.ended))
-            if len(self.ended) <= MAX_ENDED and self.ended[first].at > self.loop.now - ENDED_US:
+            oldest = next(iter(self.ended))
+            if len(self.ended) <= MAX_ENDED and self.ended[oldest].at > self.loop.now - ENDED_US:
                 break
-            del self.ended[first]
+            del self.ended[oldest]
 
     def _adopt(self, task: Task, machine: int) -> None:
         end = self.ended.pop((machine, task.id), None)
         if end is not None and end.at > self.loop.now - ENDED_US:
-            # Danger: the machine has sent its last message on it; it would count as running here for good.
+            # The machine sends nothing more on this task; if it were adopted, it would count as running
+            # forever.
             self.loop.count("adopted_ended")
             self.requests.ended(task, end.cause)
             return
@@ -144,13 +150,13 @@
         self.attempts.adopt(task, machine)
 
     def _not_listed(self, task: Task) -> None:
-        there = self.waiting.get(task.request.at, {})
-        waiting = there.get(task.id)
+        waiting_at_machine = self.waiting.get(task.request.at, {})
+        waiting = waiting_at_machine.get(task.id)
         if waiting is None or waiting.task is not task:
             return
-        del there[task.id]
+        del waiting_at_machine[task.id]
         self.waiting_count -= 1
-        if not there:
+        if not waiting_at_machine:
             del self.waiting[task.request.at]
         if task.state is TaskState.RUNNING:
             self.requests.ended(task, int(Cause.RESET))
--- a/stairplank/platform/attempts.py
+++ b/stairplank/platform/attempts.py
@@ -2,17 +2,18 @@
 
 Invariants (tests/platform/test_platform_core.py):
 
-1. Each bind of the module gets one outcome. One that proves that nothing ran is reported only where no
-   complete message left, or where the machine said so: never after a complete write on a connection that
-   broke or carried what could not be read.
-2. A task has at most one attempt that is waiting, sent or running: an earlier one is abandoned before another
-   is sent.
+1. Each bind of the decision module gets exactly one outcome. An outcome that proves that the task did not run
+   is reported only if no complete message was written, or if the machine reported so: never after a complete
+   write on a connection that broke or carried a malformed message.
+2. A task has at most one attempt that is waiting, sent or running: an earlier attempt is abandoned before
+   another is sent.
 3. Nothing is sent to a machine that is known to be draining or removed.
-4. Of an abandoned attempt the machine may still report that it runs. By its class it is released, or left
-   running for its client to find; a duplicate beside one that runs is always released.
-5. A machine's second message on a task changes nothing.
+4. A machine may still report that an abandoned attempt runs. The task's class decides whether that copy is
+   released or left running for its client to find; a duplicate of a task that already runs is always
+   released.
+5. A second message of a machine on the same task changes nothing.
 
-Table: ``table`` (``attempt_table``); ``in_flight`` counts those that are waiting or sent.
+Table: ``table`` (``attempt_table``); ``in_flight`` is the number of attempts that are waiting or sent.
 """
 
 from __future__ import annotations
@@ -30,8 +31,8 @@
 from .tables import ATTEMPT_TRANSITIONS, Attempt, AttemptState, MachinePlace, OutboundRequest, Task
 from .task_table import TaskTable
 
-MAX_IN_FLIGHT = 4096  # attempts; beyond, placement requests are rejected
-UNANSWERED_US = 100_000  # abandoned so shortly before its time is over, an attempt got no answer
+MAX_IN_FLIGHT = 4096  # attempts; above this number placement requests are rejected
+UNANSWERED_US = 100_000  # an attempt abandoned this shortly before its deadline counts as unanswered
 REASONS = {
     "nc": api.Reason.NO_CORES,
     "nm": api.Reason.NO_MEMORY,
@@ -60,7 +61,7 @@
 
 
 class Links(Protocol):
-    """What attempts need of the connections to machines."""
+    """The methods of the connections to machines that attempts use."""
 
     def send(self, request: OutboundRequest) -> None: ...
     def send_message(
@@ -73,13 +74,13 @@
 
 
 class Adoption(Protocol):
-    """What attempts need of the adoption of running tasks."""
+    """The methods of the adoption of running tasks that attempts use."""
 
     def task_ended(self, machine: int, message: Message) -> None: ...
 
 
 class ClientRequests(Protocol):
-    """What attempts need of the clients' requests."""
+    """The methods of the clients' requests that attempts use."""
 
     def placed(self, task: Task, body: str) -> None: ...
     def ended(self, task: Task, cause: int | None) -> None: ...
@@ -87,7 +88,7 @@
 
 
 class Attempts:
-    """Attempts at machines, from the module's bind to the machine's last message."""
+    """All attempts at machines, from the decision module's bind to the machine's last message."""
 
     def __init__(
         self, loop: EventLoop, settings: api.Settings, report_fields: tuple[str, ...], tasks: TaskTable
@@ -103,17 +104,17 @@
         self.in_flight = 0
 
     def start(self) -> None:
-        """Forget abandoned attempts after their time, from now on."""
+        """Start the periodic removal of expired abandoned attempts."""
         self.table.start()
 
     def is_full(self) -> bool:
-        """Whether no further placement request may be accepted."""
+        """Return whether further placement requests must be rejected."""
         return self.in_flight >= MAX_IN_FLIGHT
 
     # Actions of the decision module
 
     def bind(self, action: api.Bind) -> None:
-        """Send a task to a machine; the outcome is reported as not sent where it may not go there."""
+        """Send a task to a machine, or report the outcome "not sent" if it may not be sent there."""
         task = self.tasks.by_number.get(action.task)
         if task is None:
             return
@@ -140,21 +141,22 @@
         task = attempt.task
         if task.attempt is not None or task.placement_state is not PlacementState.OPEN:
             return False
-        # Danger: of an earlier attempt under this id at this machine a message may be on its way; taken for
-        # the new one's, a late "full" would prove that what runs there never did.
+        # A message on an earlier attempt with this id at this machine may still be in flight. If a late
+        # "full" were taken as the new attempt's answer, it would prove that a task which runs there never
+        # ran.
         if (attempt.machine, task.id) in self.table.by_machine_and_id:
             self.loop.count("duplicate_attempts")
             return False
         return self.links.is_ready(attempt.machine) and self.loop.now < attempt.due_at
 
     def stop_attempt(self, action: api.StopAttempt) -> None:
-        """Abandon the attempt if it is still in flight."""
+        """Abandon an attempt on the decision module's request, if it is still in flight."""
         attempt = self._attempt_of(action.task)
         if attempt is not None and attempt.number == action.attempt and attempt.state in _IN_FLIGHT:
             self._recall(attempt, api.Result.CANCELLED)
 
     def evict(self, action: api.Evict) -> None:
-        """End a running task at its machine; its client requests it anew."""
+        """End a running task at its machine and have its client request it again."""
         attempt = self._attempt_of(action.task)
         if attempt is not None and attempt.state is AttemptState.RUNNING:
             self._order_release(attempt, Cause.CANCELLED)
@@ -168,7 +170,7 @@
     # Messages to machines
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether it may still go to its machine, now."""
+        """Return whether an attempt's message may be sent to its machine now."""
         task_class = self.settings.classes[attempt.task.request.class_index]
         if not self.links.is_ready(attempt.machine) or self.links.place_of(attempt.machine) != attempt.place:
             return False
@@ -178,10 +180,10 @@
         return self.loop.now + 2 * self.settings.tick_us < window_end
 
     def message_of(self, attempt: Attempt) -> Message:
-        """The message that is written for it, now."""
+        """Return the placement request for an attempt, with the time that is left until its deadline."""
         placement = attempt.task.request
-        left_ms = max(1, (attempt.due_at - self.loop.now) // 1000)
-        fields = {"class": placement.spec.task_class, "key": placement.key, "left": str(left_ms)}
+        remaining_ms = max(1, (attempt.due_at - self.loop.now) // 1000)
+        fields = {"class": placement.spec.task_class, "key": placement.key, "left": str(remaining_ms)}
         if placement.idem:
             fields["idem"] = placement.idem
         return Message(Kind.PLACE, attempt.id, fields, body=attempt.task.body)
@@ -189,12 +191,12 @@
     # Requests of clients
 
     def withdrawn(self, task: Task) -> None:
-        """The task got its answer, or its client has gone: an attempt in flight is recalled."""
+        """Recall the task's attempt in flight: the task was answered or its client has disconnected."""
         if task.attempt is not None and task.attempt.state in _IN_FLIGHT:
             self._recall(task.attempt, api.Result.CANCELLED)
 
     def release(self, task: Task) -> None:
-        """Its client ends a task that stands."""
+        """End a running task at its machine, as its client requested."""
         attempt = task.attempt
         if attempt is not None and attempt.state is AttemptState.RUNNING:
             self._order_release(attempt, Cause.CANCELLED)
@@ -202,7 +204,7 @@
             self._report_outcome(attempt, api.Result.CANCELLED, closed=True)
 
     def adopt(self, task: Task, machine: int) -> None:
-        """A task runs at that machine already."""
+        """Record a task that already runs at the machine as a running attempt."""
         old = self.table.get(machine, task.id)
         if old is not None:
             self.table.forget_abandoned(old)
@@ -214,50 +216,58 @@
     # Events of the links
 
     def written(self, attempt: Attempt) -> None:
-        """Its message was written to a connection."""
+        """Record that the attempt's message was written to a connection."""
         attempt.state = self.loop.transition(ATTEMPT_TRANSITIONS, attempt.state, "written")
 
     def not_written(self, attempt: Attempt) -> bool:
-        """Not every byte of its message left: whether it is to be sent again."""
+        """Record that not every byte of the attempt's message was sent. Return whether to send it again."""
         if attempt.state is not AttemptState.SENT:
             return False
         attempt.state = self.loop.transition(ATTEMPT_TRANSITIONS, attempt.state, "not written")
         return True
 
     def unreachable(self, attempt: Attempt, result: api.Result) -> None:
-        """Its message never left."""
+        """End an attempt whose message was never sent."""
         if attempt.state is AttemptState.WAITING:
             self._finish(attempt, result)
 
     def recall(self, attempt: Attempt) -> None:
-        """Its connection is about to be closed: its machine is notified that it is abandoned."""
+        """Notify the machine that the attempt is abandoned, before its connection is closed."""
         if attempt.state is AttemptState.SENT:
             message = Message(Kind.RELEASE, attempt.id, cause=int(Cause.ENDED))
             self.loop.emit(ev.SendToMachine(attempt.link, message))
 
     def broken(self, attempt: Attempt) -> None:
-        """Its connection broke after a complete write. Danger: the machine may have taken it all the same."""
+        """Abandon an attempt whose connection broke after a complete write.
+
+        The machine may have accepted the task all the same, so the outcome proves nothing.
+        """
         if attempt.state is AttemptState.SENT:
             self._abandon(attempt)
             self._report_outcome(attempt, api.Result.LOST)
 
     def machine_lost(self, machine: int, before: int | None = None) -> None:
-        """It died, left or started anew (``before``): what stood there is over."""
+        """End all tasks at a machine that is unreachable, was removed or has restarted.
+
+        ``before``: when the machine restarted; tasks that started later are kept.
+        """
         for attempt in self.table.at(machine):
-            # Danger: a task that was adopted after that start may have stood before it, and would stand
-            # here for good. When it does harm: one that was placed after it is cut, and comes again.
+            # An adopted task may have started before the machine restarted although it was adopted later;
+            # counted from its adoption, it would stay in the table forever. Its last status update counts
+            # instead. The cost: an adopted task that started after the restart may be ended, and is requested
+            # again.
             since = attempt.last_status_at if attempt.task.request.at else attempt.started_at
             if before is not None and since >= before:
                 continue
             if attempt.state is AttemptState.RUNNING:
                 self.loop.count("lost_with_machine")
-                # It is out of reach: if it comes back with the task, the task must end there.
+                # The machine is unreachable; if it comes back and still runs the task, it must end it then.
                 self._order_release(attempt, Cause.CANCELLED)
                 self.requests.ended(attempt.task, int(Cause.RESET))
                 self._report_outcome(attempt, api.Result.LOST, closed=True)
 
     def received(self, machine: int, link: int, message: Message) -> None:
-        """A machine's message on a task; one that nothing here knows is only acknowledged."""
+        """Handle a machine's message on a task; a release of an unknown task is acknowledged too."""
         attempt = self.table.get(machine, message.id)
         if message.kind is Kind.RELEASE:
             self.links.send_message(machine, Message(Kind.ACKNOWLEDGEMENT, message.id), link)
@@ -268,36 +278,36 @@
             return
         match message.kind:
             case Kind.ANSWER:
-                self._answered(attempt, message, link)
+                self._answer_received(attempt, message, link)
             case Kind.RELEASE:
-                self._released(attempt, message)
+                self._release_received(attempt, message)
             case Kind.STATUS_UPDATE if attempt.state is AttemptState.RUNNING:
                 self._status_received(attempt, message)
 
-    # What becomes of an attempt
+    # State changes of an attempt
 
-    def _answered(self, attempt: Attempt, message: Message, link: int) -> None:
+    def _answer_received(self, attempt: Attempt, message: Message, link: int) -> None:
         if attempt.state is AttemptState.SENT:
-            self._leave_flight(attempt)
+            self._remove_in_flight(attempt)
             attempt.state = self.loop.transition(ATTEMPT_TRANSITIONS, attempt.state, "accepted")
             self.links.add_running(attempt.machine, 1)
             task = attempt.task
             self.requests.placed(task, message.body or "")
-            took = self.loop.now - attempt.started_at
-            self.loop.notify_module(api.Placed(task.number, attempt.number, attempt.machine, took))
+            took_us = self.loop.now - attempt.started_at
+            self.loop.notify_module(api.Placed(task.number, attempt.number, attempt.machine, took_us))
         elif attempt.state is AttemptState.ABANDONED:
             effect = self.settings.classes[attempt.task.request.class_index].effect
-            verdict = abandoned_attempts.duplicate_action(effect, attempt.task.placement_state)
-            self.loop.count("abandoned_" + verdict.value)
-            if verdict is DuplicateAction.STOP:
+            duplicate_action = abandoned_attempts.duplicate_action(effect, attempt.task.placement_state)
+            self.loop.count("abandoned_" + duplicate_action.value)
+            if duplicate_action is DuplicateAction.STOP:
                 self._order_release(attempt, Cause.CANCELLED, link)
 
-    def _released(self, attempt: Attempt, message: Message) -> None:
+    def _release_received(self, attempt: Attempt, message: Message) -> None:
         if attempt.state is AttemptState.SENT and message.cause == Cause.ENDED and message.body:
-            # Ended well, with a description: the answer and the end in one. Danger: taken for a reset, it
-            # would be sent to other machines, and this one would count as unresponsive.
+            # A successful end with a task description is the answer and the end in one message. Handled as a
+            # reset, the task would be sent to other machines and this one would count as unresponsive.
             self.loop.count("answered_and_ended")
-            self._answered(attempt, message, attempt.link)
+            self._answer_received(attempt, message, attempt.link)
         if attempt.state is AttemptState.RUNNING:
             self._run_ended(attempt, message)
         elif attempt.state is AttemptState.SENT:
@@ -306,7 +316,7 @@
             self.table.forget_abandoned(attempt)
 
     def _run_ended(self, attempt: Attempt, message: Message) -> None:
-        """Its machine ended a running task."""
+        """End a running attempt after its machine's release message."""
         cause = message.cause or 0
         result = _RUN_RESULTS.get(cause, api.Result.LOST)
         report = validation.load_report_in(message, self.report_fields)
@@ -316,7 +326,7 @@
         self._report_outcome(attempt, result, _reason_in(message), report, closed=True)
 
     def _rejected(self, attempt: Attempt, message: Message) -> None:
-        """Its machine did not accept the task, or lost it."""
+        """End a sent attempt that its machine rejected, failed or lost."""
         result = _REJECTION_RESULTS.get(message.cause or 0, api.Result.LOST)
         self.loop.count("ended_" + result.value)
         report = validation.load_report_in(message, self.report_fields)
@@ -337,12 +347,12 @@
             self._recall(attempt, api.Result.TIMEOUT)
 
     def _recall(self, attempt: Attempt, result: api.Result) -> None:
-        """Abandon an attempt in flight. Its machine may have accepted it, or may still do so."""
+        """Abandon an attempt in flight that its machine may have accepted, or may still accept."""
         if attempt.state is AttemptState.WAITING:
             self._finish(attempt, api.Result.NOT_SENT)
             return
-        # Danger: sent once its connection is done with, it would be given up only by the close, and the copy
-        # that goes elsewhere in this turn may be there first.
+        # The release is sent before ``complete``, which may close the connection. After it, only the close
+        # would end the attempt, and the copy that is sent to another machine in this turn might start first.
         message = Message(Kind.RELEASE, attempt.id, cause=int(Cause.ENDED))
         self.links.send_message(attempt.machine, message, attempt.link)
         self.links.complete(attempt, unanswered=self.loop.now > attempt.due_at - UNANSWERED_US)
@@ -350,7 +360,7 @@
         self._report_outcome(attempt, result)
 
     def _order_release(self, attempt: Attempt, cause: Cause, link: int = 0) -> None:
-        """Order the machine to end the task that runs there, now or once it is reached."""
+        """Order the machine to end a task, at once or as soon as a connection to it comes up."""
         if attempt.state is AttemptState.RUNNING:
             self.links.add_running(attempt.machine, -1)
             self.table.retain_abandoned(attempt)
@@ -359,7 +369,7 @@
         self.links.send_message(attempt.machine, message, link, must_arrive=True)
 
     def _abandon(self, attempt: Attempt) -> None:
-        self._leave_flight(attempt)
+        self._remove_in_flight(attempt)
         attempt.state = self.loop.transition(ATTEMPT_TRANSITIONS, attempt.state, "abandoned")
         self.table.retain_abandoned(attempt)
 
@@ -371,11 +381,11 @@
         report: tuple[float, ...] = (),
     ) -> None:
         self.links.complete(attempt)
-        self._leave_flight(attempt)
+        self._remove_in_flight(attempt)
         self.table.end(attempt)
         self._report_outcome(attempt, result, reason, report)
 
-    def _leave_flight(self, attempt: Attempt) -> None:
+    def _remove_in_flight(self, attempt: Attempt) -> None:
         self.in_flight -= 1
         if attempt.state is AttemptState.SENT:
             self.links.complete(attempt)
@@ -392,12 +402,12 @@
         if task.attempt is attempt:
             task.attempt = None
         closed = closed or task.placement_state is not PlacementState.OPEN
-        took = self.loop.now - attempt.started_at
+        took_us = self.loop.now - attempt.started_at
         if result not in api.PROVES_NOT_RUN and task.is_proven_not_run:
             task.is_proven_not_run = False
             task.may_have_run_since = attempt.started_at
         self.loop.notify_module(
-            api.Outcome(task.number, attempt.number, attempt.machine, result, closed, reason, took, report)
+            api.Outcome(task.number, attempt.number, attempt.machine, result, closed, reason, took_us, report)
         )
 
 
--- a/stairplank/platform/health_checks.py
+++ b/stairplank/platform/health_checks.py
@@ -1,12 +1,13 @@
-"""Health checks of machines: those of the decision module and those of the links. No I/O or clock.
+"""Health checks of machines, started by the decision module or by the links. No I/O or clock.
 
 Invariants (tests/platform/test_platform_core.py):
 
 1. A health check that the decision module requested gets one result: the machine's, or a failure after
    ``HEALTH_CHECK_TIMEOUT_US``.
-2. One of the links' own is reported to nobody: its answer, whatever it is, shows that the machine is there.
+2. The result of a health check that the links started is not reported: any answer shows that the machine is
+   reachable.
 
-Table: ``pending`` by id.
+Table: ``pending`` by the health check's id.
 """
 
 from __future__ import annotations
@@ -20,56 +21,56 @@
 from .tables import HealthCheck, OutboundRequest
 
 HEALTH_CHECK_TIMEOUT_US = 500_000
-_OWN_IDS = 1 << 63  # set in the ids of health checks, which no task's number reaches
+_HEALTH_CHECK_ID_BIT = 1 << 63  # set in every health check's id; no task's number is large enough to set it
 
 
 class Links(Protocol):
-    """What health checks need of the connections to machines."""
+    """The methods of the connections to machines that health checks use."""
 
     def send(self, request: OutboundRequest) -> None: ...
     def complete(self, request: OutboundRequest, *, unanswered: bool = False) -> None: ...
 
 
 class HealthChecks:
-    """The health checks that are in flight."""
+    """All health checks in flight."""
 
     def __init__(self, loop: EventLoop, report_fields: tuple[str, ...]) -> None:
-        """``report_fields``: of load reports, in the settings' order."""
+        """``report_fields``: the field names of load reports, in the order of the settings."""
         self.loop = loop
         self.report_fields = report_fields
         self.links: Links
         self.pending: dict[str, HealthCheck] = {}
 
     def requested(self, action: api.HealthCheck) -> None:
-        """The decision module requests a health check."""
+        """Start a health check that the decision module requested."""
         check = self._new(action.node, is_requested=True)
         self.loop.count("probes")
         self._start(check)
 
     def check_machine(self, machine: int) -> None:
-        """Check for the links whether a machine to which dials fail still answers."""
+        """Start a health check for the links: dials to the machine fail, and it may still answer."""
         self._start(self._new(machine, is_requested=False))
 
     def is_pending(self, check: HealthCheck) -> bool:
-        """Whether its result is still awaited."""
+        """Return whether the health check still waits for its result."""
         return check.id in self.pending
 
     def message_of(self, check: HealthCheck) -> Message:
-        """The message to the machine; cause 1 requests the load report too."""
+        """Return the message of a health check; cause 1 requests a load report too."""
         return Message(Kind.HEALTH_CHECK, check.id, cause=int(check.is_requested))
 
     def received(self, machine: int, message: Message) -> None:
-        """A machine's answer; one that nothing here awaits is ignored."""
+        """Finish the health check that a machine answered; ignore an answer that is not expected."""
         check = self.pending.get(message.id)
         if check is not None and check.machine == machine:
             self._finish(check, message.cause == 1, validation.load_report_in(message, self.report_fields))
 
     def failed(self, check: HealthCheck) -> None:
-        """It did not reach its machine, or its connection broke."""
+        """Fail a health check that was not sent, or whose connection broke."""
         self._finish(check, False)
 
     def _new(self, machine: int, is_requested: bool) -> HealthCheck:
-        check_id = f"{self.loop.next_number() | _OWN_IDS:016x}"
+        check_id = f"{self.loop.next_number() | _HEALTH_CHECK_ID_BIT:016x}"
         return HealthCheck(check_id, machine, self.loop.now, is_requested)
 
     def _start(self, check: HealthCheck) -> None:
--- a/stairplank/platform/link_checks.py
+++ b/stairplank/platform/link_checks.py
@@ -1,13 +1,13 @@
-"""Periodic checks of machines and their connections: what is due, idle or unreachable. No I/O or clock.
+"""Periodic checks that renew and close connections and detect unreachable machines. No I/O or clock.
 
 Invariants (tests/platform/test_platform_links.py):
 
-1. A machine at which tasks run has a connection, made anew once nothing has been received for ``refresh_us``,
-   and every ``renew_us``: a machine sends on the next one what got lost on an old one, and one that has
-   vanished lets no new one come up.
-2. A machine is held to be unreachable only where dials fail for ``UNREACHABLE_US`` and nothing is received
-   from it meanwhile, or where it refuses connections for ``REFUSED_US`` and none is up.
-3. A connection with a request outstanding is not closed for idleness.
+1. A machine with running tasks has a connection. A new one is dialled when nothing has been received for
+   ``refresh_us``, and every ``renew_us``: a machine sends messages that were lost on an old connection again
+   on the next one, and a failed dial shows that the machine has vanished.
+2. A machine counts as unreachable only if dials fail for ``UNREACHABLE_US`` while nothing is received from
+   it, or if it refuses connections for ``REFUSED_US`` and no connection is up.
+3. A connection with an outstanding request is not closed as idle.
 """
 
 from __future__ import annotations
@@ -22,35 +22,38 @@
 from .tables import Link, Machine
 
 CHECK_INTERVAL_US = 100_000
-CHECK_ROUNDS = 5  # a machine of which nothing is awaited is checked in one of so many
-# What ran at a machine that has vanished is due to its clients 8 s after its end: REFRESH_US since it was
-# last received from, a dial's time-out, UNREACHABLE_US and the checks come to less, by this much. Danger:
-# each planner dials nearly every machine so often.
+CHECK_ROUNDS = 5  # a machine that needs no attention is checked in one of this many rounds
+# Clients must learn within 8 s that their tasks ended with a machine that vanished. Three intervals must
+# therefore add up to at most REPORT_DUE_US, which leaves time for the checks: the refresh interval (counted
+# from the last message of the machine), the dial time-out and UNREACHABLE_US. Shorter refresh intervals cost
+# more, because each planner dials nearly every machine once per interval.
 REPORT_DUE_US = 7_300_000
 REFRESH_US = 4_000_000
-RENEW_US = 6_000_000  # the same where it answers: what got lost is sent on a new connection, due in 8 s too
+# A machine that still answers is dialled anew this often: it sends messages that were lost again on a new
+# connection, and clients must have those within 8 s too.
+RENEW_US = 6_000_000
 MIN_REFRESH_US = 1_000_000
 UNREACHABLE_US = 2_500_000
-REFUSED_US = 100_000  # so long a machine refuses connections before what ran there is over
+REFUSED_US = 100_000  # a machine that refuses connections for longer has lost its tasks
 REMOVAL_GRACE_US = (
-    3_000_000  # a machine that the list reports as removed may still send messages on its tasks
+    3_000_000  # how long a machine that was removed from the list may still send messages on its tasks
 )
 
 
 class Attempts(Protocol):
-    """What the checks need of the attempts at machines."""
+    """The methods of the attempts at machines that the checks use."""
 
     def machine_lost(self, machine: int, before: int | None = None) -> None: ...
 
 
 class HealthChecks(Protocol):
-    """What the checks need of the health checks."""
+    """The methods of the health checks that the link checks use."""
 
     def check_machine(self, machine: int) -> None: ...
 
 
 class LinkChecks:
-    """Checks every machine in turn, and those of which something is due in every turn."""
+    """Checks machines in turn; machines that need attention are checked in every round."""
 
     def __init__(
         self,
@@ -72,23 +75,23 @@
         self._check_count = 0
 
     def set_dial_timeout(self, dial_timeout_us: int) -> None:
-        """How long a dial may take, from now on."""
-        # Danger: where dials take long, the end of what ran at a machine that has vanished would be reported
-        # too late.
+        """Set the time-out of dials, and adapt the refresh intervals to it."""
+        # With a long time-out of dials and unchanged intervals, clients would learn too late that their tasks
+        # ended with a machine that vanished.
         renewal_due_us = REPORT_DUE_US - dial_timeout_us
         self.refresh_us = max(MIN_REFRESH_US, min(REFRESH_US, renewal_due_us - UNREACHABLE_US))
         self.renew_us = max(MIN_REFRESH_US, min(RENEW_US, renewal_due_us))
 
     def start(self) -> None:
-        """Check machines every ``CHECK_INTERVAL_US`` from now on."""
+        """Start the checks, one round every ``CHECK_INTERVAL_US``."""
         self.loop.call_at(self.loop.now + CHECK_INTERVAL_US, self._check_machines)
 
     def _check_machines(self, _: None) -> None:
         self.loop.call_at(self.loop.now + CHECK_INTERVAL_US, self._check_machines)
         self._check_count += 1
-        turn = self._check_count % CHECK_ROUNDS
+        round_number = self._check_count % CHECK_ROUNDS
         for machine in list(self.pool.machines.values()):
-            if self._needs_attention(machine) or machine.id % CHECK_ROUNDS == turn:
+            if self._needs_attention(machine) or machine.id % CHECK_ROUNDS == round_number:
                 self._check_machine(machine)
         self.pool.restore_free_share()
         self.pool.dial_queued()
@@ -97,8 +100,10 @@
 
     @staticmethod
     def _needs_attention(machine: Machine) -> bool:
-        """Whether something is due there soon. Danger: counted among these for having no connection, nearly
-        the whole list of a large site would be checked each time, by each planner, with nothing to do.
+        """Return whether the machine must be checked in every round.
+
+        A machine that merely has no connection is not included: each planner would then check nearly all
+        machines of a large cluster in every round, with nothing to do.
         """
         if machine.running_count and not machine.links:
             return True
@@ -107,7 +112,7 @@
     def _check_machine(self, machine: Machine) -> None:
         now = self.loop.now
         if machine.status is api.NodeStatus.GONE and (machine.removed_at or not machine.running_count):
-            # The list reports it, or a full list left it out and what ran there is over.
+            # The list reports the machine as removed, or a complete list omits it and it runs no task.
             if not machine.running_count or now > machine.removed_at + REMOVAL_GRACE_US:
                 self._remove(machine)
             return
@@ -120,22 +125,22 @@
 
     def _dial_if_due(self, machine: Machine, links_up: list[Link]) -> None:
         if machine.running_count and self._is_due(machine):
-            idle = [k for k in links_up if not k.outstanding]
+            idle = [link for link in links_up if not link.outstanding]
             if idle and len(machine.links) >= self.pool.max_pool:
-                self.links.close(min(idle, key=lambda k: k.opened_at))
+                self.links.close(min(idle, key=lambda link: link.opened_at))
             if not links_up or len(machine.links) < self.pool.max_pool:
                 self.pool.dial_or_queue(machine)
         elif machine.waiting and (not links_up or self.pool.may_dial(machine)):
             self.pool.dial_or_queue(machine)
 
     def _is_due(self, machine: Machine) -> bool:
-        """Whether a new connection is due: on it the machine sends what got lost."""
+        """Return whether to dial a new connection, on which the machine sends lost messages again."""
         last_contact = max(machine.opened_at, machine.last_received_at)
         due_at = min(last_contact + self.refresh_us, machine.opened_at + self.renew_us)
         return not machine.opened_at or self.loop.now > due_at
 
     def _close_unused(self, machine: Machine, links_up: list[Link]) -> None:
-        newest = max((k.opened_at for k in links_up), default=0)
+        newest = max((link.opened_at for link in links_up), default=0)
         for link in links_up:
             is_spare = link.opened_at < newest or not machine.running_count
             idle_us = self.loop.now - max(link.used_at, link.opened_at)
@@ -143,7 +148,11 @@
                 self.links.close(link)
 
     def _check_failing(self, machine: Machine, is_up: bool) -> None:
-        """Dials fail. Danger: a machine may let no new connection come up and still run all it has."""
+        """Decide whether a machine to which dials fail is unreachable.
+
+        A machine may accept no new connection and still run its tasks, so a health check is sent on an
+        existing connection.
+        """
         now = self.loop.now
         is_unreachable = now - machine.failing_since > UNREACHABLE_US
         refuses = machine.refused_since and now - machine.refused_since > REFUSED_US and not is_up
@@ -163,7 +172,7 @@
         machine.refused_since = 0
 
     def _remove(self, machine: Machine) -> None:
-        """It is gone from the list, and has had its time to report what became of its tasks."""
+        """Remove a machine that left the list and has had time to report the ends of its tasks."""
         self.attempts.machine_lost(machine.id)
         self.links.close_links_to(machine)
         self.pool.dial_queue.pop(machine.id, None)
--- a/stairplank/platform/link_pool.py
+++ b/stairplank/platform/link_pool.py
@@ -1,12 +1,13 @@
-"""Which connections to machines there are: a small pool for each machine, a bound for all. No I/O or clock.
+"""The pool of connections to machines, bounded for each machine and in all. No I/O or clock.
 
 Invariants (tests/platform/test_platform_links.py):
 
-1. Bounds: ``max_pool`` for a machine (more where all are suspect), ``max_links`` in all; those that come up
-   and those that are being closed are included.
-2. Where more machines want a connection than may have one, those with nothing outstanding take turns.
+1. A machine has at most ``max_pool`` connections (more if all are suspect), and all machines together at most
+   ``max_links``. Connections that are being dialled or closed count too.
+2. If more machines need a connection than ``max_links`` allows, connections without outstanding requests are
+   closed so that the machines take turns.
 
-Tables: ``links``, ``closing``, ``dial_queue``; ``machines`` belongs to the component of that name.
+Tables: ``links``, ``closing``, ``dial_queue``; ``machines`` belongs to the component ``machines.py``.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 from . import events as ev
 from .tables import Link, Machine
 
-MIN_POOL, MAX_POOL = 2, 6  # connections to one machine
-FREE_SHARE = 16  # one in so many connections is kept free: a dial need not wait for a close
+MIN_POOL, MAX_POOL = 2, 6  # limits of ``max_pool``, the number of connections to one machine
+FREE_SHARE = 16  # one in this many connections is kept free, so that a dial need not wait for a close
 
 
 class LinkPool:
-    """The connections of all machines, and the machines that wait for one."""
+    """The connections to all machines, and the queue of machines that wait for a connection."""
 
     def __init__(
         self,
@@ -37,27 +38,27 @@
         self.machines = machines
         self.max_links = max_links
         self.links: dict[int, Link] = {}
-        self.closing: dict[int, int] = {}  # connections that are read on, and their machines
-        self.dial_queue: dict[int, None] = {}  # machines that wait for capacity, the longest wait first
+        self.closing: dict[int, int] = {}  # machines by the connections that are closed and still read
+        self.dial_queue: dict[int, None] = {}  # machines that wait for capacity, ordered by time of arrival
         self.closing_all = False
         self._close = close
         self._dial_queue_turns = 0
 
     @property
     def max_pool(self) -> int:
-        """How many connections one machine may have."""
+        """The largest number of connections to one machine."""
         return max(MIN_POOL, min(MAX_POOL, self.max_links // max(1, len(self.machines))))
 
     def capacity(self) -> int:
-        """How many more connections may be dialled."""
+        """Return how many more connections may be dialled."""
         return 0 if self.closing_all else self.max_links - len(self.links) - len(self.closing)
 
     def may_dial(self, machine: Machine) -> bool:
-        """Whether one more connection to that machine may be dialled now."""
+        """Return whether another connection to the machine may be dialled now."""
         return len(machine.links) < self.max_pool and self.capacity() > 0
 
     def dial(self, machine: Machine) -> None:
-        """Dial a new connection."""
+        """Dial a new connection to the machine."""
         link = Link(self.loop.next_number(), machine.id)
         self.links[link.number] = link
         machine.links[link.number] = link
@@ -65,9 +66,10 @@
         self.loop.emit(ev.Dial(link.number, machine.address))
 
     def dial_or_queue(self, machine: Machine) -> None:
-        """Dial it now, or as soon as there is capacity. Danger: dialled in any case, the connections to a
-        fleet that runs something nearly everywhere would take all descriptors, the node list service's and
-        clients' too.
+        """Dial the machine now, or queue it until there is capacity.
+
+        Without this limit, connections to a cluster in which nearly every machine runs a task would take all
+        file descriptors, including those for the node list service and for clients.
         """
         if self.capacity() > 0:
             self.dial(machine)
@@ -77,9 +79,11 @@
             self.close_idle(1)
 
     def dial_queued(self) -> None:
-        """There may be capacity again: dial in turns a machine for which a request waits, and the one that
-        waits longest. Danger: in a jam some request always waits, and the end of a task elsewhere is not
-        received.
+        """Dial queued machines while there is capacity.
+
+        Every second dial is for a machine with waiting requests, the others are for the machine that has been
+        queued longest. Under overload some request always waits; if machines with waiting requests always
+        came first, the other machines could not report the ends of their tasks.
         """
         while self.dial_queue and self.capacity() > 0:
             machine = self.machines.get(self._next_queued())
@@ -89,32 +93,35 @@
                 self.dial(machine)
 
     def restore_free_share(self) -> None:
-        """Keep some capacity free. Danger: without it, each task for a machine that has no connection would
-        wait for a close.
+        """Close idle connections until one in ``FREE_SHARE`` is free.
+
+        Otherwise each task for a machine without a connection would wait for a close.
         """
         missing = self.max_links // FREE_SHARE - self.capacity() - len(self.closing)
         if missing > 0:
             self.close_idle(missing)
 
     def close_idle(self, count: int) -> None:
-        """Close so many connections with nothing outstanding, wherever they lead: those first whose machine
-        has a newer one, or at which nothing runs. Danger: closing one for capacity would give up the
-        placement requests that are in flight on it.
+        """Close ``count`` connections without outstanding requests, to any machine.
+
+        Connections whose machine has a newer connection or runs no task are closed first. A connection with
+        outstanding requests is never closed for capacity: its placement requests in flight would be
+        abandoned.
         """
-        idle = [k for k in self.links.values() if k.is_up and not k.outstanding]
+        idle = [link for link in self.links.values() if link.is_up and not link.outstanding]
         for link in heapq.nsmallest(count, idle, key=self._closing_order):
             self.loop.count("closed_for_capacity")
             self._close(link)
 
     def remove(self, link: Link) -> None:
-        """The connection is no more, or is being closed."""
+        """Remove a connection that is lost or being closed from the tables."""
         self.links.pop(link.number, None)
         machine = self.machines.get(link.machine)
         if machine is not None:
             machine.links.pop(link.number, None)
 
     def _next_queued(self) -> int:
-        """Take the next machine's number out of the queue."""
+        """Remove the next machine from the queue and return its number."""
         self._dial_queue_turns += 1
         number = next(iter(self.dial_queue))
         if self._dial_queue_turns % 2:
--- a/stairplank/platform/links.py
+++ b/stairplank/platform/links.py
@@ -1,15 +1,17 @@
-"""Connections to machines: what is sent on which, and what becomes of it when one closes. No I/O or clock.
+"""Connections to machines: the choice of a connection per request, retries and closes. No I/O or clock.
 
 Invariants (tests/platform/test_platform_links.py):
 
-1. A request takes a connection with nothing else on it where there is one (with fewer than
-   ``max_outstanding``), else a new one, up to the pool's bound: what spoils a connection takes few others
-   along.
-2. A connection that is closed is read on until the machine has closed it too: a release may be on its way
-   there. After one that broke off, a machine at which tasks run is dialled at once, for what got lost on it.
-3. Bound: ``MAX_PENDING_MESSAGES`` messages are kept for a machine out of reach.
+1. A request is sent on a connection with fewer than ``max_outstanding`` requests (by default an idle one) if
+   there is one, else on a new connection, up to the pool's bound. So a connection that breaks affects few
+   requests.
+2. After the planner closes a connection, it reads on until the machine has closed it too, because a release
+   may still be in flight. After a connection to a machine with running tasks breaks, the machine is dialled
+   at once and sends again what was lost.
+3. At most ``MAX_PENDING_MESSAGES`` messages are kept for a machine without a usable connection.
 
-``pool`` (``link_pool``) has the connections; ``link_checks`` closes idle ones and finds unreachable machines.
+``pool`` (``link_pool``) owns the connections; ``link_checks`` closes idle connections and detects unreachable
+machines.
 """
 
 from __future__ import annotations
@@ -24,15 +26,15 @@
 from .messages import Message
 from .tables import HealthCheck, Link, Machine, MachinePlace, OutboundRequest
 
-IDLE_LINK_US = 4_000_000  # a connection without use is closed then
-DIAL_BACKOFF_US, MAX_DIAL_BACKOFF_US = 100_000, 800_000  # between dials that failed
+IDLE_LINK_US = 4_000_000  # a connection that is unused for this long is closed
+DIAL_BACKOFF_US, MAX_DIAL_BACKOFF_US = 100_000, 800_000  # first and longest wait after a failed dial
 MAX_PENDING_MESSAGES = 1024
-# Requests in flight on one connection before another is dialled, where the settings price a handshake.
+# Requests in flight on one connection before another is dialled, if the settings give handshakes a price.
 MAX_SHARED = 4
 
 
 class Requests(Protocol):
-    """What the links need of the components that send requests."""
+    """The methods of the components that send requests, as the links use them."""
 
     def written(self, request: OutboundRequest, link: int) -> None: ...
     def not_written(self, request: OutboundRequest) -> bool: ...
@@ -56,30 +58,31 @@
         has_handshake_price: bool,
         idle_us: int,
     ) -> None:
-        """``machines``: kept by ``machines``; ``idle_us``: when machines close an idle connection."""
+        """``machines``: the table of ``machines.py``; ``idle_us``: when machines close an idle connection."""
         self.loop = loop
         self.machines = machines
         self.requests: Requests
         self.pool = LinkPool(loop, machines, sockets // 2, self.close)
         self.links = self.pool.links
         self.set_dialling(dial_timeout_us, has_handshake_price)
-        # Danger: machines close what is idle for so long, and what is written meanwhile may have run.
+        # Machines close a connection that is idle for ``idle_us``. A request that is written during that
+        # close may have run, so a connection counts as stale after three quarters of it.
         self.stale_us = idle_us * 3 // 4
 
     def set_dialling(self, dial_timeout_us: int, has_handshake_price: bool) -> None:
-        """How long a dial may take, and whether connections have a price, from now on."""
+        """Set the time-out of dials, and whether the settings give handshakes a price."""
         self.max_outstanding = MAX_SHARED if has_handshake_price else 1
         self.dial_timeout_us = dial_timeout_us
 
-    # Questions
+    # Queries
 
     def is_ready(self, machine: int) -> bool:
-        """Whether the list has the machine as ready for new work."""
+        """Return whether the machine is listed as ready for new tasks."""
         known = self.machines.get(machine)
         return known is not None and known.status is api.NodeStatus.READY
 
     def place_of(self, machine: int) -> MachinePlace | None:
-        """The machine's zone, its group and when it started."""
+        """Return the machine's zone, group and start time, or None if it is unknown."""
         known = self.machines.get(machine)
         return MachinePlace(known.place, known.started_at) if known is not None else None
 
@@ -91,9 +94,9 @@
             self.close(link)
 
     def drop_waiting(self, machine: Machine) -> None:
-        """Drop what waits for a connection; health checks still go to a machine that is draining.
+        """Drop the requests that wait for a connection to the machine, except health checks while it drains.
 
-        Danger: a placement request that waited for its connection would leave after the drain was reported.
+        Otherwise a placement request that waits for a connection would be sent after the drain was reported.
         """
         waiting, machine.waiting = machine.waiting, deque()
         for request in waiting:
@@ -105,7 +108,7 @@
     # Sending
 
     def send(self, request: OutboundRequest) -> None:
-        """Send it on the best connection, or have it wait for a new one."""
+        """Send a request on the best connection, or queue it until a new connection is up."""
         machine = self.machines.get(request.machine)
         if machine is None or machine.removed_at:
             self.requests.unreachable(request)
@@ -126,18 +129,20 @@
             self.pool.dial_or_queue(machine)
 
     def _best_link(self, machine: Machine) -> Link | None:
-        """The usable connection with the fewest requests outstanding, the newest of these."""
+        """Return the usable connection with the fewest outstanding requests, preferring newer connections."""
         usable = [link for link in machine.usable_links() if not self._is_stale(link)]
         return min(usable, key=lambda link: (len(link.outstanding), -link.opened_at), default=None)
 
     def _is_stale(self, link: Link) -> bool:
-        """Whether its machine may be about to close it as idle."""
+        """Return whether the machine may be about to close the connection as idle."""
         return not link.outstanding and max(link.used_at, link.opened_at) < self.loop.now - self.stale_us
 
     def _write(self, link: Link, request: OutboundRequest) -> None:
-        """Danger: what was decided a dial or a break ago may not leave now: the machine drains by this time,
-        has restarted, so that it is warming up or in another group, or the window in which a repeat is
-        dropped is over.
+        """Write a request to a connection if it may still be sent, else report it as not sent.
+
+        A dial or a broken connection may have delayed the request. Since its decision, the machine may have
+        begun to drain, restarted (so that it is warming up) or changed its group, and the deduplication
+        window may have ended.
         """
         if not self.requests.may_send(request):
             self.loop.count("withheld_requests")
@@ -149,7 +154,7 @@
         self.loop.emit(ev.SendToMachine(link.number, self.requests.message_of(request)))
 
     def complete(self, request: OutboundRequest, *, unanswered: bool = False) -> None:
-        """Nothing more is awaited for it. ``unanswered``: its answer did not come in time."""
+        """Remove a finished or abandoned request. ``unanswered``: its answer did not arrive in time."""
         link = self.links.get(request.link)
         if link is None or link.outstanding.get(request.id) is not request:
             machine = self.machines.get(request.machine)
@@ -158,7 +163,7 @@
             return
         del link.outstanding[request.id]
         link.used_at = self.loop.now
-        # Danger: an answer that stopped short leaves a connection on which nothing more will come.
+        # After an answer that arrived in part only, no further answer can be read from the connection.
         link.is_suspect |= unanswered
         if link.is_suspect and not link.outstanding:
             self.close(link)
@@ -166,8 +171,10 @@
     def send_message(
         self, machine: int, message: Message, link: int = 0, *, must_arrive: bool = False
     ) -> None:
-        """Send a message that expects no answer: on that connection, or, with ``must_arrive``, on any,
-        or on the next.
+        """Send a message that expects no answer.
+
+        It is sent on connection ``link`` if that is up. Otherwise, with ``must_arrive`` or without a
+        ``link``, it is sent on any usable connection, or on the next one that comes up.
         """
         known = self.machines.get(machine)
         if known is None:
@@ -177,7 +184,7 @@
             self.loop.emit(ev.SendToMachine(link, message))
             return
         if link and not must_arrive:
-            return  # the closing of its connection has given it up already
+            return  # the close of its connection has already abandoned the attempt
         usable = known.usable_links()
         if usable:
             self.loop.emit(ev.SendToMachine(usable[0].number, message))
@@ -185,7 +192,7 @@
             known.pending_messages[message.id] = message
 
     def add_running(self, machine: int, by: int) -> None:
-        """That many more tasks run at the machine."""
+        """Change the number of tasks that run at the machine."""
         known = self.machines.get(machine)
         if known is not None:
             known.running_count += by
@@ -193,7 +200,7 @@
     # Events of connections
 
     def link_up(self, event: ev.LinkUp) -> None:
-        """A connection has come up: what waits for it leaves."""
+        """Send the messages and requests that waited for the connection, which is up now."""
         link = self.links.get(event.link)
         if link is None:
             return
@@ -208,13 +215,14 @@
         pending, machine.pending_messages = machine.pending_messages, {}
         for message in pending.values():
             self.loop.emit(ev.SendToMachine(link.number, message))
-        # Danger: what no dial is under way for would wait here until its own time is over.
-        is_last = not machine.dials()
-        while machine.waiting and (is_last or len(link.outstanding) < self.max_outstanding):
+        # If no other dial is under way, all waiting requests are sent on this connection: nothing else would
+        # send them before their deadlines.
+        is_last_dial = not machine.dials()
+        while machine.waiting and (is_last_dial or len(link.outstanding) < self.max_outstanding):
             self._write(link, machine.waiting.popleft())
 
     def link_failed(self, event: ev.LinkFailed) -> None:
-        """A dial has failed: requests that waited for it go elsewhere."""
+        """Handle a failed dial: send its waiting requests on other connections, or give them up."""
         link = self.links.get(event.link)
         if link is None:
             return
@@ -230,7 +238,8 @@
         backoff_us = DIAL_BACKOFF_US << min(machine.failed_dials - 1, 4)
         machine.next_dial_at = now + min(backoff_us, MAX_DIAL_BACKOFF_US)
         if event.ours:
-            # Danger: out of descriptors ourselves, every machine would count as dead, and its tasks as lost.
+            # This planner has no file descriptors left. If that counted against the machines, all of them
+            # would be regarded as unreachable and their tasks as lost.
             self.loop.count("dials_without_descriptors")
             return
         self.loop.count("dials_refused" if event.refused else "dials_timed_out")
@@ -238,15 +247,17 @@
         machine.refused_since = (machine.refused_since or now) if event.refused else 0
 
     def _send_or_give_up(self, machine: Machine, event: ev.LinkFailed) -> None:
-        """What waits takes another connection, or is reported as unreachable."""
+        """Send waiting requests on another connection, or report them as unreachable or not sent."""
         best = min(machine.usable_links(), key=lambda link: len(link.outstanding), default=None)
         is_dialling = machine.dials() > 0
         result = api.Result.NOT_SENT if event.ours else api.Result.UNREACHABLE
         if best is None:
-            # Danger: what piles up in an outage would leave at once with the first connection that comes up,
-            # and the machine may be warming up by then. It goes elsewhere after as long as a dial may take.
+            # Requests that wait longer than a dial may take are given up, so that they are placed at other
+            # machines. Otherwise all requests queued in an outage would be sent at once on the first
+            # connection that comes up, when the machine may be warming up.
             self._expire(machine, self.loop.now - self.dial_timeout_us, result)
-        # Where nobody listens, none that waits will come through; else each dial answers for one.
+        # If the machine refuses connections and no dial is under way, no waiting request can be sent.
+        # Otherwise one failed dial affects one waiting request.
         waiting_count = len(machine.waiting)
         count = waiting_count if event.refused and not is_dialling else min(1, waiting_count)
         for _ in range(count):
@@ -256,19 +267,22 @@
                 self.requests.unreachable(machine.waiting.popleft(), result)
 
     def link_lost(self, event: ev.LinkLost) -> None:
-        """A connection is no more, closed by either side or broken."""
+        """Handle a connection that broke or that either side closed."""
         link = self.links.get(event.link)
         self.pool.closing.pop(event.link, None)
         if link is not None:
-            # Danger: one that is over already would count among those that are read on until they close, for
-            # good, and once half of the descriptors has gone so nothing more would be dialled.
+            # ``is_up`` is cleared first, so that ``close`` does not add the lost connection to ``closing``.
+            # No event would ever remove it there; such entries would use up the limit on connections, half of
+            # the descriptors, until nothing more could be dialled.
             link.is_up = False
             self.close(link, event.unsent)
             self._dial_again(link.machine)
         self.pool.dial_queued()
 
     def _dial_again(self, number: int) -> None:
-        """Danger: a release that was on its way here comes only on the next connection, and is due in a
+        """Dial a machine with running tasks at once after its connection was lost.
+
+        A release that was in flight arrives only on the next connection, and its client must have it within a
         second.
         """
         machine = self.machines.get(number)
@@ -280,7 +294,7 @@
             self.pool.dial(machine)
 
     def messages_unsent(self, event: ev.MessagesUnsent) -> None:
-        """They go elsewhere: they might not leave for this machine any more."""
+        """Report requests withdrawn from a send buffer as not sent, so that they are placed again."""
         link = self.links.get(event.link)
         if link is None:
             return
@@ -291,20 +305,20 @@
                 self.requests.unreachable(request, api.Result.NOT_SENT)
 
     def may_send(self, link: int, id: str) -> bool:
-        """Whether that request is still to be sent there: not abandoned meanwhile, and allowed now."""
+        """Return whether the request is still outstanding on the connection and may be sent now."""
         known = self.links.get(link)
         request = known.outstanding.get(id) if known is not None else None
         return request is not None and self.requests.may_send(request)
 
     def close_all(self) -> None:
-        """Nothing is in flight any more: all connections are closed, and none is dialled."""
+        """Close all connections and stop dialling, at the end of a shutdown when nothing is in flight."""
         self.pool.closing_all = True
         self.pool.dial_queue.clear()
         for link in list(self.links.values()):
             self.close(link)
 
     def received(self, event: ev.MachineMessage) -> None:
-        """A machine's message; a connection that is being closed is still read."""
+        """Pass a machine's message on, also from a connection that is being closed."""
         link = self.links.get(event.link)
         if link is None:
             if event.link in self.pool.closing:
@@ -320,12 +334,11 @@
     # Closing
 
     def close(self, link: Link, unsent: frozenset[str] = frozenset()) -> None:
-        """Close it, if it is not closed yet. What was completely written on it is broken; the rest is sent
-        again.
+        """Close a connection. Completely written requests count as broken; ``unsent`` ones are sent again.
 
-        Danger: a connection is read on after its close, and until the machine has seen that close what is in
-        flight on it is not abandoned there: the module may send a duplicate at once. So the machine is
-        notified first.
+        Before the close, the machine is notified that the requests on the connection are abandoned. Otherwise
+        it would go on with them until it notices the close, while the decision module may send a duplicate at
+        once.
         """
         for request in link.outstanding.values():
             if link.is_up and request.id not in unsent:
@@ -351,12 +364,14 @@
             self.requests.unreachable(request)
 
     def expire_waiting(self, machine: Machine) -> None:
-        """Danger: what waits for capacity would wait for the answers of others, up to its own time. After as
-        long as a dial may take it goes elsewhere.
+        """Give up requests that have waited longer for a connection than a dial may take.
+
+        They are placed again at other machines. Otherwise they would wait up to their deadlines until answers
+        to other requests free a connection.
         """
         self._expire(machine, self.loop.now - self.dial_timeout_us - 1, api.Result.NOT_SENT)
 
     def _expire(self, machine: Machine, oldest: int, result: api.Result) -> None:
-        """Report requests that have waited since ``oldest`` or longer as not sent."""
+        """Remove requests that have waited since ``oldest`` or longer, and report ``result`` for them."""
         while machine.waiting and machine.waiting[0].started_at <= oldest:
             self.requests.unreachable(machine.waiting.popleft(), result)
--- a/stairplank/platform/machine_connections.py
+++ b/stairplank/platform/machine_connections.py
@@ -1,4 +1,4 @@
-"""Connections to machines: dialled and closed as the core's links want it, read by a greenlet each."""
+"""Sockets to machines, dialled and closed on the core's actions; a greenlet reads each of them."""
 
 from __future__ import annotations
 
@@ -16,20 +16,23 @@
 from .messages import ProtocolError
 from .streams import RESOURCE_EXHAUSTED_ERRNOS, PacedReads, Stream
 
-READ_BYTES = 65_536  # of one read of one connection
-PARTIAL_LINE_TIMEOUT_S = 1.0  # a line that has begun is complete by then, or its connection is closed
+READ_BYTES = 65_536  # the most bytes that one read of a connection returns
+PARTIAL_LINE_TIMEOUT_S = 1.0  # a connection is closed if a line is still incomplete after this time
 
 
 @dataclass(slots=True)
 class DecodedBatch:
-    """What one read completed: the messages up to the first malformed line, and whether there was none."""
+    """The messages that one read completed, up to the first malformed line.
+
+    ``is_well_formed``: there was no malformed line.
+    """
 
     events: list[ev.Event]
     is_well_formed: bool
 
 
 class MachineConnections:
-    """The sockets of the core's links, by the links' numbers."""
+    """The sockets of the core's links, by link number."""
 
     def __init__(self, driver: CoreDriver, core: Core, dial_timeout_us: int) -> None:
         """Serve the links of ``core``; a dial may take ``dial_timeout_us`` microseconds."""
@@ -38,10 +41,10 @@
         self.set_dial_timeout(dial_timeout_us)
         self.streams: dict[int, Stream] = {}
         self.dials: dict[int, gevent.Greenlet[..., None]] = {}
-        self.unsent_by_link: dict[int, set[str]] = {}  # for links whose loss waits in the event queue
+        self.unsent_by_link: dict[int, set[str]] = {}  # for links whose LinkLost event is still queued
 
     def set_dial_timeout(self, dial_timeout_us: int) -> None:
-        """Set how long a dial may take, from the next one on."""
+        """Set the time-out of later dials."""
         self._dial_timeout_s = dial_timeout_us / 1e6
 
     def dial(self, link: int, machine_address: str) -> None:
@@ -49,34 +52,35 @@
         self.dials[link] = gevent.spawn(self._serve, link, machine_address)
 
     def close(self, link: int) -> None:
-        """Close a connection once all is written, or abandon its dial."""
+        """Close a connection once its send buffer is written, or abandon its dial."""
         dialling = self.dials.pop(link, None)
         if dialling is not None:
-            dialling.kill(block=False)  # its descriptor is free at once
+            dialling.kill(block=False)  # frees the descriptor at once
         stream = self.streams.get(link)
         if stream is not None:
             stream.close_gracefully()
 
     def are_closed(self) -> bool:
-        """Return whether no connection is open and none is dialled."""
+        """Return whether no connection is open or being dialled."""
         return not self.dials and all(stream.is_closed for stream in self.streams.values())
 
     def stream_for(self, link: int, mark: str) -> Stream | None:
-        """Return the connection of a link; where it is lost None, and a marked message counts as unsent."""
+        """Return the stream of a link, or None if it is lost; a marked message then counts as unsent."""
         stream = self.streams.get(link)
-        # Danger: stored for one whose loss the core has handled already, it would be stored for good.
+        # Only links that the core still knows get an entry: once the core has handled the loss of a link, no
+        # event would remove its entry again.
         if stream is None and mark and link in self._core.links.links:
             self.unsent_by_link.setdefault(link, set()).add(mark)
         return stream
 
     def with_unsent(self, event: ev.LinkLost) -> ev.LinkLost:
-        """Return the loss of a link with the messages that were sent to it after its socket was closed."""
+        """Return the event with the messages added that were put after the link's socket was closed."""
         if event.link not in self.unsent_by_link:
             return event
         return ev.LinkLost(event.link, event.unsent | self.unsent_by_link.pop(event.link))
 
-    def _serve(self, link: int, where: str) -> None:
-        sock = self._connect(link, where)
+    def _serve(self, link: int, machine_address: str) -> None:
+        sock = self._connect(link, machine_address)
         if sock is None:
             return
         stream = Stream(sock, link, self._disconnected, self._may_send, self._withdrawn)
@@ -88,19 +92,20 @@
             pass
         finally:
             stream.reading_done.set()
-            # Danger: notified first, the core would send what was in flight on it elsewhere while it is open.
+            # The socket is closed before the core is notified. Otherwise the core would send the requests in
+            # flight to other machines while this connection is still open.
             stream.close()
             self._disconnected(stream)
 
-    def _connect(self, link: int, where: str) -> Any:
-        """Return the socket, or None where the dial has failed or was abandoned."""
+    def _connect(self, link: int, machine_address: str) -> Any:
+        """Return the connected socket, or None if the dial failed or was abandoned."""
         try:
-            sock = address.dial(where, self._dial_timeout_s)
+            sock = address.dial(machine_address, self._dial_timeout_s)
         except (OSError, TimeoutError, ValueError) as error:
             if self.dials.pop(link, None) is not None:
-                is_ours = isinstance(error, OSError) and error.errno in RESOURCE_EXHAUSTED_ERRNOS
+                is_out_of_resources = isinstance(error, OSError) and error.errno in RESOURCE_EXHAUSTED_ERRNOS
                 is_refused = isinstance(error, ConnectionRefusedError)
-                self._driver.enqueue(ev.LinkFailed(link, is_refused, is_ours))
+                self._driver.enqueue(ev.LinkFailed(link, is_refused, is_out_of_resources))
             return None
         if self.dials.pop(link, None) is None:
             sock.close()
@@ -116,7 +121,7 @@
                 return
             batch = _decode(stream.number, lines, data)
             if batch.events:
-                reads.restart_deadline()  # what remains has begun with these bytes
+                reads.restart_deadline()  # the incomplete line began with these bytes
             self._driver.enqueue(*batch.events)
             if not batch.is_well_formed:
                 self._core.loop.count("malformed_machine_messages")
@@ -136,7 +141,7 @@
 
 
 def _decode(link: int, lines: jsonlines.LineReader, data: bytes) -> DecodedBatch:
-    """Decode the lines that are complete with ``data``."""
+    """Decode the lines that ``data`` completes."""
     is_well_formed = True
     try:
         complete = lines.feed(data)
--- a/stairplank/platform/streams.py
+++ b/stairplank/platform/streams.py
@@ -1,8 +1,8 @@
-"""Sockets as the service reads and writes them: paced reads, buffered writes with a bound, graceful closes.
+"""Socket streams of the service: paced reads, bounded send buffers and graceful closes.
 
-A message that is written may carry a mark. What waits in the send buffer behind a peer that does not read
-is sent only if it may still be sent then: a marked message of which no byte has been sent is checked again
-(``may_send``) before each write and withdrawn as a whole where it may not (``on_withdrawn``).
+A message in a send buffer may carry a mark. While the peer does not read, marked messages wait in the buffer.
+Before each write, every marked message that is entirely unsent is checked again (``may_send``); a message
+that may no longer be sent is removed from the buffer and reported (``on_withdrawn``).
 """
 
 from __future__ import annotations
@@ -22,35 +22,37 @@
 
 from ..rpc import address
 
-MAX_UNREAD_BYTES = 65_536  # that the peer has not read, before the connection is given up
-MAX_WRITE_BYTES = 65_536  # of one write that had to wait
-WRITE_TIMEOUT_S = 5.0  # without a byte taken by the peer
-WRITE_RETRY_S = 0.01  # between attempts to write to a peer that takes nothing
+MAX_UNREAD_BYTES = 65_536  # a connection with more unsent bytes in its buffer is closed
+MAX_WRITE_BYTES = 65_536  # the most bytes in one write of the background writer
+WRITE_TIMEOUT_S = 5.0  # a connection is closed if the peer accepts no byte for this long
+WRITE_RETRY_S = 0.01  # wait before the next write to a peer that accepts no bytes
 MIN_RECEIVE_TIMEOUT_S = 0.01
-# A connection that is being closed is read for so long, and for so many bytes.
+# A closing connection is read for at most this long, and for at most this many bytes.
 LINGER_S = 0.5
 MAX_LINGER_BYTES = 1_048_576
-# Reads of one connection: one that sends at full speed would be read for ever, and nobody else.
+# Reads of one connection before others are served; otherwise a peer that sends at full speed would block
+# them.
 MAX_CONSECUTIVE_READS = 4
-# Errors that show that this process has no descriptors, memory or ports left.
+# Errors by which the system reports that this process has no descriptors, memory or ports left.
 RESOURCE_EXHAUSTED_ERRNOS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
 
 
 def receive(sock: Any, max_bytes: int, deadline_s: float | None) -> bytes:
-    """Return what has arrived, at most ``max_bytes``; empty once the peer has closed.
+    """Return the bytes that have arrived, at most ``max_bytes``; empty once the peer has closed.
 
-    Danger: after a stall the timer is ready together with the bytes, and the connection would be closed under
-    all that is open on it.
+    After a time-out the socket is read once more without waiting. After a stall of the process, the timer may
+    expire although bytes have arrived; without that read, the connection would be closed with all requests
+    open on it.
 
     Args:
-        sock: A socket of gevent.
-        max_bytes: The bound of one read.
-        deadline_s: When to give up, by the monotonic clock; None waits for ever.
+        sock: A gevent socket.
+        max_bytes: The most bytes to return.
+        deadline_s: When to give up, on the monotonic clock; None waits without limit.
 
     Raises:
-        TimeoutError: Nothing arrived by the deadline.
+        TimeoutError: No bytes arrived by the deadline.
         OSError: The connection has failed.
     """
     timeout_s = None if deadline_s is None else max(MIN_RECEIVE_TIMEOUT_S, deadline_s - time.monotonic())
@@ -62,25 +64,25 @@
         try:
             data = sock.recv(max_bytes)
         except BlockingIOError:
-            raise TimeoutError("a message has begun and does not go on") from None
+            raise TimeoutError("the rest of a partial message did not arrive in time") from None
     return data
 
 
 class PacedReads:
-    """The reads of one connection: each message complete in time, other connections served in between."""
+    """Reads of one connection, with a deadline for partial messages and pauses for other connections."""
 
     def __init__(self, sock: Any, partial_timeout_s: float) -> None:
-        """Read ``sock``; a message that has begun must be complete within ``partial_timeout_s`` seconds."""
+        """Read ``sock``; each message must be complete within ``partial_timeout_s`` after its first byte."""
         self._sock = sock
         self._partial_timeout_s = partial_timeout_s
-        self._began_s = 0.0  # when the message that is being received began
+        self._began_s = 0.0  # when the first byte of the partial message arrived
         self._read_count = 0
 
     def receive(self, max_bytes: int, is_partial: bool) -> bytes:
-        """Return what has arrived; empty once the peer has closed.
+        """Return the bytes that have arrived; empty once the peer has closed.
 
-        ``is_partial``: a message has begun and is not complete, so that its deadline applies. Raises
-        TimeoutError and OSError as ``receive`` does.
+        ``is_partial``: part of a message has been received, so that its deadline applies. Raises TimeoutError
+        and OSError like ``receive``.
         """
         deadline_s = self._began_s + self._partial_timeout_s if is_partial else None
         data = receive(self._sock, max_bytes, deadline_s)
@@ -89,13 +91,14 @@
         return data
 
     def restart_deadline(self) -> None:
-        """Take the message that is incomplete now as begun now."""
+        """Restart the deadline of the partial message from now."""
         self._began_s = time.monotonic()
 
     def yield_to_others(self) -> None:
-        """After some reads in a row let other connections have their turn.
+        """Yield to other greenlets after ``MAX_CONSECUTIVE_READS`` reads.
 
-        Danger: one that sends at full speed would be read for ever, and nobody else. Other reads mostly wait.
+        Most reads wait for bytes and so yield anyway, but reads from a peer that sends at full speed never
+        wait: no other connection would be served.
         """
         self._read_count += 1
         if self._read_count % MAX_CONSECUTIVE_READS == 0:
@@ -104,7 +107,7 @@
 
 @dataclass(slots=True)
 class MarkedMessage:
-    """A message in a send buffer, by its positions among all bytes of the connection's life."""
+    """A marked message in a send buffer; positions count all bytes put since the connection was opened."""
 
     begin: int
     end: int
@@ -112,44 +115,44 @@
 
 
 class SendBuffer:
-    """Bytes that the system has not taken yet, and which of them belong to marked messages."""
+    """The bytes that are not yet written to the socket, with the positions of marked messages."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty buffer."""
         self.data = bytearray()
-        self._queued_bytes = 0  # put and not withdrawn, over the connection's life
-        self._marked: deque[MarkedMessage] = deque()  # not sent completely, in order
+        self._queued_bytes = 0  # bytes put since the connection was opened, without withdrawn messages
+        self._marked: deque[MarkedMessage] = deque()  # marked messages that are not completely sent, in order
 
     def __len__(self) -> int:
-        """Return the number of bytes that are not sent."""
+        """Return the number of unsent bytes."""
         return len(self.data)
 
     @property
     def sent_bytes(self) -> int:
-        """How many bytes the system has taken over the connection's life."""
+        """The number of bytes written to the socket since the connection was opened."""
         return self._queued_bytes - len(self.data)
 
     def put(self, message: bytes, mark: str) -> None:
-        """Append a message; an empty mark is none."""
+        """Append a message; an empty ``mark`` leaves it unmarked."""
         self.data += message
         if mark:
             self._marked.append(MarkedMessage(self._queued_bytes, self._queued_bytes + len(message), mark))
         self._queued_bytes += len(message)
 
     def record_sent(self, size: int) -> None:
-        """Remove so many bytes from the front: the system has taken them."""
+        """Remove ``size`` bytes that were written to the socket from the front of the buffer."""
         del self.data[:size]
         sent = self.sent_bytes
         while self._marked and self._marked[0].end <= sent:
             self._marked.popleft()
 
     def unsent_marks(self) -> frozenset[str]:
-        """Return the marks of messages of which not every byte is sent."""
+        """Return the marks of messages that are not completely sent."""
         sent = self.sent_bytes
         return frozenset(message.mark for message in self._marked if message.end > sent)
 
     def withdraw_stale(self, may_send: Callable[[str], bool]) -> frozenset[str]:
-        """Remove marked messages of which no byte is sent and that may not be sent; return their marks."""
+        """Remove entirely unsent marked messages that ``may_send`` rejects, and return their marks."""
         sent = self.sent_bytes
         removed_bytes = 0
         withdrawn: list[str] = []
@@ -187,22 +190,22 @@
         may_send: Callable[[Stream, str], bool] = _always_may_send,
         on_withdrawn: Callable[[Stream, frozenset[str]], None] = _ignore_withdrawn,
     ) -> None:
-        """Take over a connected socket.
+        """Take ownership of a connected socket.
 
         Args:
-            sock: A socket of gevent; this object closes it.
-            number: What the core calls the connection.
-            on_failure: Called once writing has failed, with the socket closed.
-            may_send: Returns whether a marked message that has waited may still be sent.
-            on_withdrawn: Called with the marks of those that may not.
+            sock: A gevent socket; this object closes it.
+            number: The connection's number in the core.
+            on_failure: Called after a write has failed and the socket is closed.
+            may_send: Returns whether a marked message in the send buffer may still be sent.
+            on_withdrawn: Called with the marks of messages that were withdrawn from the send buffer.
         """
         self.sock = sock
         self.number = number
         self.is_closed = False
         self.is_closing = False
-        self.has_partial_message = False  # a message has begun to arrive, and is not complete
-        self.hang_up_reported = False  # the peer has closed, and that was reported
-        self.reading_done = Flag()  # nothing more is read from it
+        self.has_partial_message = False  # part of a message has been received
+        self.hang_up_reported = False  # the close by the peer was reported
+        self.reading_done = Flag()  # set when the reader of this connection has ended
         self._on_failure = on_failure
         self._may_send = may_send
         self._on_withdrawn = on_withdrawn
@@ -213,22 +216,22 @@
     # Reading
 
     def is_readable(self) -> bool:
-        """Return whether something of the peer lies in the socket, its end included."""
+        """Return whether the socket has unread bytes or an end of file."""
         if self.is_closed:
             return False
         return self._poll(select.POLLIN)
 
     def is_closed_by_peer(self) -> bool:
-        """Return whether the peer has closed, though what it sent before may lie unread."""
+        """Return whether the peer has closed its side, even if bytes that it sent before are still unread."""
         if self.is_closed:
             return False
         try:
             return self._poll(select.POLLRDHUP)
         except OSError:
-            return False  # a system that does not report it: its end is read in turn
+            return False  # a system without POLLRDHUP: the end of file is read after the unread bytes
 
     def discard(self, size: int) -> bool:
-        """Count bytes that were read and thrown away; return whether to read on."""
+        """Count bytes that were read and discarded, and return whether to read on."""
         self._discarded_bytes += size
         return size > 0 and self._discarded_bytes < MAX_LINGER_BYTES
 
@@ -240,10 +243,11 @@
     # Writing
 
     def put(self, data: bytes, mark: str = "") -> None:
-        """Have a message written with the next ``flush``; nothing happens on a connection that closes.
+        """Add a message to the send buffer for the next ``flush``, unless the connection is closing.
 
-        Danger: a peer that does not read would have us keep all; one that reads must not lose its connection
-        because a turn sends much to it.
+        The connection is closed if more than ``MAX_UNREAD_BYTES`` are left after a flush: the buffer for a
+        peer that does not read would grow without a bound. The flush comes first, because a peer that does
+        read must not lose its connection when one turn sends it many messages.
         """
         if self.is_closed or self.is_closing:
             return
@@ -254,7 +258,7 @@
                 self._fail()
 
     def flush(self) -> None:
-        """Write what the system takes at once; a greenlet writes the rest."""
+        """Write as much as the socket accepts at once; a greenlet writes the rest."""
         if self.is_closed or self._writer is not None or not self._buffer:
             return
         try:
@@ -268,17 +272,17 @@
             self._writer = gevent.spawn(self._write_rest)
 
     def unsent_marks(self) -> frozenset[str]:
-        """Return the marks of messages of which the system has not taken every byte."""
+        """Return the marks of messages that are not completely written to the socket."""
         return self._buffer.unsent_marks()
 
     def _record_sent(self, size: int) -> None:
         self._buffer.record_sent(size)
 
     def _write_rest(self) -> None:
-        """Write the buffer as the peer reads.
+        """Write the buffer as the peer reads, with writes that do not block.
 
-        Danger: a write that waits has chosen its bytes before it waits: what it holds is sent in the end,
-        also after the drain of its machine, and for a client that has left.
+        A blocking write would keep the bytes that it was given until the peer reads them. They would then be
+        sent even if their machine drains or their client has disconnected in the meantime.
         """
         deadline_s = time.monotonic() + WRITE_TIMEOUT_S
         try:
@@ -289,7 +293,7 @@
                     deadline_s = time.monotonic() + WRITE_TIMEOUT_S
                 except BlockingIOError:
                     if time.monotonic() > deadline_s:
-                        raise TimeoutError("not read") from None
+                        raise TimeoutError("the peer accepted no bytes within the write time-out") from None
                     gevent.sleep(WRITE_RETRY_S)
         except (OSError, TimeoutError):
             self._fail()
@@ -309,7 +313,7 @@
     # Closing
 
     def close(self, abort: bool = False) -> None:
-        """Close the socket now; with ``abort`` nothing written so far need arrive."""
+        """Close the socket now; with ``abort`` the connection is reset and written bytes may be lost."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -319,10 +323,11 @@
             self.sock.close()
 
     def close_gracefully(self) -> None:
-        """Close once all is written; whoever reads it reads on until it is closed, and throws away.
+        """Close the connection after the send buffer is written; its reader discards input until then.
 
-        Danger: closing with bytes unread resets the connection, and the last answer is lost on its way. One
-        closed only as its greenlet has its turn has still in flight what it gives up, as a duplicate is sent.
+        A close with unread bytes would reset the connection, and the last answer could be lost. Writing is
+        shut down at once if the buffer is empty: if that waited for the greenlet, the abandoned requests
+        would still be in flight on this connection while a duplicate is sent elsewhere.
         """
         if self.is_closed or self.is_closing:
             return
