--- a/stairplank/platform/attempts.py
+++ b/stairplank/platform/attempts.py
@@ -88,7 +88,7 @@
 
 
 class Attempts:
-    """All attempts at machines, from the decision module's bind to the machine's last message."""
+    """Tracks all attempts at machines, from the decision module's bind to the machine's last message."""
 
     def __init__(
         self, loop: EventLoop, settings: api.Settings, report_fields: tuple[str, ...], tasks: TaskTable
--- a/stairplank/platform/health_checks.py
+++ b/stairplank/platform/health_checks.py
@@ -32,7 +32,7 @@
 
 
 class HealthChecks:
-    """All health checks in flight."""
+    """Starts health checks, tracks them by id and reports their results."""
 
     def __init__(self, loop: EventLoop, report_fields: tuple[str, ...]) -> None:
         """``report_fields``: the field names of load reports, in the order of the settings."""
--- a/stairplank/platform/machine_connections.py
+++ b/stairplank/platform/machine_connections.py
@@ -1,4 +1,4 @@
-"""Sockets to machines, dialled and closed on the core's actions; a greenlet reads each of them."""
+"""Dials and closes the sockets to machines as the core requests, and reads each in a greenlet."""
 
 from __future__ import annotations
 
@@ -41,7 +41,8 @@
         self.set_dial_timeout(dial_timeout_us)
         self.streams: dict[int, Stream] = {}
         self.dials: dict[int, gevent.Greenlet[..., None]] = {}
-        self.unsent_by_link: dict[int, set[str]] = {}  # for links whose LinkLost event is still queued
+        # The marks of unsent messages to links whose LinkLost event is still queued.
+        self.unsent_by_link: dict[int, set[str]] = {}
 
     def set_dial_timeout(self, dial_timeout_us: int) -> None:
         """Set the time-out of later dials."""
--- a/tests/platform/test_platform_descriptor_limits.py
+++ b/tests/platform/test_platform_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""The planner's own connections come up although idle clients use all of their file descriptors.
+"""The planner's own connections come up although idle clients use all descriptors that clients may use.
 
 The tests run the real process with a low limit on open files, while the node list service is down.
 """
