--- a/stairplank/planner/abandoned_attempts.py
+++ b/stairplank/planner/abandoned_attempts.py
@@ -1,7 +1,8 @@
-"""What to do with a task at a node after its attempt was abandoned. Decides without I/O, clock or state.
+"""Decides how to handle a task at a node after its attempt was abandoned. No I/O, clock or state.
 
-An attempt is abandoned when it times out, its link is lost for good or its client leaves. The node may still
-start the task. The placement's state by then and the effect of the task's class decide.
+An attempt is abandoned when it times out, its link is not up again in time or its client disconnects. The
+node may still start the task. The decision depends on the placement's state at that time and on the effect of
+a second run of the task's class.
 """
 
 from __future__ import annotations
@@ -12,39 +13,39 @@
 
 
 class PlacementState(Enum):
-    """How a placement stands."""
+    """The state of a placement."""
 
     __hash__ = object.__hash__  # see transitions.AttemptState
 
-    OPEN = "open"  # no outcome yet; further attempts may be in flight
-    PLACED = "placed"  # bound, by another attempt than the duplicate's
-    SHED = "shed"  # the client was told that a retry does no harm
-    FAILED = "failed"  # the client was told that the task may run; it waits before it retries
+    OPEN = "open"  # no outcome yet; attempts may be in flight
+    PLACED = "placed"  # bound by an attempt other than the duplicate
+    SHED = "shed"  # outcome sent to the client: a retry does no harm
+    FAILED = "failed"  # outcome sent to the client: the task may run; the client waits before it retries
     CANCELLED = "cancelled"
-    UNKNOWN = "unknown"  # of an earlier incarnation: nobody here waits for it
+    UNKNOWN = "unknown"  # placed by an earlier incarnation; no request of this planner waits for it
 
 
 class DuplicateAction(Enum):
-    """What to do with a task that a node accepted or runs though its attempt was abandoned."""
+    """How to handle a task that a node accepted or runs although its attempt was abandoned."""
 
-    WAIT = "wait"  # let it be until the placement has its outcome
+    WAIT = "wait"  # leave the task alone until the placement has its outcome
     STOP = "stop"
-    ADOPT = "adopt"  # track it, and notify its client
+    ADOPT = "adopt"  # track the task and notify its client
 
 
 def stops_when_abandoned(effect: api.Effect) -> bool:
-    """Whether to stop the attempt as soon as it is abandoned.
+    """Whether to stop an attempt as soon as it is abandoned.
 
-    A duplicate run of an idempotent task is only waste. One that must not run twice is left alone: if it runs
-    after all, that is the one run it may have.
+    A duplicate run of an idempotent task only wastes resources. A task that must not run twice is not
+    stopped: if the abandoned attempt runs after all, that is the task's only run.
     """
     return effect is api.Effect.IDEMPOTENT
 
 
 def duplicate_action(effect: api.Effect, state: PlacementState) -> DuplicateAction:
-    """What to do when the node reports that it has accepted or runs the duplicate."""
+    """Return how to handle a duplicate that the node reports as accepted or running."""
     if state is PlacementState.UNKNOWN:
-        # Whatever the class: it was placed, and its client may come back for it.
+        # A task of any class is adopted: it was placed, and its client may reconnect and request it again.
         return DuplicateAction.ADOPT
     if effect is api.Effect.IDEMPOTENT or state in (
         PlacementState.PLACED,
--- a/stairplank/planner/attempt_lifecycle.py
+++ b/stairplank/planner/attempt_lifecycle.py
@@ -1,9 +1,9 @@
-"""The life of an attempt from its creation to its end: stopping, abandoning, adopting, reporting.
+"""The life cycle of an attempt: stopping, abandoning, adopting, and reporting its outcome.
 
 No I/O or clock.
 
 An attempt is abandoned when the decision module gets its outcome although the node may still accept the offer
-or run the task. ``abandoned_attempts`` decides what becomes of it.
+or run the task. ``abandoned_attempts`` decides how to handle it from then on.
 """
 
 from __future__ import annotations
@@ -19,88 +19,88 @@
 from .placement import Attempt, Placement
 from .transitions import AttemptEvent, AttemptState
 
-OFFER_EXPIRY_SLACK_US = 50_000  # an offer has surely expired at its node so long after it has expired here
+OFFER_EXPIRY_SLACK_US = 50_000  # margin after an offer's expiry here until it has surely expired at its node
 
 
 def offer_expired_at(attempt: Attempt) -> int:
-    """From when on the node cannot accept the offer any more, by this planner's clock."""
+    """Return the time on this planner's clock from which the node cannot accept the offer any more."""
     return attempt.deadline + OFFER_EXPIRY_SLACK_US
 
 
 class ClientRequests(Protocol):
-    """What attempts need of the clients' requests."""
+    """The methods of the clients' requests that attempts use."""
 
     def find(self, number: int) -> Placement | None:
-        """The placement of that number, unless it is forgotten."""
+        """Return the placement of that number, or None if it is no longer in the table."""
 
     def notify(self, placement: Placement, message: ev.ClientMessage) -> None:
-        """Send a message on the placement's session."""
+        """Send a message to the client on the placement's session."""
 
     def task_placed(self, placement: Placement, node: int, number: int, latency: int) -> None:
-        """An attempt placed the task."""
+        """Conclude the placement: attempt ``number`` placed the task at this node."""
 
     def adopt(self, task: ev.TaskSpec, former: Placement | None) -> Placement:
-        """A placement for a task found at a node."""
+        """Return a new placement for a task found at a node; ``former`` is its earlier one, if known."""
 
     def module_task(self, placement: Placement) -> api.Task:
-        """The task as the decision module gets it."""
+        """Return the task in the form that the decision module uses."""
 
     def forget_if_done(self, placement: Placement) -> None:
-        """Drop a placement of which nothing is left."""
+        """Remove a placement that has its outcome and no attempts."""
 
 
 class Links(Protocol):
-    """What attempts need of the links to nodes."""
+    """The methods of the links to nodes that attempts use."""
 
     def is_up(self, node: int) -> bool:
         """Whether the link to a node is up."""
 
     def has_addresses(self, node: int) -> bool:
-        """Whether the node has addresses to be dialled at."""
+        """Whether an address of the node is known."""
 
     def dial_now(self, node: int) -> bool:
-        """Dial at once; whether the link is being dialled."""
+        """Dial the node at once; return whether the link is being dialled."""
 
     def mark_settled(self, node: int, id: AttemptId) -> None:
-        """A message of the node settles this attempt's fate."""
+        """Record that a message of the node settled this attempt."""
 
     def unknown_attempt_reported(self, node: int) -> None:
-        """The node reported on an attempt that is unknown here."""
+        """Handle a node's message on an attempt that this planner does not know."""
 
     def mark_unsettled(self, node: int, id: AttemptId) -> None:
-        """Something is to be sent on this attempt when the link is back."""
+        """Record that a message on this attempt is to be sent when the link is up again."""
 
     def request_tasks_since(self, node: int, since: int) -> int | None:
-        """Ask what the node holds, unless that was done since; else when to retry, or None."""
+        """Request the node's tasks unless that was done after ``since``; return when to retry, or None."""
 
     def node_idle(self, node: int) -> None:
-        """No attempt is at the node any more."""
+        """Handle that no attempt is at the node any more."""
 
 
 class Groups(Protocol):
-    """What attempts to place members need of their groups."""
+    """The methods of groups that attempts to place their members use."""
 
     def tag(self, placement: Placement) -> ev.GroupTag:
-        """What the node gets to know of the member's group."""
+        """Return the data on the member's group that its offer carries."""
 
     def may_place(self, placement: Placement, node: int) -> bool:
-        """Whether a member may go to that node now."""
+        """Whether a member may be placed at that node now."""
 
     def member_reserved(self, placement: Placement, attempt: Attempt) -> None:
-        """A node holds the member ready to start."""
+        """Handle that a node has reserved resources for the member."""
 
     def member_running(self, placement: Placement) -> None:
-        """A node started the member."""
+        """Handle that a node started the member."""
 
     def member_over(self, placement: Placement, finished: bool, reason: api.Reason) -> None:
-        """A member that was bound has ended."""
+        """Handle the end of a member that was bound."""
 
 
 class AttemptLifecycle:
-    """The table of attempts, and the steps that end one or start one that a node reports."""
+    """The table of attempts, and the methods that stop, abandon, end and adopt attempts."""
 
     def __init__(self, context: CoreContext) -> None:
-        """Other components are set before the first event."""
+        """Create an empty table; the core sets the other components before the first event."""
         self.context = context
         self.requests: ClientRequests
         self.links: Links
@@ -108,26 +108,26 @@
         self.attempts: dict[AttemptId, Attempt] = {}
         self.by_node: dict[int, dict[AttemptId, Attempt]] = {}
 
-    # Table
+    # The table of attempts
 
     def in_flight(self) -> int:
-        """The number of attempts that have not ended."""
+        """Return the number of attempts that have not ended."""
         return len(self.attempts)
 
     def find(self, id: AttemptId) -> Attempt | None:
-        """The attempt of that id, unless it has ended."""
+        """Return the attempt of that id, or None if it has ended."""
         return self.attempts.get(id)
 
     def is_current(self, attempt: Attempt) -> bool:
-        """Whether it has not ended, nor was replaced by an adopted one of the same id."""
+        """Whether the attempt has neither ended nor been replaced by an adopted attempt of the same id."""
         return self.attempts.get(attempt.id) is attempt
 
     def at_node(self, node: int) -> list[Attempt]:
-        """What is at a node or on its way there, in order of creation."""
+        """Return the attempts at a node or on their way there, in order of creation."""
         return list(self.by_node.get(node, {}).values())
 
     def any_at_node(self, node: int) -> bool:
-        """Whether anything is at a node or on its way there."""
+        """Whether any attempt is at a node or on its way there."""
         return node in self.by_node
 
     def track(self, attempt: Attempt) -> None:
@@ -137,7 +137,7 @@
         self.by_node.setdefault(attempt.node, {})[attempt.id] = attempt
 
     def _untrack(self, attempt: Attempt) -> bool:
-        """Remove an attempt from the tables; False if it was not there."""
+        """Remove an attempt from the tables; return False if it was not there."""
         if self.attempts.pop(attempt.id, None) is None:
             return False
         attempt.placement.attempts.pop(attempt.id, None)
@@ -151,7 +151,7 @@
     # Stopping
 
     def stop(self, attempt: Attempt, reason: ev.StopReason) -> None:
-        """Stop an attempt at its node, now or when its link is back."""
+        """Stop an attempt at its node, now or, unless it is abandoned, when its link is up again."""
         if self.links.is_up(attempt.node):
             self.context.emit(ev.SendStop(attempt.node, attempt.id, reason))
         elif reason is not ev.StopReason.ABANDONED:
@@ -163,7 +163,7 @@
             self.stop(placement.bound_attempt, reason)
 
     def stop_attempt(self, action: api.StopAttempt) -> None:
-        """The decision module does not want this attempt any more."""
+        """Abandon an attempt that the decision module has cancelled, unless it is bound."""
         placement = self.requests.find(action.task)
         for attempt in placement.attempts.values() if placement else ():
             if attempt.number == action.attempt:
@@ -172,14 +172,14 @@
                 return
 
     def evict(self, action: api.Evict) -> None:
-        """The decision module migrates a running task."""
+        """Stop a running task that the decision module migrates to another node."""
         placement = self.requests.find(action.task)
         if placement is not None and placement.bound_attempt is not None:
             self.context.count("moved")
             self.stop(placement.bound_attempt, ev.StopReason.MIGRATED)
 
     def cancel(self, placement: Placement) -> None:
-        """The client cancelled the request: stop every attempt."""
+        """Stop every attempt of a placement that the client cancelled."""
         for attempt in list(placement.attempts.values()):
             if attempt.waiting:
                 self.end(attempt, api.Result.NOT_SENT)
@@ -187,20 +187,20 @@
                 self.stop(attempt, ev.StopReason.CANCELLED)
 
     def abandon_member(self, placement: Placement) -> None:
-        """An attempt to place a group is over: stop every attempt of this member."""
+        """Stop every attempt of a group's member that is released or could not be placed."""
         groups = self.context.config.groups
         for attempt in list(placement.attempts.values()):
             if attempt.waiting:
                 self.end(attempt, api.Result.NOT_SENT)
                 continue
             self.stop(attempt, ev.StopReason.ABANDONED)
-            # The node's last message may be lost; the lease bounds how long it can hold the member.
+            # The node's last message may be lost; the lease bounds how long the node can reserve the member.
             expiry = self.context.now + groups.lease_us + groups.max_reserve_timeout_us
             self.context.call_at(expiry, self._member_lease_expired, attempt)
         self.requests.forget_if_done(placement)
 
     def placement_concluded(self, placement: Placement) -> None:
-        """The placement has its outcome: take care of the attempts that nobody waits for any more."""
+        """End or stop the remaining attempts of a placement that has its outcome."""
         for attempt in list(placement.attempts.values()):
             if attempt.waiting:
                 self.end(attempt, api.Result.NOT_SENT)
@@ -210,7 +210,7 @@
     # Abandoning
 
     def abandon(self, attempt: Attempt, result: api.Result) -> None:
-        """Report an outcome that proves nothing; the node may still accept the offer."""
+        """Report an outcome that does not prove that the task never runs; the node may still accept it."""
         attempt.transition(AttemptEvent.ABANDONED)
         if attempt.placement.group is not None:
             self._abandon_unstarted_member(attempt)
@@ -227,16 +227,17 @@
         context.call_at(context.now + context.config.abandoned_attempt_us, self._abandoned_timed_out, attempt)
 
     def _abandon_unstarted_member(self, attempt: Attempt) -> None:
-        """A member of a group that was not committed, and will not be: it is proven not to run."""
+        """Abandon a member that was not committed and never will be, so that it is proven not to run."""
         self._report_outcome(attempt, api.Result.UNREACHABLE, api.Reason.UNTOLD)
         self.stop(attempt, ev.StopReason.ABANDONED)
         expiry = self.context.now + self.context.config.groups.lease_us
         self.context.call_at(expiry, self._member_lease_expired, attempt)
 
     def _request_settlement(self, attempt: Attempt) -> None:
-        """The node cannot accept an abandoned offer any more, and has not replied: ask what it holds.
+        """Request the node's tasks to settle an abandoned offer that has expired without a reply.
 
-        Danger: else a task that must not run twice waits ``abandoned_attempt_us`` for an offer long expired.
+        Without this request, a task that must not run twice would wait ``abandoned_attempt_us`` although the
+        node can no longer accept the offer.
         """
         if not self.is_current(attempt) or attempt.accepted:
             return
@@ -245,19 +246,19 @@
             self.context.call_at(retry_at, self._request_settlement, attempt)
 
     def _abandoned_timed_out(self, attempt: Attempt) -> None:
-        """Danger: an unresponsive node would hold its abandoned attempts, and their tasks' keys, for ever."""
+        """End an abandoned attempt, or an unresponsive node would keep its task's key in use forever."""
         if self.is_current(attempt) and attempt is not attempt.placement.bound_attempt:
             self.end(attempt, api.Result.LOST)
 
     def _member_lease_expired(self, attempt: Attempt) -> None:
-        """The node did not confirm that it stopped a member; its lease has expired by now."""
+        """End a member's attempt whose stop the node did not confirm; its lease has expired by now."""
         if self.is_current(attempt) and attempt.placement.group is not None:
             self.end(attempt, api.Result.CANCELLED)
 
     # Ending
 
     def end(self, attempt: Attempt, result: api.Result, reason: api.Reason = api.Reason.UNTOLD) -> None:
-        """Nothing more is expected of an attempt: drop it, and report its outcome unless that was done."""
+        """Remove an attempt that gets no more messages; report its outcome unless that was done already."""
         placement = attempt.placement
         if not self._untrack(attempt):
             return
@@ -281,18 +282,18 @@
             self.links.node_idle(attempt.node)
 
     def _end_member(self, attempt: Attempt, result: api.Result, reason: api.Reason) -> api.Result:
-        """Note how an attempt to place a member ended; the result that the decision module is to get."""
+        """Record how a member's attempt ended; return the result for the decision module."""
         if result is api.Result.FINISHED:
             attempt.placement.end_reason = "finished"
         else:
             text = reason.name.lower().replace("_", " ") if reason else result.value
             attempt.placement.end_reason = text
         if not attempt.running and result is api.Result.LOST:
-            return api.Result.REJECTED  # it was held and never committed
+            return api.Result.REJECTED  # the node had reserved the member, which was never committed
         return result
 
     def _bound_ended(self, placement: Placement, result: api.Result, reason: api.Reason) -> None:
-        """A task that its client knows as placed has ended."""
+        """Notify the client that a task reported as placed has ended."""
         placement.bound_attempt = None
         finished = result is api.Result.FINISHED
         if placement.group is not None:
@@ -314,7 +315,7 @@
     # Duplicates
 
     def handle_duplicate(self, attempt: Attempt) -> None:
-        """An abandoned attempt was accepted by its node or runs there nevertheless."""
+        """Handle an abandoned attempt that its node accepted or runs nevertheless."""
         placement = attempt.placement
         if placement.group is not None:
             self.stop(attempt, ev.StopReason.ABANDONED)
@@ -335,7 +336,10 @@
     def adopt(
         self, node: int, id: AttemptId, task: ev.TaskSpec, running: bool, former: Placement | None = None
     ) -> Attempt:
-        """Track a task that is at a node though no request waits for it; ``former`` placed it, if known."""
+        """Track a task found at a node for which no request waits; return its new attempt.
+
+        ``former`` is the placement that sent the task there, if it is known.
+        """
         placement = self.requests.adopt(task, former)
         state = AttemptState.RUNNING if running else AttemptState.ACCEPTED
         attempt = Attempt(self.context, id, placement, 0, node, state)
--- a/stairplank/planner/client_messages.py
+++ b/stairplank/planner/client_messages.py
@@ -1,4 +1,7 @@
-"""What the planner sends to its clients. Times are in microseconds, ``request`` is the client's number."""
+"""Messages that the planner sends to clients.
+
+Times are in microseconds; ``request`` is the number that the client gave its request.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request was admitted as placement, or group, of that number."""
+    """The request was admitted; ``placement`` is the number of its placement or group."""
 
     request: int
     placement: int
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskPlaced:
-    """Outcome: a node runs the task, or accepted it where accepting binds."""
+    """Outcome: a node runs the task, or accepted it in a cluster where accepting binds."""
 
     request: int
     node: int
@@ -45,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskShed:
-    """Outcome: not placed, and proven not to run; a retry does no harm."""
+    """Outcome: the task was not placed and is proven not to run; a retry does no harm."""
 
     request: int
     retry_after_us: int
@@ -54,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskFailed:
-    """Outcome: not placed; ``may_run`` if it may run nevertheless."""
+    """Outcome: the task was not placed; ``may_run`` is set if it may run nevertheless."""
 
     request: int
     may_run: bool
@@ -72,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRecovered:
-    """A task of this client was found at a node and is tracked; ``request`` 0: no request waits for it."""
+    """A task of the client was found at a node and is tracked; ``request`` is 0 if no request is for it."""
 
     request: int
     key: int
@@ -81,17 +84,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupPlaced:
-    """Outcome: the members run at these nodes."""
+    """Outcome: the group was placed; its members run at the nodes in ``bindings``."""
 
     request: int
-    bindings: tuple[tuple[int, int], ...]  # member, node
+    bindings: tuple[tuple[int, int], ...]  # pairs of member and node
     constraints_met: bool
     attempts: int
 
 
 @dataclass(frozen=True, slots=True)
 class GroupShed:
-    """Outcome: not placed, and no member runs; ``never`` if no retry can succeed."""
+    """Outcome: the group was not placed and no member runs; ``never`` is set if no retry can succeed."""
 
     request: int
     retry_after_us: int
@@ -101,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupFailed:
-    """Outcome: not placed; members may run nevertheless."""
+    """Outcome: the group was not placed; members may run nevertheless."""
 
     request: int
     reason: str
--- a/stairplank/planner/client_requests.py
+++ b/stairplank/planner/client_requests.py
@@ -1,16 +1,16 @@
 """Client sessions, their placement requests and the one outcome of each request. No I/O or clock.
 
-Invariants (tests/planner/test_client_requests.py, with the other components played by stand-ins):
+Invariants (tests/planner/test_client_requests.py, with stubs of the other components):
 
 1. A task is admitted or rejected, never both; an admitted task has one outcome, sent once, to the session
    that requested it.
-2. ``by_client_key`` has at most one placement of a client's key. While it is open, or may still run where a
-   second run does harm, no other task with that key is admitted.
-3. ``open_tasks`` is the number of single tasks admitted and without outcome; so is each session's
-   ``open_tasks``.
-4. A client that disconnects leaves nothing open: its requests are cancelled, and what runs is reported to
-   another session of the client, or to its next one.
-5. A placement is forgotten once it has an outcome and nothing of it is at a node.
+2. ``by_client_key`` has at most one placement for a client's key. While that placement is open, or its task
+   may still run and a second run does harm, no other task with that key is admitted.
+3. ``open_tasks`` is the number of admitted single tasks without an outcome; each session's ``open_tasks`` is
+   the number of those that it requested.
+4. When a client disconnects, its open requests are cancelled, and messages on its running tasks go to another
+   session of the client, or to its next one.
+5. A placement is removed once it has an outcome and no attempt of it is at a node.
 
 Tables: ``sessions``, ``by_client``, ``placements``, ``by_client_key``.
 """
@@ -30,26 +30,26 @@
 
 
 class Attempts(Protocol):
-    """What clients' requests need of the attempts at nodes."""
+    """The methods of attempts that clients' requests use."""
 
     def in_flight(self) -> int:
-        """The number of attempts that have not ended."""
+        """Return the number of attempts that have not ended."""
 
     def cancel(self, placement: Placement) -> None:
         """Stop every attempt of a placement."""
 
     def stop_bound(self, placement: Placement, reason: ev.StopReason) -> None:
-        """Stop the attempt that runs the task."""
+        """Stop the attempt that runs the task, if one does."""
 
     def placement_concluded(self, placement: Placement) -> None:
-        """The placement has its outcome."""
+        """End or stop the remaining attempts of a placement that has its outcome."""
 
 
 class ClientRequests(RequestTable):
     """Admits requests, and decides and sends the one outcome of each."""
 
     def __init__(self, context: CoreContext) -> None:
-        """Other components are set before the first event."""
+        """Create empty tables; the core sets the other components before the first event."""
         super().__init__(context)
         self.attempts: Attempts
         self.open_tasks = 0
@@ -58,7 +58,7 @@
     # Sessions
 
     def client_connected(self, event: ev.ClientConnected) -> None:
-        """Open a session; what runs for the client and has no open session is reported on this one."""
+        """Open a session, and report on it the client's running tasks that have no other open session."""
         self._open_session(event.session, event.client)
         self.groups.client_connected(event.client, event.session, self.is_connected)
         for placement in list(self.by_client_key.values()):
@@ -69,9 +69,9 @@
                 self.notify(placement, ev.TaskRecovered(0, placement.task.key, bound.node))
 
     def client_disconnected(self, event: ev.ClientDisconnected) -> None:
-        """Close a session.
+        """Close a session, cancel its open requests and move its running tasks to the client's other session.
 
-        Danger: a client that leaves at any moment must leave neither open tasks nor attempts behind.
+        Otherwise a client that disconnects at an arbitrary moment would leave open tasks and attempts behind.
         """
         session = self._close_session(event.session)
         if session is None:
@@ -86,14 +86,14 @@
             self.groups.client_disconnected(number, other)
 
     def _move(self, placement: Placement, session: int, request: int) -> None:
-        """Notify the client on another session, or request, from now on."""
+        """Send further messages on a placement to another session or for another request number."""
         placement.session = session
         placement.request = request
 
     # Admission
 
     def placement_requested(self, event: ev.PlacementRequested) -> None:
-        """Admit a request or reject it; a task that runs already is reported as recovered."""
+        """Admit a request or reject it; a task that already runs is reported as recovered."""
         rejection = self._rejection(event)
         if rejection is not None:
             self.reject(event.session, event.request, rejection)
@@ -105,7 +105,7 @@
             self._admit(event)
 
     def _recover(self, placement: Placement, event: ev.PlacementRequested, node: int) -> None:
-        """The task runs already. Danger: placed anew it would run twice."""
+        """Assign a task that already runs to a new request; if it were placed again, it would run twice."""
         former = self.sessions.get(placement.session)
         if former is not None:
             former.placements.pop(placement.request, None)
@@ -126,12 +126,12 @@
         self.context.notify_module(api.TaskRequested(self.module_task(placement)))
 
     def reject(self, session: int, request: int, rejection: ev.Rejection) -> None:
-        """Send a rejection of a request of either kind."""
+        """Send a rejection of a request for a task or a group."""
         self.context.count("rejected")
         self.context.emit(ev.SendToClient(session, ev.Rejected(request, rejection)))
 
     def request_error(self, session: int, request: int) -> ev.Rejection | None:
-        """What is wrong with a request of either kind before its tasks are looked at."""
+        """Return why a request for a task or a group is rejected before its tasks are checked, or None."""
         known = self.sessions[session]
         if self.draining:
             message = "this planner is leaving"
@@ -142,12 +142,12 @@
         return None
 
     def task_error(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None:
-        """What is wrong with a task."""
+        """Return why a task is rejected, or None."""
         config = self.context.config
         return admission.task_error(task, wait_us, config.bounds, self.context.settings, config.tenants)
 
     def capacity_error(self, session: int) -> ev.Rejection | None:
-        """Whether a table is at its bound: open tasks, those of the client, or attempts at nodes."""
+        """Return a rejection if the open tasks, the session's or the attempts are at their bound, or None."""
         open_here = self.sessions[session].open_tasks
         bounds = self.context.config.bounds
         return admission.capacity_error(self.open_tasks, open_here, self.attempts.in_flight(), bounds)
@@ -162,7 +162,10 @@
         )
 
     def _duplicate_error(self, task: ev.TaskSpec) -> ev.Rejection | None:
-        """Whether another task of this key is open, or may still run where a second run does harm."""
+        """Return why a task is rejected whose key is in use, or None.
+
+        A key is in use while its task is open, or may still run where a second run does harm.
+        """
         known = self.find_by_key(task.client, task.key)
         if known is None:
             return None
@@ -170,7 +173,7 @@
             return ev.Rejection("ALREADY_EXISTS", "task.key", "this task waits for its outcome already")
         effect = self.context.effect(self.context.classes[task.task_class])
         if known.bound_attempt is None and effect is not api.Effect.IDEMPOTENT:
-            # Danger: an abandoned attempt may still run; placed again too soon the task would run twice.
+            # An abandoned attempt may still run; if the task were placed again now, it could run twice.
             message = "an earlier attempt of this task may still run"
             return ev.Rejection("ABORTED", "task.key", message, admission.UNSETTLED_RETRY_US)
         return None
@@ -178,7 +181,7 @@
     # Cancellation
 
     def placement_cancelled(self, event: ev.PlacementCancelled) -> None:
-        """The client cancels a task or a group."""
+        """Cancel a task or a group at its client's request."""
         session = self.sessions[event.session]
         if event.request in session.groups:
             self.context.count("groups_withdrawn")
@@ -187,7 +190,7 @@
         by_key = self.find_by_key(session.client, event.key)
         placement = session.placements.get(event.request) if event.request else by_key
         if placement is None:
-            return  # it has ended: the messages have crossed
+            return  # the task ended before the cancellation arrived
         if placement.state is PlacementState.OPEN:
             self._cancel_open(placement)
         elif placement.bound_attempt is not None and not placement.cancelled:
@@ -195,7 +198,7 @@
             self.attempts.stop_bound(placement, ev.StopReason.CANCELLED)
 
     def _cancel_open(self, placement: Placement) -> None:
-        """No outcome is sent; attempts in flight are stopped."""
+        """Cancel an open placement: stop its attempts in flight, and send no outcome."""
         self.context.count("withdrawn")
         self.conclude(placement, PlacementEvent.CANCELLED)
         self.context.notify_module(api.TaskCancelled(placement.number))
@@ -205,7 +208,7 @@
     # Outcomes
 
     def conclude(self, placement: Placement, event: PlacementEvent) -> None:
-        """The placement's one outcome is decided."""
+        """Set the placement's one outcome, and subtract a single task from the open ones."""
         placement.transition(event)
         if placement.group is not None:
             return
@@ -215,7 +218,7 @@
             session.open_tasks -= 1
 
     def shed(self, action: api.Shed) -> None:
-        """The decision module gives up a task; a retry does no harm."""
+        """Report a task as shed: the decision module gives it up, and a retry does no harm."""
         placement = self._open_single(action.task)
         if placement is None:
             return
@@ -225,7 +228,7 @@
         self._release(placement)
 
     def fail(self, action: api.Fail) -> None:
-        """The decision module gives up a task that may run nevertheless."""
+        """Report a task as failed: the decision module gives it up, and it may run nevertheless."""
         placement = self._open_single(action.task)
         if placement is None:
             return
@@ -236,7 +239,7 @@
         self._release(placement)
 
     def _open_single(self, number: int) -> Placement | None:
-        """The single task that the decision module gives up, if it is open; groups get their members."""
+        """Return the placement if it is open and of a single task; pass a member's placement to its group."""
         placement = self.placements.get(number)
         if placement is None or placement.state is not PlacementState.OPEN:
             return None
@@ -246,7 +249,7 @@
         return placement
 
     def _release(self, placement: Placement) -> None:
-        """The request is done with; duplicates that nodes have reported meanwhile are not."""
+        """Remove a concluded request from its session, and end or stop the placement's remaining attempts."""
         session = self.sessions.get(placement.session)
         if session is not None:
             session.placements.pop(placement.request, None)
@@ -254,14 +257,18 @@
         self.forget_if_done(placement)
 
     def task_placed(self, placement: Placement, node: int, number: int, latency_us: int) -> None:
-        """Attempt ``number`` placed the task, so long after its offer."""
+        """Report a task as placed by attempt ``number``, ``latency_us`` after that attempt was created."""
         self.context.count("placed")
         self.conclude(placement, PlacementEvent.PLACED)
         self.context.notify_module(api.Placed(placement.number, number, node, latency_us))
         self.notify(placement, ev.TaskPlaced(placement.request, node, number, latency_us))
 
     def adopt(self, task: ev.TaskSpec, former: Placement | None) -> Placement:
-        """A placement for a task found at a node; the client gets messages on it as on the former one's."""
+        """Return a new placement for a task found at a node.
+
+        Messages on it go to the session and request of ``former``, the task's earlier placement, if that
+        session is open, and else to the client's newest session.
+        """
         placement = Placement(self.context, 0, 0, task, PlacementState.PLACED)
         if former is not None and former.session in self.sessions:
             self._move(placement, former.session, former.request)
@@ -274,7 +281,7 @@
     # Graceful shutdown
 
     def conclude_all(self) -> None:
-        """Decide every open task now: shed where a retry is proven harmless, else failed."""
+        """Decide every open single task now: it is shed if a retry is proven harmless, and else failed."""
         open_tasks = [
             placement
             for placement in self.all_placements()
--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -1,21 +1,22 @@
 """The planner's core: routes events to its components, advances time and runs the decision module.
 
-No I/O, clock or global state. The core stands between the decision module, which says where a task goes, and
-the driver, which has sockets or simulated ones. ``handle`` takes the time and an event and returns actions;
-``next_due`` says when it wants a ``TimerDue``. Time that goes back is taken as no time. All state is kept in
-components, each with its own tables and invariants:
+No I/O, clock or global state. The core connects the decision module, which chooses a node for each task, to
+the driver, which operates real or simulated sockets. ``handle`` takes the time and an event and returns
+actions; ``next_due`` returns the time at which the core needs a ``TimerDue``. If the given time is earlier
+than the last one, the core's time stays the same. All state is kept in components, each with its own tables
+and invariants:
 
 | component | responsible for |
 | --- | --- |
 | ``requests`` | sessions, requests, the one outcome of each |
-| ``attempts`` | what is at nodes: offers, abandoned attempts, duplicates, proofs |
-| ``links`` | dialling, grace, what is unsettled, what nodes hold |
+| ``attempts`` | attempts at nodes: offers, abandoned attempts, duplicates, proofs that a task did not run |
+| ``links`` | dialling, grace periods of lost links, unsettled attempts, reports of nodes on their tasks |
 | ``node_list`` | the node list |
-| ``groups``, ``leases`` | groups being placed or running; which lease renewals have arrived |
+| ``groups``, ``leases`` | groups being placed or running; which lease renewals nodes have acknowledged |
 
 Invariants of the core: the decision module handles what components queue for it in order, before the next
-timer and the next event; an event of a group's member is handled when the module has nothing more to handle;
-a planner that drains admits nothing new, and decides every open request within ``stop_grace_us``.
+timer and the next event; a message about a group's member is handled when the module's queue is empty; a
+planner that shuts down admits nothing new, and decides every open request within ``stop_grace_us``.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
     """One incarnation of a planner."""
 
     def __init__(self, settings: api.Settings, config: CoreConfig, incarnation: int, seed: int) -> None:
-        """``incarnation`` must be a number that no other run of a planner has."""
+        """Create a core; ``incarnation`` must be a number that no other run of a planner has."""
         self.context = CoreContext(settings, config, incarnation)
         self.incarnation = incarnation
         self.module = Planner(settings, seed)
@@ -57,7 +58,7 @@
         self._action_handlers = self._list_action_handlers()
 
     def _connect_components(self) -> None:
-        """Give each component those that its protocols name."""
+        """Set on each component the other components that its protocols name."""
         self.requests.attempts = self.attempts
         self.requests.groups = self.groups
         self.attempts.requests = self.requests
@@ -77,7 +78,7 @@
         self.groups.list = self.node_list
 
     def _list_event_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """What handles each event."""
+        """Return the handler of each type of event."""
         return {
             ev.ClientConnected: self.requests.client_connected,
             ev.ClientDisconnected: self.requests.client_disconnected,
@@ -107,7 +108,7 @@
         }
 
     def _list_action_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """What carries out each action of the decision module."""
+        """Return the handler of each type of action of the decision module."""
         return {
             api.Bind: self.attempts.offers.bind,
             api.StopAttempt: self.attempts.stop_attempt,
@@ -121,17 +122,17 @@
             api.Log: self._module_log,
         }
 
-    # Driving
+    # Methods that the driver calls
 
     def start(self, now: int) -> list[ev.Action]:
-        """The first call: start the decision module."""
+        """Start the decision module and return the first actions; the driver calls this before ``handle``."""
         self._begin(now)
         self.context.notify_module(api.Started())
         self._run()
         return self.context.actions
 
     def handle(self, now: int, event: ev.Event) -> list[ev.Action]:
-        """Fire timers that are due, then handle an event; return what is to be done, in order."""
+        """Fire the timers that are due, then handle an event; return the actions to carry out, in order."""
         self._begin(now)
         self._run_timers()
         self._event_handlers[type(event)](event)
@@ -139,10 +140,11 @@
         return self.context.actions
 
     def handle_after_stall(self, now: int, events: list[ev.Event]) -> list[ev.Action]:
-        """Handle what arrived while the process stood still, before the time that has passed is felt.
+        """Handle the events that arrived during a stall of the process; return the actions to carry out.
 
-        Danger: timers that fell due meanwhile would send offers to nodes whose report of a drain lies unread
-        in the planner's own socket. What nodes and the list sent comes first, then time, then clients.
+        Events from nodes and the node list are handled first, then timers fire, then events from clients are
+        handled. If timers fired first, they would send offers to nodes whose report that they drain is still
+        unread in the planner's own socket.
         """
         self._begin(now)
         received = [event for event in events if not isinstance(event, _CLIENT_EVENTS)]
@@ -158,12 +160,12 @@
         return self.context.actions
 
     def next_due(self) -> int | None:
-        """When a ``TimerDue`` is wanted, or None."""
+        """Return when the core needs a ``TimerDue``; None if no timer is set."""
         return self.context.next_due()
 
     @property
     def finished(self) -> bool:
-        """Whether a draining planner has decided every request."""
+        """Whether the planner is shutting down and has decided every request."""
         return self.stopping and self.requests.open_tasks == 0 and not self.groups.has_unanswered()
 
     @property
@@ -175,7 +177,7 @@
         self.context.begin(now)
 
     def _run(self) -> None:
-        """Let the decision module handle what is queued and carry its actions out, until nothing is left."""
+        """Handle queued module events and group messages, and the module's actions, until none is left."""
         module_events = self.context.module_events
         while module_events or self.groups.messages:
             while module_events:
@@ -190,7 +192,7 @@
             self._run()
 
     def _timer_due(self, _: ev.TimerDue) -> None:
-        """Timers were fired before the event was handled."""
+        """Do nothing: ``handle`` fires timers before it handles an event."""
 
     # Actions of the decision module
 
@@ -222,10 +224,10 @@
     # Settings
 
     def _settings_changed(self, event: ev.SettingsChanged) -> None:
-        """Every place that holds settings takes the new ones in this turn.
+        """Give the new settings to every component that keeps a copy of them, within this turn.
 
-        Danger: a component that kept the former ones would number a new class or tenant differently from the
-        others. Tasks in flight keep the deadline and the class that they were taken with.
+        A component that kept the former settings would number a new class or tenant differently from the
+        others. Tasks in flight keep the deadline and the class with which they were admitted.
         """
         self.context.set_settings(event.settings, event.config)
         self.module.settings = event.settings
--- a/stairplank/planner/errors.py
+++ b/stairplank/planner/errors.py
@@ -4,12 +4,12 @@
 
 
 class PlannerError(Exception):
-    """Base of the errors that the planner's core raises. They are faults of the program, not of its input."""
+    """Base of the errors that the planner's core raises; each is caused by a bug, not by invalid input."""
 
 
 class IllegalTransitionError(PlannerError):
-    """An event that is impossible in the present state; the text names both."""
+    """An event is not possible in the current state; the message names both."""
 
 
 class ConcludedTaskError(PlannerError):
-    """The decision module placed a task that has its outcome already."""
+    """The decision module placed a task that already has its outcome."""
--- a/stairplank/planner/offers.py
+++ b/stairplank/planner/offers.py
@@ -1,4 +1,4 @@
-"""Sends the offers that the decision module decides on, now or when the node's link is up.
+"""Sends the offers that the decision module decides on, immediately or once the node's link is up.
 
 No I/O or clock.
 """
@@ -14,14 +14,14 @@
 from .placement import Attempt, Placement
 from .transitions import AttemptEvent, AttemptState, PlacementEvent
 
-REPLY_RESERVE_TICKS = 2  # an attempt ends so long before its client's wait does: the reply takes time, too
+REPLY_RESERVE_TICKS = 2  # an attempt ends this long before its client's wait, to leave time for the reply
 
 
 class OfferDispatcher:
     """Creates an attempt for each bind of the decision module, and sends its offer."""
 
     def __init__(self, attempts: AttemptLifecycle) -> None:
-        """``attempts`` holds the attempts that are created here."""
+        """Create the dispatcher; it adds its attempts to the table ``attempts``."""
         self.attempts = attempts
         self.context = attempts.context
 
@@ -29,23 +29,25 @@
         """Offer a task to a node.
 
         Raises:
-            ConcludedTaskError: the task has its outcome already.
+            ConcludedTaskError: the task already has its outcome.
         """
         placement = self.attempts.requests.find(action.task)
         if placement is None or placement.state is not PlacementState.OPEN:
-            raise ConcludedTaskError(f"the decision module placed task {action.task}, which is over")
+            raise ConcludedTaskError(
+                f"the decision module placed task {action.task}, which already has its outcome"
+            )
         number = placement.attempts_made
         placement.attempts_made += 1
-        if placement.group is not None and not self._member_may_go(action, placement, number):
+        if placement.group is not None and not self._may_place_member(action, placement, number):
             return
         self._dispatch(self._create(action, placement, number))
 
-    def _member_may_go(self, action: api.Bind, placement: Placement, number: int) -> bool:
-        """Whether a member of a group is still to be placed and may go to that node; else report why not."""
+    def _may_place_member(self, action: api.Bind, placement: Placement, number: int) -> bool:
+        """Whether a group's member may be placed at that node now; if not, report the outcome."""
         context = self.context
         reserve_us = (REPLY_RESERVE_TICKS + 2) * context.settings.tick_us
         if context.now >= placement.deadline - reserve_us:
-            # The module knows the group's deadline, not the end of this attempt: no time is left.
+            # The module knows only the group's deadline, but this attempt to place the group is almost over.
             placement.transition(PlacementEvent.FAILED)
             context.notify_module(api.Outcome(action.task, number, action.node, api.Result.NOT_SENT, True))
             self.attempts.abandon_member(placement)
@@ -69,10 +71,11 @@
         return attempt
 
     def _dispatch(self, attempt: Attempt) -> None:
-        """Send the offer, or dial the node first."""
+        """Send the offer if the link is up; else dial the node, or end the attempt if that is impossible."""
         context, links = self.context, self.attempts.links
         if context.now >= attempt.deadline:
-            # Danger: after a stall, messages of nodes are handled before timers: the task may be too late.
+            # After a stall, node messages are handled before timers, so the deadline may have passed; an
+            # offer sent now would be too late.
             self.attempts.end(attempt, api.Result.NOT_SENT)
         elif links.is_up(attempt.node):
             self.send(attempt)
@@ -97,15 +100,15 @@
             self.attempts.requests.notify(placement, offered)
 
     def send_waiting(self, node: int) -> None:
-        """The node's link is up: send the offers that waited for it."""
+        """Send the offers that waited for the node's link, which is up now."""
         for attempt in self.attempts.at_node(node):
             if attempt.waiting:
                 self.send(attempt)
 
     def fail_waiting(self, node: int) -> None:
-        """The node's link failed, or the node drains or is gone.
+        """End the attempts that wait for a node's link, because it failed or the node drains or is unlisted.
 
-        Danger: an offer must not leave after the node has reported that it drains.
+        Otherwise an offer would be sent after the node has reported that it drains.
         """
         for attempt in self.attempts.at_node(node):
             if attempt.waiting:
--- a/stairplank/planner/placement.py
+++ b/stairplank/planner/placement.py
@@ -1,4 +1,4 @@
-"""The records of one task's placement and of one attempt to place it; each field names who sets it."""
+"""The records of one task's placement and of one attempt; comments name the component that sets a field."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class _StateFlags(NamedTuple):
-    """What a state implies. Computed once: flags are read far more often than states change."""
+    """Flags derived from an attempt's state; precomputed, as reads far outnumber changes of state."""
 
     waiting: bool
     accepted: bool
@@ -33,7 +33,7 @@
         waiting=state is AttemptState.WAITING,
         accepted=accepted,
         running=running,
-        outcome_reported=abandoned or state is AttemptState.OVER,
+        outcome_reported=abandoned or state is AttemptState.ENDED,
     )
 
 
@@ -41,9 +41,10 @@
 
 
 class Attempt:
-    """One offer to a node, from the decision module's bind to the node's last message on it.
+    """One offer of a task to a node, from the decision module's bind to the node's last message.
 
-    Owned by ``attempts``. ``id`` names it on links; placement and ``number`` name it to the decision module.
+    The component ``attempts`` owns it. ``id`` identifies it in messages with nodes; its placement and
+    ``number`` identify it to the decision module.
     """
 
     __slots__ = (
@@ -71,7 +72,7 @@
         node: int,
         state: AttemptState = AttemptState.SENT,
     ) -> None:
-        """An attempt that is created now."""
+        """Create an attempt at the current time of ``context``."""
         self.context = context
         self.id = id
         self.placement = placement
@@ -79,11 +80,11 @@
         self.node = node
         self.created_at = context.now
         self._enter(state)
-        self.deadline = 0  # it is abandoned then, unless it is bound
-        self.leased_until = 0  # a committed member of a group: its node holds it for certain until then
+        self.deadline = 0  # when the attempt is abandoned unless it is bound
+        self.leased_until = 0  # until when the node certainly keeps a committed group member
 
     def transition(self, event: AttemptEvent) -> None:
-        """Change the state. Raises IllegalTransitionError."""
+        """Change the state by an event. Raises IllegalTransitionError."""
         self._enter(self.context.transition(ATTEMPT, self.state, event))
 
     def _enter(self, state: AttemptState) -> None:
@@ -92,7 +93,7 @@
 
 
 class Placement:
-    """One task that was requested, adopted or found, until nothing of it is left."""
+    """The placement of one requested or adopted task, until it has its outcome and no attempts."""
 
     __slots__ = (
         "attempts",
@@ -121,37 +122,37 @@
         task: ev.TaskSpec,
         state: PlacementState = PlacementState.OPEN,
     ) -> None:
-        """A placement with a new number, requested by ``request`` of ``session`` (0: by none)."""
+        """Create a placement with a new number; ``session`` and ``request`` are 0 if no request is known."""
         self.context = context
         self.number = context.next_number()
         self.task = task
         self.class_index = context.classes[task.task_class]
         self.state = state
         self.deadline = 0
-        # Set by client_requests: the session that is notified, and the request it is notified on.
+        # client_requests sets the session that gets messages on the task, and the request number in them.
         self.session = session
         self.request = request
         self.cancelled = False
-        # Set by grouping: group number and member, if it is a member of a group.
+        # group_requests and group_members set the group's number and the member's index in the group.
         self.group: tuple[int, int] | None = None
-        # Set by attempts.
-        self.end_reason = ""  # of a member's last attempt: "finished" or why it did not finish
-        self.attempts: dict[AttemptId, Attempt] = {}  # those that have not ended
-        self.bound_attempt: Attempt | None = None  # it runs, or was accepted where accepting binds
+        # The component attempts sets the following fields.
+        self.end_reason = ""  # how a member's last attempt ended: "finished" or why it did not finish
+        self.attempts: dict[AttemptId, Attempt] = {}  # attempts that have not ended
+        self.bound_attempt: Attempt | None = None  # runs the task, or accepted it if accepting binds
         self.attempts_made = 0
         self.last_reason = api.Reason.UNTOLD
-        self.known_not_run = True  # every attempt that ended is proven not to have run
+        self.known_not_run = True  # whether every ended attempt is proven not to have run
 
     @property
     def client_key(self) -> tuple[str, int]:
-        """Client and task key, by which the client names it."""
+        """The client's name and task key, which identify the task to its client."""
         return self.task.client, self.task.key
 
     @property
     def effect(self) -> api.Effect:
-        """What a second run of the task would do."""
+        """The effect that a second run of the task has."""
         return self.context.effect(self.class_index)
 
     def transition(self, event: PlacementEvent) -> None:
-        """Decide its one outcome. Raises IllegalTransitionError."""
+        """Set the one outcome of the placement. Raises IllegalTransitionError."""
         self.state = self.context.transition(PLACEMENT, self.state, event)
--- a/stairplank/planner/request_table.py
+++ b/stairplank/planner/request_table.py
@@ -1,4 +1,4 @@
-"""Client sessions and the placements they requested: tables, look-ups and messages to clients.
+"""Tables of client sessions and of their placements, with look-ups and messages to clients.
 
 No I/O or clock.
 """
@@ -18,42 +18,42 @@
 
 @dataclass(slots=True)
 class Session:
-    """One client's stream."""
+    """A client's session: one stream from the client to this planner."""
 
     client: str
-    placements: dict[int, Placement] = field(default_factory=dict)  # by request
-    groups: dict[int, int] = field(default_factory=dict)  # numbers of groups, by request
-    open_tasks: int = 0  # single tasks without outcome
+    placements: dict[int, Placement] = field(default_factory=dict)  # placements by request number
+    groups: dict[int, int] = field(default_factory=dict)  # group numbers by request number
+    open_tasks: int = 0  # number of single tasks without an outcome
 
 
 class Groups(Protocol):
-    """What clients' requests need of groups."""
+    """The methods of groups that clients' requests use."""
 
-    def client_connected(self, owner: str, session: int, live: Callable[[int], bool]) -> None:
-        """A client opened a session."""
+    def client_connected(self, client: str, session: int, is_live: Callable[[int], bool]) -> None:
+        """Move the client's groups whose session is not open to its new session."""
 
-    def client_disconnected(self, number: int, other: int) -> None:
-        """A group's session is closed; the client has another one, or 0."""
+    def client_disconnected(self, number: int, other_session: int) -> None:
+        """Handle that a group's session was closed; ``other_session`` is another one of the client, or 0."""
 
     def cancel(self, number: int) -> None:
-        """The client cancelled a group."""
+        """Cancel a group at its client's request."""
 
-    def member_unplaced(self, placing: Placement) -> None:
-        """The decision module found no node for a member."""
+    def member_unplaced(self, placement: Placement) -> None:
+        """Handle that the decision module found no node for a member."""
 
-    def member_gone(self, placing: Placement) -> None:
-        """Nothing is left of a member's placement."""
+    def member_gone(self, placement: Placement) -> None:
+        """Handle that a member's placement was removed from the table."""
 
 
 class RequestTable:
-    """Tables of sessions and placements."""
+    """The tables of sessions and placements."""
 
     def __init__(self, context: CoreContext) -> None:
-        """Other components are set before the first event."""
+        """Create empty tables; the core sets the other components before the first event."""
         self.context = context
         self.groups: Groups
         self.sessions: dict[int, Session] = {}
-        self.by_client: dict[str, list[int]] = {}  # sessions, the newest last
+        self.by_client: dict[str, list[int]] = {}  # the client's sessions, the newest last
         self.placements: dict[int, Placement] = {}
         self.by_client_key: dict[tuple[str, int], Placement] = {}
 
@@ -64,19 +64,19 @@
         return session in self.sessions
 
     def client_of(self, session: int) -> str:
-        """The client of an open session."""
+        """Return the name of an open session's client."""
         return self.sessions[session].client
 
     def newest_session(self, client: str) -> int:
-        """The client's newest session, or 0."""
+        """Return the client's newest session; 0 if it has none."""
         return (self.by_client.get(client) or [0])[-1]
 
     def register_group(self, session: int, request: int, number: int) -> None:
-        """A request of this session is for that group."""
+        """Record the group that a session's request created."""
         self.sessions[session].groups[request] = number
 
     def forget_group(self, session: int, request: int) -> None:
-        """Nothing is left of a group."""
+        """Remove a group that is over from its session."""
         if session in self.sessions:
             self.sessions[session].groups.pop(request, None)
 
@@ -85,7 +85,7 @@
         self.by_client.setdefault(client, []).append(session)
 
     def _close_session(self, session: int) -> Session | None:
-        """Remove a session; None if it was not open."""
+        """Remove and return a session; None if it was not open."""
         closed = self.sessions.pop(session, None)
         if closed is None:
             return None
@@ -99,24 +99,24 @@
     # Placements
 
     def find(self, number: int) -> Placement | None:
-        """The placement of that number, unless it is forgotten."""
+        """Return the placement of that number, or None if it is not in the table."""
         return self.placements.get(number)
 
     def find_by_key(self, client: str, key: int) -> Placement | None:
-        """The placement of a client's task, unless it is forgotten."""
+        """Return the placement of the client's task with that key, or None if it is not in the table."""
         return self.by_client_key.get((client, key))
 
     def all_placements(self) -> list[Placement]:
-        """Every placement, in order of creation."""
+        """Return all placements in order of creation."""
         return list(self.placements.values())
 
     def register(self, placement: Placement) -> None:
-        """Make a placement known by number, and by client and key."""
+        """Add a placement to the tables, by number and by client and key."""
         self.placements[placement.number] = placement
         self.by_client_key[placement.client_key] = placement
 
     def forget_if_done(self, placement: Placement) -> None:
-        """Drop a placement that has its outcome and of which nothing is at a node."""
+        """Remove a placement that has its outcome and no attempts."""
         if placement.state is PlacementState.OPEN or placement.attempts:
             return
         if self.placements.pop(placement.number, None) is not None and placement.group is not None:
@@ -128,7 +128,7 @@
             del session.placements[placement.request]
 
     def module_task(self, placement: Placement) -> api.Task:
-        """The task as the decision module gets it."""
+        """Return the task in the form that the decision module uses."""
         task = placement.task
         return api.Task(
             placement.number,
--- a/stairplank/planner/settlement.py
+++ b/stairplank/planner/settlement.py
@@ -1,4 +1,4 @@
-"""Settles attempts whose fate a lost link, a new node process or a node's own report proves.
+"""Settles attempts: a lost link, a node restart or a node's report on its tasks determines their outcome.
 
 No I/O or clock.
 """
@@ -12,21 +12,21 @@
 
 
 class AttemptSettlement:
-    """Ends attempts on what is known of their nodes and links."""
+    """Ends attempts on evidence about their nodes and links."""
 
     def __init__(self, attempts: AttemptLifecycle) -> None:
-        """``attempts`` holds the attempts that are settled here."""
+        """Create the settlement of the attempts in the table ``attempts``."""
         self.attempts = attempts
         self.context = attempts.context
 
     def node_restarted(self, node: int) -> None:
-        """The node's process is another one: what was there is gone."""
+        """End the attempts at a node that has restarted, which lost its tasks."""
         for attempt in self.attempts.at_node(node):
             if not attempt.waiting:
                 self.attempts.end(attempt, api.Result.LOST)
 
     def link_lost(self, node: int, unsent: frozenset[AttemptId]) -> list[AttemptId]:
-        """A link was lost: what provably never left has ended; return what had left, for it is unsettled."""
+        """End the attempts whose offers provably never left on a lost link; return the unsettled ones."""
         unsettled = []
         for attempt in self.attempts.at_node(node):
             if attempt.id in unsent and not attempt.accepted:
@@ -36,39 +36,40 @@
         return unsettled
 
     def link_expired(self, ids: list[AttemptId]) -> None:
-        """A lost link did not come back in time: what was there counts as lost from now on."""
+        """End unsettled attempts as lost: their link was not up again within the grace period."""
         for id in ids:
             attempt = self.attempts.find(id)
             if attempt is not None:
                 self.attempts.end(attempt, api.Result.LOST)
 
     def not_at_node(self, ids: list[AttemptId], complete: bool) -> None:
-        """These were sent before a link was lost, and are not in the node's report.
+        """End attempts that were sent before a link was lost and are missing from the node's report.
 
-        ``complete``: the node keeps its last message on an attempt until that was received.
+        ``complete`` means that the node keeps its last message on an attempt until the planner has received
+        it.
         """
         for id in ids:
             attempt = self.attempts.find(id)
             if attempt is None:
                 continue
             if complete and not attempt.accepted:
-                # Neither held nor reported as ended: the node never received it.
+                # The node reports the attempt neither as present nor as ended: it never received it.
                 self.context.count("never_seen")
                 self.attempts.end(attempt, api.Result.UNREACHABLE)
             else:
                 self.attempts.end(attempt, api.Result.LOST)
 
-    def settle_never_received(self, event: ev.NodeTasksReported, held: set[AttemptId]) -> None:
-        """End abandoned offers that had expired when the node was asked, and of which it holds nothing.
+    def settle_never_received(self, event: ev.NodeTasksReported, reported_ids: set[AttemptId]) -> None:
+        """End abandoned offers that had expired when the report was requested and that it does not contain.
 
-        They were either never received, or rejected by a message that was received by now; and should they
-        arrive yet, the node rejects them as too late: proven not to run.
+        The node either never received such an offer, or rejected it in a message that has arrived by now. If
+        the offer still arrives later, the node rejects it as too late, so the task is proven not to run.
         """
         if not self.context.config.settles_abandoned_offers:
             return
         for attempt in self.attempts.at_node(event.node):
             unanswered = attempt.outcome_reported and not attempt.accepted
             expired = event.requested_at >= offer_expired_at(attempt)
-            if unanswered and attempt.id not in held and expired:
+            if unanswered and attempt.id not in reported_ids and expired:
                 self.context.count("never_taken")
                 self.attempts.end(attempt, api.Result.UNREACHABLE)
--- a/stairplank/planner/state_table.py
+++ b/stairplank/planner/state_table.py
@@ -1,4 +1,4 @@
-"""State machines as tables. What is not in a table is an error. No I/O or state."""
+"""State machines as tables of transitions; a transition that is not in the table is an error. No I/O."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class TransitionTable:
-    """Rows of state and event, each with the state that follows."""
+    """The legal transitions of one state machine: the next state by state and event."""
 
     def __init__(self, name: str, rows: Mapping[tuple[Any, str], Any]) -> None:
-        """``name`` is what the machine describes, as errors and pages show it."""
+        """Create a table; ``name`` is the name of the state machine in errors and in the documentation."""
         self.name = name
         self.rows = dict(rows)
 
     def after(self, state: Any, event: str) -> Any:
-        """The state that follows.
+        """Return the state after the event.
 
         Raises:
             IllegalTransitionError: the table has no such row.
@@ -29,7 +29,7 @@
             raise IllegalTransitionError(message) from None
 
     def markdown(self) -> str:
-        """The table as a page shows it."""
+        """Return the table in Markdown, as the documentation shows it."""
         lines = [f"| {self.name} | event | becomes |", "| --- | --- | --- |"]
         lines += [
             f"| {state.value} | {event} | {next_state.value} |"
--- a/stairplank/planner/transitions.py
+++ b/stairplank/planner/transitions.py
@@ -1,7 +1,7 @@
-"""How an attempt, a placement and a link may change, as tables. What is not in a table is an error.
+"""Transition tables of attempts, placements and links; a transition that is not in its table is an error.
 
-docs/design/running-planner.md shows them; a test compares the page with this file, and another sees every row
-taken on simulated days.
+docs/design/running-planner.md shows the tables. One test compares that page with this file, and another
+checks that simulated days take every transition.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 class AttemptState(Enum):
-    """How an attempt stands at its node. Abandoned: the decision module has its outcome."""
+    """The state of an attempt; the decision module already has the outcome of an abandoned one."""
 
-    __hash__ = object.__hash__  # Enum's own hashes the member's name anew at each look-up
+    __hash__ = object.__hash__  # Enum.__hash__ hashes the member's name on each look-up, which is slower
 
-    WAITING = "waiting"  # for a link: nothing was sent
-    SENT = "sent"  # offered; the node has not replied
+    WAITING = "waiting"  # the node's link is not up yet; nothing was sent
+    SENT = "sent"  # the offer was sent; the node has not replied
     ACCEPTED = "accepted"
     RUNNING = "running"
-    ABANDONED_SENT = "abandoned, sent"  # the node may still accept it
+    ABANDONED_SENT = "abandoned, sent"  # the node may still accept the offer
     ABANDONED_ACCEPTED = "abandoned, accepted"
     ABANDONED_RUNNING = "abandoned, running"
-    OVER = "ended"  # nothing more is expected of the node
+    ENDED = "ended"  # no more messages of the node are expected
 
 
 class AttemptEvent(StrEnum):
-    """What happens to an attempt."""
+    """An event that changes an attempt's state."""
 
     SENT = "sent"
     ACCEPTED = "accepted"
@@ -40,7 +40,7 @@
 
 
 class PlacementEvent(StrEnum):
-    """The one outcome of a placement."""
+    """An event that decides a placement's one outcome."""
 
     PLACED = "placed"
     SHED = "shed"
@@ -49,7 +49,7 @@
 
 
 class LinkEvent(StrEnum):
-    """What happens to a link."""
+    """An event that changes a link's state."""
 
     DIAL = "dial"
     UP = "up"
@@ -61,24 +61,24 @@
     "attempt",
     {
         (AttemptState.WAITING, AttemptEvent.SENT): AttemptState.SENT,
-        (AttemptState.WAITING, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.WAITING, AttemptEvent.ENDED): AttemptState.ENDED,
         (AttemptState.SENT, AttemptEvent.ACCEPTED): AttemptState.ACCEPTED,
         (AttemptState.SENT, AttemptEvent.RUNNING): AttemptState.RUNNING,
         (AttemptState.SENT, AttemptEvent.ABANDONED): AttemptState.ABANDONED_SENT,
-        (AttemptState.SENT, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.SENT, AttemptEvent.ENDED): AttemptState.ENDED,
         (AttemptState.ACCEPTED, AttemptEvent.RUNNING): AttemptState.RUNNING,
         (AttemptState.ACCEPTED, AttemptEvent.ABANDONED): AttemptState.ABANDONED_ACCEPTED,
-        (AttemptState.ACCEPTED, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.ACCEPTED, AttemptEvent.ENDED): AttemptState.ENDED,
         (AttemptState.RUNNING, AttemptEvent.ABANDONED): AttemptState.ABANDONED_RUNNING,
-        (AttemptState.RUNNING, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.RUNNING, AttemptEvent.ENDED): AttemptState.ENDED,
         (AttemptState.ABANDONED_SENT, AttemptEvent.ACCEPTED): AttemptState.ABANDONED_ACCEPTED,
         (AttemptState.ABANDONED_SENT, AttemptEvent.RUNNING): AttemptState.ABANDONED_RUNNING,
-        (AttemptState.ABANDONED_SENT, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.ABANDONED_SENT, AttemptEvent.ENDED): AttemptState.ENDED,
         (AttemptState.ABANDONED_ACCEPTED, AttemptEvent.RUNNING): AttemptState.ABANDONED_RUNNING,
-        (AttemptState.ABANDONED_ACCEPTED, AttemptEvent.ADOPTED): AttemptState.OVER,
-        (AttemptState.ABANDONED_ACCEPTED, AttemptEvent.ENDED): AttemptState.OVER,
-        (AttemptState.ABANDONED_RUNNING, AttemptEvent.ADOPTED): AttemptState.OVER,
-        (AttemptState.ABANDONED_RUNNING, AttemptEvent.ENDED): AttemptState.OVER,
+        (AttemptState.ABANDONED_ACCEPTED, AttemptEvent.ADOPTED): AttemptState.ENDED,
+        (AttemptState.ABANDONED_ACCEPTED, AttemptEvent.ENDED): AttemptState.ENDED,
+        (AttemptState.ABANDONED_RUNNING, AttemptEvent.ADOPTED): AttemptState.ENDED,
+        (AttemptState.ABANDONED_RUNNING, AttemptEvent.ENDED): AttemptState.ENDED,
     },
 )
 PLACEMENT = TransitionTable(
--- a/tests/planner/test_attempts.py
+++ b/tests/planner/test_attempts.py
@@ -105,7 +105,7 @@
     pass_time(fixture.context, 2 * SECOND)
     fixture.placement.transition(PlacementEvent.FAILED)
     fixture.attempts.messages.node_running(ev.NodeRunning(1, old.id))
-    assert old.state is AttemptState.OVER and fixture.attempt is not old and fixture.attempt.id == old.id
+    assert old.state is AttemptState.ENDED and fixture.attempt is not old and fixture.attempt.id == old.id
     assert heir.bound_attempt is fixture.attempt and not fixture.placement.attempts
 
 
@@ -124,7 +124,7 @@
     fixture.bind()
     with pytest.raises(IllegalTransitionError, match="attempt: 'sent' while 'sent'"):
         fixture.attempt.transition(AttemptEvent.SENT)
-    with pytest.raises(ConcludedTaskError, match="which is over"):
+    with pytest.raises(ConcludedTaskError, match="which already has its outcome"):
         fixture.attempts.offers.bind(api.Bind(99, 1, 0))
 
 
