--- a/stairplank/planner/actions.py
+++ b/stairplank/planner/actions.py
@@ -1,4 +1,4 @@
-"""What the core asks its driver to do, in this order. Times are in microseconds."""
+"""The actions that the core returns for its driver to carry out in order. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StopReason(Enum):
-    """Why an attempt is stopped."""
+    """The reason for which an attempt is stopped."""
 
     CANCELLED = "cancelled"
     MIGRATED = "migrated"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendCommit:
-    """Let these members of groups start, with a lease each."""
+    """Commit group members at a node: each starts, under a lease of ``lease_us``."""
 
     node: int
     ids: tuple[AttemptId, ...]
@@ -40,12 +40,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SendLeaseRenewal:
-    """Extend the leases of members of groups."""
+    """Extend the leases of group members at a node."""
 
     node: int
     ids: tuple[AttemptId, ...]
     lease_us: int
-    renewal: int = 0  # the core's number for it, as in LeasesRenewed
+    renewal: int = 0  # number of the renewal, which LeasesRenewed repeats
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestNodeTasks:
-    """Ask a node what it holds and runs."""
+    """Request a report of the tasks that a node has accepted or runs."""
 
     node: int
 
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchNodeList:
-    """Open or close the watch of the node list, from ``revision`` on."""
+    """Open the watch of the node list, with changes after ``revision``, or close it."""
 
     active: bool
     revision: int
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToClient:
-    """Send a message on a session."""
+    """Send a message to a client on a session."""
 
     session: int
     message: ClientMessage
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """An entry for the log."""
+    """Write an entry to the log."""
 
     event: str
     fields: dict[str, object]
--- a/stairplank/planner/admission.py
+++ b/stairplank/planner/admission.py
@@ -1,4 +1,4 @@
-"""Decides which requests are admitted: valid ones, within bounds. No I/O, clock or state of its own."""
+"""Decides whether a request is admitted: it must be valid and within bounds. No I/O, clock or state."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The most of each at one planner."""
+    """The bounds of one planner's tables and of a request's wait."""
 
-    open_tasks: int  # admitted and without outcome
+    open_tasks: int  # admitted tasks without an outcome
     open_tasks_per_client: int
-    attempts: int  # running, adopted or in flight
+    attempts: int  # attempts that run, are adopted or are in flight
     max_wait_us: int
 
 
 def task_error(
     task: TaskSpec, wait_us: int, bounds: Bounds, settings: api.Settings, tenants: tuple[str, ...]
 ) -> Rejection | None:
-    """A rejection that names the first field at fault, or None."""
+    """Return a rejection that names the first invalid field, or None."""
     return (
         _name_error(task, settings, tenants)
         or _number_error(task, wait_us, bounds)
@@ -40,7 +40,7 @@
 
 
 def _name_error(task: TaskSpec, settings: api.Settings, tenants: tuple[str, ...]) -> Rejection | None:
-    """What is wrong with the key, class or tenant."""
+    """Return a rejection if the key, class or tenant is invalid, or None."""
     if not 0 < task.key <= MAX_NUMBER:
         return _invalid("task.key", "a number above 0 is needed")
     class_names = [task_class.name for task_class in settings.classes]
@@ -53,7 +53,7 @@
 
 
 def _number_error(task: TaskSpec, wait_us: int, bounds: Bounds) -> Rejection | None:
-    """What is wrong with the service, the resources or the wait, each by itself."""
+    """Return a rejection if the service, the resources or the wait is out of range, or None."""
     if not 0 < task.service <= MAX_NUMBER:
         return _invalid("task.service", "a number above 0 is needed")
     for field, value in (("task.cores", task.cores), ("task.memory", task.memory)):
@@ -65,7 +65,7 @@
 
 
 def _size_error(task: TaskSpec, settings: api.Settings) -> Rejection | None:
-    """Whether no node of a type that the class may use accepts a task of this size."""
+    """Return a rejection if no node type that the class may use accepts a task of this size, or None."""
     task_class = next(c for c in settings.classes if c.name == task.task_class)
     node_types = settings.node_types
     if task_class.node_type is not None:
@@ -78,9 +78,9 @@
 
 
 def deadline_error(wait_us: int, age_us: int) -> Rejection | None:
-    """A rejection of a request that arrived when its wait was over, or None.
+    """Return a rejection of a request that arrived after its wait was over, or None.
 
-    Danger: its client has given up by now, and the task may run elsewhere.
+    Its client no longer waits, and the task may run elsewhere; if it were admitted, it could run twice.
     """
     if age_us < wait_us:
         return None
@@ -90,7 +90,7 @@
 def capacity_error(
     open_tasks: int, open_tasks_of_client: int, attempts: int, bounds: Bounds
 ) -> Rejection | None:
-    """A rejection if a table is at its bound, or None."""
+    """Return a rejection if a table is at its bound, or None."""
     if open_tasks >= bounds.open_tasks:
         message = f"{open_tasks} tasks wait for their outcome here"
     elif open_tasks_of_client >= bounds.open_tasks_per_client:
--- a/stairplank/planner/events.py
+++ b/stairplank/planner/events.py
@@ -1,7 +1,7 @@
-"""What the core is fed: events. Times are microseconds on the planner's own clock.
+"""The events that the driver passes to the core. Times are microseconds on the planner's own clock.
 
-``actions`` has what the core asks its driver to do, ``client_messages`` what clients are sent. Both can be
-imported from here too, so that a component needs one import for the core's vocabulary.
+``actions`` defines the actions that the core returns, ``client_messages`` the messages to clients. This
+module exports the classes of both, so that a component needs a single import for all of them.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """A session of a client is closed."""
+    """A client's session is closed."""
 
     session: int
 
@@ -69,12 +69,12 @@
     request: int
     task: TaskSpec
     wait_us: int
-    age_us: int = 0  # sent at most so long ago: the wait counts from then
+    age_us: int = 0  # bound on the time since the request was sent, where its wait begins
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementCancelled:
-    """The client cancels a request, named by its number or, where that is 0, by the task's key."""
+    """The client cancels a request, identified by its number or, if that is 0, by the task's key."""
 
     session: int
     request: int
@@ -117,7 +117,7 @@
     """The node list, or changes to it."""
 
     revision: int
-    since: int  # the revision that changes build on
+    since: int  # the revision to which the changes apply
     full: bool
     nodes: tuple[ListedNode, ...]
     now_unix_us: int
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeListFailed:
-    """A call to the directory failed or a subscription broke."""
+    """A call to the node list service failed, or the watch of the node list ended."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,14 +139,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DialFailed:
-    """No link was established: nothing was sent."""
+    """A dial failed to establish a link, so nothing was sent to the node."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class LinkDown:
-    """A link was lost; the offers of the attempts in ``unsent`` are proven not to have left."""
+    """A link was lost; the offers of the attempts in ``unsent`` are proven never to have been sent."""
 
     node: int
     unsent: frozenset[AttemptId] = frozenset()
@@ -162,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeReady:
-    """A node holds a member of a group ready to start."""
+    """A node has reserved resources for a group's member, which is ready to start."""
 
     node: int
     id: AttemptId
@@ -178,12 +178,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRejected:
-    """A node rejected an offer, or handed back a task that it had accepted."""
+    """A node rejected an offer, or returned a task that it had accepted."""
 
     node: int
     id: AttemptId
     reason: api.Reason
-    late: bool = False  # the offer was too old when it came, by the fence
+    late: bool = False  # the offer was too old on arrival, by the bound on its message age
 
 
 @dataclass(frozen=True, slots=True)
@@ -206,7 +206,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeUsage:
-    """What a running task uses; 0 for what the node does not measure."""
+    """The resources that a running task uses; a field is 0 if the node does not measure it."""
 
     node: int
     id: AttemptId
@@ -243,26 +243,26 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeTasksReported:
-    """Reply to ``RequestNodeTasks``: what the node holds and runs."""
+    """Reply to ``RequestNodeTasks``: the tasks that the node has accepted or runs."""
 
     node: int
     started_unix_us: int
     tasks: tuple[NodeTask, ...]
-    complete: bool = False  # an attempt neither held nor reported as ended was never received
-    requested_at: int = 0  # when it was requested; 0: not known
-    finished: tuple[NodeTask, ...] = ()  # members of groups that ran to their end lately
+    complete: bool = False  # an attempt that is not in it, nor reported as ended, was never received
+    requested_at: int = 0  # when the report was requested; 0 if not known
+    finished: tuple[NodeTask, ...] = ()  # group members that finished recently
 
 
 @dataclass(frozen=True, slots=True)
 class NodeTasksFailed:
-    """``RequestNodeTasks`` failed."""
+    """A node's tasks could not be requested: ``RequestNodeTasks`` failed."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckCompleted:
-    """Reply to ``CheckHealth``, or its failure; ``report`` is the node's load report."""
+    """A health check succeeded or failed; ``report`` is the node's load report."""
 
     node: int
     ok: bool
@@ -272,7 +272,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """Graceful shutdown: nothing new is admitted, and every open request gets its outcome."""
+    """A graceful shutdown begins: nothing new is admitted, and every open request gets its outcome."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -285,7 +285,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """Time has passed: timers that are due fire."""
+    """The time of ``next_due`` is reached; timers that are due fire."""
 
 
 Event = (
--- a/stairplank/planner/group_admission.py
+++ b/stairplank/planner/group_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request for a group is admitted. Decides without I/O or clock."""
+"""Decides whether a request for a group is admitted. No I/O or clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def check_request(
     event: ev.GroupRequested, spec: GroupSpec, requests: ClientRequests, groups: int, max_groups: int
 ) -> ev.Rejection | None:
-    """Why the request is rejected, or None. ``groups``: those that the planner has already."""
+    """Return a rejection of the request, or None; ``groups`` is the planner's current number of groups."""
     rejection = (
         requests.request_error(event.session, event.request)
         or validate(spec, event.min_members)
--- a/stairplank/planner/group_members.py
+++ b/stairplank/planner/group_members.py
@@ -1,8 +1,8 @@
-"""Members of groups at their nodes: placing, committing, renewing leases and releasing. No I/O or clock.
+"""Group members at their nodes: placing, committing, renewing leases and releasing. No I/O or clock.
 
 Invariants (tests/groups/test_core_groups.py):
 
-1. A member has one placement in each attempt of its group.
+1. A member has one placement in each attempt to place its group.
 2. Members are committed, renewed and released only over links that are up.
 """
 
@@ -25,30 +25,30 @@
 
 @dataclass(slots=True)
 class GroupRecord:
-    """A group as its client knows it, and the placements of its current attempt."""
+    """A group's session, request and specification, and the placements of its current attempt."""
 
-    session: int  # on which the client is notified; 0: none
+    session: int  # session that gets messages on the group; 0 if none
     request: int
     spec: GroupSpec
     deadline: int = 0
-    placements: dict[int, Placement] = field(default_factory=dict)  # by member
+    placements: dict[int, Placement] = field(default_factory=dict)  # placements by member
     is_placed: bool = False
 
 
 class GroupMembers:
-    """Carries out what the coordinator decides on members."""
+    """Carries out the coordinator's actions on members: placing, committing, renewing, releasing."""
 
     def __init__(
         self, context: CoreContext, leases: Leases, coordinator: Coordinator, peers: GroupPeers
     ) -> None:
-        """``peers`` are used once the core has connected them."""
+        """Create the component; ``peers`` are used only after the core has connected them."""
         self.context = context
         self._leases = leases
         self._coordinator = coordinator
         self._peers = peers
 
     def place(self, record: GroupRecord, number: int, member: int, deadline: int) -> None:
-        """Request a placement from the decision module; it is given up at the deadline."""
+        """Request a member's placement from the decision module, until ``deadline``."""
         placement = Placement(self.context, record.session, 0, record.spec.members[member])
         placement.group = (number, member)
         placement.deadline = deadline
@@ -59,9 +59,9 @@
         if self._coordinator.enforces_constraints(number):
             taken = self._taken(record, member)
             excluded = self._coordinator.excluded_nodes(number, member, taken, self._peers.list.ready_nodes())
-        # The module gets the group's deadline, not the attempt's: else it would take every member for one
-        # that comes too late and keep a reserve from it. Whether a group is attempted again is decided by
-        # the coordinator, so that a member does not count as resubmitted either.
+        # The module gets the group's deadline, not the attempt's: otherwise it would treat every member as
+        # late and exclude it from the reserve of each node's capacity. The coordinator decides whether a
+        # group is attempted again, so a member does not count as resubmitted.
         task = replace(
             self._peers.requests.module_task(placement),
             expires_us=record.deadline,
@@ -71,14 +71,14 @@
         self.context.notify_module(api.TaskRequested(task))
 
     def may_place(self, record: GroupRecord, number: int, member: int, node: int) -> bool:
-        """Whether a member may go there now: others may have taken nodes since the module was asked."""
+        """Whether a member may be placed at a node now; others may have taken nodes since its request."""
         if not self._coordinator.enforces_constraints(number):
             return True
         taken = self._taken(record, member)
         return not self._coordinator.violates_constraints(number, node, taken, self._peers.list.rack)
 
     def _taken(self, record: GroupRecord, member: int) -> dict[int, int]:
-        """The nodes that the other members of this attempt go to, by member."""
+        """Return the nodes of the other members in this attempt, by member."""
         taken: dict[int, int] = {}
         for other, placement in record.placements.items():
             if other == member or placement.state not in (PlacementState.OPEN, PlacementState.PLACED):
@@ -89,7 +89,7 @@
         return taken
 
     def commit(self, record: GroupRecord, members: tuple[int, ...], lease_us: int) -> None:
-        """Tell the nodes to run these members, under a lease of this length from now."""
+        """Commit these members at their nodes, with a lease of this length from now."""
         for node, attempt_ids in self._bound_by_node(record, members).items():
             self.context.emit(ev.SendCommit(node, attempt_ids, lease_us))
             for attempt_id in attempt_ids:
@@ -105,7 +105,7 @@
     def _bound_by_node(
         self, record: GroupRecord, members: tuple[int, ...]
     ) -> dict[int, tuple[AttemptId, ...]]:
-        """The bound attempts of members, by node, over links that are up."""
+        """Return the ids of the members' bound attempts by node, for nodes whose link is up."""
         by_node: dict[int, tuple[AttemptId, ...]] = {}
         for member in members:
             attempt = record.placements[member].bound_attempt
@@ -114,7 +114,7 @@
         return by_node
 
     def release(self, record: GroupRecord, members: tuple[int, ...]) -> None:
-        """Abandon these members: requests to the module are cancelled, attempts called back."""
+        """Abandon these members: cancel their requests to the module and stop their attempts."""
         for member in members:
             placement = record.placements[member]
             if placement.state is PlacementState.OPEN:
--- a/stairplank/planner/group_messages.py
+++ b/stairplank/planner/group_messages.py
@@ -1,4 +1,4 @@
-"""Messages on members of groups, queued until the decision module has nothing more to take."""
+"""Messages on group members, queued until the decision module's event queue is empty."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceNext:
-    """The next member of this attempt is to be placed, after those before it."""
+    """Request to place a member in this attempt; members are placed one after the other."""
 
     group: int
     member: int
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberReserved:
-    """A node holds the member ready to run."""
+    """A node has reserved resources for the member, which is ready to start."""
 
     group: int
     member: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberOver:
-    """Nothing is left of this placement of the member."""
+    """The placement of the member was removed: it has its outcome and no attempts."""
 
     group: int
     member: int
--- a/stairplank/planner/group_peers.py
+++ b/stairplank/planner/group_peers.py
@@ -1,4 +1,4 @@
-"""What groups need of the other components of the core."""
+"""The methods of the core's other components that groups use."""
 
 from __future__ import annotations
 
@@ -12,80 +12,80 @@
 
 
 class ClientRequests(Protocol):
-    """What groups need of the clients' requests."""
+    """The methods of clients' requests that groups use."""
 
-    def request_error(self, session: int, ask: int) -> ev.Rejection | None:
-        """Why this request id is rejected, or None."""
+    def request_error(self, session: int, request: int) -> ev.Rejection | None:
+        """Return why a request with this number is rejected, or None."""
 
     def task_error(self, task: ev.TaskSpec, wait_us: int) -> ev.Rejection | None:
-        """Why this task is rejected, or None."""
+        """Return why a task is rejected, or None."""
 
     def capacity_error(self, session: int) -> ev.Rejection | None:
-        """Why the planner admits no more of this session, or None."""
+        """Return a rejection if a bound on open tasks or attempts is reached, or None."""
 
-    def reject(self, session: int, ask: int, rejection: ev.Rejection) -> None:
-        """Notify the client that its request is rejected."""
+    def reject(self, session: int, request: int, rejection: ev.Rejection) -> None:
+        """Send the client a rejection of its request."""
 
     def client_of(self, session: int) -> str:
-        """The client's name."""
+        """Return the name of a session's client."""
 
-    def find_by_key(self, owner: str, key: int) -> Placement | None:
-        """The placement of this task, if there is one."""
+    def find_by_key(self, client: str, key: int) -> Placement | None:
+        """Return the placement of the client's task with that key, or None."""
 
-    def newest_session(self, owner: str) -> int:
-        """The client's newest session; 0: none."""
+    def newest_session(self, client: str) -> int:
+        """Return the client's newest session; 0 if it has none."""
 
-    def register_group(self, session: int, ask: int, number: int) -> None:
-        """A request of this session was admitted as this group."""
+    def register_group(self, session: int, request: int, number: int) -> None:
+        """Record the group that a session's request created."""
 
-    def forget_group(self, session: int, ask: int) -> None:
-        """The group of this request is over."""
+    def forget_group(self, session: int, request: int) -> None:
+        """Remove a group that is over from its session."""
 
-    def notify_session(self, session: int, word: ev.ClientMessage) -> None:
-        """Send a message on this session."""
+    def notify_session(self, session: int, message: ev.ClientMessage) -> None:
+        """Send a message on a session, if it is open."""
 
-    def register(self, placing: Placement) -> None:
-        """Add a placement to those that are known."""
+    def register(self, placement: Placement) -> None:
+        """Add a placement to the tables."""
 
-    def module_task(self, placing: Placement) -> api.Task:
-        """The task as the decision module takes it."""
+    def module_task(self, placement: Placement) -> api.Task:
+        """Return the task in the form that the decision module uses."""
 
 
 class Attempts(Protocol):
-    """What groups need of the attempts."""
+    """The methods of attempts that groups use."""
 
     def find(self, id: AttemptId) -> Attempt | None:
-        """The attempt, unless its end is known."""
+        """Return the attempt, or None if it has ended."""
 
-    def abandon_member(self, placing: Placement) -> None:
-        """Abandon all attempts of this placement."""
+    def abandon_member(self, placement: Placement) -> None:
+        """Stop every attempt of a member's placement."""
 
-    def adopt(self, node: int, id: AttemptId, spec: ev.TaskSpec, running: bool) -> Attempt:
-        """Take over an attempt of an earlier incarnation."""
+    def adopt(self, node: int, id: AttemptId, task: ev.TaskSpec, running: bool) -> Attempt:
+        """Track an attempt of an earlier incarnation; return it."""
 
 
 class Links(Protocol):
-    """What groups need of the links to nodes."""
+    """The methods of the links to nodes that groups use."""
 
     def is_up(self, node: int) -> bool:
-        """Whether the link to this node is up."""
+        """Whether the link to a node is up."""
 
 
 class NodeList(Protocol):
-    """What groups need of the node list."""
+    """The methods of the node list that groups use."""
 
     def capacity(self) -> ClusterCapacity:
-        """Capacity of all listed nodes together."""
+        """Return the total capacity of all listed nodes."""
 
     def ready_nodes(self) -> tuple[NodeCapacity, ...]:
-        """Capacity of each ready node."""
+        """Return the capacity of each ready node."""
 
     def rack(self, node: int) -> str:
-        """The rack of this node."""
+        """Return the name of a node's rack."""
 
 
 class GroupPeers:
-    """The components that groups use; the core sets them when it connects its components."""
+    """The other components that groups use; the core sets them when it connects its components."""
 
     requests: ClientRequests
     attempts: Attempts
--- a/stairplank/planner/group_requests.py
+++ b/stairplank/planner/group_requests.py
@@ -1,14 +1,13 @@
-"""Requests for groups: between the coordinator, which decides, and clients and nodes. No I/O or clock.
+"""Requests for groups: carries out the coordinator's decisions at clients and nodes. No I/O or clock.
 
 Invariants (tests/groups/test_core_groups.py, and the stateful test of the coordinator):
 
-1. Each group of the coordinator has one record, and a record goes when the coordinator has forgotten its
-   group.
-2. Messages on placements of earlier attempts change nothing.
-3. Members of a group of an earlier incarnation keep running while the rest is looked for, and then all go on
-   or all are released.
+1. Each group of the coordinator has one record, which is removed when the coordinator has removed its group.
+2. Messages on placements of earlier attempts are ignored.
+3. Members of an earlier incarnation's group keep running until all members are found or the search times out;
+   then all continue, or all are released.
 
-State: ``records``, ``messages``; the coordinator's, the orphans' own.
+State: ``records``, ``messages``, and the state of the coordinator and of the orphan groups.
 """
 
 from __future__ import annotations
@@ -35,10 +34,10 @@
 
 
 class GroupRequests(GroupPeers):
-    """All groups of the planner, from their request to their end."""
+    """The planner's groups, from a group's request to its end."""
 
     def __init__(self, context: CoreContext, leases: Leases, seed: int) -> None:
-        """``seed`` determines the backoff of groups."""
+        """Create the component; ``seed`` determines the random backoff of groups."""
         self.context = context
         self.coordinator = Coordinator(context.settings, context.config.groups, seed)
         self.records: dict[int, GroupRecord] = {}
@@ -51,10 +50,10 @@
     # Queries
 
     def tag(self, placement: Placement) -> ev.GroupTag:
-        """What a node is told of a member's group."""
+        """Return the data on a member's group that its offer carries."""
         number, member = _member_of(placement)
         size = self.records[number].spec.min_members
-        # Reserved at least until the attempt is over and its members were committed.
+        # The reservation lasts at least until the attempt is over and its members are committed.
         lease_us = placement.deadline - self.context.now + self.context.config.groups.lease_us
         return ev.GroupTag(self.context.incarnation, number, size, member, max(1, lease_us))
 
@@ -63,7 +62,7 @@
         return self.coordinator.has_unanswered()
 
     def may_place(self, placement: Placement, node: int) -> bool:
-        """Whether a member may go there now: others may have taken nodes since the module was asked."""
+        """Whether a member may be placed at a node now; others may have taken nodes since its request."""
         number, member = _member_of(placement)
         record = self.records.get(number)
         return record is None or self._members.may_place(record, number, member, node)
@@ -71,7 +70,7 @@
     # Clients
 
     def request(self, event: ev.GroupRequested) -> None:
-        """A client requests a group: it is admitted and attempted, or rejected."""
+        """Admit a client's request for a group and start to place it, or reject it."""
         spec = GroupSpec(
             self.requests.client_of(event.session),
             event.members,
@@ -96,7 +95,7 @@
         self._perform(self.coordinator.request(self.context.now, number, spec, deadline, capacity, nodes))
 
     def client_connected(self, client: str, session: int, is_live: Callable[[int], bool]) -> None:
-        """Groups of this client whose session is gone, and that have members left, move to this session."""
+        """Move to this session the client's groups that have members left but no open session."""
         for record in self.records.values():
             if record.spec.client != client or is_live(record.session):
                 continue
@@ -105,7 +104,10 @@
                 record.request = 0
 
     def client_disconnected(self, number: int, other_session: int) -> None:
-        """The session of a group has ended: a placed group moves to the other one (0: none), else it goes."""
+        """Handle that a group's session was closed: move a placed group to the other one, cancel any other.
+
+        ``other_session`` is 0 if the client has no other session.
+        """
         record = self.records.get(number)
         if record is None:
             return
@@ -116,33 +118,33 @@
             self.cancel(number)
 
     def cancel(self, number: int) -> None:
-        """The client cancels a group."""
+        """Cancel a group at its client's request."""
         self._perform(self.coordinator.cancel(self.context.now, number))
 
     def settings_changed(self) -> None:
-        """Groups in flight use the new settings from their next attempt on."""
+        """Pass the new settings to the coordinator; groups in flight use them from their next attempt on."""
         self.coordinator.set_settings(self.context.settings, self.context.config.groups)
 
     def shut_down(self) -> None:
-        """The planner shuts down: groups without an outcome are shed."""
+        """Shed the groups without an outcome, because the planner shuts down."""
         self._perform(self.coordinator.shut_down(self.context.now))
 
-    # Messages on members, taken in turn with the module's
+    # Messages on members, handled when the module's event queue is empty
 
     def member_reserved(self, placement: Placement, attempt: Attempt) -> None:
-        """A node holds a member ready to run."""
+        """Queue a message that a node has reserved resources for a member."""
         self.messages.append(MemberReserved(*_member_of(placement), attempt.node))
 
     def member_running(self, placement: Placement) -> None:
-        """A node runs a member."""
+        """Queue a message that a node runs a member."""
         self.messages.append(MemberRunning(*_member_of(placement)))
 
     def member_gone(self, placement: Placement) -> None:
-        """Nothing is left of a member's placement."""
+        """Queue a message that a member's placement was removed from the table."""
         self.messages.append(MemberOver(*_member_of(placement), placement))
 
     def take_message(self) -> None:
-        """Act on the next message."""
+        """Handle the next queued message."""
         message = self.messages.popleft()
         now = self.context.now
         number = message.group
@@ -154,7 +156,7 @@
             case MemberOver(_, member, placement):
                 record = self.records.get(number)
                 if record is None or record.placements.get(member) is not placement:
-                    return  # of an attempt that is long over
+                    return  # the placement belongs to an earlier attempt
                 reason = placement.end_reason or "no place was found"
                 finished = placement.end_reason == "finished"
                 result = self.coordinator.member_over(now, number, member, finished, reason)
@@ -166,12 +168,12 @@
         self._forget_if_over(number)
 
     def member_unplaced(self, placement: Placement) -> None:
-        """The module found no node for a member in this attempt; attempts in flight are called back."""
+        """Fail a member for which the module found no node, and stop its attempts in flight."""
         placement.transition(PlacementEvent.FAILED)
         self.attempts.abandon_member(placement)
 
     def member_over(self, placement: Placement, finished: bool, reason: api.Reason) -> None:
-        """A bound member has ended at its node."""
+        """Notify the client of a placed group that a member has ended at its node."""
         number, member = _member_of(placement)
         record = self.records.get(number)
         if record is not None and record.is_placed:
@@ -184,8 +186,8 @@
             self._timer_due = None
             self._perform(self.coordinator.advance(self.context.now, self.list.capacity()))
 
-    def _perform(self, decided: list[actions.Action]) -> None:
-        for action in decided:
+    def _perform(self, decisions: list[actions.Action]) -> None:
+        for action in decisions:
             record = self.records.get(action.group)
             if record is not None:
                 self._perform_on_members(action, record)
@@ -193,7 +195,8 @@
                 self._forget_if_over(action.group)
         due = self.coordinator.next_due()
         if due is not None and (self._timer_due is None or due < self._timer_due):
-            # Danger: timers set for each message would each set the next one, and never become fewer.
+            # Only one timer is pending. If each message set a timer, each timer would set the next one, and
+            # their number would never decrease.
             self._timer_due = due
             self.context.call_at(due, self._advance, due)
 
@@ -201,7 +204,7 @@
         match action:
             case actions.PlaceMember(number, member, deadline):
                 if self.coordinator.enforces_constraints(number):
-                    # One after the other: the node that a member takes is excluded for the next.
+                    # Members are placed one by one, so that a member's node is excluded for the next one.
                     attempt = self.coordinator.groups[number].attempts
                     self.messages.append(PlaceNext(number, member, deadline, attempt))
                 else:
@@ -248,19 +251,19 @@
     # Groups of an earlier incarnation
 
     def member_reported(self, node: int, task: ev.NodeTask, tag: ev.GroupTag) -> None:
-        """A node has a member that is not known here."""
+        """Handle a node's report of a member that this planner does not know."""
         orphan = self._orphans.member_reported(node, task, tag)
         if orphan is not None:
             self._recover(orphan)
 
     def finished_member_reported(self, task: ev.NodeTask, tag: ev.GroupTag) -> None:
-        """A member finished while no planner was connected to its node."""
+        """Handle a report of a member that finished while no planner was connected to its node."""
         orphan = self._orphans.finished_member_reported(task, tag)
         if orphan is not None:
             self._recover(orphan)
 
     def _recover(self, orphan: OrphanGroup) -> None:
-        """All members of an earlier incarnation's group were found: this planner takes it over."""
+        """Take over an earlier incarnation's group, all members of which were found."""
         number = self.context.next_number()
         running = [member for _, member in sorted(orphan.running.items(), key=lambda item: item[0])]
         finished = [task for member, task in sorted(orphan.finished.items()) if member not in orphan.running]
@@ -281,6 +284,6 @@
 
 
 def _member_of(placement: Placement) -> tuple[int, int]:
-    """The group's number and the member that this placement is for."""
+    """Return the group's number and the member's index for a member's placement."""
     assert placement.group is not None
     return placement.group
--- a/stairplank/planner/leases.py
+++ b/stairplank/planner/leases.py
@@ -1,12 +1,12 @@
-"""Leases of committed members: which renewals have reached their nodes, and what ran out. No I/O or clock.
+"""Leases of committed group members: pending renewals, extension and expiry. No I/O or clock.
 
-Invariants (tests/planner/test_leases.py, with the other components played by hand):
+Invariants (tests/planner/test_leases.py, with stubs of the other components):
 
-1. ``leased_until`` of an attempt is never later than its node keeps it: it counts from when the commit,
-   or the last renewal that the node has acknowledged, was sent.
-2. A member whose lease has run out for all that is known is reported as lost, once, and stopped.
-3. At most ``MAX_PENDING_RENEWALS`` renewals to a node are unacknowledged; an acknowledgement covers those
-   before it.
+1. ``leased_until`` of an attempt is never later than the lease's end at its node: it counts from when the
+   commit was sent, or the last renewal that the node has acknowledged.
+2. A member whose lease has expired by ``leased_until`` is reported as lost, once, and stopped.
+3. At most ``MAX_PENDING_RENEWALS`` renewals to a node are kept as unacknowledged; an acknowledgement also
+   removes the earlier ones.
 
 State: ``pending_renewals``.
 """
@@ -23,20 +23,20 @@
 from .events import AttemptId
 from .placement import Attempt
 
-MAX_PENDING_RENEWALS = 64  # to one node
+MAX_PENDING_RENEWALS = 64  # unacknowledged renewals per node
 
 
 class Attempts(Protocol):
-    """What leases need of the attempts."""
+    """The methods of attempts that leases use."""
 
     def find(self, id: AttemptId) -> Attempt | None:
-        """The attempt, unless its end is known."""
+        """Return the attempt, or None if it has ended."""
 
-    def stop(self, attempt: Attempt, why: ev.StopReason) -> None:
-        """Tell the node to stop the attempt."""
+    def stop(self, attempt: Attempt, reason: ev.StopReason) -> None:
+        """Stop the attempt at its node."""
 
     def end(self, attempt: Attempt, result: api.Result) -> None:
-        """The attempt has ended with this result."""
+        """End the attempt with this result."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,25 +48,25 @@
 
 
 class Leases:
-    """Leases of the members that this planner has committed or taken over."""
+    """Leases of the group members that this planner has committed or adopted."""
 
     def __init__(self, context: CoreContext) -> None:
-        """Start without leases; the core sets ``attempts``."""
+        """Create the component without leases; the core sets ``attempts``."""
         self.context = context
         self.attempts: Attempts
-        self.pending_renewals: dict[int, deque[PendingRenewal]] = {}  # by node, oldest first
+        self.pending_renewals: dict[int, deque[PendingRenewal]] = {}  # pending renewals by node, oldest first
 
     def renew(self, node: int, attempt_ids: tuple[AttemptId, ...], lease_us: int) -> None:
-        """Send a renewal of these leases, which counts once the node has acknowledged it."""
+        """Send a renewal of these leases, which extends them once the node has acknowledged it."""
         renewal = ev.SendLeaseRenewal(node, attempt_ids, lease_us, self.context.next_number())
         pending = self.pending_renewals.setdefault(node, deque())
         pending.append(PendingRenewal(self.context.now, renewal))
-        while len(pending) > MAX_PENDING_RENEWALS:  # the node acknowledges none: leases run out meanwhile
+        while len(pending) > MAX_PENDING_RENEWALS:  # the node acknowledges none, so its leases expire
             pending.popleft()
         self.context.emit(renewal)
 
     def renewal_received(self, event: ev.LeasesRenewed) -> None:
-        """A node acknowledges a renewal: its leases are extended from when it was sent."""
+        """Extend the leases of a renewal that a node acknowledged, counted from when it was sent."""
         pending = self.pending_renewals.get(event.node)
         while pending and pending[0].sent.renewal <= event.renewal:
             renewal = pending.popleft()
@@ -82,19 +82,20 @@
                 self.extend(attempt, renewal.sent_at + renewal.sent.lease_us)
 
     def link_lost(self, node: int) -> None:
-        """The link to a node is lost: what it has not acknowledged is forgotten."""
+        """Remove the pending renewals of a node whose link was lost."""
         self.pending_renewals.pop(node, None)
 
     def extend(self, attempt: Attempt, expires_at: int) -> None:
-        """The node keeps the attempt until then for certain. An attempt has one timer."""
+        """Extend the time until which the node certainly keeps the attempt; an attempt has only one timer."""
         if not attempt.leased_until:
             self.context.call_at(expires_at, self._expire, attempt)
         attempt.leased_until = max(attempt.leased_until, expires_at)
 
     def _expire(self, attempt: Attempt) -> None:
-        """Danger: where renewals are held up, a node has released its members and cannot say so.
+        """End and stop an attempt whose lease has expired, or set the timer anew if it was extended.
 
-        The rest of the group would run on by itself until the link is found to be dead, seconds later.
+        If renewals do not arrive, the node releases its members but cannot report it. Without this timer, the
+        rest of the group would run without them until the link is detected as lost, seconds later.
         """
         if self.attempts.find(attempt.id) is not attempt or attempt.placement.group is None:
             return
--- a/stairplank/planner/orphan_groups.py
+++ b/stairplank/planner/orphan_groups.py
@@ -1,9 +1,9 @@
-"""Groups of an earlier incarnation of the planner, put together from what nodes report. No I/O or clock.
+"""Groups of an earlier incarnation of the planner, recovered from reports of nodes. No I/O or clock.
 
 Invariants (tests/groups/test_core_groups.py):
 
-1. Running members keep their leases while the rest of their group is looked for.
-2. A group is handed over once, when all of it is found; else its members are released.
+1. The leases of running members are renewed while other members of their group are still missing.
+2. A group is returned once, when all its members are found; else its members are released.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupId:
-    """A group of some incarnation of the planner."""
+    """The id of a group: its number and the incarnation of the planner that placed it."""
 
     incarnation: int
     group: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningMember:
-    """A member that a node runs."""
+    """A group's member and the node that runs it."""
 
     node: int
     task: ev.NodeTask
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class OrphanGroup:
-    """The members found so far. ``size``: how many make the group complete."""
+    """The members of a group found so far; with ``size`` members, the group is complete."""
 
     size: int
     running: dict[int, RunningMember] = field(default_factory=dict)
@@ -41,24 +41,24 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether all members were found, and some still run."""
+        """Whether all members were found and at least one still runs."""
         return bool(self.running) and len({*self.running, *self.finished}) >= self.size
 
 
 class OrphanGroups:
-    """Orphan groups of which members are still looked for."""
+    """Orphan groups with members that no node has reported yet."""
 
     def __init__(self, context: CoreContext, leases: Leases) -> None:
-        """Start without orphans."""
+        """Create the component without orphan groups."""
         self.context = context
         self._leases = leases
         self._groups: dict[GroupId, OrphanGroup] = {}
 
     def member_reported(self, node: int, task: ev.NodeTask, tag: ev.GroupTag) -> OrphanGroup | None:
-        """A node has a member that this planner does not know; returns its group once that is complete.
+        """Handle a node's report of a member that this planner does not know; return its group if complete.
 
-        A member of an earlier incarnation that runs is kept while the rest is looked for. One that was never
-        committed, or is of an attempt that this planner gave up, is released at once.
+        A running member of an earlier incarnation is kept until the search for the other members ends. A
+        member that was never committed, or whose attempt this planner abandoned, is released at once.
         """
         if not task.running or tag.incarnation == self.context.incarnation:
             self.context.emit(ev.SendStop(node, task.id, ev.StopReason.ABANDONED))
@@ -69,9 +69,9 @@
         return self._take_complete(tag)
 
     def finished_member_reported(self, task: ev.NodeTask, tag: ev.GroupTag) -> OrphanGroup | None:
-        """A member of an earlier incarnation finished while no planner was connected.
+        """Handle the report of a member that finished without a connected planner; return a complete group.
 
-        Danger: without it the rest of a group that is almost done would count as half a group.
+        If finished members did not count, a group with finished members would be released as incomplete.
         """
         if tag.incarnation == self.context.incarnation:
             return None
@@ -84,18 +84,18 @@
         if orphan is None:
             orphan = self._groups[group_id] = OrphanGroup(tag.size)
             deadline = self.context.now + self.context.config.orphan_search_us
-            self.context.call_at(deadline, self._search_over, group_id)
+            self.context.call_at(deadline, self._search_timed_out, group_id)
         return orphan
 
     def _take_complete(self, tag: ev.GroupTag) -> OrphanGroup | None:
         group_id = GroupId(tag.incarnation, tag.group)
         return self._groups.pop(group_id) if self._groups[group_id].is_complete else None
 
-    def _search_over(self, group_id: GroupId) -> None:
-        """The rest of the group was not reported: half a group is released."""
+    def _search_timed_out(self, group_id: GroupId) -> None:
+        """Release the running members of a group whose other members were not reported in time."""
         orphan = self._groups.pop(group_id, None)
         if orphan is None or not orphan.running:
-            return  # complete, or all that was reported of it has finished
+            return  # the group was complete, or all its reported members have finished
         self.context.count("groups_released")
         self.context.log("half a group found", members=len(orphan.running), size=orphan.size)
         for member in orphan.running.values():
--- a/stairplank/planner/trace.py
+++ b/stairplank/planner/trace.py
@@ -1,8 +1,8 @@
-"""Records what a core is fed and what it returns, and feeds the same to another core. No I/O.
+"""Records the calls of a core and digests of their results, and replays the calls on a new core. No I/O.
 
-A trace is a list of steps, each a method's name and its arguments, with the arguments that the core was
-created with. A core is a state machine without clock or randomness of its own, so the same steps give the
-same actions, to the last field; ``replay`` names the first step that gives others.
+A trace contains the arguments with which the core was created, and the steps: the name and the arguments of
+each method call. A core has no clock, and its random numbers depend only on its seed, so the same steps give
+equal actions; ``replay`` returns the first step whose actions differ.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 @dataclass
 class Trace:
-    """What one core was fed; ``core_arguments`` created it."""
+    """The recorded calls of one core; ``core_arguments`` are the arguments that created it."""
 
     core_arguments: tuple[Any, ...]
     steps: list[tuple[str, tuple[Any, ...]]] = field(default_factory=list)
-    digests: list[str] = field(default_factory=list)  # of the actions after each step
+    digests: list[str] = field(default_factory=list)  # digests of the actions of each step
 
     def digest(self, actions: list[Any]) -> str:
-        """A digest of the actions of one step."""
+        """Return a digest of the actions of one step."""
         return hashlib.blake2b(repr(actions).encode(), digest_size=8).hexdigest()
 
 
 def record(core: Core, *core_arguments: Any) -> Trace:
-    """Put a recorder around a core that was created with these arguments; it acts as before."""
+    """Record all calls of a core, which was created with these arguments; return the trace."""
     trace = Trace(core_arguments)
     for name in METHODS:
         inner = getattr(core, name)
@@ -46,7 +46,7 @@
 
 
 def replay(trace: Trace) -> tuple[int, list[Any]] | None:
-    """Feed a trace to a new core: None if all is equal, else the first step that differs and its actions."""
+    """Replay a trace on a new core; return the first step that differs and its actions, or None."""
     core = Core(*trace.core_arguments)
     for number, (name, args) in enumerate(trace.steps):
         actions = getattr(core, name)(*args)
