--- a/stairplank/planner/admission.py
+++ b/stairplank/planner/admission.py
@@ -42,20 +42,20 @@
 def _name_error(task: TaskSpec, settings: api.Settings, tenants: tuple[str, ...]) -> Rejection | None:
     """Return a rejection if the key, class or tenant is invalid, or None."""
     if not 0 < task.key <= MAX_NUMBER:
-        return _invalid("task.key", "a number above 0 is needed")
+        return _invalid("task.key", "must be a number above 0")
     class_names = [task_class.name for task_class in settings.classes]
     if task.task_class not in class_names:
         known = ", ".join(class_names)
-        return _invalid("task.task_class", f"no class {task.task_class[:100]!r}; known: {known}")
+        return _invalid("task.task_class", f"unknown class {task.task_class[:100]!r}; known classes: {known}")
     if task.tenant and task.tenant not in tenants:
-        return _invalid("task.tenant", f"no tenant {task.tenant[:100]!r}")
+        return _invalid("task.tenant", f"unknown tenant {task.tenant[:100]!r}")
     return None
 
 
 def _number_error(task: TaskSpec, wait_us: int, bounds: Bounds) -> Rejection | None:
     """Return a rejection if the service, the resources or the wait is out of range, or None."""
     if not 0 < task.service <= MAX_NUMBER:
-        return _invalid("task.service", "a number above 0 is needed")
+        return _invalid("task.service", "must be a number above 0")
     for field, value in (("task.cores", task.cores), ("task.memory", task.memory)):
         if not math.isfinite(value) or value <= 0:
             return _invalid(field, f"{value} is not a finite number above 0")
@@ -71,9 +71,9 @@
     if task_class.node_type is not None:
         node_types = (settings.node_types[task_class.node_type],)
     if all(task.cores > node_type.cores * settings.cores_limit for node_type in node_types):
-        return _invalid("task.cores", f"{task.cores:g} is more than any node of this room accepts")
+        return _invalid("task.cores", f"{task.cores:g} is more than any node of this cluster accepts")
     if all(task.memory > node_type.memory * settings.memory_limit for node_type in node_types):
-        return _invalid("task.memory", f"{task.memory:g} is more than any node of this room accepts")
+        return _invalid("task.memory", f"{task.memory:g} is more than any node of this cluster accepts")
     return None
 
 
@@ -84,7 +84,7 @@
     """
     if age_us < wait_us:
         return None
-    return Rejection("DEADLINE_EXCEEDED", "wait_us", "it came when its wait was over, and was not taken")
+    return Rejection("DEADLINE_EXCEEDED", "wait_us", "the request arrived after its wait was over")
 
 
 def capacity_error(
@@ -92,11 +92,11 @@
 ) -> Rejection | None:
     """Return a rejection if a table is at its bound, or None."""
     if open_tasks >= bounds.open_tasks:
-        message = f"{open_tasks} tasks wait for their outcome here"
+        message = f"{open_tasks} tasks are open at this planner"
     elif open_tasks_of_client >= bounds.open_tasks_per_client:
-        message = f"{open_tasks_of_client} tasks of this owner wait for their outcome here"
+        message = f"{open_tasks_of_client} tasks of this client are open at this planner"
     elif attempts >= bounds.attempts:
-        message = f"{attempts} tasks are looked after here"
+        message = f"{attempts} attempts are in flight or running at this planner"
     else:
         return None
     return Rejection("RESOURCE_EXHAUSTED", "", message, BUSY_RETRY_US)
--- a/stairplank/planner/client_requests.py
+++ b/stairplank/planner/client_requests.py
@@ -134,10 +134,10 @@
         """Return why a request for a task or a group is rejected before its tasks are checked, or None."""
         known = self.sessions[session]
         if self.draining:
-            message = "this planner is leaving"
+            message = "this planner is shutting down"
             return ev.Rejection("UNAVAILABLE", "", message, admission.DRAINING_RETRY_US)
         if request <= 0 or request in known.placements or request in known.groups:
-            message = "a number above 0 that no live ask of this stream has is needed"
+            message = "must be a number above 0 that no open request of this session has"
             return ev.Rejection("INVALID_ARGUMENT", "ask", message)
         return None
 
@@ -170,7 +170,7 @@
         if known is None:
             return None
         if known.state is PlacementState.OPEN:
-            return ev.Rejection("ALREADY_EXISTS", "task.key", "this task waits for its outcome already")
+            return ev.Rejection("ALREADY_EXISTS", "task.key", "this task is already open")
         effect = self.context.effect(self.context.classes[task.task_class])
         if known.bound_attempt is None and effect is not api.Effect.IDEMPOTENT:
             # An abandoned attempt may still run; if the task were placed again now, it could run twice.
--- a/stairplank/planner/group_admission.py
+++ b/stairplank/planner/group_admission.py
@@ -24,7 +24,7 @@
         if rejection is not None:
             return rejection
     if groups >= max_groups:
-        message = f"{groups} groups are looked after here"
+        message = f"{groups} groups are open at this planner"
         return ev.Rejection("RESOURCE_EXHAUSTED", "", message, admission.BUSY_RETRY_US)
     return requests.capacity_error(event.session)
 
@@ -33,12 +33,14 @@
     event: ev.GroupRequested, spec: GroupSpec, requests: ClientRequests, index: int, member: ev.TaskSpec
 ) -> ev.Rejection | None:
     if member.client != spec.client:
-        return ev.Rejection("INVALID_ARGUMENT", f"members[{index}].owner", "is not the stream's owner")
+        return ev.Rejection(
+            "INVALID_ARGUMENT", f"members[{index}].owner", "is not the client of this session"
+        )
     rejection = requests.task_error(member, event.wait_us)
     if rejection is not None:
         field = rejection.field.replace("task.", f"members[{index}].")
         return ev.Rejection(rejection.code, field, rejection.message)
     if requests.find_by_key(member.client, member.key) is not None:
-        message = "this task waits, runs or may run already"
+        message = "this task is already open, runs or may still run"
         return ev.Rejection("ALREADY_EXISTS", f"members[{index}].key", message, admission.BUSY_RETRY_US)
     return None
--- a/tests/planner/test_core.py
+++ b/tests/planner/test_core.py
@@ -411,9 +411,9 @@
 @pytest.mark.parametrize(
     ("bounds", "what"),
     [
-        (Bounds(2, 60, 200, 60 * SECOND), "wait for their outcome here"),
-        (Bounds(100, 2, 200, 60 * SECOND), "of this owner"),
-        (Bounds(100, 60, 2, 60 * SECOND), "looked after"),
+        (Bounds(2, 60, 200, 60 * SECOND), "2 tasks are open at this planner"),
+        (Bounds(100, 2, 200, 60 * SECOND), "2 tasks of this client are open at this planner"),
+        (Bounds(100, 60, 2, 60 * SECOND), "2 attempts are in flight or running at this planner"),
     ],
 )
 def test_tables_are_bounded_and_say_when_to_come_back(bounds: Bounds, what: str) -> None:
