--- a/tests/planner/component_stubs.py
+++ b/tests/planner/component_stubs.py
@@ -1,4 +1,4 @@
-"""A context for testing a single component, and stand-ins that record calls to the other components."""
+"""A context for tests of a single component, and stubs that record the calls to other components."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 
 def core_context(**config: Any) -> CoreContext:
-    made = CoreContext(SETTINGS, CoreConfig(BOUNDS, ("t1", "t2"), ("z1", "z2"), **config), 7)
-    made.now = 1000 * SECOND
-    return made
+    context = CoreContext(SETTINGS, CoreConfig(BOUNDS, ("t1", "t2"), ("z1", "z2"), **config), 7)
+    context.now = 1000 * SECOND
+    return context
 
 
 class ComponentStub:
-    """Any other component: calls are recorded, answers are given where a test says which."""
+    """A stub of any component: it records calls and returns the values that the test sets for a method."""
 
     def __init__(self, **answers: Any) -> None:
         self.calls: list[tuple[Any, ...]] = []
         self.answers = answers
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
-        def called(*args: Any) -> Any:
+        def method(*args: Any) -> Any:
             self.calls.append((name, *args))
-            answer = self.answers.get(name)
-            return answer(*args) if callable(answer) else answer
+            value = self.answers.get(name)
+            return value(*args) if callable(value) else value
 
-        return called
+        return method
 
     def called_names(self) -> list[str]:
-        return [a[0] for a in self.calls]
+        return [call[0] for call in self.calls]
 
 
 def make_task(key: int = 1, task_class: str = "worker", **more: Any) -> ev.TaskSpec:
@@ -49,17 +49,17 @@
 def make_placement(
     context: CoreContext, key: int = 1, task_class: str = "worker", wait_us: int = 6 * SECOND
 ) -> Placement:
-    made = Placement(context, 1, key, make_task(key, task_class))
-    made.deadline = context.now + wait_us
-    return made
+    placement = Placement(context, 1, key, make_task(key, task_class))
+    placement.deadline = context.now + wait_us
+    return placement
 
 
 def pass_time(context: CoreContext, duration_us: int) -> None:
-    """Let a component's timers fall due, each at its time."""
+    """Advance the context's time and fire each timer when it is due."""
     until = context.now + duration_us
     while (due := context.next_due()) is not None and due <= until:
         context.now = max(context.now, due)
-        one = context.pop_due()
-        assert one is not None
-        one.callback(one.argument)
+        timer = context.pop_due()
+        assert timer is not None
+        timer.callback(timer.argument)
     context.now = until
--- a/tests/planner/recorded_days.py
+++ b/tests/planner/recorded_days.py
@@ -1,4 +1,4 @@
-"""Emulated days with faults drawn by seed, recorded as traces of what each planner's core was fed."""
+"""Simulated days with random faults, recorded as traces of the calls of each planner's core."""
 
 from __future__ import annotations
 
@@ -17,55 +17,55 @@
 SECOND = 1_000_000
 
 
-def play(room: str, seed: int) -> list[Any]:
-    """Traces of every planner's life of a day."""
+def record_day(scenario_name: str, seed: int) -> list[Any]:
+    """Simulate a day with the faults of a seed; return the trace of each incarnation of each planner."""
 
     traces: list[Any] = []
-    real = emulated.Core
+    real_core = emulated.Core
 
-    def recorded(*made: Any) -> Any:
-        core = real(*made)
-        traces.append(trace.record(core, *made))
+    def recorded_core(*arguments: Any) -> Any:
+        core = real_core(*arguments)
+        traces.append(trace.record(core, *arguments))
         return core
 
-    scenario = load_scenario(ROOT / "stairplank" / "scenarios" / room)
-    owners = client_models(scenario.section, scenario.cluster, ["owner-0", "owner-1"], scenario.planners)
+    scenario = load_scenario(ROOT / "stairplank" / "scenarios" / scenario_name)
+    clients = client_models(scenario.section, scenario.cluster, ["owner-0", "owner-1"], scenario.planners)
     nodes = tuple(n.model for n in scenario.nodes if not n.absent)
     config = emulated.SimulationConfig(
         scenario.cluster,
         nodes,
-        tuple(replace(o, demand_ends_us=25 * SECOND) for o in owners),
+        tuple(replace(client, demand_ends_us=25 * SECOND) for client in clients),
         scenario.planners,
         seed,
         node_list=node_list_model(scenario.section),
     )
-    emulated.Core = recorded  # type: ignore[assignment,misc]
+    emulated.Core = recorded_core  # type: ignore[assignment,misc]
     try:
-        world = emulated.Simulation(config)
+        simulation = emulated.Simulation(config)
         rng = random.Random(seed)
         ids = [n.id for n in nodes]
         for at in sorted(rng.uniform(2, 24) for _ in range(14)):
-            world.run(int(at * SECOND))
-            planner, some = rng.randrange(scenario.planners), rng.sample(ids, 3)
-            span = int(rng.uniform(0.2, 8) * SECOND)
+            simulation.run(int(at * SECOND))
+            planner, node_ids = rng.randrange(scenario.planners), rng.sample(ids, 3)
+            duration_us = int(rng.uniform(0.2, 8) * SECOND)
             match rng.randrange(8):
                 case 0 | 1 | 2:
-                    ways = rng.choice([("there",), ("back",), ("there", "back")])
-                    world.hold_links([planner], some, ways, span, rng.random() < 0.4)
+                    directions = rng.choice([("there",), ("back",), ("there", "back")])
+                    simulation.hold_links([planner], node_ids, directions, duration_us, rng.random() < 0.4)
                 case 3:
-                    world.cut_links([planner], some)
-                case 4 if planner in world.cores:
-                    world.kill_planner(planner, span)
+                    simulation.cut_links([planner], node_ids)
+                case 4 if planner in simulation.cores:
+                    simulation.kill_planner(planner, duration_us)
                 case 5:
-                    world.kill_node(some[0], span)
+                    simulation.kill_node(node_ids[0], duration_us)
                 case 6:
-                    world.drain_node(some[0])
+                    simulation.drain_node(node_ids[0])
                 case 7:
-                    if (node := world.nodes[some[0]]) is not None:
+                    if (node := simulation.nodes[node_ids[0]]) is not None:
                         node.faults.start_failure_share = 0.7
-        world.run(60 * SECOND)
-        for core in list(world.cores.values()):  # and they leave
-            core.handle(world.now_us, ev.ShutdownRequested())
+        simulation.run(60 * SECOND)
+        for core in list(simulation.cores.values()):  # every planner shuts down at the end
+            core.handle(simulation.now_us, ev.ShutdownRequested())
     finally:
-        emulated.Core = real  # type: ignore[misc]
+        emulated.Core = real_core  # type: ignore[misc]
     return [(t.core_arguments, t.steps, t.digests) for t in traces]
--- a/tests/planner/test_attempts.py
+++ b/tests/planner/test_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts by themselves: every other component is a stub."""
+"""Tests of the attempts component; every other component is a stub."""
 
 from __future__ import annotations
 
@@ -18,10 +18,12 @@
 
 
 class Fixture:
-    def __init__(self, up: bool = True, sort: str = "worker", **links: Any) -> None:
+    """An attempts component with one open placement and stubs of the other components."""
+
+    def __init__(self, up: bool = True, task_class: str = "worker", **links: Any) -> None:
         self.context = core_context()
         self.attempts = Attempts(self.context)
-        self.placement = make_placement(self.context, 1, sort)
+        self.placement = make_placement(self.context, 1, task_class)
         self.requests = ComponentStub(find=lambda n: self.placement if n == self.placement.number else None)
         self.links = ComponentStub(is_up=up, has_addresses=True, dial_now=True, **links)
         self.attempts.requests = self.requests  # type: ignore[assignment]
@@ -42,7 +44,7 @@
         return next(iter(self.attempts.attempts.values()))
 
 
-def test_an_offer_leaves_over_a_link_that_stands() -> None:
+def test_an_offer_is_sent_over_a_link_that_is_up() -> None:
     fixture = Fixture()
     fixture.bind()
     (offer,) = fixture.sent()
@@ -53,7 +55,7 @@
     )
 
 
-def test_one_that_waits_for_a_link_is_given_up_with_the_dial() -> None:
+def test_an_attempt_that_waits_for_a_link_ends_when_the_dial_times_out() -> None:
     fixture = Fixture(up=False)
     fixture.bind()
     assert fixture.attempt.state is AttemptState.WAITING and not fixture.sent()
@@ -61,27 +63,27 @@
     assert fixture.outcomes() == [api.Result.UNREACHABLE] and not fixture.attempts.attempts
 
 
-def test_no_offer_leaves_for_a_task_whose_time_is_over() -> None:
-    """After a pause what nodes said is taken before time: the module may bind what is long due."""
+def test_no_offer_is_sent_for_a_task_whose_deadline_has_passed() -> None:
+    """After a stall, node messages are handled before timers, so the module may bind a late task."""
     fixture = Fixture()
     fixture.context.now += 6 * SECOND
     fixture.bind()
     assert not fixture.sent() and fixture.outcomes() == [api.Result.NOT_SENT]
 
 
-@pytest.mark.parametrize("sort", ["worker", "report"])
-def test_a_time_out_is_told_once_and_calls_back_what_may_be_repeated(sort: str) -> None:
-    fixture = Fixture(sort=sort)
+@pytest.mark.parametrize("task_class", ["worker", "report"])
+def test_a_timeout_is_reported_once_and_stops_only_an_idempotent_task(task_class: str) -> None:
+    fixture = Fixture(task_class=task_class)
     fixture.bind(timeout=SECOND)
     pass_time(fixture.context, 2 * SECOND)
     assert fixture.outcomes() == [api.Result.TIMEOUT] and fixture.attempt.state is AttemptState.ABANDONED_SENT
     stops = [a for a in fixture.context.actions if isinstance(a, ev.SendStop)]
-    assert bool(stops) is (sort == "worker")
+    assert bool(stops) is (task_class == "worker")
     fixture.attempts.messages.node_error(ev.NodeError(1, fixture.attempt.id))
     assert fixture.outcomes() == [api.Result.TIMEOUT] and not fixture.attempts.attempts
 
 
-def test_an_answer_binds_an_open_placing_alone() -> None:
+def test_a_running_message_binds_only_an_open_placement() -> None:
     fixture = Fixture()
     fixture.bind()
     fixture.attempts.messages.node_running(ev.NodeRunning(1, fixture.attempt.id))
@@ -96,30 +98,36 @@
     assert late.placement.bound_attempt is None and "task_placed" not in late.requests.called_names()
 
 
-def test_a_copy_is_adopted_in_place_of_its_attempt() -> None:
-    fixture = Fixture(sort="report")
-    heir = Placement(fixture.context, 1, 0, fixture.placement.task)
-    fixture.requests.answers["adopt"] = heir
+def test_an_adopted_duplicate_replaces_its_abandoned_attempt() -> None:
+    fixture = Fixture(task_class="report")
+    adopted_placement = Placement(fixture.context, 1, 0, fixture.placement.task)
+    fixture.requests.answers["adopt"] = adopted_placement
     fixture.bind(timeout=SECOND)
-    old = fixture.attempt
+    abandoned = fixture.attempt
     pass_time(fixture.context, 2 * SECOND)
     fixture.placement.transition(PlacementEvent.FAILED)
-    fixture.attempts.messages.node_running(ev.NodeRunning(1, old.id))
-    assert old.state is AttemptState.ENDED and fixture.attempt is not old and fixture.attempt.id == old.id
-    assert heir.bound_attempt is fixture.attempt and not fixture.placement.attempts
+    fixture.attempts.messages.node_running(ev.NodeRunning(1, abandoned.id))
+    assert (
+        abandoned.state is AttemptState.ENDED
+        and fixture.attempt is not abandoned
+        and fixture.attempt.id == abandoned.id
+    )
+    assert adopted_placement.bound_attempt is fixture.attempt and not fixture.placement.attempts
 
 
-def test_words_on_what_is_not_known_are_left_to_the_links() -> None:
+def test_a_message_on_an_unknown_attempt_is_passed_to_the_links() -> None:
     fixture = Fixture()
     fixture.bind()
-    fixture.attempts.messages.node_running(ev.NodeRunning(2, fixture.attempt.id))  # another node's
+    fixture.attempts.messages.node_running(
+        ev.NodeRunning(2, fixture.attempt.id)
+    )  # node 2 has no such attempt
     assert (
         fixture.placement.bound_attempt is None
         and fixture.links.called_names()[-1] == "unknown_attempt_reported"
     )
 
 
-def test_an_illegal_step_names_state_and_event() -> None:
+def test_an_illegal_transition_error_names_state_and_event() -> None:
     fixture = Fixture()
     fixture.bind()
     with pytest.raises(IllegalTransitionError, match="attempt: 'sent' while 'sent'"):
@@ -128,7 +136,7 @@
         fixture.attempts.offers.bind(api.Bind(99, 1, 0))
 
 
-def test_a_broken_link_tells_what_had_left() -> None:
+def test_a_lost_link_returns_the_attempts_that_were_sent() -> None:
     fixture = Fixture()
     fixture.bind()
     assert fixture.attempts.link_lost(1, frozenset()) == [fixture.attempt.id]
--- a/tests/planner/test_client_requests.py
+++ b/tests/planner/test_client_requests.py
@@ -1,4 +1,4 @@
-"""Client requests by themselves: every other component is a stub."""
+"""Tests of the client requests component; every other component is a stub."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 
 
 class Fixture:
+    """A client requests component with one open session and stubs of the other components."""
+
     def __init__(self) -> None:
         self.context = core_context()
         self.requests = ClientRequests(self.context)
@@ -32,13 +34,13 @@
         return [a.message for a in self.context.actions if isinstance(a, ev.SendToClient)]
 
 
-def test_what_is_taken_has_one_outcome() -> None:
+def test_an_admitted_request_has_one_outcome() -> None:
     fixture = Fixture()
-    one = fixture.request(1)
+    placement = fixture.request(1)
     assert fixture.requests.open_tasks == 1
-    fixture.requests.shed(api.Shed(one.number, 5))
-    fixture.requests.fail(api.Fail(one.number))
-    assert [type(w) for w in fixture.messages()] == [ev.Admitted, ev.TaskShed]
+    fixture.requests.shed(api.Shed(placement.number, 5))
+    fixture.requests.fail(api.Fail(placement.number))
+    assert [type(message) for message in fixture.messages()] == [ev.Admitted, ev.TaskShed]
     assert (
         fixture.requests.open_tasks == 0
         and not fixture.requests.placements
@@ -46,7 +48,7 @@
     )
 
 
-def test_a_name_is_taken_once_at_a_time() -> None:
+def test_a_key_has_one_open_task_at_a_time() -> None:
     fixture = Fixture()
     fixture.request(1, key=9)
     fixture.request(2, key=9)
@@ -54,18 +56,18 @@
     assert fixture.requests.open_tasks == 1
 
 
-def test_a_name_that_may_still_run_is_not_taken_where_a_second_run_does_harm() -> None:
-    for sort, code in (("report", "ABORTED"), ("worker", "")):
+def test_a_key_whose_task_may_still_run_is_rejected_if_a_second_run_does_harm() -> None:
+    for task_class, code in (("report", "ABORTED"), ("worker", "")):
         fixture = Fixture()
-        one = fixture.request(1, key=9, task_class=sort)
-        one.attempts["x"] = object()
-        fixture.requests.fail(api.Fail(one.number))
-        fixture.request(2, key=9, task_class=sort)
+        placement = fixture.request(1, key=9, task_class=task_class)
+        placement.attempts["x"] = object()
+        fixture.requests.fail(api.Fail(placement.number))
+        fixture.request(2, key=9, task_class=task_class)
         last = fixture.messages()[-1]
         assert (last.rejection.code if isinstance(last, ev.Rejected) else "") == code
 
 
-def test_an_owner_that_leaves_leaves_nothing_open() -> None:
+def test_a_client_that_disconnects_leaves_nothing_open() -> None:
     fixture = Fixture()
     fixture.request(1)
     fixture.requests.client_disconnected(ev.ClientDisconnected(1))
@@ -79,30 +81,30 @@
     assert [e for e in fixture.context.module_events if isinstance(e, api.TaskCancelled)]
 
 
-def test_what_runs_is_told_to_the_owner_s_other_stream() -> None:
+def test_a_running_task_is_reported_on_the_client_s_other_session() -> None:
     fixture = Fixture()
     fixture.requests.client_connected(ev.ClientConnected(2, "o"))
-    one = fixture.request(1)
-    one.attempts["x"] = object()
-    fixture.requests.task_placed(one, 3, 0, 10)
+    placement = fixture.request(1)
+    placement.attempts["x"] = object()
+    fixture.requests.task_placed(placement, 3, 0, 10)
     fixture.requests.client_disconnected(ev.ClientDisconnected(1))
-    assert one.session == 2
-    fixture.requests.notify(one, ev.TaskEnded(one.request, 1, True, api.Reason.UNTOLD))
+    assert placement.session == 2
+    fixture.requests.notify(placement, ev.TaskEnded(placement.request, 1, True, api.Reason.UNTOLD))
     assert [a.session for a in fixture.context.actions if isinstance(a, ev.SendToClient)][-1] == 2
 
 
-def test_members_are_the_groups_matter() -> None:
+def test_a_member_that_is_not_placed_is_passed_to_its_group() -> None:
     fixture = Fixture()
-    one = fixture.request(1)
-    one.group = (5, 0)
-    fixture.requests.shed(api.Shed(one.number, 0))
-    assert ("member_unplaced", one) in fixture.groups.calls and len(fixture.messages()) == 1
+    placement = fixture.request(1)
+    placement.group = (5, 0)
+    fixture.requests.shed(api.Shed(placement.number, 0))
+    assert ("member_unplaced", placement) in fixture.groups.calls and len(fixture.messages()) == 1
 
 
-def test_all_that_is_owed_is_answered_when_the_planner_leaves() -> None:
+def test_shutdown_gives_every_open_request_an_outcome() -> None:
     fixture = Fixture()
     safe, risky = fixture.request(1), fixture.request(2, task_class="report")
     risky.known_not_run = False
     fixture.requests.conclude_all()
-    assert [type(w) for w in fixture.messages()[-2:]] == [ev.TaskShed, ev.TaskFailed]
+    assert [type(message) for message in fixture.messages()[-2:]] == [ev.TaskShed, ev.TaskFailed]
     assert safe.state.value == "shed" and fixture.requests.open_tasks == 0
--- a/tests/planner/test_transitions.py
+++ b/tests/planner/test_transitions.py
@@ -1,4 +1,4 @@
-"""The tables of transitions: what the page shows is what holds, and every row is taken on simulated days."""
+"""Tests of the transition tables: the page shows them as they are, and simulated days take every row."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 TABLES = (ATTEMPT, PLACEMENT, LINK)
 
 
-def test_the_page_shows_the_tables() -> None:
+def test_documentation_page_shows_the_transition_tables() -> None:
     page = (ROOT / "docs" / "design" / "running-planner.md").read_text()
     for table in TABLES:
         assert table.markdown() in page, table.name
 
 
-def test_every_legal_transition_is_taken_and_traces_repeat() -> None:
-    seen: Counter[tuple[str, Any, str]] = Counter()
-    for room, seed in (
+def test_simulated_days_take_every_legal_transition_and_traces_replay() -> None:
+    taken: Counter[tuple[str, Any, str]] = Counter()
+    for scenario_name, seed in (
         ("drawn-room", 3),
         ("drawn-room", 8),
         ("groups-bad-day", 5),
@@ -33,40 +33,40 @@
         ("first-bad-day", 4),
         ("first-bad-day", 8),
     ):
-        for made, steps, digests in recorded_days.play(room, seed):
-            one = trace.Trace(made, steps, digests)
-            assert trace.replay(one) is None
-            core = trace.Core(*made)
+        for core_arguments, steps, digests in recorded_days.record_day(scenario_name, seed):
+            recorded = trace.Trace(core_arguments, steps, digests)
+            assert trace.replay(recorded) is None
+            core = trace.Core(*core_arguments)
             for name, args in steps:
                 getattr(core, name)(*args)
-            seen.update(core.context.transition_counts)
-    for rare in (withdrawn_and_silent, adopted_while_running):
-        seen.update(rare())
+            taken.update(core.context.transition_counts)
+    for rare_transitions in (time_out_after_cancellation, adoption_of_running_task):
+        taken.update(rare_transitions())
     legal = {(t.name, s, e) for t in TABLES for s, e in t.rows}
-    assert set(seen) == legal, legal ^ set(seen)
+    assert set(taken) == legal, legal ^ set(taken)
 
 
-def withdrawn_and_silent() -> Counter[tuple[str, Any, str]]:
-    """A withdrawn task's stop is lost; it runs on, unbound, until its time-out."""
-    w = World()
-    offer = w.request_offer(1)
-    w.feed(ev.PlacementCancelled(1, 1))
-    w.feed(ev.NodeRunning(offer.node, offer.id))
-    w.wait(10 * SECOND)
-    return w.core.context.transition_counts
+def time_out_after_cancellation() -> Counter[tuple[str, Any, str]]:
+    """Count the transitions of a cancelled task whose stop was lost: it runs, unbound, until its timeout."""
+    cluster = World()
+    offer = cluster.request_offer(1)
+    cluster.feed(ev.PlacementCancelled(1, 1))
+    cluster.feed(ev.NodeRunning(offer.node, offer.id))
+    cluster.wait(10 * SECOND)
+    return cluster.core.context.transition_counts
 
 
-def adopted_while_running() -> Counter[tuple[str, Any, str]]:
-    """Given up and failed, and then its node says at once that it runs."""
-    w = World()
-    offer = w.request_offer(1, "report")
-    w.wait(offer.wait_us + 20_000)
-    w.feed(ev.NodeRunning(offer.node, offer.id))
-    return w.core.context.transition_counts
+def adoption_of_running_task() -> Counter[tuple[str, Any, str]]:
+    """Count the transitions of a failed task whose node reports after the timeout that it runs."""
+    cluster = World()
+    offer = cluster.request_offer(1, "report")
+    cluster.wait(offer.wait_us + 20_000)
+    cluster.feed(ev.NodeRunning(offer.node, offer.id))
+    return cluster.core.context.transition_counts
 
 
-def test_a_core_that_acts_otherwise_is_found_out() -> None:
-    made, steps, digests = max(recorded_days.play("drawn-room", 3), key=lambda t: len(t[1]))
+def test_replay_returns_the_first_step_whose_actions_differ() -> None:
+    core_arguments, steps, digests = max(recorded_days.record_day("drawn-room", 3), key=lambda t: len(t[1]))
     digests[40] = "0" * 16
-    found = trace.replay(trace.Trace(made, steps, digests))
-    assert found is not None and found[0] == 40
+    difference = trace.replay(trace.Trace(core_arguments, steps, digests))
+    assert difference is not None and difference[0] == 40
--- a/tests/planner/world.py
+++ b/tests/planner/world.py
@@ -1,4 +1,4 @@
-"""A core with hand-made nodes, list and owners: no sockets, no clock."""
+"""A planner's core with simulated nodes, node list and clients for tests, without sockets or a clock."""
 
 from __future__ import annotations
 
@@ -54,14 +54,14 @@
     may_check_health=True,
     may_cancel=True,
     max_retry_after_us=3 * SECOND,
-    price_health_check=1.0,  # no probe with each task: the tests name what is to be sent
+    price_health_check=1.0,  # no health check per task: tests list every action they expect
     report_fields=("free_cores", "free_memory", "util"),
 )
 BOUNDS = Bounds(open_tasks=100, open_tasks_per_client=60, attempts=200, max_wait_us=60 * SECOND)
 
 
 class World:
-    """Feeds a core; keeps what it says, and plays the timers as they fall due."""
+    """Passes events to a core, records the actions that it returns, and fires its timers when due."""
 
     def __init__(
         self,
@@ -88,14 +88,14 @@
         return actions
 
     def wait(self, us: int) -> list[ev.Action]:
-        """Let time pass, each timer at its time."""
+        """Advance the time by ``us`` microseconds and fire each timer when it is due; return the actions."""
         until = self.now + us
-        out: list[ev.Action] = []
+        actions: list[ev.Action] = []
         while (due := self.core.next_due()) is not None and due <= until:
             self.now = max(self.now, due)
-            out += self.feed(ev.TimerDue())
+            actions += self.feed(ev.TimerDue())
         self.now = until
-        return out
+        return actions
 
     def node_entry(
         self, node: int, status: api.NodeStatus = api.NodeStatus.READY, started: int = 0
@@ -112,7 +112,7 @@
         return self.feed(ev.NodeListReceived(revision, revision - 1, full, entries, 10**15))
 
     def connect_link(self, node: int, started: int = 0, draining: bool = False) -> list[ev.Action]:
-        """The link stands, once it has been dialled."""
+        """Wait until the core dials the node, then report the link as up."""
         link = self.core.links.links.get(node)
         while link is not None and link.state is LinkState.DOWN:
             self.wait(10_000)
@@ -121,10 +121,10 @@
     def connect_node(
         self, node: int, started: int = 0, draining: bool = False, held: Any = ()
     ) -> list[ev.Action]:
-        """The link stands, if it did not, and the node tells what it holds."""
-        stands = self.core.links.is_up(node)
-        out = [] if stands else self.connect_link(node, started, draining)
-        return out + self.feed(ev.NodeTasksReported(node, started, tuple(held)))
+        """Bring the link up if it is down, then send the node's report on its tasks."""
+        is_up = self.core.links.is_up(node)
+        actions = [] if is_up else self.connect_link(node, started, draining)
+        return actions + self.feed(ev.NodeTasksReported(node, started, tuple(held)))
 
     def task_spec(self, key: int, task_class: str = "worker", **changes: Any) -> ev.TaskSpec:
         return replace(ev.TaskSpec("o", key, task_class, "", 5, 1.0, 2.0, 0, False), **changes)
@@ -152,17 +152,19 @@
         return offer
 
     def client_messages(self, kind: type | None = None, session: int = 1) -> list[Any]:
-        """What the owner was told, progress left out."""
-        told = [a.message for a in self.actions if isinstance(a, ev.SendToClient) and a.session == session]
+        """Return the messages of a type sent on a session; by default all but Admitted and Offered."""
+        messages = [
+            a.message for a in self.actions if isinstance(a, ev.SendToClient) and a.session == session
+        ]
         if kind is None:
-            return [w for w in told if not isinstance(w, (ev.Admitted, ev.Offered))]
-        return [w for w in told if isinstance(w, kind)]
+            return [m for m in messages if not isinstance(m, (ev.Admitted, ev.Offered))]
+        return [m for m in messages if isinstance(m, kind)]
 
     def actions_of(self, kind: type) -> list[Any]:
         return [a for a in self.actions if isinstance(a, kind)]
 
     def is_empty(self) -> bool:
-        """Nothing is left of any task."""
+        """Whether the core has no record of any task."""
         core = self.core
         sessions = [s for s in core.requests.sessions.values() if s.placements or s.open_tasks]
         tables = (
@@ -183,6 +185,7 @@
     running: bool = True,
     client: str = "o",
 ) -> Any:
+    """Return a task as a node reports it, placed by an earlier incarnation of the planner."""
     return ev.NodeTask(
         AttemptId(incarnation, key, 0), world.task_spec(key, task_class, client=client), running
     )
