--- a/stairplank/planner/attempt_lifecycle.py
+++ b/stairplank/planner/attempt_lifecycle.py
@@ -74,7 +74,7 @@
         """Request the node's tasks unless that was done after ``since``; return when to retry, or None."""
 
     def node_idle(self, node: int) -> None:
-        """Handle that no attempt is at the node any more."""
+        """Update a node's link after the last attempt at the node has ended."""
 
 
 class Groups(Protocol):
@@ -87,13 +87,13 @@
         """Whether a member may be placed at that node now."""
 
     def member_reserved(self, placement: Placement, attempt: Attempt) -> None:
-        """Handle that a node has reserved resources for the member."""
+        """Notify the member's group that a node has reserved resources for the member."""
 
     def member_running(self, placement: Placement) -> None:
-        """Handle that a node started the member."""
+        """Notify the member's group that a node started the member."""
 
     def member_over(self, placement: Placement, finished: bool, reason: api.Reason) -> None:
-        """Handle the end of a member that was bound."""
+        """Notify the member's group that a bound member has ended."""
 
 
 class AttemptLifecycle:
--- a/stairplank/planner/client_requests.py
+++ b/stairplank/planner/client_requests.py
@@ -225,7 +225,7 @@
         self.context.count("refused")
         self.conclude(placement, PlacementEvent.SHED)
         self.notify(placement, ev.TaskShed(placement.request, action.retry_after_us, placement.last_reason))
-        self._release(placement)
+        self._remove_request(placement)
 
     def fail(self, action: api.Fail) -> None:
         """Report a task as failed: the decision module gives it up, and it may run nevertheless."""
@@ -236,7 +236,7 @@
         may_run = bool(placement.attempts) or not placement.known_not_run
         self.conclude(placement, PlacementEvent.FAILED)
         self.notify(placement, ev.TaskFailed(placement.request, may_run))
-        self._release(placement)
+        self._remove_request(placement)
 
     def _open_single(self, number: int) -> Placement | None:
         """Return the placement if it is open and of a single task; pass a member's placement to its group."""
@@ -248,7 +248,7 @@
             return None
         return placement
 
-    def _release(self, placement: Placement) -> None:
+    def _remove_request(self, placement: Placement) -> None:
         """Remove a concluded request from its session, and end or stop the placement's remaining attempts."""
         session = self.sessions.get(placement.session)
         if session is not None:
--- a/stairplank/planner/core.py
+++ b/stairplank/planner/core.py
@@ -75,7 +75,7 @@
         self.groups.requests = self.requests
         self.groups.attempts = self.attempts
         self.groups.links = self.links
-        self.groups.list = self.node_list
+        self.groups.node_list = self.node_list
 
     def _list_event_handlers(self) -> dict[type, Callable[[Any], None]]:
         """Return the handler of each type of event."""
@@ -142,19 +142,19 @@
     def handle_after_stall(self, now: int, events: list[ev.Event]) -> list[ev.Action]:
         """Handle the events that arrived during a stall of the process; return the actions to carry out.
 
-        Events from nodes and the node list are handled first, then timers fire, then events from clients are
-        handled. If timers fired first, they would send offers to nodes whose report that they drain is still
-        unread in the planner's own socket.
+        Drain reports and node lists are handled first, then other events from nodes; then timers fire, and
+        events from clients are handled last. If timers fired first, they would send offers to nodes whose
+        report that they drain is still unread in the planner's own socket.
         """
         self._begin(now)
-        received = [event for event in events if not isinstance(event, _CLIENT_EVENTS)]
+        received = [event for event in events if not isinstance(event, _EVENTS_AFTER_TIMERS)]
         received.sort(key=lambda event: not isinstance(event, (ev.NodeDraining, ev.NodeListReceived)))
         for message in received:
             self._event_handlers[type(message)](message)
             self._run()
         self._run_timers()
         for event in events:
-            if isinstance(event, _CLIENT_EVENTS):
+            if isinstance(event, _EVENTS_AFTER_TIMERS):
                 self._event_handlers[type(event)](event)
                 self._run()
         return self.context.actions
@@ -250,7 +250,7 @@
         self.requests.conclude_all()
 
 
-_CLIENT_EVENTS = (
+_EVENTS_AFTER_TIMERS = (
     ev.ClientConnected,
     ev.ClientDisconnected,
     ev.PlacementRequested,
--- a/stairplank/planner/group_members.py
+++ b/stairplank/planner/group_members.py
@@ -58,7 +58,9 @@
         excluded: frozenset[int] = frozenset()
         if self._coordinator.enforces_constraints(number):
             taken = self._taken(record, member)
-            excluded = self._coordinator.excluded_nodes(number, member, taken, self._peers.list.ready_nodes())
+            excluded = self._coordinator.excluded_nodes(
+                number, member, taken, self._peers.node_list.ready_nodes()
+            )
         # The module gets the group's deadline, not the attempt's: otherwise it would treat every member as
         # late and exclude it from the reserve of each node's capacity. The coordinator decides whether a
         # group is attempted again, so a member does not count as resubmitted.
@@ -75,7 +77,7 @@
         if not self._coordinator.enforces_constraints(number):
             return True
         taken = self._taken(record, member)
-        return not self._coordinator.violates_constraints(number, node, taken, self._peers.list.rack)
+        return not self._coordinator.violates_constraints(number, node, taken, self._peers.node_list.rack)
 
     def _taken(self, record: GroupRecord, member: int) -> dict[int, int]:
         """Return the nodes of the other members in this attempt, by member."""
--- a/stairplank/planner/group_peers.py
+++ b/stairplank/planner/group_peers.py
@@ -90,4 +90,4 @@
     requests: ClientRequests
     attempts: Attempts
     links: Links
-    list: NodeList
+    node_list: NodeList
--- a/stairplank/planner/group_requests.py
+++ b/stairplank/planner/group_requests.py
@@ -90,8 +90,8 @@
         self.requests.register_group(event.session, event.request, number)
         self.context.count("groups_taken")
         self.requests.notify_session(event.session, ev.Admitted(event.request, number))
-        nodes = self.list.ready_nodes() if has_constraints(spec) else ()
-        capacity = self.list.capacity()
+        nodes = self.node_list.ready_nodes() if has_constraints(spec) else ()
+        capacity = self.node_list.capacity()
         self._perform(self.coordinator.request(self.context.now, number, spec, deadline, capacity, nodes))
 
     def client_connected(self, client: str, session: int, is_live: Callable[[int], bool]) -> None:
@@ -104,7 +104,7 @@
                 record.request = 0
 
     def client_disconnected(self, number: int, other_session: int) -> None:
-        """Handle that a group's session was closed: move a placed group to the other one, cancel any other.
+        """Move a group whose session was closed to another session if it is placed, else cancel it.
 
         ``other_session`` is 0 if the client has no other session.
         """
@@ -161,7 +161,9 @@
                 finished = placement.end_reason == "finished"
                 result = self.coordinator.member_over(now, number, member, finished, reason)
             case MemberReserved(_, member, node):
-                result = self.coordinator.member_reserved(now, number, member, node, self.list.rack(node))
+                result = self.coordinator.member_reserved(
+                    now, number, member, node, self.node_list.rack(node)
+                )
             case MemberRunning(_, member):
                 result = self.coordinator.member_running(now, number, member)
         self._perform(result)
@@ -184,7 +186,7 @@
     def _advance(self, due: int) -> None:
         if due == self._timer_due:
             self._timer_due = None
-            self._perform(self.coordinator.advance(self.context.now, self.list.capacity()))
+            self._perform(self.coordinator.advance(self.context.now, self.node_list.capacity()))
 
     def _perform(self, decisions: list[actions.Action]) -> None:
         for action in decisions:
@@ -278,7 +280,7 @@
             attempt.placement.group = (number, member)
             record.placements[member] = attempt.placement
             self._leases.extend(attempt, self.context.now + self.context.config.groups.lease_us)
-            locations[member] = Location(found.node, self.list.rack(found.node))
+            locations[member] = Location(found.node, self.node_list.rack(found.node))
         self.context.count("groups_found")
         self._perform(self.coordinator.recover(self.context.now, number, spec, locations))
 
--- a/stairplank/planner/leases.py
+++ b/stairplank/planner/leases.py
@@ -43,8 +43,8 @@
 class PendingRenewal:
     """A renewal that its node has not acknowledged."""
 
-    sent_at: int
-    sent: ev.SendLeaseRenewal
+    sent_at: int  # when the renewal was sent
+    message: ev.SendLeaseRenewal
 
 
 class Leases:
@@ -68,18 +68,18 @@
     def renewal_received(self, event: ev.LeasesRenewed) -> None:
         """Extend the leases of a renewal that a node acknowledged, counted from when it was sent."""
         pending = self.pending_renewals.get(event.node)
-        while pending and pending[0].sent.renewal <= event.renewal:
+        while pending and pending[0].message.renewal <= event.renewal:
             renewal = pending.popleft()
-            if renewal.sent.renewal == event.renewal:
+            if renewal.message.renewal == event.renewal:
                 self._extend_all(renewal)
         if not pending:
             self.pending_renewals.pop(event.node, None)
 
     def _extend_all(self, renewal: PendingRenewal) -> None:
-        for attempt_id in renewal.sent.ids:
+        for attempt_id in renewal.message.ids:
             attempt = self.attempts.find(attempt_id)
             if attempt is not None:
-                self.extend(attempt, renewal.sent_at + renewal.sent.lease_us)
+                self.extend(attempt, renewal.sent_at + renewal.message.lease_us)
 
     def link_lost(self, node: int) -> None:
         """Remove the pending renewals of a node whose link was lost."""
--- a/stairplank/planner/request_table.py
+++ b/stairplank/planner/request_table.py
@@ -33,16 +33,16 @@
         """Move the client's groups whose session is not open to its new session."""
 
     def client_disconnected(self, number: int, other_session: int) -> None:
-        """Handle that a group's session was closed; ``other_session`` is another one of the client, or 0."""
+        """Move a group whose session was closed to another session if it is placed, else cancel it."""
 
     def cancel(self, number: int) -> None:
         """Cancel a group at its client's request."""
 
     def member_unplaced(self, placement: Placement) -> None:
-        """Handle that the decision module found no node for a member."""
+        """Fail a member for which the decision module found no node."""
 
     def member_gone(self, placement: Placement) -> None:
-        """Handle that a member's placement was removed from the table."""
+        """Notify the member's group that the member's placement was removed from the table."""
 
 
 class RequestTable:
--- a/tests/planner/test_leases.py
+++ b/tests/planner/test_leases.py
@@ -68,7 +68,7 @@
 def test_renewals_on_a_lost_link_are_forgotten() -> None:
     leases, attempt, _ = create_leases()
     leases.renew(4, (attempt.id,), SECOND)
-    number = leases.pending_renewals[4][0].sent.renewal
+    number = leases.pending_renewals[4][0].message.renewal
     leases.link_lost(4)
     leases.renewal_received(ev.LeasesRenewed(4, number))
     assert not leases.pending_renewals and attempt.leased_until == 0
