--- a/stairplank/planner/abandoned_attempts.py
+++ b/stairplank/planner/abandoned_attempts.py
@@ -15,7 +15,7 @@
 class PlacementState(Enum):
     """The state of a placement."""
 
-    __hash__ = object.__hash__  # see transitions.AttemptState
+    __hash__ = object.__hash__  # Enum.__hash__ hashes the member's name on each look-up, which is slower
 
     OPEN = "open"  # no outcome yet; attempts may be in flight
     PLACED = "placed"  # bound by an attempt other than the duplicate
--- a/stairplank/planner/events.py
+++ b/stairplank/planner/events.py
@@ -69,7 +69,7 @@
     request: int
     task: TaskSpec
     wait_us: int
-    age_us: int = 0  # bound on the time since the request was sent, where its wait begins
+    age_us: int = 0  # the request was sent at most this long ago; wait_us counts from then
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedNode:
-    """An entry of the node list as the directory sends it."""
+    """An entry of the node list as the node list service sends it."""
 
     id: int
     name: str
@@ -248,7 +248,7 @@
     node: int
     started_unix_us: int
     tasks: tuple[NodeTask, ...]
-    complete: bool = False  # an attempt that is not in it, nor reported as ended, was never received
+    complete: bool = False  # an attempt neither listed nor reported as ended was never received
     requested_at: int = 0  # when the report was requested; 0 if not known
     finished: tuple[NodeTask, ...] = ()  # group members that finished recently
 
--- a/stairplank/planner/group_members.py
+++ b/stairplank/planner/group_members.py
@@ -27,7 +27,7 @@
 class GroupRecord:
     """A group's session, request and specification, and the placements of its current attempt."""
 
-    session: int  # session that gets messages on the group; 0 if none
+    session: int  # the session that gets messages on the group; 0 if none
     request: int
     spec: GroupSpec
     deadline: int = 0
--- a/stairplank/planner/group_requests.py
+++ b/stairplank/planner/group_requests.py
@@ -58,7 +58,7 @@
         return ev.GroupTag(self.context.incarnation, number, size, member, max(1, lease_us))
 
     def has_unanswered(self) -> bool:
-        """Whether a group has no outcome yet."""
+        """Whether any group has no outcome yet."""
         return self.coordinator.has_unanswered()
 
     def may_place(self, placement: Placement, node: int) -> bool:
--- a/stairplank/planner/leases.py
+++ b/stairplank/planner/leases.py
@@ -43,7 +43,7 @@
 class PendingRenewal:
     """A renewal that its node has not acknowledged."""
 
-    sent_at: int  # when the renewal was sent
+    sent_at: int  # time at which the renewal was sent
     message: ev.SendLeaseRenewal
 
 
--- a/stairplank/planner/placement.py
+++ b/stairplank/planner/placement.py
@@ -80,8 +80,8 @@
         self.node = node
         self.created_at = context.now
         self._enter(state)
-        self.deadline = 0  # when the attempt is abandoned unless it is bound
-        self.leased_until = 0  # until when the node certainly keeps a committed group member
+        self.deadline = 0  # time at which the attempt is abandoned unless it is bound
+        self.leased_until = 0  # time until which the node certainly keeps a committed group member
 
     def transition(self, event: AttemptEvent) -> None:
         """Change the state by an event. Raises IllegalTransitionError."""
