--- a/stairplank/planner/group_admission.py
+++ b/stairplank/planner/group_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request for a group is admitted. Decides without I/O or clock."""
+"""Decides whether a request for a group is admitted. No I/O or clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def check_request(
     event: ev.GroupRequested, spec: GroupSpec, requests: ClientRequests, groups: int, max_groups: int
 ) -> ev.Rejection | None:
-    """Why the request is rejected, or None. ``groups``: those that the planner has already."""
+    """Return a rejection of the request, or None; ``groups`` is the planner's current number of groups."""
     rejection = (
         requests.request_error(event.session, event.request)
         or validate(spec, event.min_members)
@@ -24,7 +24,7 @@
         if rejection is not None:
             return rejection
     if groups >= max_groups:
-        message = f"{groups} groups are looked after here"
+        message = f"{groups} groups are open at this planner"
         return ev.Rejection("RESOURCE_EXHAUSTED", "", message, admission.BUSY_RETRY_US)
     return requests.capacity_error(event.session)
 
@@ -33,12 +33,14 @@
     event: ev.GroupRequested, spec: GroupSpec, requests: ClientRequests, index: int, member: ev.TaskSpec
 ) -> ev.Rejection | None:
     if member.client != spec.client:
-        return ev.Rejection("INVALID_ARGUMENT", f"members[{index}].owner", "is not the stream's owner")
+        return ev.Rejection(
+            "INVALID_ARGUMENT", f"members[{index}].owner", "is not the client of this session"
+        )
     rejection = requests.task_error(member, event.wait_us)
     if rejection is not None:
         field = rejection.field.replace("task.", f"members[{index}].")
         return ev.Rejection(rejection.code, field, rejection.message)
     if requests.find_by_key(member.client, member.key) is not None:
-        message = "this task waits, runs or may run already"
+        message = "this task is already open, runs or may still run"
         return ev.Rejection("ALREADY_EXISTS", f"members[{index}].key", message, admission.BUSY_RETRY_US)
     return None
