--- a/tests/platform/drawn_days.py
+++ b/tests/platform/drawn_days.py
@@ -1,6 +1,6 @@
-"""Days in drawn order for the platform's core, and a checker of rules 1 to 3 on what the core says.
+"""Random sequences of events for the platform's core, and a checker of rules 1 to 3 on the core's messages.
 
-The checker keeps its own books from the messages alone; it knows nothing of the core's tables.
+The checker keeps its own records from the messages alone and does not use the core's tables.
 """
 
 from __future__ import annotations
@@ -15,101 +15,110 @@
 from stairplank.platform import events as ev
 from stairplank.platform.messages import Cause, Kind, Message
 
-STEP = 10_000
-SORTS = ("repeat", "keyed", "once", "keyed-all")
-DIALS = 0.08  # of those under way come up within a step, and a tenth as many fail
-LATE = 100_000  # an answer so long after its time is late
+STEP_US = 10_000
+TASK_CLASSES = ("repeat", "keyed", "once", "keyed-all")
+DIAL_SUCCESS_PROBABILITY = 0.08  # of each open dial in each step; a failure is a tenth as likely
+MAX_LATENESS_US = 100_000  # an answer later than this after its deadline is a fault
 
 
 @dataclass
-class Copy:
-    """A set-up that went to a machine: out until an end is written or it is given up."""
+class SentRequest:
+    """A placement request sent to a machine; in flight until a reply or until the planner gives it up."""
 
     machine: int
     link: int
     at: int
-    out: bool = True
+    in_flight: bool = True
     may_have_run: bool = True
-    stands: bool = False
+    is_running: bool = False
 
 
 @dataclass
-class Asked:
-    sort: str
+class ClientRequest:
+    task_class: str
     conn: int
-    due: int
-    copies: list[Copy] = field(default_factory=list)
+    deadline: int
+    attempts: list[SentRequest] = field(default_factory=list)
     answer: str = ""
-    waived: bool = False  # its owner has gone or given it up
+    is_cancelled: bool = False  # its client has cancelled it and expects no answer
 
 
 class Checker:
+    """Records what clients requested and the core sent; lists each breach of a rule in ``faults``."""
+
     def __init__(self, classes: tuple[api.TaskClass, ...]) -> None:
         self.classes = {c.name: c for c in classes}
-        self.asked: dict[str, Asked] = {}
+        self.requests: dict[str, ClientRequest] = {}
         self.draining: set[int] = set()
         self.faults: list[str] = []
 
-    def sends(self, id: str, machine: int, link: int, now: int) -> None:
-        task = self.asked[id]
-        sort = self.classes[task.sort]
+    def sent_to_machine(self, id: str, machine: int, link: int, now: int) -> None:
+        request = self.requests[id]
+        task_class = self.classes[request.task_class]
         if machine in self.draining:
             self.faults.append(f"drain: {id} to {machine}")
-        if any(c.out for c in task.copies) or any(c.stands for c in task.copies):
-            self.faults.append(f"copy: {id} beside one that is out")
-        risky = [c for c in task.copies if c.may_have_run]
-        if risky and sort.effect is api.Effect.AT_MOST_ONCE:
+        if any(a.in_flight for a in request.attempts) or any(a.is_running for a in request.attempts):
+            self.faults.append(f"copy: {id} while another attempt is in flight or runs")
+        unproven = [a for a in request.attempts if a.may_have_run]
+        if unproven and task_class.effect is api.Effect.AT_MOST_ONCE:
             self.faults.append(f"again: {id} may have run")
-        if risky and sort.effect is api.Effect.IDEMPOTENT_BY_KEY:
-            first = risky[0]
-            if now > first.at + sort.dedup_window_us:
+        if unproven and task_class.effect is api.Effect.IDEMPOTENT_BY_KEY:
+            first = unproven[0]
+            if now > first.at + task_class.dedup_window_us:
                 self.faults.append(f"window: {id}")
-            if sort.dedup_scope is api.Scope.NODE and machine != first.machine:
+            if task_class.dedup_scope is api.Scope.NODE and machine != first.machine:
                 self.faults.append(f"machine: {id}")
-            if sort.dedup_scope is api.Scope.GROUP and machine // 3 != first.machine // 3:
+            if task_class.dedup_scope is api.Scope.GROUP and machine // 3 != first.machine // 3:
                 self.faults.append(f"group: {id}")
-        if task.waived or task.answer:
-            self.faults.append(f"unasked: {id}")
-        task.copies.append(Copy(machine, link, now))
-
-    def ends(self, id: str, link: int, proof: bool = False) -> None:
-        """The machine's word, its connection's end, or the planner's giving up."""
-        for copy in self.asked[id].copies if id in self.asked else ():
-            if copy.link == link and copy.out:
-                copy.out = False
-                copy.may_have_run = not proof
-
-    def breaks(self, link: int, unsent: frozenset[str] = frozenset()) -> None:
-        for id in self.asked:
-            self.ends(id, link, id in unsent)
-
-    def says(self, id: str, message: Message, now: int) -> None:
-        task = self.asked.get(id)
-        if task is None or message.kind not in (Kind.ANSWER, Kind.RELEASE):
+        if request.is_cancelled or request.answer:
+            self.faults.append(f"unrequested: {id}")
+        request.attempts.append(SentRequest(machine, link, now))
+
+    def attempt_ended(self, id: str, link: int, is_proven_not_run: bool = False) -> None:
+        """Record that the machine replied, its connection ended or the planner gave the attempt up."""
+        for attempt in self.requests[id].attempts if id in self.requests else ():
+            if attempt.link == link and attempt.in_flight:
+                attempt.in_flight = False
+                attempt.may_have_run = not is_proven_not_run
+
+    def link_closed(self, link: int, unsent: frozenset[str] = frozenset()) -> None:
+        for id in self.requests:
+            self.attempt_ended(id, link, id in unsent)
+
+    def sent_to_client(self, id: str, message: Message, now: int) -> None:
+        request = self.requests.get(id)
+        if request is None or message.kind not in (Kind.ANSWER, Kind.RELEASE):
             return
-        if message.kind is Kind.RELEASE and task.answer in ("stands", "over"):
-            task.answer = "over"  # and again, where the connection broke on which it was said
+        if message.kind is Kind.RELEASE and request.answer in ("running", "ended"):
+            request.answer = "ended"  # the release is sent again if its connection broke
             return
-        if task.answer:
+        if request.answer:
             self.faults.append(f"second answer: {id}")
-        if now > task.due + LATE:
+        if now > request.deadline + MAX_LATENESS_US:
             self.faults.append(f"late: {id}")
-        task.answer = "stands" if message.kind is Kind.ANSWER else "refused"
-        effect, scope = self.classes[task.sort].effect, self.classes[task.sort].dedup_scope
-        harmless = effect is api.Effect.IDEMPOTENT or (
+        request.answer = "running" if message.kind is Kind.ANSWER else "rejected"
+        effect, scope = (
+            self.classes[request.task_class].effect,
+            self.classes[request.task_class].dedup_scope,
+        )
+        is_retry_harmless = effect is api.Effect.IDEMPOTENT or (
             effect is api.Effect.IDEMPOTENT_BY_KEY and scope is api.Scope.ALL
         )
-        if message.cause == Cause.BUSY and not harmless and any(c.may_have_run for c in task.copies):
-            self.faults.append(f"refused: {id} may have run")
+        if (
+            message.cause == Cause.BUSY
+            and not is_retry_harmless
+            and any(a.may_have_run for a in request.attempts)
+        ):
+            self.faults.append(f"rejected: {id} may have run")
 
     def finish(self, now: int) -> None:
-        for id, task in self.asked.items():
-            if not task.answer and not task.waived and now > task.due + LATE:
+        for id, request in self.requests.items():
+            if not request.answer and not request.is_cancelled and now > request.deadline + MAX_LATENESS_US:
                 self.faults.append(f"lost: {id}")
 
 
-def another(rng: random.Random) -> dict[str, Any]:
-    """Another customer's settings: other classes, tenants, limits, times and places."""
+def random_settings(rng: random.Random) -> dict[str, Any]:
+    """Return random settings: classes, tenants, limits, times and spread limits."""
     effects, scopes = list(api.Effect), [s for s in api.Scope if s is not api.Scope.NONE]
     classes = []
     for number in range(rng.randint(1, 4)):
@@ -154,82 +163,89 @@
 
 
 class DrawnDay(Desk):
-    """One day: what happens next, and where, is drawn from the seed."""
+    """A random sequence of events for a core; ``strange`` also makes the settings random."""
 
     def __init__(self, seed: int, machines: int = 9, strange: bool = False) -> None:
         self.rng = random.Random(seed)
         self.checker: Checker | None = None
-        self.sorts: tuple[str, ...] = SORTS
-        changes = another(self.rng) if strange else {}
+        self.task_classes: tuple[str, ...] = TASK_CLASSES
+        changes = random_settings(self.rng) if strange else {}
         super().__init__(machines=machines, sockets=240, **changes)
         if strange:
-            self.sorts = tuple(c.name for c in self.settings.classes)
+            self.task_classes = tuple(c.name for c in self.settings.classes)
         self.checker = Checker(self.settings.classes)
         self.machines = dict.fromkeys(range(1, machines + 1), "SERVING")
-        self.todo: list[tuple[int, int, str]] = []  # when a machine speaks of a set-up: at, link, id
+        # Messages that machines will send: time, link, task id.
+        self.pending_replies: list[tuple[int, int, str]] = []
         self.number = 0
         self.next_machine = machines + 1
         self.conns = [self.owner() for _ in range(3)]
 
     def _take(self, actions: list[ev.Action]) -> None:
         super()._take(actions)
-        check = self.checker
-        if check is None:
+        checker = self.checker
+        if checker is None:
             return
         for action in actions:
             match action:
                 case ev.SendToMachine(link, Message(kind=Kind.PLACE) as message):
-                    check.sends(message.id, self.machine_of(link), link, self.now)
-                    self.todo.append((self.now + self.rng.randrange(1_500_000), link, message.id))
+                    checker.sent_to_machine(message.id, self.machine_of(link), link, self.now)
+                    self.pending_replies.append((self.now + self.rng.randrange(1_500_000), link, message.id))
                 case ev.SendToMachine(link, Message(kind=Kind.RELEASE) as message):
-                    check.ends(message.id, link)
+                    checker.attempt_ended(message.id, link)
                 case ev.CloseLink(link):
-                    check.breaks(link)
+                    checker.link_closed(link)
                 case ev.SendToClient(_, message):
-                    check.says(message.id, message, self.now)
+                    checker.sent_to_client(message.id, message, self.now)
 
-    # What may happen
+    # The events that may happen
 
-    def asks(self) -> None:
+    def client_requests_placement(self) -> None:
         assert self.checker is not None
         self.number += 1
-        sort, conn = self.rng.choice(self.sorts), self.rng.choice(self.conns)
-        longest = max(c.deadline_us // 1000 for c in self.settings.classes if c.name == sort)
-        waits = (900, 3000, 6000) if self.sorts is SORTS else (900, 3000, 6000, longest)
-        left = min(longest, self.rng.choice(waits))
-        self.checker.asked[name(self.number)] = Asked(sort, conn, self.now + left * 1000)
-        self.ask(conn, self.number, sort, left=str(left), extras=self.extras_of(name(self.number)))
-
-    def owner_leaves(self) -> None:
-        """And sends again, under the same ids, what it had open."""
+        task_class, conn = self.rng.choice(self.task_classes), self.rng.choice(self.conns)
+        longest = max(c.deadline_us // 1000 for c in self.settings.classes if c.name == task_class)
+        waits = (900, 3000, 6000) if self.task_classes is TASK_CLASSES else (900, 3000, 6000, longest)
+        wait_ms = min(longest, self.rng.choice(waits))
+        self.checker.requests[name(self.number)] = ClientRequest(task_class, conn, self.now + wait_ms * 1000)
+        self.ask(conn, self.number, task_class, left=str(wait_ms), extras=self.extras_of(name(self.number)))
+
+    def client_reconnects(self) -> None:
+        """A client disconnects and sends its open requests again on a new connection, with the same ids."""
         assert self.checker is not None
         conn = self.rng.choice(self.conns)
         self.conns.remove(conn)
-        mine = {i: t for i, t in self.checker.asked.items() if t.conn == conn}
-        mine = {i: t for i, t in mine.items() if not t.answer and not t.waived}
-        first = self.rng.random() < 0.5
-        if first:
+        open_requests = {i: r for i, r in self.checker.requests.items() if r.conn == conn}
+        open_requests = {i: r for i, r in open_requests.items() if not r.answer and not r.is_cancelled}
+        disconnects_first = self.rng.random() < 0.5
+        if disconnects_first:
             self.feed(ev.ClientDisconnected(conn))
         self.conns.append(self.owner())
-        for id, task in mine.items():
-            task.conn = self.conns[-1]
-            left = max(1, (task.due - self.now) // 1000)
-            self.ask(self.conns[-1], int(id, 16), task.sort, left=str(left), extras=self.extras_of(id))
-        if not first:
+        for id, request in open_requests.items():
+            request.conn = self.conns[-1]
+            wait_ms = max(1, (request.deadline - self.now) // 1000)
+            self.ask(
+                self.conns[-1],
+                int(id, 16),
+                request.task_class,
+                left=str(wait_ms),
+                extras=self.extras_of(id),
+            )
+        if not disconnects_first:
             self.feed(ev.ClientDisconnected(conn))
 
     def extras_of(self, id: str) -> str:
         return f"cores:1;memory:2;service:{int(id, 16) % 9:016x}"
 
-    def gives_up(self) -> None:
+    def client_cancels(self) -> None:
         assert self.checker is not None
-        for id, task in self.checker.asked.items():
-            if not task.answer and not task.waived:
-                task.waived = True
-                self.feed(ev.ClientMessage(task.conn, Message(Kind.RELEASE, id, cause=int(Cause.ENDED))))
+        for id, request in self.checker.requests.items():
+            if not request.answer and not request.is_cancelled:
+                request.is_cancelled = True
+                self.feed(ev.ClientMessage(request.conn, Message(Kind.RELEASE, id, cause=int(Cause.ENDED))))
                 return
 
-    def drains(self) -> None:
+    def machine_drains(self) -> None:
         serving = [n for n, state in self.machines.items() if state == "SERVING"]
         if len(serving) > 4:
             machine = self.rng.choice(serving)
@@ -239,73 +255,86 @@
             assert self.checker is not None
             self.checker.draining.add(machine)
 
-    def comes(self) -> None:
+    def machine_joins(self) -> None:
         machine, self.next_machine = self.next_machine, self.next_machine + 1
         self.machines[machine] = "SERVING"
         self.list_update(row(machine))
 
-    def restarts(self) -> None:
+    def machine_restarts(self) -> None:
         serving = [n for n, state in self.machines.items() if state == "SERVING"]
         self.list_update(row(self.rng.choice(serving), born_ms=1_000_000 + self.now // 1000))
 
-    def breaks(self) -> None:
+    def link_breaks(self) -> None:
         if not self.up:
             return
         assert self.checker is not None
         link = self.rng.choice(list(self.up))
-        out = [i for i, t in self.checker.asked.items() if any(c.link == link and c.out for c in t.copies)]
-        unsent = frozenset(out[-1:]) if self.rng.random() < 0.3 else frozenset()
+        in_flight = [
+            id
+            for id, request in self.checker.requests.items()
+            if any(a.link == link and a.in_flight for a in request.attempts)
+        ]
+        unsent = frozenset(in_flight[-1:]) if self.rng.random() < 0.3 else frozenset()
         self.up.pop(link)
-        self.checker.breaks(link, unsent)
+        self.checker.link_closed(link, unsent)
         self.feed(ev.LinkLost(link, unsent))
 
-    def speaks(self) -> None:
-        """Machines answer, refuse, fail or say nothing to what is due."""
+    def machines_reply(self) -> None:
+        """Machines answer, reject or fail the requests whose reply is due, or do not reply."""
         assert self.checker is not None
-        due = [t for t in self.todo if t[0] <= self.now]
-        self.todo = [t for t in self.todo if t[0] > self.now]
+        due = [r for r in self.pending_replies if r[0] <= self.now]
+        self.pending_replies = [r for r in self.pending_replies if r[0] > self.now]
         for _, link, id in due:
             if link not in self.up:
                 continue
-            word = self.rng.choice(("answer", "answer", "full", "moot", "error", "reset", "ended", "nothing"))
-            copy = next(c for c in self.checker.asked[id].copies if c.link == link)
-            if word == "answer":
-                if copy.out:
-                    copy.out, copy.stands = False, True
+            reply = self.rng.choice(
+                ("answer", "answer", "full", "moot", "error", "reset", "ended", "nothing")
+            )
+            attempt = next(a for a in self.checker.requests[id].attempts if a.link == link)
+            if reply == "answer":
+                if attempt.in_flight:
+                    attempt.in_flight, attempt.is_running = False, True
                 self.machine(link, Message(Kind.ANSWER, id, body="stands"))
-                self.todo.append((self.now + self.rng.randrange(3 * SECOND), link, id))
-            elif word != "nothing":
-                cause = {"full": 34, "moot": 102, "error": 47, "reset": 41, "ended": 16}[word]
-                proof = word in ("full", "moot") and not copy.stands
-                if copy.stands:
-                    copy.stands = False
+                self.pending_replies.append((self.now + self.rng.randrange(3 * SECOND), link, id))
+            elif reply != "nothing":
+                cause = {"full": 34, "moot": 102, "error": 47, "reset": 41, "ended": 16}[reply]
+                is_proven_not_run = reply in ("full", "moot") and not attempt.is_running
+                if attempt.is_running:
+                    attempt.is_running = False
                 else:
-                    self.checker.ends(id, link, proof)
+                    self.checker.attempt_ended(id, link, is_proven_not_run)
                 self.machine(link, Message(Kind.RELEASE, id, cause=cause))
 
     def play(self, steps: int = 1500) -> list[str]:
-        """The faults of the day."""
+        """Run the sequence; return the faults that the checker found."""
         assert self.checker is not None
-        rare = (self.owner_leaves, self.gives_up, self.drains, self.comes, self.restarts, self.breaks)
+        rare_events = (
+            self.client_reconnects,
+            self.client_cancels,
+            self.machine_drains,
+            self.machine_joins,
+            self.machine_restarts,
+            self.link_breaks,
+        )
         for _ in range(steps):
-            self.feed(after=STEP)
+            self.feed(after=STEP_US)
             for link in list(self.dials):
-                drawn = self.rng.random()
-                if drawn < DIALS:
+                chance = self.rng.random()
+                if chance < DIAL_SUCCESS_PROBABILITY:
                     self.up[link] = self.dials.pop(link)
                     self.feed(ev.LinkUp(link))
-                elif drawn < 1.1 * DIALS:
+                elif chance < 1.1 * DIAL_SUCCESS_PROBABILITY:
                     del self.dials[link]
                     self.feed(ev.LinkFailed(link, self.rng.random() < 0.5))
-            self.speaks()
+            self.machines_reply()
             if self.rng.random() < 0.25:
-                self.asks()
+                self.client_requests_placement()
             if self.rng.random() < 0.06:
-                self.rng.choice(rare)()
-        end = max(t.due for t in self.checker.asked.values()) + SECOND
+                self.rng.choice(rare_events)()
+        end = max(r.deadline for r in self.checker.requests.values()) + SECOND
         while self.now < end:
             self.feed(after=50_000)
             self.connect()
-            self.speaks()
+            self.machines_reply()
         self.checker.finish(self.now)
         return self.checker.faults
--- a/tests/platform/platform_config.py
+++ b/tests/platform/platform_config.py
@@ -1,4 +1,4 @@
-"""A configuration as the platform writes it, with figures of our own."""
+"""A configuration file of the platform's planner, with values chosen for the tests."""
 
 from typing import Any
 
--- a/tests/platform/platform_standins.py
+++ b/tests/platform/platform_standins.py
@@ -1,4 +1,4 @@
-"""Fake clients, machines and node list service on loopback, with faults, and the process under test."""
+"""Fake clients, machines and node list services on loopback, with faults, and the planner under test."""
 
 from __future__ import annotations
 
@@ -38,17 +38,17 @@
     sock.close()
 
 
-def wait_until(what: Callable[[], Any], wait: float = WAIT_S) -> Any:
-    """Return its first true value. Raises AssertionError after the wait."""
+def wait_until(condition: Callable[[], Any], wait: float = WAIT_S) -> Any:
+    """Poll the condition; return its first true value. Raises AssertionError after ``wait`` seconds."""
     end = time.monotonic() + wait
-    while not (got := what()):
-        assert time.monotonic() < end, "it did not come about"
+    while not (value := condition()):
+        assert time.monotonic() < end, "condition not met in time"
         time.sleep(0.01)
-    return got
+    return value
 
 
 class FakeServer:
-    """Accepts, one thread a connection."""
+    """A server that accepts connections and serves each in a thread of its own."""
 
     def __init__(self) -> None:
         self.listener, self.address = listen()
@@ -74,12 +74,15 @@
         raise NotImplementedError
 
     def close(self) -> None:
-        """As a process that dies: nobody listens, connections are reset. Danger: a listener that is only
-        closed lives on in the thread that accepts, and takes connections that are meant for another test."""
+        """Stop like a process that is killed: nothing listens any more, and connections are reset.
+
+        Without the shutdown, the listener would stay open in the accepting thread and could accept
+        connections that are meant for another test.
+        """
         try:
             self.listener.shutdown(socket.SHUT_RDWR)
         except OSError:
-            pass  # closed already
+            pass  # the listener is closed already
         self.listener.close()
         for sock in self.connections:
             try:
@@ -89,10 +92,11 @@
 
 
 class FakeMachine(FakeServer):
-    """Answers placement requests with ``running``; ``fault`` may do otherwise and return True.
+    """A machine that answers placement requests with ``running``.
 
-    While ``reads`` is not set it reads nothing; once the planner has closed a connection it sends
-    ``final_messages`` on it.
+    ``fault`` is called for each placement request and returns True if it has replaced the answer. While
+    ``reads`` is not set, the machine reads nothing. Once the planner has half-closed a connection, the
+    machine sends ``final_messages`` on it.
     """
 
     def __init__(self, name: str, fault: Callable[[socket.socket, Message], bool] | None = None) -> None:
@@ -110,7 +114,7 @@
 
     @staticmethod
     def row_of(name: str, address: str, health: str = "SERVING") -> dict[str, Any]:
-        """A machine's entry in a node list."""
+        """Return a machine's entry in a node list."""
         return {
             "host": name,
             "dial": address,
@@ -124,7 +128,7 @@
         }
 
     def connection_of(self, id: str) -> socket.socket:
-        """The connection on which the last message on that task arrived."""
+        """Return the connection on which the last message about this task arrived."""
         return self._connection_by_id[id]
 
     def placement_requests(self) -> list[Message]:
@@ -158,7 +162,7 @@
 
 
 def truncated(after: int) -> Callable[[socket.socket, Message], bool]:
-    """Return a fault: the answer breaks off after so many bytes, with a reset."""
+    """Return a fault that sends the first ``after`` bytes of the answer and resets the connection."""
 
     def fault(sock: socket.socket, message: Message) -> bool:
         sock.sendall(jsonlines.encode(running_answer(message))[:after])
@@ -169,16 +173,16 @@
 
 
 def delayed(gate: threading.Event, *kinds: Kind) -> Callable[[socket.socket, Message], bool]:
-    """Return a fault: these messages are sent once the gate is open, two answers where it is named twice."""
+    """Return a fault that sends one message of each of ``kinds``, in order, once the gate is set."""
 
-    def later(sock: socket.socket, message: Message) -> None:
+    def send_delayed(sock: socket.socket, message: Message) -> None:
         gate.wait(WAIT_S)
         for kind in kinds:
-            ended = Message(Kind.RELEASE, message.id, cause=int(Cause.ENDED))
-            sock.sendall(jsonlines.encode(running_answer(message) if kind is Kind.ANSWER else ended))
+            release = Message(Kind.RELEASE, message.id, cause=int(Cause.ENDED))
+            sock.sendall(jsonlines.encode(running_answer(message) if kind is Kind.ANSWER else release))
 
     def fault(sock: socket.socket, message: Message) -> bool:
-        threading.Thread(target=later, args=(sock, message), daemon=True).start()
+        threading.Thread(target=send_delayed, args=(sock, message), daemon=True).start()
         return True
 
     return fault
@@ -187,11 +191,11 @@
 class FakeNodeListService(FakeServer):
     """A node list service with faults.
 
-    ``frozen`` makes it send nothing more, ``breaks_off`` break off in the middle of the next update. Of
-    connections, by their number from 0, ``stale`` ones go on with the revision they have, ``silent`` ones
-    send nothing, those ``without_updates`` send the last revision without the updates before it. While
-    ``resets`` is set every connection is reset. ``connection_count`` counts connections, ``last_sent`` is the
-    last revision that was sent.
+    While ``frozen`` is set, it sends nothing. ``breaks_off`` makes it close the connection in the middle of
+    the next update. Three sets have numbers of connections, from 0: ``stale`` connections keep sending the
+    revision they have, ``silent`` ones send nothing, and those in ``without_updates`` send the latest
+    revision without its updates. While ``resets`` is set, every connection is reset. ``connection_count`` is
+    the number of connections so far, ``last_sent`` the last revision sent.
     """
 
     def __init__(self, rows: list[dict[str, Any]]) -> None:
@@ -248,7 +252,7 @@
 
 
 class FakeClient:
-    """One connection of a client."""
+    """A client with one connection to the planner."""
 
     def __init__(self, where: str, source: str = "127.0.0.1") -> None:
         host, port = where.rsplit(":", 1)
@@ -282,12 +286,12 @@
         self.received += self.reader.feed(data)
 
     def replies(self, id: str, count: int = 1, wait: float = WAIT_S) -> list[Message]:
-        """Return the messages on that task, once so many have come or the wait is over."""
+        """Return the messages about a task, once there are ``count`` of them or the wait is over."""
         end = time.monotonic() + wait
         while not self.is_closed and time.monotonic() < end:
-            got = [m for m in self.received if m.id == id]
-            if len(got) >= count:
-                return got
+            replies = [m for m in self.received if m.id == id]
+            if len(replies) >= count:
+                return replies
             self.read(min(0.2, max(0.01, end - time.monotonic())))
         return [m for m in self.received if m.id == id]
 
@@ -299,10 +303,10 @@
 
 
 class PlannerProcess:
-    """The real process, as ``run`` starts it.
+    """A planner process, started like ``python -m stairplank.platform``.
 
-    ``files_limit``: how many files it may have open; ``changes``: of its configuration; ``command``: the
-    interpreter's arguments. With ``waits`` it serves by the time this returns.
+    ``files_limit`` is its limit of open files, ``changes`` are changes of its configuration, ``command`` has
+    the interpreter's arguments. With ``waits``, the constructor returns once the process accepts clients.
     """
 
     def __init__(
@@ -321,11 +325,11 @@
         self.changes = changes or {}
         self.write(node_list_service.address)
         self.log: list[dict[str, Any]] = []
-        run = [sys.executable, *command]
+        arguments = [sys.executable, *command]
         if files_limit is not None:
-            run = ["sh", "-c", f'ulimit -n {files_limit}; exec "$@"', "sh", *run]
+            arguments = ["sh", "-c", f'ulimit -n {files_limit}; exec "$@"', "sh", *arguments]
         self.child = subprocess.Popen(
-            run,
+            arguments,
             cwd=ROOT,
             env=os.environ | {"GW_CONFIG": str(self.path), "PYTHONPATH": str(ROOT)},
             stderr=subprocess.PIPE,
@@ -335,9 +339,9 @@
         self.address = self.wait_for_address() if waits else ""
 
     def wait_for_address(self, wait: float = WAIT_S) -> str:
-        """Its address, once it accepts clients."""
-        found = wait_until(lambda: next((e for e in self.log if e["event"] == "serves"), None), wait)
-        return str(found["listen"])
+        """Wait until the process accepts clients; return the address for them."""
+        line = wait_until(lambda: next((e for e in self.log if e["event"] == "serves"), None), wait)
+        return str(line["listen"])
 
     def write(self, node_list_address: str) -> None:
         known = {"rev": 1, "notices": [json.loads(self.node_list_service.lines[0])]}
@@ -370,9 +374,9 @@
 
 
 class LiveService:
-    """The service in this process, with real connections to fakes and a gate before its turns.
+    """The service in the process of the test, with real connections to fakes; its turns can be paused.
 
-    While it is paused, all that comes is read and nothing is handled.
+    While it is paused, arriving messages are read and queued, but not handled.
     """
 
     def __init__(
@@ -381,40 +385,40 @@
         self.machines = [FakeMachine(f"s-{n:08x}") for n in range(1, machines + 1)]
         rows = [m.row() for m in self.machines]
         self.node_list_service = FakeNodeListService(rows)
-        first = {"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": rows[:known]}}
+        known_update = {"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": rows[:known]}}
         self.config = CONFIG | {
             "board": self.node_list_service.address,
-            "known": {"rev": 1, "notices": [first]},
+            "known": {"rev": 1, "notices": [known_update]},
         }
         (folder / "config.json").write_text(json.dumps(self.config | (changes or {})))
         self.service = Service(str(folder / "config.json"))
-        self.events_read: list[ev.Event] = []  # by the service, whether handled or not
+        self.events_read: list[ev.Event] = []  # all events that the service has queued, handled or not
         enqueue, self._is_stalled = self.service.driver.enqueue, self.service.driver.stall_detector.is_stalled
 
-        def enqueues(*events: ev.Event) -> None:
+        def record_and_enqueue(*events: ev.Event) -> None:
             self.events_read.extend(events)
             enqueue(*events)
 
-        self.service.driver.enqueue = enqueues  # type: ignore[method-assign]
-        self.service.node_watch._enqueue = enqueues
+        self.service.driver.enqueue = record_and_enqueue  # type: ignore[method-assign]
+        self.service.node_watch._enqueue = record_and_enqueue
         self.greenlet = gevent.spawn(self.service.run)
         self.wait_until(lambda: self.service.listen_address and self.service.core.requests.ready)
 
-    def wait_until(self, what: Callable[[], Any], wait: float = WAIT_S) -> Any:
-        with gevent.Timeout(wait, AssertionError("it did not come about")):
-            while not (got := what()):
+    def wait_until(self, condition: Callable[[], Any], wait: float = WAIT_S) -> Any:
+        with gevent.Timeout(wait, AssertionError("condition not met in time")):
+            while not (value := condition()):
                 gevent.sleep(0.005)
-        return got
+        return value
 
     def run_in_thread(self, call: Callable[..., Any], *args: Any, **named: Any) -> Any:
-        """Run a fake's blocking call, while the service goes on."""
+        """Run a blocking call in a thread, so that the service goes on; return its result."""
         return gevent.get_hub().threadpool.apply(call, args, named)
 
     def connect_client(self, source: str = "127.0.0.1") -> FakeClient:
         return self.run_in_thread(FakeClient, self.service.listen_address, source)
 
     def place(self, client: FakeClient, number: int, sort: str = "worker") -> str:
-        """Place a task; its id."""
+        """Place a task and wait for the answer; return the task's id."""
         id = self.run_in_thread(client.request_placement, number, sort)
         assert [m.kind for m in self.run_in_thread(client.replies, id)] == [Kind.ANSWER]
         return id
@@ -442,14 +446,14 @@
 
 
 def live_services(folder: Path) -> Iterator[MakeService]:
-    """For fixtures: a function that starts services, which are closed and checked for faults in the end."""
-    made: list[LiveService] = []
+    """Yield a function that starts services; afterwards they are closed and must have counted no faults."""
+    services: list[LiveService] = []
 
-    def make(machines: int = 1, **more: Any) -> LiveService:
-        made.append(LiveService(folder, machines, **more))
-        return made[-1]
+    def make(machines: int = 1, **options: Any) -> LiveService:
+        services.append(LiveService(folder, machines, **options))
+        return services[-1]
 
     yield make
-    for service in made:
+    for service in services:
         service.close()
-    assert not any(service.service.core.counts.get("faults") for service in made)
+    assert not any(service.service.core.counts.get("faults") for service in services)
--- a/tests/platform/recording_planner.py
+++ b/tests/platform/recording_planner.py
@@ -1,6 +1,6 @@
-"""The platform's planner, with log lines of what it sends to machines for clients that may leave.
+"""Runs the platform's planner and logs each message that it sends to a machine for a task below ``FIRST_ID``.
 
-Each has the processor time that the planner has used by then.
+Each log line has the processor time that the planner has used so far.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from stairplank.platform.actions import ActionExecutor
 from stairplank.platform.run import main
 
-execute = ActionExecutor._execute
+original_execute = ActionExecutor._execute
 
 
 def processor_time_ms(process: str = "self") -> float:
-    """As the system accounts for it, in the same way for whoever asks."""
+    """Return a process's processor time as the kernel accounts for it; ``process`` is a process id."""
     return int(Path(f"/proc/{process}/schedstat").read_text().split()[0]) / 1e6
 
 
-def record(executor: ActionExecutor, action: events.Action) -> None:
-    execute(executor, action)
+def execute_and_log(executor: ActionExecutor, action: events.Action) -> None:
+    original_execute(executor, action)
     if isinstance(action, events.SendToMachine) and 0 < int(action.message.id, 16) < FIRST_ID:
         kind, cpu_ms = action.message.kind.name, processor_time_ms()
         line = json.dumps({"event": "sent", "id": action.message.id, "kind": kind, "cpu_ms": cpu_ms})
@@ -33,5 +33,5 @@
 
 
 if __name__ == "__main__":
-    ActionExecutor._execute = record  # type: ignore[method-assign]
+    ActionExecutor._execute = execute_and_log  # type: ignore[method-assign]
     sys.exit(main())
--- a/tests/platform/test_platform_service.py
+++ b/tests/platform/test_platform_service.py
@@ -1,4 +1,4 @@
-"""The service's own order of things: what it closes, reads and waits for before it goes on."""
+"""The order in which the service reads, handles and closes, and its bounds on slow or busy peers."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 def service(tmp_path: Path) -> Iterator[Service]:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG))
-    made = Service(str(path))
-    yield made
-    for stream in [*made.machines.streams.values(), *made.clients.streams.values()]:
+    service = Service(str(path))
+    yield service
+    for stream in [*service.machines.streams.values(), *service.clients.streams.values()]:
         stream.close(abort=True)
 
 
-def record_events(service: Service, monkeypatch: pytest.MonkeyPatch, note: Any) -> None:
-    monkeypatch.setattr(service.driver, "enqueue", lambda *events: [note(event) for event in events])
+def record_events(service: Service, monkeypatch: pytest.MonkeyPatch, record: Any) -> None:
+    monkeypatch.setattr(service.driver, "enqueue", lambda *events: [record(event) for event in events])
 
 
 def test_a_connection_with_malformed_messages_is_closed_before_the_core_is_notified(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ours, theirs = gsocket.socketpair()
-    monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
+    monkeypatch.setattr(module.address, "dial", lambda address, timeout_s: ours)
     closed: list[bool] = []
     record_events(
         service, monkeypatch, lambda e: closed.append(ours.closed) if isinstance(e, ev.LinkLost) else None
@@ -66,7 +66,7 @@
     theirs.close()
 
 
-def test_nothing_is_accepted_before_the_node_list_service_has_sent_what_came_since_the_file(
+def test_clients_are_accepted_after_the_node_list_updates_since_the_file_was_written(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "NODE_LIST_QUIET_S", 1.0)
@@ -91,7 +91,7 @@
     assert order == ["watched", "updated", "updated", "updated", "accepts"]
 
 
-def test_a_node_list_service_that_never_sends_keeps_no_planner_out_of_service(
+def test_the_planner_serves_although_the_node_list_service_never_sends(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "NODE_LIST_CATCH_UP_S", 0.05)
@@ -102,31 +102,30 @@
     assert service.core.counts["started_without_node_list"] == 1
 
 
-def test_a_placement_request_for_a_connection_that_is_lost_counts_as_unsent(service: Service) -> None:
-    """Its loss waits in the event queue as the core's turn sends on it: nothing of it can have been sent."""
-    seen: list[ev.Event] = []
+def test_a_placement_request_sent_on_a_lost_connection_is_reported_as_unsent(service: Service) -> None:
+    """The loss of the connection is still queued when the core sends on it, so no byte can have been sent."""
+    handled: list[ev.Event] = []
 
     class Core:
         def handle(self, now: int, batch: list[ev.Event]) -> list[ev.Action]:
-            seen.extend(batch)
+            handled.extend(batch)
             return []
 
     message = Message(Kind.PLACE, "00000000000000aa", {"class": "worker"}, body="x")
     service.core.links.links[7] = Link(7, 1)
     service.executor.execute_all([ev.SendToMachine(n, message) for n in (7, 8)])
-    assert list(service.machines.unsent_by_link) == [
-        7
-    ]  # of the other the core knows already: it would be kept for good
+    # The core knows that link 8 is closed: an entry for it would never be removed.
+    assert list(service.machines.unsent_by_link) == [7]
     service.driver.core = Core()  # type: ignore[assignment]
     service.driver._handle([ev.LinkLost(7, frozenset({"00000000000000bb"}))])
-    assert seen == [ev.LinkLost(7, frozenset({message.id, "00000000000000bb"}))]
+    assert handled == [ev.LinkLost(7, frozenset({message.id, "00000000000000bb"}))]
     assert not service.machines.unsent_by_link
 
 
-def test_a_placement_request_that_waits_during_a_node_list_update_is_placed_by_it(
+def test_a_node_list_update_is_handled_before_queued_placement_requests(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A burst of requests is read first; the drain that comes meanwhile is handled before most of them."""
+    """A drain that is read after a burst of requests is handled before most of the requests."""
     handled: list[str] = []
     monkeypatch.setattr(driver, "TURN_SLICE_S", 0.005)
     monkeypatch.setattr(service.driver.stall_detector, "is_stalled", lambda: False)
@@ -137,8 +136,8 @@
         return []
 
     monkeypatch.setattr(service.core, "handle", handle)
-    asks = [ev.ClientMessage(1, Message(Kind.PLACE, f"{n:016x}", {}, body="x")) for n in range(100)]
-    service.driver.enqueue(*asks)
+    requests = [ev.ClientMessage(1, Message(Kind.PLACE, f"{n:016x}", {}, body="x")) for n in range(100)]
+    service.driver.enqueue(*requests)
     turns = gevent.spawn(service.driver.run_turns)
     gevent.spawn(service.driver.enqueue, ev.NodeListUpdated(module.NodeList((), (), module.read_clocks)))  # type: ignore[arg-type]
     with gevent.Timeout(10):
@@ -148,70 +147,71 @@
     assert handled.index("NodeListUpdated") <= 20
 
 
-def test_it_does_not_leave_while_something_that_was_read_waits(
+def test_the_shutdown_is_not_done_while_events_are_queued(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(service.core.shutdown, "is_done", lambda: True)
     service.driver.enqueue(ev.ClientMessage(1, Message(Kind.PLACE, "00000000000000aa", {}, body="x")))
     assert not service._is_done()
     service.driver.queue.take_all()
-    gevent.spawn(
-        service.driver.enqueue, ev.ClientDisconnected(1)
-    )  # comes as it looks at the sockets once more
+    # This event arrives while the sockets are polled once more.
+    gevent.spawn(service.driver.enqueue, ev.ClientDisconnected(1))
     assert not service._is_done()
     service.driver.queue.take_all()
     assert service._is_done()
 
 
 def test_the_turns_wait_between_slices(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
-    """One that never waits while there is work counts as unresponsive."""
+    """Without waits under load the process would not read its sockets and would look unresponsive."""
     waits: list[float] = []
     monkeypatch.setattr(driver, "TURN_SLICE_S", 0.0)
     monkeypatch.setattr(service.driver.stall_detector, "is_stalled", lambda: False)
-    real = gevent.sleep
-    monkeypatch.setattr(module.gevent, "sleep", lambda s=0.0: (waits.append(s), real(s)))
+    original_sleep = gevent.sleep
+    monkeypatch.setattr(
+        module.gevent, "sleep", lambda seconds=0.0: (waits.append(seconds), original_sleep(seconds))
+    )
     for number in range(1, 100):
         service.driver.enqueue(ev.ClientMessage(1, Message(Kind.PLACE, f"{number:016x}", {}, body="x")))
     turns = gevent.spawn(service.driver.run_turns)
     with gevent.Timeout(10):
         while len(service.driver.queue):
-            real(0.01)
+            original_sleep(0.01)
     turns.kill()
-    assert sum(1 for s in waits if s >= 0.001) >= 10
+    assert sum(1 for seconds in waits if seconds >= 0.001) >= 10
 
 
-def asks(number: int) -> Message:
+def placement_request(number: int) -> Message:
     return Message(Kind.PLACE, f"{number:016x}", {"class": "worker"}, body="x" * 200)
 
 
-def test_a_client_whose_messages_always_arrive_in_pieces_keeps_its_connection(
+def test_a_client_whose_messages_always_arrive_in_parts_keeps_its_connection(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The time for one message to come whole runs anew with each: not over the connection's life."""
+    """The timeout for a partial message begins with each message, not with the connection."""
     monkeypatch.setattr(client_connections, "PARTIAL_MESSAGE_TIMEOUT_S", 0.2)
     received: list[ev.Event] = []
     record_events(service, monkeypatch, received.append)
     ours, theirs = gsocket.socketpair()
     stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._disconnected)
     reads = gevent.spawn(service.clients._serve, stream)
-    data = b"".join(binary.encode(asks(n)) for n in range(1, 61))
-    step = len(data) // 60 + 1  # never at the end of one but for the last
+    data = b"".join(binary.encode(placement_request(n)) for n in range(1, 61))
+    step = len(data) // 60 + 1  # no part but the last ends where a message ends
     for at in range(0, len(data), step):
         theirs.sendall(data[at : at + step])
         gevent.sleep(0.01)
     assert not stream.is_closing and sum(isinstance(e, ev.ClientMessage) for e in received) == 60
-    theirs.sendall(data[:9])  # and one that does not go on ends it
+    theirs.sendall(data[:9])  # a partial message without its rest
     reads.join(5)
     assert stream.is_closed and any(isinstance(e, ev.ClientDisconnected) for e in received)
     theirs.close()
 
 
-def test_a_machine_whose_lines_always_come_in_pieces_keeps_its_connection(
+def test_a_machine_whose_lines_always_arrive_in_parts_keeps_its_connection(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(machine_connections, "PARTIAL_LINE_TIMEOUT_S", 0.2)
     ours, theirs = gsocket.socketpair()
-    monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
+    monkeypatch.setattr(module.address, "dial", lambda address, timeout_s: ours)
     received: list[ev.Event] = []
     record_events(service, monkeypatch, received.append)
     service.machines.dials[7] = reads = gevent.spawn(service.machines._serve, 7, "127.0.0.1:1")
@@ -227,25 +227,25 @@
     theirs.close()
 
 
-def test_what_arrived_during_a_stall_is_read_before_a_wait_ends() -> None:
-    """Timer and bytes are ready together after a stall."""
+def test_data_that_arrived_during_a_stall_is_read_before_a_read_times_out() -> None:
+    """After a stall, the timeout has passed and data is ready at the same time."""
 
-    class Late:
+    class SocketWithLateData:
         def __init__(self) -> None:
-            self.waits: list[float | None] = []
+            self.timeouts: list[float | None] = []
 
-        def settimeout(self, wait: float | None) -> None:
-            self.waits.append(wait)
+        def settimeout(self, timeout_s: float | None) -> None:
+            self.timeouts.append(timeout_s)
 
-        def recv(self, most: int) -> bytes:
-            if self.waits[-1] != 0.0:
+        def recv(self, size: int) -> bytes:
+            if self.timeouts[-1] != 0.0:
                 raise TimeoutError("timed out")
             return b"rest"
 
-    assert streams.receive(Late(), 10, time.monotonic() - 1.0) == b"rest"
+    assert streams.receive(SocketWithLateData(), 10, time.monotonic() - 1.0) == b"rest"
 
 
-def test_much_sent_in_one_turn_costs_no_reader_its_connection() -> None:
+def test_a_reader_of_much_data_sent_in_one_turn_keeps_its_connection() -> None:
     ours, theirs = gsocket.socketpair()
     ours.setblocking(True)
     stream = streams.Stream(ours, 1, lambda s: None)
@@ -253,76 +253,82 @@
         stream.put(b"x" * 1000)
     assert not stream.is_closed
     stream.flush()
-    got = 0
+    received_bytes = 0
     with gevent.Timeout(10):
-        while got < 100_000:
-            got += len(theirs.recv(65_536))
-    assert got == 100_000
+        while received_bytes < 100_000:
+            received_bytes += len(theirs.recv(65_536))
+    assert received_bytes == 100_000
     stream.close()
     theirs.close()
 
 
-def test_the_node_list_service_is_watched_on_after_a_fault(
+def test_the_watch_of_the_node_list_service_goes_on_after_an_exception(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Else every drain from then on would go unnoticed."""
+    """If the watch ended, every later drain would go unnoticed."""
     monkeypatch.setattr(watching, "MIN_BACKOFF_S", 0.001)
-    asked: list[float] = []
+    dial_timeouts: list[float] = []
 
-    def dial(wait: float) -> bool:
-        asked.append(wait)
+    def dial(timeout_s: float) -> bool:
+        dial_timeouts.append(timeout_s)
         raise ZeroDivisionError("a fault")
 
     monkeypatch.setattr(service.node_watch, "_dial", dial)
     watch = gevent.spawn(service.node_watch.run)
     with gevent.Timeout(10):
-        while len(asked) < 3:
+        while len(dial_timeouts) < 3:
             gevent.sleep(0.005)
     assert not watch.dead
 
 
-def test_a_message_that_cannot_be_encoded_costs_no_other(service: Service) -> None:
+def test_a_message_that_cannot_be_encoded_does_not_stop_the_others(service: Service) -> None:
     ours, theirs = gsocket.socketpair()
     service.clients.streams[1] = streams.Stream(ours, 1, service.clients._disconnected)
-    unspeakable = Message(Kind.RELEASE, "00000000000000aa", {"no such field": "x"}, 41)
-    service.executor.execute_all([ev.SendToClient(1, unspeakable), ev.SendToClient(1, asks(2))])
+    not_encodable = Message(Kind.RELEASE, "00000000000000aa", {"no such field": "x"}, 41)
+    service.executor.execute_all(
+        [ev.SendToClient(1, not_encodable), ev.SendToClient(1, placement_request(2))]
+    )
     service.executor.flush()
-    assert theirs.recv(1000) == binary.encode(asks(2))
+    assert theirs.recv(1000) == binary.encode(placement_request(2))
     theirs.close()
 
 
 def test_a_cancellation_is_sent_before_a_duplicate_on_a_connection_written_to_earlier(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    left: list[tuple[int, int]] = []
+    written: list[tuple[int, int]] = []
 
-    class Line(streams.Stream):
+    class RecordingStream(streams.Stream):
         def _record_sent(self, size: int) -> None:
-            left.append((self.number, size))
+            written.append((self.number, size))
             super()._record_sent(size)
 
     pairs = [gsocket.socketpair() for _ in range(2)]
     for number, (ours, _) in enumerate(pairs, 1):
-        service.machines.streams[number] = Line(ours, number, service.machines._disconnected)
-    received = Message(Kind.ACKNOWLEDGEMENT, "00000000000000bb")
-    given_up = Message(Kind.RELEASE, "00000000000000aa", cause=16)
+        service.machines.streams[number] = RecordingStream(ours, number, service.machines._disconnected)
+    acknowledgement = Message(Kind.ACKNOWLEDGEMENT, "00000000000000bb")
+    cancellation = Message(Kind.RELEASE, "00000000000000aa", cause=16)
     service.executor.execute_all(
-        [ev.SendToMachine(2, received), ev.SendToMachine(1, given_up), ev.SendToMachine(2, asks(0xAA))]
+        [
+            ev.SendToMachine(2, acknowledgement),
+            ev.SendToMachine(1, cancellation),
+            ev.SendToMachine(2, placement_request(0xAA)),
+        ]
     )
     service.executor.flush()
-    first = [number for number, _ in left]
-    assert first[0] == 1 and first[-1] == 2
+    order = [number for number, _ in written]
+    assert order[0] == 1 and order[-1] == 2
     for _, theirs in pairs:
         theirs.close()
 
 
-def test_a_connection_is_closed_at_once_and_not_when_its_greenlet_has_its_turn() -> None:
+def test_a_graceful_close_takes_effect_without_waiting_for_the_greenlet() -> None:
     ours, theirs = gsocket.socketpair()
     stream = streams.Stream(ours, 1, lambda s: None)
-    stream.put(b"last words")
+    stream.put(b"last data")
     stream.close_gracefully()
     theirs.setblocking(False)
-    assert theirs.recv(100) == b"last words" and theirs.recv(100) == b""
+    assert theirs.recv(100) == b"last data" and theirs.recv(100) == b""
     stream.close()
     theirs.close()
 
@@ -330,7 +336,7 @@
 def test_after_a_stall_new_placement_requests_are_placed_in_slices(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All in one turn they are the next stall, and the drain that comes meanwhile is not read."""
+    """All requests in one turn would be the next stall, during which no drain is read."""
     batches: list[list[ev.Event]] = []
 
     def handle_after_stall(now: int, events: list[ev.Event]) -> list[ev.Action]:
@@ -338,16 +344,20 @@
         return []
 
     monkeypatch.setattr(service.core, "handle_after_stall", handle_after_stall)
-    over = ev.MachineMessage(9, Message(Kind.RELEASE, "00000000000000ff", cause=16))
-    service.driver.enqueue(*(ev.ClientMessage(1, asks(n)) for n in range(1, 100)), ev.LinkUp(9), over)
+    release = ev.MachineMessage(9, Message(Kind.RELEASE, "00000000000000ff", cause=16))
+    service.driver.enqueue(
+        *(ev.ClientMessage(1, placement_request(n)) for n in range(1, 100)), ev.LinkUp(9), release
+    )
     service.driver._resume_after_stall(300_000)
-    assert batches == [[ev.LinkUp(9), over]]
+    assert batches == [[ev.LinkUp(9), release]]
     assert sum(isinstance(e, ev.ClientMessage) for e in service.driver.queue.take_all()) == 99
 
 
-def test_a_dial_that_is_abandoned_ends_at_once(service: Service, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Else its descriptor counts for nobody until the dial's time is over."""
-    monkeypatch.setattr(module.address, "dial", lambda where, wait: gevent.sleep(3600))
+def test_closing_a_link_ends_its_dial_without_delay(
+    service: Service, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A dial that went on until its timeout would use a descriptor that is not counted."""
+    monkeypatch.setattr(module.address, "dial", lambda address, timeout_s: gevent.sleep(3600))
     service.executor.execute_all([ev.Dial(7, "127.0.0.1:1")])
     dial = service.machines.dials[7]
     gevent.sleep(0)
@@ -356,25 +366,25 @@
     assert dial.dead and not service.machines.dials
 
 
-def test_clients_are_not_read_while_too_much_waits_and_lose_nothing_by_it(
+def test_a_client_is_not_read_while_the_queue_is_full_and_keeps_its_connection(
     service: Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Half of a message lies unread meanwhile: its time to come whole begins with the next read."""
+    """Part of a message stays unread meanwhile; its timeout begins with the next read."""
     monkeypatch.setattr(client_connections, "PARTIAL_MESSAGE_TIMEOUT_S", 0.2)
     received: list[ev.Event] = []
     record_events(service, monkeypatch, received.append)
-    full = [True]
-    monkeypatch.setattr(service.driver.queue, "must_wait", lambda conn: full[0])
+    queue_is_full = [True]
+    monkeypatch.setattr(service.driver.queue, "must_wait", lambda conn: queue_is_full[0])
     ours, theirs = gsocket.socketpair()
     stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._disconnected)
     reads = gevent.spawn(service.clients._serve, stream)
-    data = binary.encode(asks(1))
+    data = binary.encode(placement_request(1))
     theirs.sendall(data[:50])
     gevent.sleep(0.3)
     theirs.sendall(data[50:60])
     gevent.sleep(0.05)
     assert len(ours.recv(10, gsocket.MSG_PEEK)) == 10  # not read
-    full[0] = False
+    queue_is_full[0] = False
     gevent.sleep(0.05)
     theirs.sendall(data[60:])
     with gevent.Timeout(10):
@@ -386,22 +396,22 @@
 
 
 @pytest.mark.parametrize("is_client", [True, False])
-def test_one_that_sends_at_full_speed_leaves_the_others_their_turns(
+def test_a_peer_that_sends_at_full_speed_does_not_keep_others_from_being_read(
     service: Service, monkeypatch: pytest.MonkeyPatch, is_client: bool
 ) -> None:
-    """A read that finds bytes does not wait: all of it would be read before anybody else is."""
+    """A read with data ready does not yield, so the peer's data would all be read before any other peer's."""
     received: list[ev.Event] = []
     record_events(service, monkeypatch, received.append)
     monkeypatch.setattr(client_connections, "READ_BYTES", 256)
     monkeypatch.setattr(machine_connections, "READ_BYTES", 256)
     ours, theirs = gsocket.socketpair()
     answer = Message(Kind.ANSWER, "00000000000000aa", body="x" * 200)
-    theirs.sendall((binary.encode(asks(1)) if is_client else jsonlines.encode(answer)) * 100)
+    theirs.sendall((binary.encode(placement_request(1)) if is_client else jsonlines.encode(answer)) * 100)
     if is_client:
         stream = service.clients.streams[1] = streams.Stream(ours, 1, service.clients._disconnected)
         reads = gevent.spawn(service.clients._serve, stream)
     else:
-        monkeypatch.setattr(module.address, "dial", lambda where, wait: ours)
+        monkeypatch.setattr(module.address, "dial", lambda address, timeout_s: ours)
         service.machines.dials[1] = reads = gevent.spawn(service.machines._serve, 1, "127.0.0.1:1")
     gevent.sleep(0)
     assert 0 < len(received) < 50
@@ -410,7 +420,7 @@
     assert len(received) > 100
 
 
-def test_a_list_that_is_no_object_cannot_be_used(service: Service) -> None:
+def test_a_known_update_that_is_not_an_object_is_rejected(service: Service) -> None:
     service.active_config.config = replace(service.config, known_updates=(5,))  # type: ignore[arg-type]
     with pytest.raises(ConfigError):
         service.run()
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""Other customers' settings: what the file may contain, and what it may leave out or have wrong."""
+"""Configuration files with missing, wrong or unusual values, and settings with tenants."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
 
 
 def with_value(value: Any, path: tuple[Any, ...], new: Any) -> Any:
-    out = copy.deepcopy(value)
-    at = out
+    changed = copy.deepcopy(value)
+    parent = changed
     for key in path[:-1]:
-        at = at[key]
+        parent = parent[key]
     if new is ABSENT:
-        del at[path[-1]]
+        del parent[path[-1]]
     else:
-        at[path[-1]] = new
-    return out
+        parent[path[-1]] = new
+    return changed
 
 
-def serves(c: config.Config) -> None:
-    """A moment of a day: two machines, a few tasks of each class, time passes."""
+def assert_every_task_is_answered(c: config.Config) -> None:
+    """Run a core with this configuration, two machines and a task of each class for 1.2 s of its time."""
     priced = c.handshake_price > 0
     core = Core(c.settings, c.fields, c.seed, c.sockets, c.dial_timeout_us, priced, c.idle_us, c.tenants)
     node_list = NodeList(c.zones, tuple(k.name for k in c.settings.node_types), lambda: (10**15, 10**9))
@@ -56,46 +56,46 @@
     now = 10**9
     actions = core.start(now, [update])
     actions += core.handle(now, [ev.ClientConnected(1, "c")])
-    for number, sort in enumerate(c.settings.classes, 1):
-        message = set_up(number, sort.name, idem="5c0f6e1a2b3d4c59a8b7c6d5e4f30211", left="900")
+    for number, task_class in enumerate(c.settings.classes, 1):
+        message = set_up(number, task_class.name, idem="5c0f6e1a2b3d4c59a8b7c6d5e4f30211", left="900")
         actions += core.handle(now, [ev.ClientMessage(1, message)])
-    owed = [a.message.id for a in actions if isinstance(a, ev.SendToClient)]
+    answered = [a.message.id for a in actions if isinstance(a, ev.SendToClient)]
     for _ in range(12):
         now += 100_000
         actions = core.handle(now, [ev.TimerDue()])
         actions += core.handle(now, [ev.LinkUp(a.link) for a in actions if isinstance(a, ev.Dial)])
-        owed += [a.message.id for a in actions if isinstance(a, ev.SendToClient)]
-    assert set(owed) == {name(n) for n in range(1, len(c.settings.classes) + 1)}
+        answered += [a.message.id for a in actions if isinstance(a, ev.SendToClient)]
+    assert set(answered) == {name(n) for n in range(1, len(c.settings.classes) + 1)}
 
 
 @pytest.mark.parametrize("path", list(leaves(CONFIG)), ids=lambda path: ".".join(map(str, path)))
 def test_a_file_is_used_or_rejected_with_its_reason(tmp_path: Path, path: tuple[Any, ...]) -> None:
-    """Each field in turn absent, zero, huge, of another kind: nothing else than these two comes of it."""
+    """Each field in turn is absent, zero, huge or of another type: the file is rejected or served."""
     file = tmp_path / "config.json"
     loaded = 0
     for new in VALUES:
         file.write_text(json.dumps(with_value(CONFIG, path, new)))
         try:
-            got = config.load(str(file))
+            loaded_config = config.load(str(file))
         except config.ConfigError as error:
             assert str(error)
             continue
         loaded += 1
-        serves(got)
+        assert_every_task_is_answered(loaded_config)
     if path[0] in ("name", "seed"):
         assert loaded
 
 
-def test_tasks_count_for_the_tenant_that_they_name() -> None:
+def test_a_task_is_assigned_to_the_tenant_that_it_names() -> None:
     desk = Desk(tenants=("casa", "rua"), tenant_share=(0.6, 0.4), tenant_quota_cores=(9.0, 6.0))
     conn = desk.owner()
-    seen: list[int] = []
-    take = desk.core.module.handle
+    tenants_seen: list[int] = []
+    original_handle = desk.core.module.handle
 
     def handle(now: int, event: Any) -> Any:
         if hasattr(event, "task") and hasattr(event.task, "tenant"):
-            seen.append(event.task.tenant)
-        return take(now, event)
+            tenants_seen.append(event.task.tenant)
+        return original_handle(now, event)
 
     desk.core.module.handle = handle  # type: ignore[method-assign]
     desk.ask(conn, 1, tenant="casa")
@@ -103,9 +103,9 @@
     desk.ask(conn, 3)
     desk.ask(conn, 4, at="s-00000001", tenant="rua")
     desk.ask(conn, 5, tenant="nobody")
-    assert seen == [0, 1, 0, 1]
-    assert [w[1:] for w in desk.replies(5)] == [(Kind.RELEASE, 100)]
+    assert tenants_seen == [0, 1, 0, 1]
+    assert [reply[1:] for reply in desk.replies(5)] == [(Kind.RELEASE, 100)]
 
 
-def test_where_there_are_no_tenants_none_is_looked_for() -> None:
+def test_without_tenants_in_the_settings_a_tenant_name_is_ignored() -> None:
     assert validation.validate_request(set_up(1, tenant="casa"), "c", Desk().settings).tenant == 0
--- a/tests/platform/test_platform_watch.py
+++ b/tests/platform/test_platform_watch.py
@@ -1,4 +1,4 @@
-"""The node list service on real connections: how it may hide updates, and how soon they are received."""
+"""Faults of a node list service on real connections, and how soon its updates are received all the same."""
 
 from __future__ import annotations
 
@@ -22,56 +22,58 @@
 
 
 class Watched:
+    """A watch of a fake node list service, with the events and counts that it produces."""
+
     def __init__(self) -> None:
         self.service = FakeNodeListService([ROW])
         self.events: list[ev.Event] = []
         self.counts: list[str] = []
-        made = NodeList(("a",), ("k",), read_clocks)
-        self.watch = NodeWatch(made, self.service.address, self.events.append, self.counts.append)
+        node_list = NodeList(("a",), ("k",), read_clocks)
+        self.watch = NodeWatch(node_list, self.service.address, self.events.append, self.counts.append)
         self.greenlet = gevent.spawn(self.watch.run)
 
-    def wait_until(self, what: Callable[[], Any]) -> Any:
-        with gevent.Timeout(20, AssertionError("it did not come about")):
-            while not (got := what()):
+    def wait_until(self, condition: Callable[[], Any]) -> Any:
+        with gevent.Timeout(20, AssertionError("condition not met within 20 s")):
+            while not (value := condition()):
                 gevent.sleep(0.005)
-        return got
+        return value
 
     def wait_for_revision(self, rev: int) -> float:
-        """Return the seconds until it has that revision."""
-        began = time.monotonic()
+        """Wait until the watch has applied this revision; return the seconds that it took."""
+        started_s = time.monotonic()
         self.wait_until(lambda: self.watch.node_list.revision >= rev)
-        return time.monotonic() - began
+        return time.monotonic() - started_s
 
 
 @pytest.fixture
 def watched() -> Iterator[Watched]:
-    made = Watched()
-    made.wait_for_revision(1)
-    yield made
-    made.greenlet.kill()
-    made.service.close()
+    watched = Watched()
+    watched.wait_for_revision(1)
+    yield watched
+    watched.greenlet.kill()
+    watched.service.close()
 
 
-@pytest.mark.parametrize("silent", [0, 1, 2])
-def test_a_service_that_falls_silent_is_received_again_within_four_seconds(
-    watched: Watched, silent: int
+@pytest.mark.parametrize("silent_count", [0, 1, 2])
+def test_updates_arrive_within_four_seconds_after_the_service_falls_silent(
+    watched: Watched, silent_count: int
 ) -> None:
-    """``silent``: so many of the next connections come up and send nothing either."""
+    """``silent_count``: number of further connections that open and send nothing."""
     seen = len(watched.service.watches)
-    watched.service.silent = set(range(seen + silent))
+    watched.service.silent = set(range(seen + silent_count))
     watched.service.publish(ROW | {"health": "DRAINING"})
     assert watched.wait_for_revision(2) < 4.0
-    assert len(watched.service.watches) == seen + silent + 1
+    assert len(watched.service.watches) == seen + silent_count + 1
 
 
-def test_a_service_that_goes_on_with_an_old_revision_is_asked_again(watched: Watched) -> None:
-    """It sends its revision each second, and nothing shows that updates are missing."""
+def test_a_connection_that_stays_at_an_old_revision_is_replaced(watched: Watched) -> None:
+    """The service goes on sending the old revision, so nothing shows that updates are missing."""
     watched.service.stale = set(range(len(watched.service.watches)))
     watched.service.publish(ROW | {"health": "DRAINING"})
     assert watched.wait_for_revision(2) < 4.0
 
 
-def test_a_revision_without_its_update_is_asked_for_at_once_and_not_in_a_loop(watched: Watched) -> None:
+def test_a_missing_update_is_requested_without_delay_but_not_in_a_busy_loop(watched: Watched) -> None:
     seen = len(watched.service.watches)
     watched.service.without_updates = set(range(seen + 3))
     watched.service.publish(ROW | {"health": "DRAINING"})
@@ -79,12 +81,12 @@
     assert seen + 3 < len(watched.service.watches) < seen + 6
 
 
-def test_a_working_watch_is_kept_while_no_new_one_comes_up(
+def test_a_working_connection_is_kept_while_new_dials_fail(
     watched: Watched, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     dials: list[float] = []
 
-    def refused(where: str, wait: float) -> Any:
+    def refused(address: str, timeout_s: float) -> Any:
         dials.append(time.monotonic())
         raise ConnectionRefusedError
 
@@ -99,7 +101,7 @@
     watched: Watched,
 ) -> None:
     seen = len(watched.service.watches)
-    watched.wait_until(lambda: len(watched.service.watches) > seen)  # it is only time
+    watched.wait_until(lambda: len(watched.service.watches) > seen)  # the renewal interval is over
     watched.wait_until(lambda: len(watched.watch._connections) == 1)
     watched.service.silent = set(range(100))
     for _ in range(100):
@@ -107,47 +109,47 @@
         gevent.sleep(0.03)
 
 
-def test_after_a_break_two_dials_that_time_out_are_made_up_within_two_seconds(
+def test_updates_arrive_within_two_seconds_after_a_broken_connection_and_two_failed_dials(
     watched: Watched, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     dial, dials = module.address.dial, [0]
 
-    def lost(where: str, wait: float) -> Any:
+    def timing_out(address: str, timeout_s: float) -> Any:
         dials[0] += 1
         if dials[0] > 2:
-            return dial(where, wait)
-        gevent.sleep(wait)
+            return dial(address, timeout_s)
+        gevent.sleep(timeout_s)
         raise TimeoutError
 
-    monkeypatch.setattr(module.address, "dial", lost)
+    monkeypatch.setattr(module.address, "dial", timing_out)
     watched.service.breaks_off = True
     watched.service.publish(ROW | {"health": "DRAINING"})
     assert watched.wait_for_revision(2) < 2.0
 
 
-def test_a_move_while_the_old_address_is_being_dialled_is_followed(
+def test_a_new_address_set_while_the_old_one_is_being_dialled_is_used(
     watched: Watched, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     dial = module.address.dial
-    gate: list[str] = []
+    dialled: list[str] = []
 
-    def slow(where: str, wait: float) -> Any:
-        gate.append(where)
+    def slow(address: str, timeout_s: float) -> Any:
+        dialled.append(address)
         gevent.sleep(0.2)
-        return dial(where, wait)
+        return dial(address, timeout_s)
 
     monkeypatch.setattr(module.address, "dial", slow)
-    other = FakeNodeListService([])
-    other.lines = [*watched.service.lines]
-    watched.wait_until(lambda: gate)
+    new_service = FakeNodeListService([])
+    new_service.lines = [*watched.service.lines]
+    watched.wait_until(lambda: dialled)
     watched.watch.set_address("127.0.0.1:9")
-    watched.watch.set_address(other.address)  # two in a row: the last counts
-    other.publish(ROW | {"health": "DRAINING"})
-    assert watched.wait_for_revision(2) < 2.0 and other.watches == [1]
-    other.close()
+    watched.watch.set_address(new_service.address)  # the last of two changes is used
+    new_service.publish(ROW | {"health": "DRAINING"})
+    assert watched.wait_for_revision(2) < 2.0 and new_service.watches == [1]
+    new_service.close()
 
 
-def test_an_entry_that_cannot_be_used_hides_no_drain(watched: Watched) -> None:
+def test_a_drain_is_applied_beside_unusable_entries(watched: Watched) -> None:
     watched.service.publish(
         {"host": "s-2", "health": "SERVING"}, 5, ROW | {"health": "DRAINING", "spare": "?"}
     )
