--- a/stairplank/platform/config.py
+++ b/stairplank/platform/config.py
@@ -21,7 +21,7 @@
     """The configuration cannot be used.
 
     Attributes:
-        reason: A sentence that says what is wrong.
+        reason: What is wrong, as text.
         path: The file's path, if the text names it.
         key: The key in the file whose value is wrong; None if the whole file is.
         value: The wrong value.
--- a/stairplank/platform/core.py
+++ b/stairplank/platform/core.py
@@ -191,7 +191,7 @@
         return self.loop.actions
 
     def may_send(self, now: int, link: int, id: str) -> bool:
-        """Return whether a message of which no byte has been written may still go out on its connection."""
+        """Return whether a message that is wholly unwritten may still be written to its connection."""
         self.loop.now = max(self.loop.now, now)
         return self.links.may_send(link, id)
 
--- a/stairplank/platform/driver.py
+++ b/stairplank/platform/driver.py
@@ -24,7 +24,7 @@
 # Wait between slices: gevent.sleep(0) may return without polling the sockets.
 SOCKET_POLL_S = 0.001
 MAX_RESUME_BATCH = 256  # events of one turn after a stall: about as many as fit into TURN_SLICE_S
-MAX_RESUME_S = 0.5  # timers run this long after a stall, even if messages keep arriving
+MAX_RESUME_S = 0.5  # timers run at the latest this long after a stall, even if messages keep arriving
 MIN_LOGGED_STALL_US = 1_000_000  # shorter stalls are counted, not logged
 
 TurnHandler = Callable[[int, list[ev.Event]], list[ev.Action]]
--- a/stairplank/platform/machines.py
+++ b/stairplank/platform/machines.py
@@ -77,7 +77,7 @@
     def update(self, update: NodeListUpdate) -> None:
         """Apply an update of the node list, and pass it on to the decision module."""
         if update.full and not update.machines and self.machines:
-            # An empty list is taken for a fault of the service: applied, it would stop all placement.
+            # No cluster is without machines, so an empty list is a fault; applied, it would end all work.
             self.loop.count("empty_lists")
             return
         if update.full:
@@ -109,7 +109,7 @@
                 self._removed(machine)
             return True
         if not row.address and machine is None:
-            return False  # an entry without an address is of use only for a known machine
+            return False  # no task can be sent to a new machine without an address
         if machine is None:
             if len(self.machines) >= MAX_MACHINES:
                 self.loop.count("machines_over_limit")
@@ -135,7 +135,7 @@
         return True
 
     def _claim_address(self, address: str, machine: Machine, others: list[api.NodeEntry]) -> None:
-        """Assign an address to a machine; one that had the address before is removed and added to ``others``.
+        """Assign an address to a machine; the machine that had it before is removed and added to ``others``.
 
         If the old machine stayed, its connections would be dialled to the new one, which would answer for it.
         """
--- a/stairplank/platform/node_list.py
+++ b/stairplank/platform/node_list.py
@@ -55,7 +55,7 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
-class UnknownKinds:
+class MachinesOfUnknownType:
     """Machines whose node type the settings do not have, as last listed, until a reload adds the type.
 
     It has at most one entry per machine and per address.
@@ -63,7 +63,7 @@
 
     def __init__(self) -> None:
         self._machines: dict[int, tuple[str, ListedNode]] = {}  # machine number: name of its node type, entry
-        self._at: dict[str, int] = {}  # address: machine number
+        self._by_address: dict[str, int] = {}  # address: machine number
 
     def __len__(self) -> int:
         return len(self._machines)
@@ -71,17 +71,17 @@
     def remember(self, machine: ListedNode, kind: str) -> None:
         """Store a machine whose node type the settings do not have yet."""
         self._machines[machine.entry.id] = (kind, machine)
-        self._at[machine.address] = machine.entry.id
+        self._by_address[machine.address] = machine.entry.id
 
     def forget(self, node: int) -> None:
         """Remove the machine with this number, if it is stored."""
         known = self._machines.pop(node, None)
         if known is not None:
-            del self._at[known[1].address]
+            del self._by_address[known[1].address]
 
     def forget_at(self, address: str) -> None:
         """Remove the machine at this address, if one is stored."""
-        node = self._at.get(address)
+        node = self._by_address.get(address)
         if node is not None:
             self.forget(node)
 
@@ -115,7 +115,7 @@
         self._unreadable = 0  # revision of the last update that could not be read and is requested once more
         # By machine number: the reported start in Unix milliseconds, and the start on the local clock.
         self._started: dict[int, tuple[int, int]] = {}
-        self._unknown = UnknownKinds()
+        self._unknown = MachinesOfUnknownType()
 
     def set_names(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> NodeListUpdate | None:
         """Set the names of zones and node types; return an update with machines of new types, or None.
--- a/stairplank/platform/service.py
+++ b/stairplank/platform/service.py
@@ -29,7 +29,7 @@
 from .reload import ConfigInForce
 
 LISTEN_BACKLOG = 1024
-NODE_LIST_CATCH_UP_S = 1.5  # at most this long a start waits: the service sends its revision each second
+NODE_LIST_CATCH_UP_S = 1.5  # maximum wait at startup: the service sends its revision each second
 # After this time without data from the node list service, all earlier updates count as received: the service
 # sends them at once. It must be far less than ``drain_grace_us``.
 NODE_LIST_QUIET_S = 0.1
@@ -117,8 +117,8 @@
     def reload(self) -> None:
         """Read the configuration file again and apply its settings and the node list service's address.
 
-        The file may be read while it is being written. So it is read again for a second before it is
-        rejected, which leaves settings and address as they are.
+        The file may be read while it is being written. So an unreadable file is read again for a second, and
+        then rejected; settings and address stay as they are.
         """
         self._reload_count += 1
         reload_number = self._reload_count
--- a/stairplank/platform/shutdown.py
+++ b/stairplank/platform/shutdown.py
@@ -67,7 +67,7 @@
         return min(wait_us, self.killed_at - ANSWER_LAST_US - self.loop.now)
 
     def _answer_all(self, _: None) -> None:
-        """Answer all open tasks: shed those that a client may safely retry, fail the others."""
+        """Answer all open tasks: shed a task that its client may safely retry, fail any other."""
         for task in self.tasks.open_tasks():
             self.loop.notify_module(api.TaskCancelled(task.number))
             if self._may_be_retried(task):
--- a/tests/platform/test_platform_settings_reload.py
+++ b/tests/platform/test_platform_settings_reload.py
@@ -395,13 +395,13 @@
     node_list = node_list_with(row(1), row(2, **HUGE))
     change(node_list)
     assert machines_with_new_type(node_list) == []
-    assert (len(node_list._unknown), node_list._unknown._at) == (0, {})
+    assert (len(node_list._unknown), node_list._unknown._by_address) == (0, {})
 
 
 def test_a_machine_with_a_changed_address_is_listed_with_the_new_one() -> None:
     node_list = node_list_with(row(2, **HUGE))
     apply_update(node_list, row(2, **HUGE, dial="127.8.1.77:2905"))
-    assert list(node_list._unknown._at) == ["127.8.1.77:2905"]
+    assert list(node_list._unknown._by_address) == ["127.8.1.77:2905"]
     update = node_list.set_names(("east",), ("std", "huge"))
     assert update is not None and [m.address for m in update.machines] == ["127.8.1.77:2905"]
 
