--- a/stairplank/configuration/__init__.py
+++ b/stairplank/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""One configuration for all planners of a site: published in numbered revisions, followed, taken live."""
+"""Publishes one configuration for all planners of a site in numbered revisions, which they apply live."""
--- a/stairplank/configuration/changes.py
+++ b/stairplank/configuration/changes.py
@@ -1,4 +1,4 @@
-"""What a changed configuration changes at a running planner, by the keys of its file. No I/O or clock."""
+"""Compares two configurations by settings key and finds what needs a restart. No I/O or clock."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     """Which connections a changed key applies to."""
 
     LIVE = "live"
-    NEW_CONNECTIONS = "new connections"  # open ones keep what they were made with
+    NEW_CONNECTIONS = "new connections"  # connections that are already open keep the old value
 
 
 @dataclass(frozen=True, slots=True)
 class LiveChange:
-    """A key that may change while the planner runs, and does."""
+    """A changed key that takes effect while the planner runs."""
 
     key: str
     scope: ChangeScope
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartRequirement:
-    """A key that differs and may not change while the planner runs."""
+    """A changed key that takes effect only after a restart, and the reason."""
 
     key: str
     message: str
@@ -41,17 +41,17 @@
 
 
 class RestartRequiredError(ConfigurationError):
-    """A configuration that a running planner cannot take: every key at fault, not only the first."""
+    """Raised for a configuration that needs a restart; lists every key that requires it."""
 
     def __init__(self, needs_restart: tuple[RestartRequirement, ...]) -> None:
-        """Name every key and its reason in the text."""
+        """Build the error text from every key and its reason."""
         self.requirements = needs_restart
         super().__init__("; ".join(map(str, needs_restart)))
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChanges:
-    """How two configurations of one planner differ."""
+    """The differences between two configurations of one planner."""
 
     live_changes: tuple[LiveChange, ...] = ()
     restart_requirements: tuple[RestartRequirement, ...] = ()
@@ -63,25 +63,25 @@
 
     @property
     def keys(self) -> tuple[str, ...]:
-        """The keys that differ and may."""
+        """The changed keys that take effect without a restart."""
         return tuple(change.key for change in self.live_changes)
 
     def raise_if_restart_required(self) -> None:
-        """Raise RestartRequiredError where any key needs a restart: nothing is applied then."""
+        """Raise RestartRequiredError if any changed key needs a restart, so that nothing is applied."""
         if self.restart_requirements:
             raise RestartRequiredError(self.restart_requirements)
 
 
-# A connection's limits are its own: a buffer or a timer of an open one is not made anew.
+# Limits that are fixed when a connection opens: open connections keep their buffers and timers.
 NEW_CONNECTION_KEYS = frozenset({"send-buffer", "message-most", "keepalive"})
-OWN_KEYS: Mapping[str, str] = {
+PER_PLANNER_KEYS: Mapping[str, str] = {
     "listen": "listen",
     "directory": "directory",
     "seed": "seed",
     "configuration": "configuration",
     "configuration_copy": "configuration-copy",
 }
-_OWN_KEY_REASON = "it is this planner's own, and read when the process starts"
+_PER_PLANNER_REASON = "it is this planner's own setting and is read only when the process starts"
 
 LIST_KEYS: Mapping[str, str] = {
     "classes": "class",
@@ -128,20 +128,20 @@
     tenants = changed_names(
         "tenants", [n for n, _ in old.cluster.tenants], [n for n, _ in new.cluster.tenants]
     )
-    found: dict[str, LiveChange | RestartRequirement] = {}
-    for difference in (*_own_key_changes(old, new), *settings, *zones, *tenants):
-        _add_stricter(found, _change_of_key(difference))
+    changes_by_key: dict[str, LiveChange | RestartRequirement] = {}
+    for difference in (*_per_planner_changes(old, new), *settings, *zones, *tenants):
+        _add_stricter(changes_by_key, _change_of_key(difference))
     for key in _changed_tunables(old, new):
-        reach = ChangeScope.NEW_CONNECTIONS if key in NEW_CONNECTION_KEYS else ChangeScope.LIVE
-        _add_stricter(found, LiveChange(key, reach))
+        scope = ChangeScope.NEW_CONNECTIONS if key in NEW_CONNECTION_KEYS else ChangeScope.LIVE
+        _add_stricter(changes_by_key, LiveChange(key, scope))
     return ConfigurationChanges(
-        tuple(entry for entry in found.values() if isinstance(entry, LiveChange)),
-        tuple(entry for entry in found.values() if isinstance(entry, RestartRequirement)),
+        tuple(entry for entry in changes_by_key.values() if isinstance(entry, LiveChange)),
+        tuple(entry for entry in changes_by_key.values() if isinstance(entry, RestartRequirement)),
     )
 
 
 def key_of(path: tuple[str, ...]) -> str:
-    """Return the key of a planner's file that sets a field."""
+    """Return the settings key that sets the field at ``path``."""
     if len(path) == 1:
         return LIST_KEYS.get(path[0]) or SETTINGS_KEYS.get(path[0], path[0])
     entries, name, field = path
@@ -149,9 +149,9 @@
     return f"{LIST_KEYS[entries]} {name}: {key}"
 
 
-def _own_key_changes(old: PlannerConfig, new: PlannerConfig) -> list[FieldChange]:
-    differ = [field for field in OWN_KEYS if getattr(old, field) != getattr(new, field)]
-    return [FieldChange((OWN_KEYS[field],), _OWN_KEY_REASON) for field in differ]
+def _per_planner_changes(old: PlannerConfig, new: PlannerConfig) -> list[FieldChange]:
+    differ = [field for field in PER_PLANNER_KEYS if getattr(old, field) != getattr(new, field)]
+    return [FieldChange((PER_PLANNER_KEYS[field],), _PER_PLANNER_REASON) for field in differ]
 
 
 def _changed_tunables(old: PlannerConfig, new: PlannerConfig) -> list[str]:
@@ -170,11 +170,11 @@
 
 
 def _add_stricter(
-    found: dict[str, LiveChange | RestartRequirement], entry: LiveChange | RestartRequirement
+    changes_by_key: dict[str, LiveChange | RestartRequirement], entry: LiveChange | RestartRequirement
 ) -> None:
-    """Record one entry a key, the stricter one.
+    """Record one entry per key; a required restart takes precedence over a live change.
 
-    Danger: two fields share a key, and the harmless one would hide the other.
+    Several fields can share a key; one that may change live would otherwise hide one that needs a restart.
     """
-    if not isinstance(found.get(entry.key), RestartRequirement):
-        found[entry.key] = entry
+    if not isinstance(changes_by_key.get(entry.key), RestartRequirement):
+        changes_by_key[entry.key] = entry
--- a/stairplank/configuration/client.py
+++ b/stairplank/configuration/client.py
@@ -1,4 +1,4 @@
-"""The operator's side: publishes a text at the replicas, and collects which revision is in force where."""
+"""Operator's client: publishes a configuration to the replicas and collects each planner's revision."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublicationResult:
-    """What became of a publication."""
+    """The outcome of a publication, and the replicas that could not be reached."""
 
     outcome: PublicationOutcome
     revision: Revision
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerSummary:
-    """A planner's process by its newest report. Times in microseconds."""
+    """The state of a planner process according to its newest report. Times are in microseconds."""
 
     planner: int
     incarnation: int
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteStatus:
-    """The newest committed revision, and all planners that any replica knows."""
+    """The newest committed revision, the planners known to any replica, and the unreachable replicas."""
 
     committed: Revision
     planners: tuple[PlannerSummary, ...]
     unreachable: tuple[str, ...]
 
     def in_force_everywhere(self, planners: int) -> bool:
-        """Whether at least so many planners are connected, and each of them has the committed revision."""
+        """Whether at least ``planners`` planners are connected, all of them with the committed revision."""
         connected = [planner for planner in self.planners if planner.connected]
         positions = {planner.planner for planner in connected}
         are_current = all(planner.in_force == self.committed for planner in connected)
@@ -77,7 +77,7 @@
 def _call_all(
     replicas: tuple[str, ...], method: str, request: Any, response_type: Any, timeout_s: float
 ) -> list[Any]:
-    """Call every replica at the same time; None stands for one that cannot be reached."""
+    """Call all replicas concurrently and return their responses; None marks an unreachable replica."""
 
     def response_of(replica: str) -> Any:
         try:
@@ -102,13 +102,13 @@
 def publish(
     replicas: tuple[str, ...], text: str, timeout_s: float = CALL_TIMEOUT_S, base: int | None = None
 ) -> PublicationResult:
-    """Publish the text as the next revision.
+    """Publish the text as the next revision and return the outcome.
 
     Args:
         replicas: Addresses of all replicas of the site.
-        text: The configuration.
-        timeout_s: For each of the three rounds of calls, in seconds.
-        base: The number that has to be the committed one; None for any.
+        text: The text of the configuration.
+        timeout_s: Timeout of each of the three rounds of calls, in seconds.
+        base: Number that the committed revision must have; None accepts any.
     """
     count = len(replicas)
     statuses = _statuses(replicas, timeout_s)
@@ -122,9 +122,9 @@
     committed = publication.newest_committed(numbers)
     if number is None:
         return PublicationResult(PublicationOutcome.NO_QUORUM, committed, (), unreachable)
-    # Danger: two operators who both started from the same text would each undo the other's change.
+    # Without this check, two operators who edit the same revision would each overwrite the other's change.
     if base is not None and base != committed.number:
-        problem = f"{committed.number} is committed, not {base}"
+        problem = f"revision {committed.number} is committed, not {base}"
         return PublicationResult(PublicationOutcome.CONFLICT, committed, (problem,))
     proposal = RevisionText(make_revision(number, text), text)
     outcome, problems = _publish_proposal(replicas, proposal, timeout_s)
@@ -134,17 +134,19 @@
 def _publish_proposal(
     replicas: tuple[str, ...], proposal: RevisionText, timeout_s: float
 ) -> tuple[PublicationOutcome, tuple[str, ...]]:
-    """Prepare and commit at all replicas; return the outcome and the problems of the text."""
+    """Prepare and commit the proposal at all replicas; return the outcome and the problems of its text."""
     count = len(replicas)
     prepare = pb.PrepareRequest(proposal=revision_text_to_message(proposal))
     prepared = _call_all(replicas, "Prepare", prepare, pb.PublicationResponse, timeout_s)
-    failure = publication.outcome_after_prepare(count, [_phase_answer(one) for one in prepared])
+    failure = publication.outcome_after_prepare(count, [_phase_answer(response) for response in prepared])
     if failure is not None:
-        problems = (tuple(one.problems) for one in prepared if one is not None and one.problems)
+        problems = (
+            tuple(response.problems) for response in prepared if response is not None and response.problems
+        )
         return failure, next(problems, ())
     commit = pb.CommitRequest(revision=revision_to_message(proposal.revision))
     committed = _call_all(replicas, "Commit", commit, pb.PublicationResponse, timeout_s)
-    return publication.outcome_after_commit(count, [_phase_answer(one) for one in committed]), ()
+    return publication.outcome_after_commit(count, [_phase_answer(response) for response in committed]), ()
 
 
 def _phase_answer(response: Any) -> PhaseAnswer:
@@ -154,9 +156,9 @@
 
 
 def site_status(replicas: tuple[str, ...], timeout_s: float = CALL_TIMEOUT_S) -> SiteStatus:
-    """Collect the status of every replica; of a planner the newest report counts."""
-    found = _statuses(replicas, timeout_s)
-    statuses = [status for status in found if status is not None]
+    """Collect the status of every replica; for each planner process the newest report counts."""
+    responses = _statuses(replicas, timeout_s)
+    statuses = [status for status in responses if status is not None]
     planners: dict[tuple[int, int], PlannerSummary] = {}
     for summary in (_planner_summary(message) for status in statuses for message in status.planners):
         process = summary.planner, summary.incarnation
@@ -165,11 +167,11 @@
             planners[process] = summary
     committed = [revision_from_message(status.committed) for status in statuses]
     summaries = tuple(planners[process] for process in sorted(planners))
-    return SiteStatus(max(committed, default=NO_REVISION), summaries, _unreachable(replicas, found))
+    return SiteStatus(max(committed, default=NO_REVISION), summaries, _unreachable(replicas, responses))
 
 
 def _freshness(summary: PlannerSummary) -> tuple[bool, int]:
-    """Return what is larger for a later report; a connected planner's goes before all others."""
+    """Return a sort key that is larger for a newer report; reports of connected planners sort last."""
     return summary.connected, -summary.report_age_us
 
 
--- a/stairplank/configuration/convert.py
+++ b/stairplank/configuration/convert.py
@@ -12,27 +12,27 @@
 
 
 def revision_to_message(revision: Revision) -> Any:
-    """Return the message of a revision."""
+    """Return the protobuf message for a revision."""
     return pb.Revision(number=revision.number, digest=revision.digest)
 
 
 def revision_from_message(message: Any) -> Revision:
-    """Return a revision from its message; an absent one is number 0."""
+    """Return the revision in a message; an absent message gives revision number 0."""
     return Revision(message.number, message.digest)
 
 
 def revision_text_to_message(stored: RevisionText) -> Any:
-    """Return the message of a revision with its text."""
+    """Return the protobuf message for a revision with its text."""
     return pb.RevisionText(revision=revision_to_message(stored.revision), text=stored.text)
 
 
 def revision_text_from_message(message: Any) -> RevisionText:
-    """Return a revision with its text from its message."""
+    """Return the revision and its text in a message."""
     return RevisionText(revision_from_message(message.revision), message.text)
 
 
 def planner_status_to_message(status: PlannerStatus, now: int) -> Any:
-    """Return the message of a planner's status at that time."""
+    """Return the protobuf message for a planner's status; ``now`` dates its last report."""
     message = pb.PlannerStatus(
         planner=status.planner,
         life=status.incarnation,
--- a/stairplank/configuration/field_changes.py
+++ b/stairplank/configuration/field_changes.py
@@ -1,8 +1,8 @@
 """Which settings of the decision module may change while a planner runs. No I/O or clock.
 
-A planner knows classes, node types, zones and tenants by their numbers, and holds records that were made with
-some of the settings: what would make a number or a record mean something else needs a restart. Everything
-else is read by the module at each use, and may change between two of its decisions.
+A planner refers to classes, node types, zones and tenants by number, and some of its records depend on
+settings. A change that would give a number or a record another meaning needs a restart. The decision module
+reads all other settings at each use, so they may change between two decisions.
 """
 
 from __future__ import annotations
@@ -13,27 +13,29 @@
 
 from .. import interface as api
 
-_IDEMPOTENCY_REASON = "a task in flight was sent under the promise that this makes about a second start"
-_NODE_TYPE_REASON = "the books on nodes of this kind were made with it"
+_IDEMPOTENCY_REASON = (
+    "it decides whether a second start of a task is safe, and tasks in flight rely on the old value"
+)
+_NODE_TYPE_REASON = "the planner's records of nodes of this kind were created with it"
 _PROTOCOL_REASON = (
-    "it describes what nodes and their list offer, which is agreed on when a connection is made"
+    "it describes what nodes and the node list support, which is agreed on when a connection opens"
 )
 
-# Danger: a window, group or effect that changes after an attempt has left lets a task run twice; a spread of
-# another scope leaves counts behind that no end of a task takes off again.
+# If the window, group or effect changed after an attempt was sent, a task could run twice. After a change of
+# the spread scope, the tasks counted per place of the old scope would never be subtracted.
 CLASS_NEEDS_RESTART: Mapping[str, str] = {
     "effect": _IDEMPOTENCY_REASON,
     "dedup_scope": _IDEMPOTENCY_REASON,
     "dedup_window_us": _IDEMPOTENCY_REASON,
-    "spread": "tasks in flight are counted in places of the former scope",
+    "spread": "tasks in flight are counted per place of the former scope",
 }
 NODE_TYPE_NEEDS_RESTART: Mapping[str, str] = {"cores": _NODE_TYPE_REASON, "memory": _NODE_TYPE_REASON}
 SETTINGS_NEED_RESTART: Mapping[str, str] = {
-    "planners": "the planners divide the nodes by it",
-    "position": "the planners divide the nodes by it",
-    "zone": "a planner's home zone is its own",
-    "confirms_running": "it is what Placed promises, and the mean time to an answer was measured with it",
-    "overload_window_us": "offers to a node that warms up are counted in slots of this length",
+    "planners": "the planners divide the nodes among themselves by it",
+    "position": "the planners divide the nodes among themselves by it",
+    "zone": "each planner's home zone is its own setting",
+    "confirms_running": "it defines what Placed promises, and the mean answer time was measured with it",
+    "overload_window_us": "offers to a node in slow start are counted in slots of this length",
     "polls_node_list": _PROTOCOL_REASON,
     "lists_free_capacity": _PROTOCOL_REASON,
     "may_check_health": _PROTOCOL_REASON,
@@ -44,31 +46,31 @@
 
 
 class NamedEntry(Protocol):
-    """What is known by its place in a list, and has a name."""
+    """A list entry that is identified by its index and has a name."""
 
     @property
     def name(self) -> str:
-        """Its name, unique in the list."""
+        """Name of the entry, unique in its list."""
 
 
 @dataclass(frozen=True, slots=True)
 class FieldChange:
-    """A field that differs.
+    """A field that differs between two settings.
 
-    ``path``: a field of ``api.Settings``; for an entry of one of its lists the list, the entry's name and its
-    field.
+    ``path`` holds the name of a field of ``api.Settings``. For an entry of a list field, it holds the names
+    of the list, the entry and the entry's field.
     """
 
     path: tuple[str, ...]
-    restart_reason: str | None = None  # why it may not change while the planner runs
+    restart_reason: str | None = None  # why the change needs a restart; None if it does not
 
     def __str__(self) -> str:
-        """Return the path with dots."""
+        """Return the parts of the path joined by dots."""
         return ".".join(self.path)
 
 
 def changed_settings(old: api.Settings, new: api.Settings) -> tuple[FieldChange, ...]:
-    """Return every field that differs between two settings, in the order of the fields."""
+    """Return every field that differs between two settings, in declaration order."""
     changes: list[FieldChange] = []
     for name in (field.name for field in fields(api.Settings)):
         if name == "classes":
@@ -81,10 +83,10 @@
 
 
 def changed_names(path: str, old: Sequence[str], new: Sequence[str]) -> tuple[FieldChange, ...]:
-    """Return how a list of names has changed; one that has only grown at its end needs no restart.
+    """Return how a list of names has changed; names that are only added at the end need no restart.
 
-    Danger: tasks and nodes in flight are known by the number of the class, kind, zone or tenant; after a
-    removal or a change of order the number would mean another one.
+    Tasks in flight and known nodes refer to a class, kind, zone or tenant by number. After a removal or a
+    change of order, the number would refer to another entry.
     """
     if list(old) == list(new):
         return ()
@@ -92,14 +94,18 @@
     if has_only_grown:
         return (FieldChange((path,)),)
     removed = [name for name in old if name not in new]
-    what = f"{', '.join(removed)} would be removed" if removed else "the order would change"
-    return (FieldChange((path,), f"{what}; tasks and nodes are known by their number: add at the end only"),)
+    problem = f"{', '.join(removed)} would be removed" if removed else "the order would change"
+    return (
+        FieldChange(
+            (path,), f"{problem}; tasks and nodes refer to entries by number: add new ones at the end only"
+        ),
+    )
 
 
 def _changed_entries(
     path: str, old: Sequence[NamedEntry], new: Sequence[NamedEntry], needs_restart: Mapping[str, str]
 ) -> Iterator[FieldChange]:
-    """Yield the changes of a list of named entries, and of the entries that are in both."""
+    """Yield the change of a list's names, then the changed fields of each entry that is in both lists."""
     yield from changed_names(path, _entry_names(old), _entry_names(new))
     new_by_name = {entry.name: entry for entry in new}
     for entry in old:
--- a/stairplank/configuration/planner_configuration.py
+++ b/stairplank/configuration/planner_configuration.py
@@ -1,4 +1,4 @@
-"""How a planner of the gRPC form takes a configuration: at its start, and while it runs."""
+"""Loads the configuration of a gRPC-form planner at startup and applies new revisions while it runs."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class ConfiguredPlanner(Protocol):
-    """The planner that a configuration is put into force at."""
+    """The interface of a planner that checks and applies a site configuration."""
 
     config: PlannerConfig
     incarnation: int
 
     def prepare_site(self, text: str, name: str) -> PlannerConfig:
-        """Return the configuration with that text. Raises SettingsError and RestartRequiredError."""
+        """Return the configuration with this site text. Raises SettingsError or RestartRequiredError."""
 
     def apply_site(self, config: PlannerConfig) -> Any:
-        """Put it into force."""
+        """Put a prepared configuration into force."""
 
 
 def watch_configuration(planner: ConfiguredPlanner, in_force: Revision) -> ConfigurationWatch[PlannerConfig]:
-    """Make the watch that keeps the planner at the newest revision; it has started with ``in_force``."""
+    """Return a watch that keeps the planner at the newest revision, starting from ``in_force``."""
 
     def check(text: str, revision: Revision) -> PlannerConfig:
         try:
@@ -55,7 +55,7 @@
 
 
 def initial_config(config: PlannerConfig) -> tuple[PlannerConfig, Revision]:
-    """Return the configuration with the newest usable revision; the planner's own where there is none."""
+    """Return the configuration with the newest usable revision; without one, the planner's own file."""
     if not config.configuration:
         return config, NO_REVISION
     log = structlog.get_logger("configuration").bind(planner=config.settings.position)
@@ -65,7 +65,7 @@
         try:
             started = merge_site(config, load_site_text(stored.text, source), source)
         except SettingsError as error:
-            # Danger: a planner that does not start for a text that others have rejected serves nobody.
+            # A revision with invalid settings must not keep the planner from starting: try the next one.
             log.warning("configuration not taken", revision=str(stored.revision), reason=str(error))
         else:
             _cache_revision(cache_file, stored)
@@ -74,9 +74,9 @@
 
 
 def _cache_revision(cache_file: Path | None, stored: RevisionText) -> None:
-    """Write the revision for the next start.
+    """Write the revision to the cache file for the next start.
 
-    Danger: without it the next start, with no replica within reach, would begin with an older revision.
+    Without it, the next start would use an older revision if no replica can be reached.
     """
     if cache_file is None:
         return
@@ -87,10 +87,10 @@
 
 
 def cache_file_of(config: PlannerConfig) -> Path | None:
-    """Return where the planner caches the revision in force."""
+    """Return the path of the planner's cached revision, or None if it caches none."""
     return Path(config.configuration_copy) if config.configuration_copy else None
 
 
 def source_name(revision: Revision) -> str:
-    """Return what stands for the file in errors of a revision's text."""
+    """Return the name that replaces the file name in errors about a revision's text."""
     return f"revision-{revision.number}"
--- a/stairplank/configuration/revision.py
+++ b/stairplank/configuration/revision.py
@@ -1,22 +1,25 @@
-"""What a revision of the configuration is: a number and the digest of its text. No I/O."""
+"""Identity of a configuration revision: a number and the digest of its text. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from hashlib import sha256
 
-MAX_TEXT_BYTES = 1_000_000  # bytes of a configuration; above it a message would not fit the gRPC limit
+MAX_TEXT_BYTES = 1_000_000  # a larger configuration would not fit into a gRPC message
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Revision:
-    """``number`` grows with each publication; ``digest`` tells two texts under one number apart."""
+    """Identity of a published text.
+
+    ``number`` grows with each publication; ``digest`` distinguishes two texts with the same number.
+    """
 
     number: int = 0
     digest: bytes = b""
 
     def __str__(self) -> str:
-        """Return the number and the start of the digest, as logs and the status show them."""
+        """Return the number and the start of the digest, as shown in logs and in the status."""
         return f"{self.number} ({self.digest.hex()[:12]})" if self.number else "0 (own file)"
 
 
@@ -29,5 +32,5 @@
 
 
 def make_revision(number: int, text: str) -> Revision:
-    """Return the identity of this text when it is published under this number."""
+    """Return the identity of a text that is published under a number."""
     return Revision(number, digest_of(text))
--- a/stairplank/configuration/server.py
+++ b/stairplank/configuration/server.py
@@ -1,4 +1,4 @@
-"""One replica of the configuration service on its sockets; ``store`` decides what it stores."""
+"""gRPC server of one replica of the configuration service; ``store`` holds its state."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from .revision import MAX_TEXT_BYTES
 from .store import PhaseResult, ReplicaState, RevisionStore
 
-HEARTBEAT_INTERVAL_S = 2.0  # a planner takes a replica that sends nothing for 2.5 of these for lost
-HELLO_TIMEOUT_S = 5.0  # until a planner's stream has named its planner
-MAX_STREAMS = 4_096  # each planner has one, and a second for a moment when it reconnects
-MAX_REASON_CHARACTERS = 500  # of a planner's reason that are stored
-TextChecker = Callable[[str], list[str]]  # the problems of a text, none where it is usable
+HEARTBEAT_INTERVAL_S = 2.0  # a planner treats a replica as lost after 2.5 intervals without a message
+HELLO_TIMEOUT_S = 5.0  # limit for the first message of a planner's stream, which names the planner
+MAX_STREAMS = 4_096  # one stream per planner, and briefly a second one when it reconnects
+MAX_REASON_CHARACTERS = 500  # longer rejection reasons of planners are truncated
+TextChecker = Callable[[str], list[str]]  # returns the problems of a text; an empty list if it is usable
 
 _RESULTS = {
     PhaseResult.ACCEPTED: pb.PublicationResponse.RESULT_ACCEPTED,
@@ -41,24 +41,24 @@
 
 
 class ReplicaServer:
-    """Serves publications, planners' streams and the status."""
+    """Serves publications, planners' streams and status requests."""
 
     def __init__(self, listen: tuple[str, ...], state_file: Path, check_text: TextChecker) -> None:
-        """Read the state and make the server. Raises StateFileError.
+        """Read the state file and create the server. Raises StateFileError.
 
         Args:
             listen: Addresses to serve on.
-            state_file: Where the state is stored between two runs.
-            check_text: Returns the problems of a text, none for a usable one.
+            state_file: File that keeps the state across restarts.
+            check_text: Returns the problems of a text; an empty list if it is usable.
         """
         self.state_file = state_file
         self.check_text = check_text
         self.store = RevisionStore(state_files.read_state(state_file))
         self.log = structlog.get_logger("configuration")
         self._changed = Event()
-        self.announcers: set[gevent.Greenlet[..., Any]] = set()  # one a planner's stream
+        self.announcers: set[gevent.Greenlet[..., Any]] = set()  # a greenlet for each planner's stream
         health = Health((SERVICE.full_name,))
-        names = (SERVICE.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
+        service_names = (SERVICE.full_name, "grpc.health.v1.Health", "grpc.reflection.v1.ServerReflection")
         handlers = server_methods(
             SERVICE,
             Prepare=self._prepare,
@@ -67,28 +67,28 @@
             Follow=self._follow,
             Status=self._status,
         )
-        served = {**handlers, **health.methods(), **Reflection(names).methods()}
+        methods = {**handlers, **health.methods(), **Reflection(service_names).methods()}
         limits = Limits(
             max_message_bytes=2 * MAX_TEXT_BYTES,
             max_unsent_bytes=2 * MAX_TEXT_BYTES,
             max_connections=2 * MAX_STREAMS,
         )
-        self.server = Server(listen, served, limits)
+        self.server = Server(listen, methods, limits)
 
     def start(self) -> None:
-        """Listen and serve."""
+        """Listen on the addresses and serve requests."""
         self.server.start()
         self.log.info(
             "replica serves", listen=list(self.server.addresses), revision=str(self.store.committed)
         )
 
     def stop(self) -> None:
-        """Close all streams."""
+        """Stop the server and close all streams."""
         self.server.stop(0.5)
 
     # Publications
 
-    def _prepare(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - as every handler
+    def _prepare(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - signature shared by all handlers
         proposal = revision_text_from_message(request.proposal)
         problems = self._problems(proposal.text)
         if problems:
@@ -98,7 +98,7 @@
         self._persist(before)
         return self._response(_RESULTS[result])
 
-    def _commit(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - as every handler
+    def _commit(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - signature shared by all handlers
         before = self.store.state
         result = self.store.commit(now_us(), revision_from_message(request.revision))
         self._persist(before)
@@ -109,9 +109,9 @@
     def _problems(self, text: str) -> list[str]:
         if len(text.encode()) > MAX_TEXT_BYTES:
             return [f"larger than {MAX_TEXT_BYTES} bytes"]
-        # Danger: a long text read in the event loop would keep every planner's heartbeat waiting.
-        found: list[str] = gevent.get_hub().threadpool.apply(self.check_text, (text,))
-        return found
+        # The check runs in a thread: a long text in the event loop would delay the heartbeats to planners.
+        problems: list[str] = gevent.get_hub().threadpool.apply(self.check_text, (text,))
+        return problems
 
     def _persist(self, before: ReplicaState) -> None:
         if self.store.state is before:
@@ -119,9 +119,9 @@
         try:
             state_files.write_state(self.state_file, self.store.state)
         except StateFileError as error:
-            # Danger: kept in memory alone, it would be forgotten with the process though it was promised.
+            # Undo the change: kept in memory alone, an accepted revision would be lost when the process ends.
             self.store.state = before
-            self.log.error("state not written", error=str(error))  # noqa: TRY400 - the reason says enough
+            self.log.error("state not written", error=str(error))  # noqa: TRY400 - the reason needs no traceback
             raise RpcError(Code.UNAVAILABLE, "the state cannot be written") from None
 
     def _response(self, result: Any, problems: list[str] | None = None) -> Any:
@@ -137,13 +137,13 @@
         self._changed.set()
         self._changed = Event()
 
-    def _get(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - as every handler
+    def _get(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - signature shared by all handlers
         return revision_text_to_message(self.store.state.committed)
 
     # Planners
 
     def _follow(self, call: ServerCall) -> None:
-        """A planner's stream."""
+        """Serve a planner's stream until it ends."""
         if len(self.announcers) >= MAX_STREAMS:
             raise RpcError(Code.RESOURCE_EXHAUSTED, f"{MAX_STREAMS} planners' streams are open already")
         first = call.recv(HELLO_TIMEOUT_S)
@@ -165,13 +165,13 @@
             self.store.stream_closed(now_us(), planner, incarnation)
 
     def stream_opened(self, planner: int, call: ServerCall) -> None:
-        """Count a planner's stream that has begun; does nothing here."""
+        """Called when a planner's stream has opened; a subclass may count it."""
 
     def stream_closed(self, planner: int, call: ServerCall) -> None:
-        """Count a planner's stream that has ended; does nothing here."""
+        """Called when a planner's stream has closed; a subclass may count it."""
 
     def _announce_to(self, call: ServerCall) -> None:
-        """Announce each committed revision, and repeat the last as a heartbeat."""
+        """Announce each committed revision, and repeat the last one as a heartbeat."""
         while call.stream.error is None:
             changed = self._changed
             call.try_send(pb.FollowResponse(announcement=revision_to_message(self.store.committed)))
@@ -199,7 +199,7 @@
             self._persist(before)
             self._announce()
 
-    def _status(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - as every handler
+    def _status(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - signature shared by all handlers
         now = now_us()
         age = 0 if self.store.committed_at is None else now - self.store.committed_at
         return pb.StatusResponse(
--- a/stairplank/configuration/startup.py
+++ b/stairplank/configuration/startup.py
@@ -1,4 +1,4 @@
-"""The revision that a planner starts with: the newest that a replica has committed, else a cached one."""
+"""Finds the revisions that a planner may start with: those committed at replicas, and the cached one."""
 
 from __future__ import annotations
 
@@ -16,22 +16,21 @@
 from .revision import MAX_TEXT_BYTES, NO_REVISION, digest_of
 from .store import RevisionText
 
-LOOKUP_TIMEOUT_S = (
-    1.0  # for all replicas together: a planner is to be ready within seconds, whoever is out of reach
-)
+# Limit for all replicas together: a planner must be ready within seconds even if some cannot be reached.
+LOOKUP_TIMEOUT_S = 1.0
 
 
 def startup_candidates(
     replicas: tuple[str, ...], cache_file: Path | None, timeout_s: float = LOOKUP_TIMEOUT_S
 ) -> list[RevisionText]:
-    """Return what the planner may start with, the newest first.
+    """Return the revisions that the planner may start with, newest first.
 
-    At its start nothing is in flight, so it may take also what a running planner may not.
+    No task is in flight at startup, so a revision that a running planner rejects may be used too.
     """
-    found = [gevent.spawn(_fetch_committed, replica, timeout_s) for replica in replicas]
-    gevent.joinall(found, timeout=timeout_s)
-    gevent.killall(found, block=False)
-    known = [one.value for one in found if isinstance(one.value, RevisionText)]
+    lookups = [gevent.spawn(_fetch_committed, replica, timeout_s) for replica in replicas]
+    gevent.joinall(lookups, timeout=timeout_s)
+    gevent.killall(lookups, block=False)
+    known = [lookup.value for lookup in lookups if isinstance(lookup.value, RevisionText)]
     cached = _read_cache(cache_file)
     if cached is not None:
         known.append(cached)
@@ -43,15 +42,15 @@
     channel = Channel(replica, Limits(max_message_bytes=2 * MAX_TEXT_BYTES), timeout_s)
     try:
         request = pb.GetRequest()
-        answer = channel.unary(
+        response = channel.unary(
             method_path(SERVICE, "Get"), request, pb.RevisionText.FromString, timeout_s=timeout_s
         )
     except RpcError:
         return None
     finally:
         channel.close()
-    stored = revision_text_from_message(answer)
-    # Danger: a text that does not belong to its revision would be in force under a number that is not its.
+    stored = revision_text_from_message(response)
+    # Without this check, a text could come into force under the number of another revision.
     return stored if stored.revision.digest == digest_of(stored.text) else None
 
 
--- a/stairplank/configuration/state_files.py
+++ b/stairplank/configuration/state_files.py
@@ -1,4 +1,4 @@
-"""Revisions on disk: a replica's state, and the revision that a planner caches for its next start."""
+"""Files that store revisions: a replica's state, and a planner's cached revision for its next start."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from .revision import NO_REVISION, make_revision
 from .store import ReplicaState, RevisionText
 
-MAX_FILE_BYTES = 16_000_000  # bytes; two texts of the largest size, escaped
+MAX_FILE_BYTES = 16_000_000  # fits two texts of the largest size with JSON escapes
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Replace the file completely and durably. Raises StateFileError.
+    """Replace the file atomically and sync it to disk. Raises StateFileError.
 
-    Danger: a replica that answers before its state is on disk may forget, in a power cut, a number for which
-    it was part of a majority, and take another text under it.
+    If a replica answered before its state is on disk, a power failure could make it forget a number that it
+    has prepared as part of a majority, and it would accept another text under that number.
     """
     temporary = path.with_name(path.name + ".new")
     try:
@@ -64,7 +64,7 @@
 
 
 def write_state(path: Path, state: ReplicaState) -> None:
-    """Write a replica's state. Raises StateFileError."""
+    """Write a replica's state to its file. Raises StateFileError."""
     value = {
         "committed": _revision_text_to_json(state.committed),
         "prepared": _revision_text_to_json(state.prepared),
@@ -73,7 +73,7 @@
 
 
 def read_state(path: Path) -> ReplicaState:
-    """Read a replica's state; an empty one where there is no file. Raises StateFileError."""
+    """Read a replica's state; it is empty if there is no file. Raises StateFileError."""
     value = _read_json(path)
     if value is None:
         return ReplicaState()
@@ -86,12 +86,12 @@
 
 
 def write_cached_revision(path: Path, stored: RevisionText) -> None:
-    """Write the revision that a planner caches. Raises StateFileError."""
+    """Write a planner's cached revision to its file. Raises StateFileError."""
     write_atomically(path, json.dumps(_revision_text_to_json(stored)) + "\n")
 
 
 def read_cached_revision(path: Path) -> RevisionText | None:
-    """Read the revision that a planner has cached; None where there is no file. Raises StateFileError."""
+    """Read a planner's cached revision; None if there is no file. Raises StateFileError."""
     value = _read_json(path)
     if value is None:
         return None
--- a/stairplank/configuration/store.py
+++ b/stairplank/configuration/store.py
@@ -1,21 +1,21 @@
-"""What one replica of the configuration service stores.
+"""State of one replica of the configuration service.
 
-That is the committed revision, the prepared one, and which planner has which revision in force. No I/O or
+It consists of the committed revision, the prepared one, and the revision in force at each planner. No I/O or
 clock; the caller persists ``state`` before it answers.
 
 A publication has two phases. ``prepare`` reserves a number for one text; ``commit`` follows once a majority
-of the replicas has prepared. So one number has at most one committed text at a site, whoever publishes at
-the same time: two publishers cannot both have a majority for one number.
+of the replicas has prepared it. A number therefore has at most one committed text at a site, even with
+concurrent publishers: two publishers cannot both have a majority for one number.
 
 Invariants (tests/configuration/test_store.py):
 
 1. The committed number never decreases.
-2. A number is prepared for one text only; a repeat of the same is accepted again.
-3. Only what is prepared here is committed, and only under its digest.
-4. A planner's report that a prepared revision is in force commits it here: it can be in force only where
-   another replica has committed it, and this one missed that.
-5. Bounds: one committed and one prepared text; ``PLANNERS_MOST`` processes of planners. One that is not
-   connected is forgotten ``FORGET_US`` after its last report, or as its successor connects.
+2. A number is prepared for one text only; a repeat with the same text is accepted again.
+3. Only a revision that is prepared here is committed, and only under its digest.
+4. A planner's report that a prepared revision is in force commits it here: another replica must have
+   committed it, and this one has missed the commit.
+5. Bounds: one committed and one prepared text; ``MAX_PLANNERS`` planner processes. A disconnected process is
+   removed ``FORGET_AFTER_US`` after its last report, or when its successor connects.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from .revision import NO_REVISION, Revision, make_revision
 
 MAX_PLANNERS = 8_192
-FORGET_AFTER_US = 600_000_000  # a planner that was taken out of service leaves the status by then
+FORGET_AFTER_US = 600_000_000  # a decommissioned planner leaves the status after this time
 
 
 class PhaseResult(Enum):
-    """Of a phase of a publication."""
+    """The result of one phase of a publication at this replica."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaState:
-    """What has to survive a restart of the replica."""
+    """The state that must survive a restart of the replica."""
 
     committed: RevisionText = RevisionText()
     prepared: RevisionText = RevisionText()
@@ -57,17 +57,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerStatus:
-    """A planner's process as its last report has it.
+    """The state of a planner process according to its last report.
 
     Attributes:
         planner: Position among the planners of the site.
         incarnation: Identity of the process.
         in_force: The revision that it applies.
         rejected: The newest revision that it has rejected.
-        reason: Why it has rejected that one.
-        delay_us: From the commit at this replica to the report that the revision is in force.
+        reason: Why it has rejected that revision.
+        delay_us: Time from the commit at this replica to the report that the revision is in force.
         reported_at: Time of the last report, in microseconds.
-        streams: How many streams of it are open here.
+        streams: Number of its streams that are open at this replica.
     """
 
     planner: int
@@ -81,19 +81,19 @@
 
     @property
     def connected(self) -> bool:
-        """Whether a stream of this planner is open here."""
+        """Whether a stream of this process is open at this replica."""
         return self.streams > 0
 
 
 class RevisionStore:
-    """The state of one replica's process."""
+    """The revisions and the planners that one replica knows."""
 
     def __init__(self, state: ReplicaState = EMPTY_STATE) -> None:
-        """Begin with the state that an earlier process has persisted."""
+        """Start from the state that an earlier process has persisted."""
         self.state = state
-        self.committed_at: int | None = None  # by this process
-        self.planners: dict[tuple[int, int], PlannerStatus] = {}  # by planner and incarnation
-        self._incarnations: dict[int, set[int]] = {}  # of each planner
+        self.committed_at: int | None = None  # time of the last commit by this process
+        self.planners: dict[tuple[int, int], PlannerStatus] = {}  # keyed by planner and incarnation
+        self._incarnations: dict[int, set[int]] = {}  # known incarnations of each planner
 
     # Publications
 
@@ -108,21 +108,21 @@
         return max(self.committed.number, self.state.prepared.revision.number)
 
     def prepare(self, number: int, text: str) -> PhaseResult:
-        """Reserve the number for the text."""
+        """Reserve the number for the text, unless the number is in use for another text."""
         revision = make_revision(number, text)
         if revision in (self.state.prepared.revision, self.committed):
             return PhaseResult.ACCEPTED
-        # Danger: taken for a second text, a number would stand for two configurations.
+        # Accepting a second text would let one number identify two configurations.
         if number <= self.highest_number:
             return PhaseResult.CONFLICT
         self.state = replace(self.state, prepared=RevisionText(revision, text))
         return PhaseResult.ACCEPTED
 
     def commit(self, now: int, revision: Revision) -> PhaseResult:
-        """Commit what was prepared under this revision."""
+        """Commit the revision if it was prepared here."""
         if revision == self.committed:
             return PhaseResult.ACCEPTED
-        # Danger: a commit that was delayed past a later publication would take that one back.
+        # Without this check, a commit delayed past a later publication would revert to the older revision.
         if self.state.prepared.revision != revision or revision.number <= self.committed.number:
             return PhaseResult.CONFLICT
         self.state = replace(self.state, committed=self.state.prepared)
@@ -132,7 +132,7 @@
     # Planners
 
     def stream_opened(self, now: int, planner: int, incarnation: int) -> None:
-        """Count a stream of that process that has begun."""
+        """Record that a stream of the planner process has opened."""
         incarnations = self._incarnations.setdefault(planner, set())
         for other in [other for other in incarnations if other != incarnation]:
             if not self.planners[planner, other].connected:
@@ -146,7 +146,7 @@
             self._evict_disconnected()
 
     def stream_closed(self, now: int, planner: int, incarnation: int) -> None:
-        """Count a stream of that process that has ended."""
+        """Record that a stream of the planner process has closed."""
         known = self.planners.get((planner, incarnation))
         if known is not None:
             streams = max(0, known.streams - 1)
@@ -155,7 +155,7 @@
     def record_report(
         self, now: int, planner: int, incarnation: int, in_force: Revision, rejected: Revision, reason: str
     ) -> bool:
-        """Record a planner's report; return whether it commits what was prepared here."""
+        """Record a planner's report; return whether it commits the revision that was prepared here."""
         known = self.planners.get((planner, incarnation))
         if known is None:
             return False
@@ -185,9 +185,9 @@
             del self._incarnations[planner]
 
     def _evict_disconnected(self) -> None:
-        """Forget those that are disconnected for longest.
+        """Remove the planner processes that have been disconnected for longest.
 
-        Danger: planners that are started under ever new numbers would fill the table.
+        Otherwise planners that are started under ever new numbers would fill the table.
         """
         idle = [key for key, status in self.planners.items() if not status.connected]
         idle.sort(key=lambda key: self.planners[key].reported_at)
@@ -195,7 +195,7 @@
             self._remove(*key)
 
     def statuses(self, now: int) -> tuple[PlannerStatus, ...]:
-        """Forget what has expired; return every known process, by the planner's number."""
+        """Remove expired planner processes; return all others, ordered by planner number."""
         for key, status in list(self.planners.items()):
             if not status.connected and status.reported_at + FORGET_AFTER_US <= now:
                 self._remove(*key)
--- a/stairplank/configuration/validation.py
+++ b/stairplank/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Whether a text is a usable configuration of a site."""
+"""Checks whether a text is a usable site configuration."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def text_problems(text: str) -> list[str]:
-    """Describe each problem of a configuration in a line of its own; empty for a usable text."""
+    """Return one line for each problem of a configuration; an empty list if it is usable."""
     try:
         load_site_text(text, "configuration")
     except SettingsError as error:
--- a/stairplank/configuration/watch.py
+++ b/stairplank/configuration/watch.py
@@ -1,11 +1,12 @@
-"""A planner's streams to the replicas of the configuration service.
+"""Runs a planner's streams to the replicas of the configuration service.
 
 ``follower`` decides what is fetched, checked and applied; the planner itself checks a text and puts it into
 force.
 
-What bounds the time until a revision is in force: an announcement leaves a replica at the commit; a stream
-that is silent for ``SILENCE_TIMEOUT_S`` is connected anew, at most ``MAX_RECONNECT_DELAY_S`` after an attempt
-that failed; a fetch that is not answered goes to another replica after ``follower.FETCH_TIMEOUT_US``.
+The time until a revision is in force is bounded as follows. A replica announces a revision when it commits
+it. A stream without messages for ``SILENCE_TIMEOUT_S`` is reconnected, at most ``MAX_RECONNECT_DELAY_S``
+after a failed attempt. A fetch that is not answered goes to another replica after
+``follower.FETCH_TIMEOUT_US``.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 SILENCE_TIMEOUT_S = 2.5 * HEARTBEAT_INTERVAL_S
 DIAL_TIMEOUT_S = 1.0
-RECONNECT_DELAY_S = 0.1  # after a connection that carried messages; doubled after each that did not
+RECONNECT_DELAY_S = 0.1  # delay after a connection that received messages; doubles after each without
 MAX_RECONNECT_DELAY_S = 2.0
 Checked = TypeVar("Checked")
 
@@ -39,7 +40,8 @@
 class ConfigurationWatch(Generic[Checked]):
     """Follows the replicas, checks each newer revision and puts it into force.
 
-    ``check`` reads a text in a thread and raises RevisionRejectedError; ``apply`` puts its result into force.
+    ``check`` parses a text in a thread or raises RevisionRejectedError; ``apply`` puts the result into
+    force.
     """
 
     def __init__(
@@ -52,15 +54,15 @@
         cache_file: Path | None = None,
         in_force: Revision = NO_REVISION,
     ) -> None:
-        """Make the watch; ``start`` connects it.
+        """Create the watch; ``start`` opens its streams.
 
         Args:
             replicas: Addresses of the configuration service.
-            planner: Position of this planner among those of the site.
+            planner: Position of this planner among the planners of the site.
             incarnation: Identity of this planner's process.
-            check: Reads and checks a text, in a thread. Raises RevisionRejectedError.
+            check: Parses and checks a text, in a thread. Raises RevisionRejectedError.
             apply: Puts the result of a check into force.
-            cache_file: Where the revision for the next start is written; None for nowhere.
+            cache_file: File that keeps the revision for the next start; None for no file.
             in_force: The revision that the planner has started with.
         """
         self.replicas = replicas
@@ -79,7 +81,7 @@
         self._is_writing_cache = False
 
     def start(self) -> None:
-        """Follow every replica, each on a stream of its own."""
+        """Open a separate stream to every replica."""
         self._greenlets = [gevent.spawn(self._follow, replica) for replica in self.replicas]
 
     def stop(self) -> None:
@@ -98,7 +100,7 @@
             gevent.sleep(backoff_s)
 
     def _run_stream(self, replica: str) -> bool:
-        """Serve one connection until it ends; return whether any message was received on it."""
+        """Run one connection until it ends; return whether any message was received on it."""
         limits = Limits(max_message_bytes=2 * MAX_TEXT_BYTES)
         channel = Channel(replica, limits, DIAL_TIMEOUT_S)
         received_any = False
@@ -131,9 +133,9 @@
                 self._execute(self.follower.on_text_received(now_us(), replica, revision, text.text))
 
     def _arm_timer(self) -> None:
-        """Wake when the follower next wants the time.
+        """Start a timer for the follower's next ``on_timer`` call.
 
-        Danger: without it a fetch that nobody answers would never go to another replica.
+        Without it, a fetch that no replica answers would never go to another one.
         """
         due = self.follower.next_timer()
         if due is not None and self._timer is None:
@@ -165,12 +167,12 @@
         try:
             call.try_send(message)
         except RpcError:
-            pass  # the stream's reader sees that it has ended
+            pass  # the greenlet that reads the stream detects that it has ended
 
     def _check(self, action: CheckText) -> None:
         revision = action.revision
         try:
-            # Danger: read in the event loop, a long text would keep answers and drains waiting.
+            # The check runs in a thread: a long text in the event loop would delay answers and drains.
             checked = gevent.get_hub().threadpool.apply(self.check, (action.text, revision))
         except RevisionRejectedError as error:
             if error.usable_after_restart:
@@ -190,10 +192,9 @@
         self.log.info("configuration in force", revision=str(revision))
 
     def _cache_revision(self, stored: RevisionText) -> None:
-        """Write the revision for the next start.
+        """Write the revision to the cache file for the next start.
 
-        Danger: without it a planner that starts while no replica can be reached would go back to its own
-        file.
+        Without it, a planner that starts while no replica can be reached would revert to its own file.
         """
         self._uncached = stored
         if self.cache_file is not None and not self._is_writing_cache:
@@ -201,16 +202,16 @@
             gevent.spawn(self._write_cache, self.cache_file)
 
     def _write_cache(self, cache_file: Path) -> None:
-        """Write the newest revision until none is left.
+        """Write the newest revision until there is no newer one to write.
 
-        Danger: written by two threads at once, an older revision could be the one that stays.
+        Only one greenlet does this: with two writers, an older revision could overwrite a newer one.
         """
         try:
             while self._uncached is not None:
                 stored, self._uncached = self._uncached, None
                 gevent.get_hub().threadpool.apply(state_files.write_cached_revision, (cache_file, stored))
         except StateFileError as error:
-            self.log.error("copy of the configuration not written", error=str(error))  # noqa: TRY400 - the reason says enough
+            self.log.error("copy of the configuration not written", error=str(error))  # noqa: TRY400 - the reason needs no traceback
         finally:
             self._is_writing_cache = False
 
--- a/tests/configuration/test_changes.py
+++ b/tests/configuration/test_changes.py
@@ -1,4 +1,4 @@
-"""Which keys of a configuration may change while a planner runs, and why others may not."""
+"""Which settings keys may change while a planner runs, and why the others need a restart."""
 
 from __future__ import annotations
 
@@ -58,30 +58,30 @@
 
 @pytest.fixture
 def old(tmp_path: Path) -> PlannerConfig:
-    return read(tmp_path, TEXT)
+    return load_text(tmp_path, TEXT)
 
 
-def read(tmp_path: Path, text: str) -> PlannerConfig:
+def load_text(tmp_path: Path, text: str) -> PlannerConfig:
     path = tmp_path / "planner.conf"
     path.write_text(text)
     return load_planner(path)
 
 
-def changed(tmp_path: Path, *pairs: tuple[str, str]) -> PlannerConfig:
+def load_changed(tmp_path: Path, *pairs: tuple[str, str]) -> PlannerConfig:
     text = TEXT
     for before, after in pairs:
         assert text.count(before) >= 1, before
         text = text.replace(before, after, 1)
-    return read(tmp_path, text)
+    return load_text(tmp_path, text)
 
 
 def test_the_same_configuration_changes_nothing(old: PlannerConfig, tmp_path: Path) -> None:
-    found = compare_configurations(old, read(tmp_path, TEXT))
-    assert found == ConfigurationChanges()
-    assert found.is_empty
+    changes = compare_configurations(old, load_text(tmp_path, TEXT))
+    assert changes == ConfigurationChanges()
+    assert changes.is_empty
 
 
-LIVE = [
+LIVE_CASES = [
     ("aim 3s", "aim 4s", "class worker: aim"),
     ("deadline 7s", "deadline 6s", "class worker: deadline"),
     ("deadline 7s", "deadline 7s\n    worth 5", "class worker: worth"),
@@ -140,36 +140,36 @@
 ]
 
 
-@pytest.mark.parametrize(("before", "after", "key"), LIVE)
-def test_what_may_change_while_a_planner_runs(
+@pytest.mark.parametrize(("before", "after", "key"), LIVE_CASES)
+def test_keys_that_may_change_while_a_planner_runs(
     old: PlannerConfig, tmp_path: Path, before: str, after: str, key: str
 ) -> None:
-    found = compare_configurations(old, changed(tmp_path, (before, after)))
-    assert found == ConfigurationChanges((LiveChange(key, ChangeScope.LIVE),))
-    found.raise_if_restart_required()
+    changes = compare_configurations(old, load_changed(tmp_path, (before, after)))
+    assert changes == ConfigurationChanges((LiveChange(key, ChangeScope.LIVE),))
+    changes.raise_if_restart_required()
 
 
-NEW = [("send-buffer", "64k"), ("message-most", "64k"), ("keepalive", "4s 1s")]
+NEW_CONNECTION_CASES = [("send-buffer", "64k"), ("message-most", "64k"), ("keepalive", "4s 1s")]
 
 
-@pytest.mark.parametrize(("key", "value"), NEW)
+@pytest.mark.parametrize(("key", "value"), NEW_CONNECTION_CASES)
 def test_limits_of_connections_apply_to_new_ones(
     old: PlannerConfig, tmp_path: Path, key: str, value: str
 ) -> None:
-    found = compare_configurations(
-        old, changed(tmp_path, ("mean-cores 0.5", f"mean-cores 0.5\n{key} {value}"))
+    changes = compare_configurations(
+        old, load_changed(tmp_path, ("mean-cores 0.5", f"mean-cores 0.5\n{key} {value}"))
     )
-    assert found == ConfigurationChanges((LiveChange(key, ChangeScope.NEW_CONNECTIONS),))
+    assert changes == ConfigurationChanges((LiveChange(key, ChangeScope.NEW_CONNECTIONS),))
 
 
-RESTART = [
+RESTART_CASES = [
     ("effect repeatable", "effect once", "class worker: effect", "second start"),
     ("group rack", "group node", "class ingest: group", "second start"),
     ("window 8s", "window 9s", "class ingest: window", "second start"),
     ("spread node 2", "spread rack 2", "class worker: spread", "former scope"),
     ("    spread node 2\n", "", "class worker: spread", "former scope"),
-    ("cores 64 memory 128", "cores 32 memory 128", "kind big: cores", "books on nodes"),
-    ("cores 64 memory 128", "cores 64 memory 256", "kind big: memory", "books on nodes"),
+    ("cores 64 memory 128", "cores 32 memory 128", "kind big: cores", "records of nodes"),
+    ("cores 64 memory 128", "cores 64 memory 256", "kind big: memory", "records of nodes"),
     ("class worker", "class other", "class", "worker would be removed"),
     ("kind small cores 16 memory 32\n", "", "kind", "small would be removed"),
     ("zone a\n", "", "zone", "a would be removed"),
@@ -194,67 +194,73 @@
 ]
 
 
-@pytest.mark.parametrize(("before", "after", "key", "why"), RESTART)
-def test_what_needs_a_restart(
-    old: PlannerConfig, tmp_path: Path, before: str, after: str, key: str, why: str
+@pytest.mark.parametrize(("before", "after", "key", "reason"), RESTART_CASES)
+def test_keys_that_need_a_restart(
+    old: PlannerConfig, tmp_path: Path, before: str, after: str, key: str, reason: str
 ) -> None:
-    found = compare_configurations(old, changed(tmp_path, (before, after)))
-    asked = {entry.key: entry.message for entry in found.restart_requirements}
-    assert key in asked
-    assert why in asked[key]
+    changes = compare_configurations(old, load_changed(tmp_path, (before, after)))
+    messages = {entry.key: entry.message for entry in changes.restart_requirements}
+    assert key in messages
+    assert reason in messages[key]
     with pytest.raises(RestartRequiredError, match=key):
-        found.raise_if_restart_required()
+        changes.raise_if_restart_required()
 
 
 def test_classes_in_another_order_are_rejected(old: PlannerConfig) -> None:
-    """Danger: a task in flight is known by its class's number, and would turn into one of the other class."""
-    turned = replace(old, settings=replace(old.settings, classes=old.settings.classes[::-1]))
-    (found,) = compare_configurations(old, turned).restart_requirements
-    assert (found.key, "order would change" in found.message) == ("class", True)
+    """A task in flight refers to its class by number: in another order, it would change its class."""
+    reordered = replace(old, settings=replace(old.settings, classes=old.settings.classes[::-1]))
+    (requirement,) = compare_configurations(old, reordered).restart_requirements
+    assert (requirement.key, "order would change" in requirement.message) == ("class", True)
 
 
 def test_a_class_inserted_between_others_is_rejected(old: PlannerConfig) -> None:
     first, second = old.settings.classes
     settings = replace(old.settings, classes=(first, replace(first, name="new"), second))
-    (found,) = compare_configurations(old, replace(old, settings=settings)).restart_requirements
-    assert (found.key, "order would change" in found.message) == ("class", True)
+    (requirement,) = compare_configurations(old, replace(old, settings=settings)).restart_requirements
+    assert (requirement.key, "order would change" in requirement.message) == ("class", True)
 
 
 def test_one_key_that_needs_a_restart_rejects_the_whole_change(old: PlannerConfig, tmp_path: Path) -> None:
     pairs = (("deadline 7s", "deadline 6s"), ("window 8s", "window 9s"), ("cores 64", "cores 32"))
-    found = compare_configurations(old, changed(tmp_path, *pairs))
-    assert found.keys == ("class worker: deadline",)
+    changes = compare_configurations(old, load_changed(tmp_path, *pairs))
+    assert changes.keys == ("class worker: deadline",)
     with pytest.raises(RestartRequiredError) as caught:
-        found.raise_if_restart_required()
+        changes.raise_if_restart_required()
     assert [entry.key for entry in caught.value.requirements] == ["class ingest: window", "kind big: cores"]
     assert "class ingest: window" in str(caught.value)
 
 
-def test_a_scope_is_not_hidden_by_the_number_beside_it(old: PlannerConfig, tmp_path: Path) -> None:
-    found = compare_configurations(old, changed(tmp_path, ("spread node 2", "spread rack 3")))
-    assert [type(entry) for entry in (*found.live_changes, *found.restart_requirements)] == [
+def test_a_changed_spread_scope_is_not_hidden_by_a_changed_spread_limit(
+    old: PlannerConfig, tmp_path: Path
+) -> None:
+    changes = compare_configurations(old, load_changed(tmp_path, ("spread node 2", "spread rack 3")))
+    assert [type(entry) for entry in (*changes.live_changes, *changes.restart_requirements)] == [
         RestartRequirement
     ]
 
 
-def test_a_new_class_of_a_new_kind_comes_with_it(old: PlannerConfig, tmp_path: Path) -> None:
+def test_a_class_and_its_new_kind_can_be_added_together(old: PlannerConfig, tmp_path: Path) -> None:
     fresh = "class fresh\n effect once\n aim 1s\n deadline 2s\n kind huge\nend\nkind small cores"
     pairs = (("kind small cores", fresh), ("zone a", "kind huge cores 128 memory 512\nzone a"))
-    found = compare_configurations(old, changed(tmp_path, *pairs))
-    assert (sorted(found.keys), found.restart_requirements) == (["class", "kind"], ())
+    changes = compare_configurations(old, load_changed(tmp_path, *pairs))
+    assert (sorted(changes.keys), changes.restart_requirements) == (["class", "kind"], ())
 
 
-def test_every_key_of_a_file_has_a_case_here() -> None:
-    """A key that is added to the schema is to be judged here too."""
-    cases = {key for _, _, key in LIVE} | {key for key, _ in NEW} | {key for _, _, key, _ in RESTART}
-    heads = {key.split(":")[0].split()[0] for key in cases}
-    assert {item.name for item in (*CLUSTER_SCHEMA, *TUNABLE_KEYS)} <= heads
-    of_class = {key.partition(": ")[2] for key in cases if key.startswith("class ")}
+def test_every_key_of_a_file_has_a_case_in_this_module() -> None:
+    """A key that is added to the schema needs a case in this file."""
+    cases = (
+        {key for _, _, key in LIVE_CASES}
+        | {key for key, _ in NEW_CONNECTION_CASES}
+        | {key for _, _, key, _ in RESTART_CASES}
+    )
+    keywords = {key.split(":")[0].split()[0] for key in cases}
+    assert {item.name for item in (*CLUSTER_SCHEMA, *TUNABLE_KEYS)} <= keywords
+    class_keys = {key.partition(": ")[2] for key in cases if key.startswith("class ")}
     (block,) = (item for item in CLUSTER_SCHEMA if item.name == "class")
-    assert {key.name for key in block.keys} <= of_class
+    assert {key.name for key in block.keys} <= class_keys
 
 
-def test_every_field_has_a_key_or_is_not_in_the_file() -> None:
+def test_every_field_has_a_key_unless_files_do_not_contain_it() -> None:
     not_in_the_file = {
         "polls_node_list", "lists_free_capacity", "may_check_health", "may_cancel", "report_fields",
         "reports_in_answers", "tenant_quota_cores", "over_quota_weight",
@@ -262,7 +268,7 @@
     known = {field.name for field in fields(api.Settings)} - {"classes", "node_types"}
     assert set(SETTINGS_KEYS) == known - not_in_the_file
     assert set(CLASS_KEYS) == {field.name for field in fields(api.TaskClass)} - {"name"}
-    assert {key for key, _ in NEW} == NEW_CONNECTION_KEYS
+    assert {key for key, _ in NEW_CONNECTION_CASES} == NEW_CONNECTION_KEYS
 
 
 def test_names_may_only_grow_at_the_end() -> None:
@@ -285,6 +291,6 @@
         ("reports_in_answers", True),
     ],
 )
-def test_what_nodes_offer_is_agreed_on_at_the_start(old: PlannerConfig, field: str, value: object) -> None:
+def test_features_of_the_protocol_need_a_restart(old: PlannerConfig, field: str, value: object) -> None:
     (change,) = changed_settings(old.settings, replace(old.settings, **{field: value}))
     assert (str(change), "agreed on" in str(change.restart_reason)) == (field, True)
--- a/tests/configuration/test_configuration_service.py
+++ b/tests/configuration/test_configuration_service.py
@@ -1,4 +1,4 @@
-"""Replicas, planners' watches and the operator's client on real connections of loopback."""
+"""Tests replicas, planners' watches and the operator's client over loopback connections."""
 
 from __future__ import annotations
 
@@ -24,34 +24,34 @@
 from stairplank.rpc import Channel, RpcError
 
 WAIT_S = 20.0
-ALLOWED_S = 15.0  # what the users allow until a change is in force everywhere
-TICK_S = 1.0  # of the planner's clock greenlet, and of threads that are busy
+ALLOWED_S = 15.0  # required limit until a change is in force everywhere
+TICK_S = 1.0  # allowance for the planner's clock greenlet and for busy threads
 
 
-def until(what: Callable[[], Any], wait_s: float = WAIT_S) -> Any:
-    """The first true value. Raises AssertionError after the wait."""
+def wait_until(condition: Callable[[], Any], wait_s: float = WAIT_S) -> Any:
+    """Return the first true result of the condition. Raises AssertionError after ``wait_s``."""
     end = time.monotonic() + wait_s
-    while not (found := what()):
-        assert time.monotonic() < end, "it did not come about"
+    while not (result := condition()):
+        assert time.monotonic() < end, "the condition did not become true in time"
         gevent.sleep(0.01)
-    return found
+    return result
 
 
-def faults(text: str) -> list[str]:
+def text_problems(text: str) -> list[str]:
     return ["1:1: bad"] if text.startswith("bad") else []
 
 
 class Site:
-    """Replicas, each with its state file, and planners."""
+    """Runs replicas, each with its state file, and planners' watches."""
 
-    def __init__(self, folder: Path, replicas: int) -> None:
-        self.folder = folder
-        self.replicas = [self.started(n) for n in range(replicas)]
+    def __init__(self, directory: Path, replicas: int) -> None:
+        self.directory = directory
+        self.replicas = [self.start_replica(n) for n in range(replicas)]
         self.addresses = tuple(replica.server.addresses[0] for replica in self.replicas)
         self.planners: list[Planner] = []
 
-    def started(self, number: int, listen: str = "127.0.0.1:0") -> ReplicaServer:
-        replica = ReplicaServer((listen,), self.folder / f"replica-{number}.json", faults)
+    def start_replica(self, number: int, listen: str = "127.0.0.1:0") -> ReplicaServer:
+        replica = ReplicaServer((listen,), self.directory / f"replica-{number}.json", text_problems)
         replica.start()
         return replica
 
@@ -59,16 +59,16 @@
         self.replicas[number].server.stop(0.0)
 
     def restart(self, number: int) -> None:
-        self.replicas[number] = until(lambda: self._restarted(number))
+        self.replicas[number] = wait_until(lambda: self._try_restart(number))
 
-    def _restarted(self, number: int) -> ReplicaServer | None:
+    def _try_restart(self, number: int) -> ReplicaServer | None:
         try:
-            return self.started(number, self.addresses[number])
+            return self.start_replica(number, self.addresses[number])
         except OSError:
             return None
 
-    def planner(self, number: int, **more: Any) -> Planner:
-        planner = Planner(self.addresses, number, **more)
+    def planner(self, number: int, **options: Any) -> Planner:
+        planner = Planner(self.addresses, number, **options)
         self.planners.append(planner)
         return planner
 
@@ -80,11 +80,13 @@
 
 
 class Planner:
-    """A planner's watch with the texts that it put into force."""
+    """Runs a planner's watch and collects the texts that it puts into force."""
 
-    def __init__(self, replicas: tuple[str, ...], number: int, incarnation: int = 1, **more: Any) -> None:
+    def __init__(self, replicas: tuple[str, ...], number: int, incarnation: int = 1, **options: Any) -> None:
         self.texts: list[str] = []
-        self.watch = ConfigurationWatch(replicas, number, incarnation, self.check, self.texts.append, **more)
+        self.watch = ConfigurationWatch(
+            replicas, number, incarnation, self.check, self.texts.append, **options
+        )
         self.watch.start()
 
     @staticmethod
@@ -100,64 +102,68 @@
 
 @pytest.fixture
 def site(tmp_path: Path) -> Iterator[Site]:
-    made = Site(tmp_path, 3)
-    yield made
-    made.close()
+    running_site = Site(tmp_path, 3)
+    yield running_site
+    running_site.close()
 
 
-def published(site: Site, text: str, **more: Any) -> Revision:
-    result = client.publish(site.addresses, text, **more)
+def publish(site: Site, text: str, **options: Any) -> Revision:
+    result = client.publish(site.addresses, text, **options)
     assert result.outcome is PublicationOutcome.PUBLISHED, result
     return result.revision
 
 
-def test_a_publication_is_in_force_at_every_planner_and_the_status_says_so(site: Site) -> None:
+def test_a_publication_comes_into_force_at_every_planner_and_the_status_shows_it(site: Site) -> None:
     planners = [site.planner(number) for number in range(7)]
-    revision = published(site, "first")
-    until(lambda: all(planner.in_force == revision for planner in planners))
-    assert all(planner.texts == ["first"] for planner in planners), "applied once, by one of three replicas"
-    status = until(lambda: _everywhere(site, 7))
+    revision = publish(site, "first")
+    wait_until(lambda: all(planner.in_force == revision for planner in planners))
+    assert all(planner.texts == ["first"] for planner in planners), (
+        "three replicas announce it, but it must be applied once"
+    )
+    status = wait_until(lambda: _status_if_in_force_everywhere(site, 7))
     assert status.committed == revision == make_revision(1, "first")
     assert len(status.planners) == 7
-    assert all(line.delay_us is not None and line.delay_us < ALLOWED_S * 1e6 for line in status.planners)
+    assert all(
+        summary.delay_us is not None and summary.delay_us < ALLOWED_S * 1e6 for summary in status.planners
+    )
 
 
-def _everywhere(site: Site, planners: int) -> client.SiteStatus | None:
+def _status_if_in_force_everywhere(site: Site, planners: int) -> client.SiteStatus | None:
     status = client.site_status(site.addresses)
     return status if status.in_force_everywhere(planners) else None
 
 
-def test_the_status_does_not_call_it_everywhere_while_a_planner_is_missing(site: Site) -> None:
+def test_a_revision_is_not_in_force_everywhere_while_a_planner_is_missing(site: Site) -> None:
     site.planner(0)
-    published(site, "first")
-    until(lambda: _everywhere(site, 1))
+    publish(site, "first")
+    wait_until(lambda: _status_if_in_force_everywhere(site, 1))
     assert not client.site_status(site.addresses).in_force_everywhere(2)
 
 
 def test_changes_in_a_row_end_with_the_last_one(site: Site) -> None:
     planners = [site.planner(number) for number in range(3)]
     for number in range(30):
-        revision = published(site, f"text {number}")
-    until(lambda: all(planner.in_force == revision for planner in planners))
+        revision = publish(site, f"text {number}")
+    wait_until(lambda: all(planner.in_force == revision for planner in planners))
     for planner in planners:
         numbers = [int(text.split()[1]) for text in planner.texts]
         assert numbers == sorted(numbers) and numbers[-1] == 29
 
 
-def test_one_replica_of_three_may_be_gone_and_catches_up(site: Site) -> None:
+def test_one_replica_of_three_may_be_down_and_catches_up(site: Site) -> None:
     planner = site.planner(0)
     site.kill(2)
-    first = published(site, "first")
-    until(lambda: planner.in_force == first)
+    first = publish(site, "first")
+    wait_until(lambda: planner.in_force == first)
     site.restart(2)
-    second = published(site, "second")
-    until(lambda: planner.in_force == second)
+    second = publish(site, "second")
+    wait_until(lambda: planner.in_force == second)
     assert site.replicas[2].store.committed == second
 
 
 def test_without_a_majority_nothing_is_published(site: Site) -> None:
     planner = site.planner(0)
-    until(lambda: len(planner.watch.follower.replicas) == 3)
+    wait_until(lambda: len(planner.watch.follower.replicas) == 3)
     site.kill(1)
     site.kill(2)
     result = client.publish(site.addresses, "first", timeout_s=1.0)
@@ -166,38 +172,38 @@
     assert planner.in_force == NO_REVISION and site.replicas[0].store.committed == NO_REVISION
 
 
-def test_a_planner_reaches_the_newest_through_the_one_replica_that_it_can_reach(site: Site) -> None:
-    revision = published(site, "first")
-    nobody = "127.0.0.1:1"
-    planner = Planner((nobody, site.addresses[1]), 0)
+def test_one_reachable_replica_is_enough_to_get_the_newest_revision(site: Site) -> None:
+    revision = publish(site, "first")
+    unreachable = "127.0.0.1:1"
+    planner = Planner((unreachable, site.addresses[1]), 0)
     site.planners.append(planner)
-    until(lambda: planner.in_force == revision)
+    wait_until(lambda: planner.in_force == revision)
 
 
-def test_all_planners_restarted_at_once_have_it_again(site: Site) -> None:
+def test_planners_that_restart_together_apply_the_revision_again(site: Site) -> None:
     first = [site.planner(number) for number in range(10)]
-    revision = published(site, "first")
-    until(lambda: all(planner.in_force == revision for planner in first))
+    revision = publish(site, "first")
+    wait_until(lambda: all(planner.in_force == revision for planner in first))
     for planner in first:
         planner.watch.stop()
     second = [site.planner(number, incarnation=2) for number in range(10)]
-    until(lambda: all(planner.in_force == revision for planner in second))
-    status = until(lambda: _everywhere(site, 10))
-    assert len(status.planners) == 10, "the processes that have ended have left the status"
+    wait_until(lambda: all(planner.in_force == revision for planner in second))
+    status = wait_until(lambda: _status_if_in_force_everywhere(site, 10))
+    assert len(status.planners) == 10, "processes that have ended must not stay in the status"
 
 
-def test_a_replica_remembers_what_it_prepared_over_a_restart(site: Site) -> None:
-    published(site, "first")
+def test_a_prepared_number_survives_a_restart_of_the_replica(site: Site) -> None:
+    publish(site, "first")
     site.replicas[0].store.prepare(9, "reserved")
     state_files.write_state(site.replicas[0].state_file, site.replicas[0].store.state)
     site.kill(0)
     site.restart(0)
     assert site.replicas[0].store.committed == make_revision(1, "first")
-    assert published(site, "second").number == 10, "a reserved number is not used again"
+    assert publish(site, "second").number == 10, "a reserved number must not be used again"
 
 
 def test_a_replica_that_cannot_write_its_state_prepares_nothing(tmp_path: Path) -> None:
-    replica = ReplicaServer(("127.0.0.1:0",), tmp_path / "missing" / "state.json", faults)
+    replica = ReplicaServer(("127.0.0.1:0",), tmp_path / "missing" / "state.json", text_problems)
     replica.start()
     try:
         result = client.publish((replica.server.addresses[0],), "first", timeout_s=2.0)
@@ -220,20 +226,24 @@
 
 
 def test_a_change_from_an_old_base_is_rejected(site: Site) -> None:
-    published(site, "first", base=0)
+    publish(site, "first", base=0)
     result = client.publish(site.addresses, "second", base=0)
     assert result.outcome is PublicationOutcome.CONFLICT
-    assert published(site, "second", base=1).number == 2
+    assert publish(site, "second", base=1).number == 2
 
 
-def test_what_needs_a_restart_is_reported_and_applied_at_the_next_start(site: Site, tmp_path: Path) -> None:
+def test_a_revision_that_needs_a_restart_is_reported_and_used_at_the_next_start(
+    site: Site, tmp_path: Path
+) -> None:
     cache_file = tmp_path / "copy.json"
     planner = site.planner(0, cache_file=cache_file)
-    revision = published(site, "restart me")
-    line = until(lambda: next((p for p in client.site_status(site.addresses).planners if p.reason), None))
-    assert line.rejected == revision and "added at the end" in line.reason
+    revision = publish(site, "restart me")
+    summary = wait_until(
+        lambda: next((p for p in client.site_status(site.addresses).planners if p.reason), None)
+    )
+    assert summary.rejected == revision and "added at the end" in summary.reason
     assert planner.in_force == NO_REVISION
-    copy = until(lambda: state_files.read_cached_revision(cache_file))
+    copy = wait_until(lambda: state_files.read_cached_revision(cache_file))
     assert copy == RevisionText(revision, "restart me")
     assert startup.startup_candidates((), cache_file)[0].revision == revision
 
@@ -242,9 +252,9 @@
     cache_file = tmp_path / "copy.json"
     planner = site.planner(0, cache_file=cache_file)
     for number in range(5):
-        revision = published(site, f"text {number}")
-    until(lambda: planner.in_force == revision)
-    until(lambda: state_files.read_cached_revision(cache_file) == RevisionText(revision, "text 4"))
+        revision = publish(site, f"text {number}")
+    wait_until(lambda: planner.in_force == revision)
+    wait_until(lambda: state_files.read_cached_revision(cache_file) == RevisionText(revision, "text 4"))
 
 
 def test_a_planner_that_starts_prefers_the_newest_and_tolerates_unreachable_replicas(
@@ -252,11 +262,11 @@
 ) -> None:
     cache_file = tmp_path / "copy.json"
     state_files.write_cached_revision(cache_file, RevisionText(make_revision(1, "old"), "old"))
-    began = time.monotonic()
+    started_at = time.monotonic()
     assert [s.text for s in startup.startup_candidates(("127.0.0.1:1",), cache_file)] == ["old"]
-    assert time.monotonic() - began < 2 * startup.LOOKUP_TIMEOUT_S
-    published(site, "first")
-    published(site, "second")
+    assert time.monotonic() - started_at < 2 * startup.LOOKUP_TIMEOUT_S
+    publish(site, "first")
+    publish(site, "second")
     assert [s.text for s in startup.startup_candidates(site.addresses, cache_file)] == ["second", "old"]
 
 
@@ -269,18 +279,18 @@
 def test_a_silent_replica_is_reconnected_within_the_time_allowed(
     site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A stream that stays open and says nothing hides every change."""
+    """A stream that stays open without messages would hide every change from the planner."""
     monkeypatch.setattr(watch, "SILENCE_TIMEOUT_S", 0.5)
     planner = site.planner(0)
-    until(lambda: len(planner.watch.follower.replicas) == 3)
+    wait_until(lambda: len(planner.watch.follower.replicas) == 3)
     for replica in site.replicas:
         gevent.killall(list(replica.announcers))
-    revision = published(site, "first")
-    until(lambda: planner.in_force == revision, ALLOWED_S)
+    revision = publish(site, "first")
+    wait_until(lambda: planner.in_force == revision, ALLOWED_S)
 
 
 def test_the_bounds_on_time_add_up_to_less_than_is_allowed() -> None:
-    """A stream that has just fallen silent, a dial that fails, its repeat, and a fetch without an answer."""
+    """In the worst case, a stream goes silent, a dial fails and is repeated, and a fetch is not answered."""
     dials_s = watch.DIAL_TIMEOUT_S + watch.MAX_RECONNECT_DELAY_S + watch.DIAL_TIMEOUT_S
     assert watch.SILENCE_TIMEOUT_S + dials_s + FETCH_TIMEOUT_US / 1e6 + TICK_S < ALLOWED_S
 
@@ -292,9 +302,9 @@
         call.send(pb.FollowRequest(fetch=pb.Revision(number=1)))
         with pytest.raises(RpcError, match="hello"):
             call.recv(WAIT_S)
-        answer = channel.unary(
+        response = channel.unary(
             method_path(SERVICE, "Status"), pb.StatusRequest(), pb.StatusResponse.FromString
         )
-        assert not answer.planners
+        assert not response.planners
     finally:
         channel.close()
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -1,4 +1,4 @@
-"""How a planner follows the configuration: each invariant of ``configuration.follower``, and hard orders."""
+"""Tests each invariant of ``configuration.follower``, also under unfavourable orders of events."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from stairplank.configuration.store import PhaseResult, RevisionStore
 
 
-def taken(follower: Follower, replica: str, revision: Revision, text: str) -> list[object]:
-    """Announce, fetch, check and accept, without a fault."""
+def apply_revision(follower: Follower, replica: str, revision: Revision, text: str) -> list[object]:
+    """Announce, fetch, check and apply a revision without any fault."""
     actions: list[object] = []
     actions += follower.on_announced(0, replica, revision)
     actions += follower.on_text_received(0, replica, revision, text)
@@ -26,7 +26,7 @@
     return actions
 
 
-def connected(*replicas: str, in_force: Revision = NO_REVISION) -> Follower:
+def connected_follower(*replicas: str, in_force: Revision = NO_REVISION) -> Follower:
     follower = Follower(in_force)
     for replica in replicas:
         follower.on_connected(0, replica)
@@ -37,7 +37,7 @@
 
 
 def test_a_revision_is_fetched_checked_applied_and_reported() -> None:
-    follower = connected("a", "b")
+    follower = connected_follower("a", "b")
     assert follower.on_announced(0, "a", FIRST) == [FetchText("a", FIRST)]
     assert follower.on_announced(0, "b", FIRST) == []
     assert follower.on_text_received(0, "a", FIRST, "text 1") == [CheckText(FIRST, "text 1")]
@@ -50,20 +50,20 @@
 
 
 def test_a_replica_that_lags_reverts_nothing() -> None:
-    follower = connected("a", "b")
-    taken(follower, "a", SECOND, "text 2")
+    follower = connected_follower("a", "b")
+    apply_revision(follower, "a", SECOND, "text 2")
     assert follower.on_announced(0, "b", FIRST) == []
     assert follower.in_force == SECOND
 
 
 def test_another_text_under_the_number_in_force_is_not_fetched() -> None:
-    follower = connected("a", "b")
-    taken(follower, "a", FIRST, "text 1")
+    follower = connected_follower("a", "b")
+    apply_revision(follower, "a", FIRST, "text 1")
     assert follower.on_announced(0, "b", make_revision(1, "other")) == []
 
 
 def test_a_text_that_is_not_the_announced_one_is_fetched_from_another_replica() -> None:
-    follower = connected("a", "b")
+    follower = connected_follower("a", "b")
     follower.on_announced(0, "a", FIRST)
     follower.on_announced(0, "b", FIRST)
     assert follower.on_text_received(5, "a", FIRST, "text") == [FetchText("b", FIRST)]
@@ -71,7 +71,7 @@
 
 
 def test_a_backoff_follows_the_failure_of_every_replica() -> None:
-    follower = connected("a")
+    follower = connected_follower("a")
     follower.on_announced(0, "a", FIRST)
     assert follower.on_text_received(5, "a", FIRST, "wrong") == []
     assert follower.next_timer() == 5 + RETRY_DELAY_US
@@ -79,7 +79,7 @@
 
 
 def test_a_replica_that_never_answers_is_skipped() -> None:
-    follower = connected("a", "b")
+    follower = connected_follower("a", "b")
     follower.on_announced(0, "a", FIRST)
     follower.on_announced(0, "b", FIRST)
     assert follower.on_timer(FETCH_TIMEOUT_US - 1) == []
@@ -87,7 +87,7 @@
 
 
 def test_a_replica_that_is_lost_during_the_fetch_is_replaced() -> None:
-    follower = connected("a", "b")
+    follower = connected_follower("a", "b")
     follower.on_announced(0, "a", FIRST)
     follower.on_announced(0, "b", FIRST)
     assert follower.on_connection_lost(1, "a") == [FetchText("b", FIRST)]
@@ -98,7 +98,7 @@
 
 
 def test_a_newer_revision_replaces_the_check_that_is_under_way() -> None:
-    follower = connected("a")
+    follower = connected_follower("a")
     follower.on_announced(0, "a", FIRST)
     follower.on_text_received(0, "a", FIRST, "text 1")
     assert follower.on_announced(1, "a", SECOND) == [FetchText("a", SECOND)]
@@ -111,14 +111,14 @@
 
 
 def test_an_older_replica_does_not_replace_a_newer_fetch() -> None:
-    follower = connected("a", "b")
+    follower = connected_follower("a", "b")
     follower.on_announced(0, "a", SECOND)
     assert follower.on_announced(1, "b", FIRST) == []
-    assert follower.on_connection_lost(2, "a") == [FetchText("b", FIRST)], "the newest that can be had"
+    assert follower.on_connection_lost(2, "a") == [FetchText("b", FIRST)], "the newest available revision"
 
 
 def test_a_rejected_revision_is_reported_and_not_fetched_again() -> None:
-    follower = connected("a", "b")
+    follower = connected_follower("a", "b")
     follower.on_announced(0, "a", FIRST)
     follower.on_text_received(0, "a", FIRST, "text 1")
     reports = follower.on_check_failed(0, FIRST, "line 3: no number")
@@ -128,41 +128,41 @@
 
 
 def test_a_replica_that_connects_receives_a_report() -> None:
-    follower = connected("a", in_force=SECOND)
+    follower = connected_follower("a", in_force=SECOND)
     assert follower.on_connected(0, "b") == [SendReport("b", SECOND, NO_REVISION, "")]
     assert follower.on_announced(0, "b", FIRST) == []
 
 
 def test_an_announcement_of_a_stream_that_has_ended_changes_nothing() -> None:
-    follower = connected("a")
+    follower = connected_follower("a")
     follower.on_connection_lost(0, "a")
     assert follower.on_announced(1, "a", FIRST) == []
     assert not follower.replicas
 
 
 def test_a_fetch_can_wait_for_a_replica_that_announces_it_later() -> None:
-    follower = connected("a", "b")
+    follower = connected_follower("a", "b")
     follower.on_announced(0, "a", FIRST)
     follower.on_text_received(0, "a", FIRST, "wrong")
     assert follower.on_announced(1, "b", FIRST) == [FetchText("b", FIRST)]
 
 
-def test_drawn_fleets_come_to_the_newest_revision_and_never_go_back() -> None:
-    """Replicas that lag, streams that break, texts that arrive damaged or never, planners that restart: once
-    faults end, everybody has the newest; on the way no number ever decreases within an incarnation."""
+def test_planners_reach_the_newest_revision_after_random_faults_and_never_revert() -> None:
+    """Replicas lag, streams break, texts arrive damaged or not at all, and planners restart. Once the faults
+    end, every planner has the newest revision; no number decreases within an incarnation before that."""
     for seed in range(60):
-        _drawn_fleet(random.Random(seed))
+        _run_random_faults(random.Random(seed))
 
 
-def _drawn_fleet(rng: random.Random) -> None:
+def _run_random_faults(rng: random.Random) -> None:
     replicas = {name: RevisionStore() for name in ("a", "b", "c")}
     planners = [Follower() for _ in range(4)]
-    waiting: list[tuple[int, object]] = []
+    pending_actions: list[tuple[int, object]] = []
     now, number = 0, 0
     for step in range(400):
         now += rng.randrange(200_000)
-        calm = step > 250
-        if not calm and rng.random() < 0.05:
+        faults_ended = step > 250
+        if not faults_ended and rng.random() < 0.05:
             number += 1
             reached = rng.sample(sorted(replicas), rng.choice((2, 3)))
             for name in reached:
@@ -172,51 +172,54 @@
         index = rng.randrange(len(planners))
         planner = planners[index]
         before = planner.in_force
-        if not calm and rng.random() < 0.03:
+        if not faults_ended and rng.random() < 0.03:
             planners[index] = Follower(before)
-            waiting = [entry for entry in waiting if entry[0] != index]
+            pending_actions = [entry for entry in pending_actions if entry[0] != index]
             continue
-        actions = _event(rng, now, planner, replicas, calm)
+        actions = _random_event(rng, now, planner, replicas, faults_ended)
         actions += planner.on_timer(now)
-        waiting += [(index, action) for action in actions]
-        rng.shuffle(waiting)
-        later: list[tuple[int, object]] = []
-        for at, action in waiting:
-            later += [(at, more) for more in _carry_out(rng, now, planners[at], replicas, action, calm)]
-        waiting = later
+        pending_actions += [(index, action) for action in actions]
+        rng.shuffle(pending_actions)
+        next_actions: list[tuple[int, object]] = []
+        for planner_index, action in pending_actions:
+            next_actions += [
+                (planner_index, following)
+                for following in _execute(rng, now, planners[planner_index], replicas, action, faults_ended)
+            ]
+        pending_actions = next_actions
         assert planner.in_force.number >= before.number
         assert len(planner.replicas) <= len(replicas)
     newest = max(store.committed for store in replicas.values())
     assert all(planner.in_force == newest for planner in planners)
 
 
-def _event(
-    rng: random.Random, now: int, planner: Follower, replicas: dict[str, RevisionStore], calm: bool
+def _random_event(
+    rng: random.Random, now: int, planner: Follower, replicas: dict[str, RevisionStore], faults_ended: bool
 ) -> list[object]:
     name = rng.choice(sorted(replicas))
     if name not in planner.replicas:
         return list(planner.on_connected(now, name))
-    if not calm and rng.random() < 0.2:
+    if not faults_ended and rng.random() < 0.2:
         return list(planner.on_connection_lost(now, name))
     return list(planner.on_announced(now, name, replicas[name].committed))
 
 
-def _carry_out(
+def _execute(
     rng: random.Random,
     now: int,
     planner: Follower,
     replicas: dict[str, RevisionStore],
     action: object,
-    calm: bool,
+    faults_ended: bool,
 ) -> list[object]:
     match action:
         case FetchText(replica, revision):
             stored = replicas[replica].state.committed
             if replica not in planner.replicas or stored.revision != revision:
                 return []
-            if not calm and rng.random() < 0.2:
+            if not faults_ended and rng.random() < 0.2:
                 return []
-            damaged = not calm and rng.random() < 0.2
+            damaged = not faults_ended and rng.random() < 0.2
             text = stored.text[:-1] if damaged else stored.text
             return list(planner.on_text_received(now, replica, revision, text))
         case CheckText(revision, text):
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -1,4 +1,4 @@
-"""What a replica of the configuration service keeps, and the quorum of a publication."""
+"""Tests the state of a replica of the configuration service, and the quorum rules of a publication."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     store = RevisionStore()
     assert store.commit(0, FIRST) is PhaseResult.CONFLICT
     assert store.prepare(1, "one") is PhaseResult.ACCEPTED
-    assert store.committed == NO_REVISION, "prepared is not announced"
+    assert store.committed == NO_REVISION, "a prepared revision is not committed yet"
     assert store.commit(0, make_revision(1, "other")) is PhaseResult.CONFLICT
     assert store.commit(0, FIRST) is PhaseResult.ACCEPTED
     assert store.committed == FIRST
@@ -70,7 +70,7 @@
 
 
 def test_two_publishers_never_both_have_a_majority_for_one_number() -> None:
-    """Every order in which two publishers may reach three replicas."""
+    """Tries every order in which the requests of two publishers can reach three replicas."""
     for order in itertools.permutations([(p, r) for p in ("x", "y") for r in range(3)]):
         replicas = [RevisionStore() for _ in range(3)]
         accepted = {"x": 0, "y": 0}
@@ -79,7 +79,7 @@
         assert sum(count >= publication.majority_of(3) for count in accepted.values()) == 1
 
 
-def test_the_status_has_one_line_a_process_and_forgets() -> None:
+def test_the_status_has_one_entry_per_process_and_drops_expired_ones() -> None:
     store = RevisionStore()
     store.prepare(1, "one")
     store.commit(1_000, FIRST)
@@ -127,16 +127,16 @@
     assert len(store.statuses(MAX_PLANNERS + 100)) <= MAX_PLANNERS
 
 
-@pytest.mark.parametrize("replicas, wanted", [(1, 1), (2, 2), (3, 2), (4, 3), (5, 3)])
-def test_majority(replicas: int, wanted: int) -> None:
-    assert publication.majority_of(replicas) == wanted
+@pytest.mark.parametrize("replicas, expected", [(1, 1), (2, 2), (3, 2), (4, 3), (5, 3)])
+def test_majority(replicas: int, expected: int) -> None:
+    assert publication.majority_of(replicas) == expected
 
 
 def test_the_number_is_above_all_that_a_majority_has_seen() -> None:
-    seen = [ReplicaNumbers(FIRST, 4), ReplicaNumbers(NO_REVISION, 2)]
-    assert publication.next_number(3, seen) == 5
-    assert publication.next_number(3, seen[:1]) is None, "a number could be taken twice"
-    assert publication.newest_committed(seen) == FIRST
+    reported = [ReplicaNumbers(FIRST, 4), ReplicaNumbers(NO_REVISION, 2)]
+    assert publication.next_number(3, reported) == 5
+    assert publication.next_number(3, reported[:1]) is None, "a number could be taken twice"
+    assert publication.newest_committed(reported) == FIRST
 
 
 def test_nothing_is_committed_before_a_majority_has_prepared() -> None:
