--- a/stairplank/settings/__init__.py
+++ b/stairplank/settings/__init__.py
@@ -1,8 +1,8 @@
-"""Settings files: ``keyword value ...`` a line, ``#`` comments, blocks that an ``end`` closes.
+"""Settings files: one ``keyword value ...`` per line, ``#`` comments, and blocks that ``end`` closes.
 
-``source`` splits the text into words, ``schema`` checks them, ``cluster``, ``site`` and ``planner`` turn them
-into typed settings, ``detect`` tells which kind of file a text is. Every error names file, line, column and
-key.
+``source`` splits the text into words, ``schema`` checks them, ``cluster``, ``site`` and ``planner`` convert
+them into typed settings, and ``detect`` determines which kind of file a text is. Every error names the file,
+line, column and key.
 """
 
 from .planner import PlannerConfig, load_planner
--- a/stairplank/settings/cluster.py
+++ b/stairplank/settings/cluster.py
@@ -1,4 +1,4 @@
-"""What all programs of one site agree on: classes, node types, zones, tenants, limits and times."""
+"""Settings shared by all programs of a site: classes, node types, zones, tenants, limits and times."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
     Key("tick", (parsers.positive_duration,)),
 )
 
-# Keys with one value: the field, which has the same name in `Cluster` and `api.Settings`, and its default.
+# For each key with one value: the field of `Cluster` and `api.Settings` that it sets, and the default.
 SINGLE_VALUE_FIELDS: Mapping[str, tuple[str, Any]] = {
     "mean-cores": ("mean_cores", None),
     "mean-memory": ("mean_memory", None),
@@ -170,7 +170,7 @@
 
 
 def cluster_from(section: Section) -> Cluster:
-    """Return the typed settings of a section. Raises SettingsError for what contradicts itself."""
+    """Return the typed settings of a section. Raises SettingsError for contradictory settings."""
     node_types = tuple(api.NodeType(*values) for values in section.all_values("kind"))
     kinds = [node_type.name for node_type in node_types]
     zones = tuple(zone for (zone,) in section.all_values("zone"))
@@ -198,18 +198,18 @@
 
 
 def _duplicate_problems(section: Section, key: str, names: list[str]) -> list[SettingsProblem]:
-    """Return one problem for the first name that is there twice."""
+    """Return a problem for the first duplicate name; an empty list if there is none."""
     duplicate = next((name for i, name in enumerate(names) if name in names[:i]), None)
     if duplicate is None:
         return []
-    return [SettingsProblem(section.position_of(key), key, f"{duplicate} is there twice")]
+    return [SettingsProblem(section.position_of(key), key, f"{duplicate} is given twice")]
 
 
 def _class_problems(block: Section, kinds: list[str]) -> list[SettingsProblem]:
-    """Return what contradicts itself in a class, or names a kind that is not there."""
+    """Return the problems of a class: contradictory settings, or a node type that is not defined."""
     problems = _idempotency_problems(block)
     if block.value("aim") > block.value("deadline"):
-        problems.append(SettingsProblem(block.position_of("aim"), "aim", "lies behind the deadline"))
+        problems.append(SettingsProblem(block.position_of("aim"), "aim", "is longer than the deadline"))
     kind = block.value("kind")
     if kind is not None and kind not in kinds:
         message = f"no kind {kind}; known: {', '.join(kinds)}"
@@ -218,7 +218,7 @@
 
 
 def _idempotency_problems(block: Section) -> list[SettingsProblem]:
-    """Return where a scope or a window of deduplication is missing, or given to a class without a key."""
+    """Return a problem for each deduplication key that a class lacks, or has without being ``keyed``."""
     problems: list[SettingsProblem] = []
     (name,) = block.values
     effect = _EFFECT_BY_KEYWORD[block.value("effect")]
--- a/stairplank/settings/detect.py
+++ b/stairplank/settings/detect.py
@@ -1,4 +1,4 @@
-"""Which kind of file a text is, by the keywords on its lines. No I/O."""
+"""Determines the kind of a settings file from the keywords on its lines. No I/O."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 from .schema import Block, Key, Schema
 from .source import SettingsError, SettingsProblem, SourceWord
 
-OTHER_BLOCKS = frozenset({"class", "demand", "fleet"})  # blocks of some kinds, skipped in files of others
-MIN_UNKNOWN_LINES = 2  # below it a file is rather wrong than of another kind
-MAX_KNOWN_RATIO = 4  # of a file of another kind at least one line in so many is unknown
+# Keywords of blocks that only some kinds of file have. In a file of another kind, the whole block is skipped.
+KNOWN_BLOCKS = frozenset({"class", "demand", "fleet"})
+MIN_UNKNOWN_LINES = 2  # a file with fewer unknown lines counts as faulty, not as another kind
+MAX_KNOWN_RATIO = 4  # in a file of another kind, at least one line in this many is unknown
 
 
 @dataclass(frozen=True, slots=True)
 class SchemaMatch:
-    """How well a file's lines agree with a kind's keywords.
+    """How well the lines of a file match the keywords of a kind of file.
 
     Attributes:
-        kind: Name of the kind.
-        unknown_lines: Lines whose keyword the kind does not have, or has in another shape.
-        missing_keywords: Keywords that the kind requires and the file does not have.
+        kind: Name of the kind of file.
+        unknown_lines: Number of lines whose keyword the kind does not have, or has with other values.
+        missing_keywords: Number of keywords that the kind requires and the file does not have.
     """
 
     kind: str
@@ -29,25 +30,25 @@
 
     @property
     def distance(self) -> tuple[int, int]:
-        """What is smaller for a likelier kind."""
+        """A sort key that is smaller for a likelier kind."""
         return self.unknown_lines, self.missing_keywords
 
 
 def rank_schemas(lines: list[list[SourceWord]], schemas: Mapping[str, Schema]) -> list[SchemaMatch]:
-    """Return every kind, the likeliest first: fewest unknown lines, then fewest missing keywords."""
+    """Return the match of every kind, likeliest first: fewest unknown lines, then fewest missing keywords."""
     matches = [_match_schema(kind, lines, schema) for kind, schema in schemas.items()]
     return sorted(matches, key=lambda match: match.distance)
 
 
 def likely_kinds(lines: list[list[SourceWord]], schemas: Mapping[str, Schema]) -> list[str]:
-    """Return the kind of a file; two or more where it could be any of them."""
+    """Return the likeliest kinds of a file: one, or several that match equally well."""
     ordered = rank_schemas(lines, schemas)
     return [match.kind for match in ordered if match.distance == ordered[0].distance]
 
 
 def _match_schema(kind: str, lines: list[list[SourceWord]], schema: Schema) -> SchemaMatch:
     by_name = {item.name: item for item in schema}
-    blocks = OTHER_BLOCKS | {item.name for item in schema if isinstance(item, Block)}
+    blocks = KNOWN_BLOCKS | {item.name for item in schema if isinstance(item, Block)}
     unknown_lines = 0
     seen: set[str] = set()
     is_in_block = False
@@ -66,7 +67,7 @@
 
 
 def _has_shape(item: Key | Block, words: list[SourceWord]) -> bool:
-    """Whether a line has the words that the keyword takes: two kinds have a ``planner`` of other shapes."""
+    """Whether a line has valid values for its keyword: ``planner`` has different values in two kinds."""
     values = [word.text for word in words[1:]]
     for i, separator in enumerate(item.separators if isinstance(item, Key) else ()):
         if separator and values[i : i + 1] != [separator]:
@@ -86,15 +87,16 @@
 def wrong_kind_error(
     file: str, wanted: str, lines: list[list[SourceWord]], schemas: Mapping[str, Schema]
 ) -> SettingsError | None:
-    """Return one error where a file is clearly of another kind than the wanted one, else None.
+    """Return one error if a file is clearly of another kind than the wanted one, else None.
 
-    It stands in place of an error for each line.
+    The error replaces a separate error for each unknown line.
     """
     matches = rank_schemas(lines, schemas)
     best = matches[0]
-    own = next(match for match in matches if match.kind == wanted)
-    is_likely_mistake = own.unknown_lines >= MIN_UNKNOWN_LINES and own.unknown_lines * MAX_KNOWN_RATIO >= len(
-        lines
+    wanted_match = next(match for match in matches if match.kind == wanted)
+    is_likely_mistake = (
+        wanted_match.unknown_lines >= MIN_UNKNOWN_LINES
+        and wanted_match.unknown_lines * MAX_KNOWN_RATIO >= len(lines)
     )
     if not lines or best.kind == wanted or best.unknown_lines or not is_likely_mistake:
         return None
--- a/stairplank/settings/parsers.py
+++ b/stairplank/settings/parsers.py
@@ -1,4 +1,4 @@
-"""Parsers of values: each reads one word, or raises ValueError with what would be right."""
+"""Parsers of setting values: each parses one word, or raises ValueError with the expected form."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def duration(text: str) -> int:
-    """Return a time in microseconds: 250ms, 3.5s, 2m."""
+    """Return a duration such as 250ms, 3.5s or 2m in microseconds."""
     match = _DURATION.fullmatch(text)
     if match is None:
         raise ValueError(f"{text!r} is not a time such as 250ms, 3.5s or 2m")
@@ -25,7 +25,7 @@
 
 
 def format_duration(duration_us: int) -> str:
-    """Return a time as a word that ``duration`` reads back, in the largest unit that gives a whole number."""
+    """Return a duration as text that ``duration`` parses, in the largest unit that gives a whole number."""
     for unit in ("h", "m", "s", "ms"):
         if duration_us and duration_us % _UNIT_US[unit] == 0:
             return f"{duration_us // _UNIT_US[unit]}{unit}"
@@ -33,7 +33,7 @@
 
 
 def format_duration_rounded(duration_us: int) -> str:
-    """Return a time with three digits for charts and logs: 12.1s, 350ms."""
+    """Return a duration with three digits for charts and logs, such as 12.1s or 350ms."""
     if duration_us < 1_000:
         return f"{duration_us}us"
     if duration_us < 1_000_000:
@@ -44,12 +44,12 @@
 
 
 def round_durations(text: str) -> str:
-    """Return a line with its exact times rounded; for charts and logs, not to be read back."""
+    """Return a line with its durations in microseconds rounded, for charts and logs but not for parsing."""
     return re.sub(r"\b(\d+)us\b", lambda match: format_duration_rounded(int(match[1])), text)
 
 
 def positive_duration(text: str) -> int:
-    """Return a time above 0 in microseconds."""
+    """Return a duration above 0 in microseconds."""
     value = duration(text)
     if value <= 0:
         raise ValueError("a time above 0 is needed")
@@ -96,14 +96,14 @@
 
 
 def boolean(text: str) -> bool:
-    """Return whether the word is yes; it has to be yes or no."""
+    """Return True for ``yes`` and False for ``no``; any other word raises ValueError."""
     if text not in ("yes", "no"):
         raise ValueError(f"{text!r} is neither yes nor no")
     return text == "yes"
 
 
 def choice(*names: str) -> ValueParser:
-    """Return a parser that takes one of the words."""
+    """Return a parser that accepts only one of the given words."""
 
     def parse(text: str) -> str:
         if text not in names:
@@ -114,19 +114,19 @@
 
 
 def name(text: str) -> str:
-    """Return a name of letters, digits, ``_``, ``.`` and ``-``."""
+    """Return the text if it is a name of letters, digits, ``_``, ``.`` and ``-``."""
     if not _NAME.fullmatch(text):
         raise ValueError(f"{text!r} is not a name of letters, digits, _ . - (100 at most)")
     return text
 
 
 def text(value: str) -> str:
-    """Return the word as it is."""
+    """Return the word unchanged; any word is valid."""
     return value
 
 
 def size(text: str) -> int:
-    """Return a size in bytes: 4096, 64k, 8m, 1g."""
+    """Return a size such as 4096, 64k, 8m or 1g in bytes."""
     match = _SIZE.fullmatch(text)
     if match is None:
         raise ValueError(f"{text!r} is not a size such as 4096, 64k or 8m")
@@ -134,19 +134,19 @@
 
 
 def address(text: str) -> str:
-    """Return an address that ``rpc.address`` can parse, as it is."""
+    """Return the address unchanged if ``rpc.address`` can parse it."""
     addresses.parse(text)
     return text
 
 
 def value_range(parse_bound: ValueParser) -> ValueParser:
-    """Return a parser of ``A..B``, or of a single value for both ends, that returns a pair."""
+    """Return a parser that reads ``A..B``, or a single value for both ends, as a pair."""
 
     def parse(text: str) -> tuple[Any, Any]:
         low, dots, high = text.partition("..")
         pair = (parse_bound(low), parse_bound(high if dots else low))
         if pair[0] > pair[1]:
-            raise ValueError(f"{text!r} runs backwards")
+            raise ValueError(f"{text!r} has a lower end above its upper end")
         return pair
 
     return parse
--- a/stairplank/settings/planner.py
+++ b/stairplank/settings/planner.py
@@ -1,4 +1,4 @@
-"""A planner's settings file: a site's settings and the keys of this planner alone."""
+"""Settings file of a planner: the settings of its site, and the keys for this planner alone."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .site import SITE_SCHEMA, SiteSettings, checked_site, site_fields, tunable_problems
 from .source import SettingsError, SettingsProblem, SourcePosition
 
-OWN_SCHEMA: tuple[Key | Block, ...] = (
+PER_PLANNER_SCHEMA: tuple[Key | Block, ...] = (
     Key("planner", (parsers.integer(0, 65_535), parsers.integer(1, 65_536)), True, separators=("", "of")),
     Key("home-zone", (parsers.name,)),
     Key("listen", (parsers.address,), True, True),
@@ -23,31 +23,31 @@
     Key("beyond-loopback", (parsers.boolean,)),
     Key("seed", (parsers.integer(0, 2**64 - 1),)),
 )
-PLANNER_SCHEMA: tuple[Key | Block, ...] = SITE_SCHEMA + OWN_SCHEMA
-MAX_REPLICAS = 5  # of the configuration service: a planner holds a stream to each
+PLANNER_SCHEMA: tuple[Key | Block, ...] = SITE_SCHEMA + PER_PLANNER_SCHEMA
+MAX_REPLICAS = 5  # limit of configuration replicas, because a planner keeps a stream to each
 
 
 @dataclass(frozen=True, kw_only=True)
 class PlannerConfig(SiteSettings):
-    """A site's settings together with those of one planner."""
+    """The settings of a site together with those of one planner."""
 
     settings: api.Settings
     listen: tuple[str, ...]
     directory: str
     seed: int | None
-    configuration: tuple[str, ...] = ()  # replicas of the configuration service
-    configuration_copy: str | None = None  # file for the revision that the next start begins with
+    configuration: tuple[str, ...] = ()  # addresses of the configuration service's replicas
+    configuration_copy: str | None = None  # file that caches the revision for the next start
 
 
 def load_planner(path: str | Path) -> PlannerConfig:
-    """Read, check and type a planner's file. Raises SettingsError."""
+    """Load and check a planner's settings file. Raises SettingsError."""
     return planner_from(load_section(path, PLANNER_SCHEMA))
 
 
 def planner_from(section: Section) -> PlannerConfig:
-    """Return the typed settings of a planner's section. Raises SettingsError for what contradicts itself."""
+    """Return the typed settings of a planner's section. Raises SettingsError for contradictory settings."""
     cluster = cluster_from(section)
-    problems = _own_problems(section, cluster) + tunable_problems(section)
+    problems = _per_planner_problems(section, cluster) + tunable_problems(section)
     if problems:
         raise SettingsError(problems)
     site = checked_site(section, cluster)
@@ -65,23 +65,23 @@
 
 
 def merge_site(config: PlannerConfig, site: SiteSettings, name: str = "<site>") -> PlannerConfig:
-    """Return a planner's configuration with the site's settings in place of its own.
+    """Return a planner's configuration with its site settings replaced by ``site``.
 
-    What identifies the planner and where it listens stay. Raises SettingsError where the site has no zone
-    of the name of the planner's home zone; ``name`` stands for the site's file.
+    The planner's identity and listen addresses do not change. Raises SettingsError if the site has no zone
+    with the name of the planner's home zone; the error uses ``name`` as the name of the site's file.
     """
     home_zone = config.cluster.zones[config.settings.zone]
     if home_zone not in site.cluster.zones:
         message = f"no zone {home_zone}, in which this planner runs; known: {', '.join(site.cluster.zones)}"
         raise SettingsError([SettingsProblem(SourcePosition(name, 1, 1), "zone", message)])
     zone = site.cluster.zones.index(home_zone)
-    own = config.settings
-    settings = site.cluster.settings(own.planners, own.position, zone)
+    current = config.settings
+    settings = site.cluster.settings(current.planners, current.position, zone)
     return replace(config, settings=settings, **site_fields(site))
 
 
-def _own_problems(section: Section, cluster: Cluster) -> list[SettingsProblem]:
-    """Return the problems of the keys of this planner alone."""
+def _per_planner_problems(section: Section, cluster: Cluster) -> list[SettingsProblem]:
+    """Return the problems of the keys that are set for this planner alone."""
     return [
         *_position_problems(section),
         *_home_zone_problems(section, cluster),
--- a/stairplank/settings/schema.py
+++ b/stairplank/settings/schema.py
@@ -1,4 +1,4 @@
-"""Which keywords a file may have, and its check against that: unknown ones, counts and types of values."""
+"""Schemas of settings files, and the check of a file: unknown keywords, counts and types of values."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .parsers import ValueParser
 from .source import SettingsError, SettingsProblem, SourcePosition, SourceWord, read_lines
 
-_INVALID = object()  # in place of a value that cannot be parsed
+_INVALID = object()  # replaces a value that cannot be parsed
 
 
 @dataclass(frozen=True)
@@ -19,12 +19,12 @@
 
     Attributes:
         name: The keyword.
-        value_parsers: One for each value that every line has.
-        required: Whether the keyword must be there.
-        repeat: Whether it may be there more than once.
-        rest_parser: Of all further words; None where there may be none.
-        min_rest: How many further words there must be.
-        separators: Words before the values, empty for none; ("", "of") reads ``planner 0 of 3``.
+        value_parsers: One parser for each value that every line has.
+        required: Whether the file or block must have the keyword.
+        repeat: Whether the keyword may occur more than once.
+        rest_parser: Parser of all further values; None if none are allowed.
+        min_rest: Minimum number of further values.
+        separators: Word before each value, empty for none; ("", "of") parses ``planner 0 of 3``.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Block:
-    """A keyword that opens lines of their own, up to ``end``."""
+    """A keyword that opens a block of lines, which ``end`` closes."""
 
     name: str
     value_parsers: tuple[ValueParser, ...]
@@ -51,7 +51,7 @@
 
 @dataclass
 class Section:
-    """What was read of a file or a block: values by keyword, with positions."""
+    """The values read from a file or a block, by keyword, with their positions."""
 
     position: SourcePosition
     values: tuple[Any, ...] = ()
@@ -59,7 +59,7 @@
     blocks: dict[str, list[Section]] = field(default_factory=dict)
 
     def value(self, key: str, default: Any = None) -> Any:
-        """Return the value of a keyword, or a tuple of several; ``default`` where it is not given."""
+        """Return the value of a keyword, or a tuple of several; ``default`` if the keyword is not given."""
         found = self.keys.get(key)
         if not found:
             return default
@@ -71,7 +71,7 @@
         return [values for _, values in self.keys.get(key, ())]
 
     def position_of(self, key: str) -> SourcePosition:
-        """Return where a keyword stands first; where the section begins if it is not there."""
+        """Return the first position of a keyword, or the start of the section if the keyword is not given."""
         found = self.keys.get(key)
         return found[0][0] if found else self.position
 
@@ -90,25 +90,25 @@
 
 
 def load_section(path: str | Path, schema: Schema) -> Section:
-    """Read and check a file. Raises SettingsError, also where the file cannot be read."""
+    """Load and check a file. Raises SettingsError, also if the file cannot be read."""
     return load_section_text(_read_text(path), schema, str(path))
 
 
 def load_section_text(text: str, schema: Schema, file: str = "<text>") -> Section:
-    """Read and check a text; ``file`` stands for it in errors. Raises SettingsError."""
+    """Parse and check a text; errors use ``file`` as its name. Raises SettingsError."""
     reader = _SectionReader(read_lines(text, file))
     section = reader.read_section(schema, Section(SourcePosition(file, 1, 1)), None)
     if reader.problems:
-        raise SettingsError(sorted(reader.problems, key=_place_in_file))
+        raise SettingsError(sorted(reader.problems, key=_line_and_column))
     return section
 
 
-def _place_in_file(problem: SettingsProblem) -> tuple[int, int]:
+def _line_and_column(problem: SettingsProblem) -> tuple[int, int]:
     return problem.position.line, problem.position.column
 
 
 class _SectionReader:
-    """Reads the lines of one file; collects the problems in place of stopping at the first."""
+    """Reads the lines of one file and collects all problems instead of stopping at the first."""
 
     def __init__(self, lines: list[list[SourceWord]]) -> None:
         self.problems: list[SettingsProblem] = []
@@ -145,7 +145,7 @@
             self._read_key(item, words, section)
 
     def _read_block(self, block: Block, words: list[SourceWord], section: Section) -> None:
-        # The lines of a block are read also where its own values are wrong: for their problems.
+        # Read the lines of a block even if the values after its keyword are wrong, to report all problems.
         values = self._read_values(Key(block.name, block.value_parsers), words)
         inner = self.read_section(block.keys, Section(words[0].position, values or ()), block.name)
         if values is not None:
@@ -161,7 +161,7 @@
             section.keys.setdefault(key.name, []).append((words[0].position, values))
 
     def _read_values(self, key: Key, words: list[SourceWord]) -> tuple[Any, ...] | None:
-        """Return the values of a line, None where it has a problem."""
+        """Return the values of a line, or None if it has a problem."""
         values: list[Any] = []
         rest = self._read_fixed_values(key, words, values)
         if rest is None:
@@ -179,7 +179,7 @@
     def _read_fixed_values(
         self, key: Key, words: list[SourceWord], values: list[Any]
     ) -> list[SourceWord] | None:
-        """Append the values that every line has; return the words after them, None where one is missing."""
+        """Append the values that every line has; return the remaining words, None if a value is missing."""
         rest = words[1:]
         for i, parser in enumerate(key.value_parsers):
             separator = key.separators[i] if i < len(key.separators) else ""
@@ -198,7 +198,7 @@
         return rest
 
     def _parse(self, key: Key, parser: ValueParser, word: SourceWord) -> Any:
-        """Return the value of a word, _INVALID where it has none."""
+        """Return the value of a word, or _INVALID if it cannot be parsed."""
         try:
             return parser(word.text)
         except ValueError as error:
@@ -208,16 +208,16 @@
     def _report(self, position: SourcePosition, key: str, message: str) -> None:
         self.problems.append(SettingsProblem(position, key, message))
 
-    def _report_unknown(self, head: SourceWord, known: tuple[str, ...], block: str | None) -> None:
-        near = difflib.get_close_matches(head.text, known, n=1, cutoff=0.5)
+    def _report_unknown(self, keyword: SourceWord, known: tuple[str, ...], block: str | None) -> None:
+        matches = difflib.get_close_matches(keyword.text, known, n=1, cutoff=0.5)
         where = f" in {block}" if block else ""
-        hint = f"; did you mean {near[0]}?" if near else f"; known: {', '.join(sorted(known))}"
-        self._report(head.position, head.text, f"unknown keyword{where}{hint}")
+        hint = f"; did you mean {matches[0]}?" if matches else f"; known: {', '.join(sorted(known))}"
+        self._report(keyword.position, keyword.text, f"unknown keyword{where}{hint}")
 
     def _report_missing(self, schema: Schema, section: Section, block: str | None) -> None:
         for item in schema:
             given = section.blocks if isinstance(item, Block) else section.keys
-            # A keyword that is there but wrong was reported already.
+            # A keyword that is present but invalid has been reported already.
             if item.required and item.name not in given and not self._is_reported(item.name, section):
                 message = "is required" + (f" in {block}" if block else "")
                 self._report(section.position, item.name, message)
--- a/stairplank/settings/site.py
+++ b/stairplank/settings/site.py
@@ -1,7 +1,7 @@
-"""The part of a planner's settings that is the same at all planners of a site.
+"""Settings that are the same for all planners of a site.
 
-A site file holds what a planner's file holds, without the keys that say which planner it is and where it
-listens. Both are read by the functions here, so that a key means the same in either file.
+A site file has the keys of a planner's file, except for those that identify the planner and its addresses.
+The functions here read both, so that a key has the same meaning in either file.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
 )
 SITE_SCHEMA: tuple[Key | Block, ...] = CLUSTER_SCHEMA + TUNABLE_KEYS
 
-# The fields that each key sets. A key with one field gives it all its values, as a tuple where there are
-# several; a key with several fields gives one value to each.
+# The fields that each key sets. A key with one field stores all its values there, as a tuple if there are
+# several; a key with several fields stores one value in each.
 TUNABLE_FIELDS: Mapping[str, tuple[str, ...]] = {
     "dial-timeout": ("dial_timeout_us",),
     "dial-retry": ("reconnect_delay_us", "max_reconnect_delay_us"),
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SiteSettings:
-    """What all planners of a site agree on. Times in microseconds, sizes in bytes."""
+    """The settings shared by all planners of a site. Times are in microseconds, sizes in bytes."""
 
     cluster: Cluster
     dial_timeout_us: int = 250_000
@@ -83,19 +83,19 @@
 
 
 def load_site(path: str | Path) -> SiteSettings:
-    """Read, check and type a site file. Raises SettingsError."""
+    """Load and check a site file. Raises SettingsError."""
     return site_from(load_section(path, SITE_SCHEMA))
 
 
 def load_site_text(text: str, name: str = "<site>") -> SiteSettings:
-    """Read, check and type a text; ``name`` stands for the file in errors. Raises SettingsError."""
+    """Parse and check a site's text; errors use ``name`` as the file name. Raises SettingsError."""
     return site_from(load_section_text(text, SITE_SCHEMA, name))
 
 
 def site_from(section: Section) -> SiteSettings:
-    """Return the typed settings of a section that was read by SITE, or by a schema that contains it.
+    """Return the typed settings of a section that was read with ``SITE_SCHEMA`` or an extension of it.
 
-    Raises SettingsError for what contradicts itself.
+    Raises SettingsError for contradictory settings.
     """
     cluster = cluster_from(section)
     problems = tunable_problems(section)
@@ -105,9 +105,9 @@
 
 
 def tunable_problems(section: Section) -> list[SettingsProblem]:
-    """Return the problems of the tunables of a section."""
-    first, most = section.value("dial-retry", (0, 0))
-    if first <= most:
+    """Return the problems of the tunable settings in a section."""
+    delay, max_delay = section.value("dial-retry", (0, 0))
+    if delay <= max_delay:
         return []
     return [
         SettingsProblem(section.position_of("dial-retry"), "dial-retry", "the first wait is the longer one")
@@ -115,12 +115,12 @@
 
 
 def checked_site(section: Section, cluster: Cluster) -> SiteSettings:
-    """Return the typed settings of a section that was checked, with the cluster that was read from it."""
+    """Return the typed settings of a checked section; ``cluster`` was read from the same section."""
     return SiteSettings(cluster=cluster, **_given_tunables(section))
 
 
 def _given_tunables(section: Section) -> dict[str, Any]:
-    """Return the fields whose keys are in the section; the others keep their defaults."""
+    """Return the values of the fields whose keys are in the section; other fields keep their defaults."""
     given: dict[str, Any] = {}
     for key, names in TUNABLE_FIELDS.items():
         value = section.value(key)
@@ -131,5 +131,5 @@
 
 
 def site_fields(site: SiteSettings) -> dict[str, Any]:
-    """Return the settings by field; of a planner's configuration only those that all planners share."""
+    """Return the site settings by field name; a planner's other settings are left out."""
     return {field.name: getattr(site, field.name) for field in fields(SiteSettings)}
--- a/stairplank/settings/source.py
+++ b/stairplank/settings/source.py
@@ -1,4 +1,4 @@
-"""The form of a settings file: lines of words with their positions."""
+"""Splits a settings file into lines of words with their positions."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SourcePosition:
-    """A place in a file; line and column count from 1."""
+    """A position in a file; line and column count from 1."""
 
     file: str
     line: int
@@ -35,42 +35,42 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsProblem:
-    """One fault of a file, with the keyword that it is about; empty where it is about none."""
+    """A problem in a file; ``key`` is the keyword that it concerns, or empty."""
 
     position: SourcePosition
     key: str
     message: str
 
     def __str__(self) -> str:
-        """Return the problem as one line, as users see it."""
+        """Return the problem as one line, as it is shown to users."""
         return (
             f"{self.position}: {self.key}: {self.message}" if self.key else f"{self.position}: {self.message}"
         )
 
 
 class SettingsError(Exception):
-    """A file cannot be used.
+    """A settings file cannot be used.
 
     Attributes:
-        problems: All that is wrong with it, not only the first fault.
+        problems: Every problem of the file, not only the first.
     """
 
     def __init__(self, problems: list[SettingsProblem]) -> None:
-        """Take the problems as the text, each on a line of its own."""
+        """Use the problems as the error text, one per line."""
         self.problems = tuple(problems)
         super().__init__("\n".join(map(str, problems)))
 
 
 @dataclass(frozen=True, slots=True)
 class SourceWord:
-    """A word of a line, without the quotes that it may stand in."""
+    """A word of a line; quotes around it are removed."""
 
     text: str
     position: SourcePosition
 
 
 def read_lines(text: str, file: str) -> list[list[SourceWord]]:
-    """Return the words of each line that has any. Raises SettingsError where one cannot be read."""
+    """Return the words of each line that is not empty. Raises SettingsError if the text cannot be parsed."""
     if len(text) > MAX_FILE_BYTES:
         raise SettingsError(
             [SettingsProblem(SourcePosition(file, 1, 1), "", f"larger than {MAX_FILE_BYTES} bytes")]
@@ -78,15 +78,17 @@
     if "\0" in text:
         before = text[: text.index("\0")]
         position = SourcePosition(file, before.count("\n") + 1, len(before) - before.rfind("\n"))
-        raise SettingsError([SettingsProblem(position, "", "a NUL byte: this is no settings file")])
+        raise SettingsError(
+            [SettingsProblem(position, "", "contains a NUL byte, so it is not a settings file")]
+        )
     try:
         tree = _PARSER.parse(text)
     except UnexpectedInput as error:
         line = max(error.line, 1)
         column = max(error.column, 1)
         rest = text.split("\n")[line - 1][column - 1 :] if line <= text.count("\n") + 1 else ""
-        what = "a quote that is not closed" if rest.startswith('"') else f"cannot read {rest[:20]!r}"
-        raise SettingsError([SettingsProblem(SourcePosition(file, line, column), "", what)]) from None
+        message = "a quote that is not closed" if rest.startswith('"') else f"cannot read {rest[:20]!r}"
+        raise SettingsError([SettingsProblem(SourcePosition(file, line, column), "", message)]) from None
     return [[_source_word(token, file) for token in line.children] for line in tree.children]  # type: ignore[union-attr,arg-type]
 
 
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""Every error names file, line, column and key; good files give typed settings."""
+"""Valid files give typed settings; every error names the file, line, column and key."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from stairplank.settings import Block, Key, SettingsError, load_planner, load_section_text, parsers
 
 GOOD = """\
-# A planner of a small room.
+# A planner of a small site.
 planner 1 of 3
 listen 127.0.0.1:0
-listen unix:/tmp/x.sock       # a second one
+listen unix:/tmp/x.sock       # a second address
 directory [::1]:7300
 home-zone "b"
 seed 7
@@ -47,14 +47,14 @@
 """
 
 
-def written(tmp_path: Path, text: str) -> Path:
+def write_file(tmp_path: Path, text: str) -> Path:
     path = tmp_path / "planner.conf"
     path.write_text(text)
     return path
 
 
 def test_a_valid_file(tmp_path: Path) -> None:
-    config = load_planner(written(tmp_path, GOOD))
+    config = load_planner(write_file(tmp_path, GOOD))
     s = config.settings
     assert (s.position, s.planners, s.zone) == (1, 3, 1)
     assert config.listen == ("127.0.0.1:0", "unix:/tmp/x.sock") and config.directory == "[::1]:7300"
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "column", "key", "says"),
+    ("old", "new", "line", "column", "key", "message"),
     [
         ("planner 1 of 3", "planner 3 of 3", 2, 1, "planner", "3 is not below 3"),
         ("planner 1 of 3", "planner 1 3", 2, 11, "planner", "'of' is needed"),
@@ -96,37 +96,37 @@
         ("dial-retry 50ms 2s", "dial-retry 3s 2s", 8, 1, "dial-retry", "longer one"),
         ("send-buffer 64k", "send-buffer 64kb", 9, 13, "send-buffer", "not a size"),
         ("aim 3.5s", "aim 3.5", 13, 9, "aim", "not a time"),
-        ("aim 3.5s", "aim 9s", 13, 5, "aim", "behind the deadline"),
+        ("aim 3.5s", "aim 9s", 13, 5, "aim", "longer than the deadline"),
         ("effect repeatable", "effect twice", 12, 12, "effect", "none of repeatable"),
         ("effect repeatable", "effects repeatable", 12, 5, "effects", "did you mean effect?"),
         ("spread node 2", "spread node 0", 15, 17, "spread", "not within 1"),
         ("    window 8s\n", "", 17, 1, "window", "needs a window"),
         ("spread node 2", "window 3s", 15, 5, "window", "is repeatable, not keyed"),
         ("kind big\n", "kind huge\n", 23, 5, "kind", "no kind huge; known: small, big"),
-        ("zone b\n", "zone a\n", 28, 1, "zone", "a is there twice"),
+        ("zone b\n", "zone a\n", 28, 1, "zone", "a is given twice"),
         ("mean-cores 0.5", "mean-cores 0", 31, 12, "mean-cores", "not above 0"),
         ("mean-cores 0.5", "mean-cores nan", 31, 12, "mean-cores", "nan"),
         ("price probe 0.003", "price lunch 1", 33, 7, "price", "none of fleet"),
         ("    priority 1\nend\n", "    priority 1\n", 17, 1, "class", "not closed by `end`"),
     ],
 )
-def test_errors_have_places(
-    tmp_path: Path, old: str, new: str, line: int, column: int, key: str, says: str
+def test_errors_name_their_position(
+    tmp_path: Path, old: str, new: str, line: int, column: int, key: str, message: str
 ) -> None:
     assert old in GOOD
-    path = written(tmp_path, GOOD.replace(old, new, 1))
+    path = write_file(tmp_path, GOOD.replace(old, new, 1))
     with pytest.raises(SettingsError) as caught:
         load_planner(path)
-    found = [p for p in caught.value.problems if p.key == key and says in p.message]
-    assert found, f"{[str(p) for p in caught.value.problems]}"
-    assert (found[0].position.line, found[0].position.column) == (line, column)
-    assert str(found[0]).startswith(f"{path}:{line}:{column}: ")
+    matching = [p for p in caught.value.problems if p.key == key and message in p.message]
+    assert matching, f"{[str(p) for p in caught.value.problems]}"
+    assert (matching[0].position.line, matching[0].position.column) == (line, column)
+    assert str(matching[0]).startswith(f"{path}:{line}:{column}: ")
 
 
 def test_all_errors_of_a_file_are_reported_at_once(tmp_path: Path) -> None:
     text = GOOD.replace("seed 7", "sead 7").replace("aim 3.5s", "aim x").replace("zone a", "zone ?")
     with pytest.raises(SettingsError) as caught:
-        load_planner(written(tmp_path, text))
+        load_planner(write_file(tmp_path, text))
     assert [p.position.line for p in caught.value.problems] == [7, 13, 28]
 
 
@@ -142,7 +142,7 @@
 
 def test_other_addresses_than_loopback_need_a_keyword(tmp_path: Path) -> None:
     text = GOOD.replace("listen 127.0.0.1:0", "listen 10.0.0.1:80\nbeyond-loopback yes")
-    assert load_planner(written(tmp_path, text)).listen[0] == "10.0.0.1:80"
+    assert load_planner(write_file(tmp_path, text)).listen[0] == "10.0.0.1:80"
 
 
 def test_blocks_and_further_values() -> None:
--- a/tests/settings/test_site.py
+++ b/tests/settings/test_site.py
@@ -1,4 +1,4 @@
-"""A site file holds a planner's file without what names the planner, and means the same."""
+"""A site file has the keys of a planner's file that all planners share, with the same meaning."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from stairplank.settings import PlannerConfig, SettingsError, load_planner
-from stairplank.settings.planner import OWN_SCHEMA, PLANNER_SCHEMA, merge_site
+from stairplank.settings.planner import PER_PLANNER_SCHEMA, PLANNER_SCHEMA, merge_site
 from stairplank.settings.site import (
     SITE_SCHEMA,
     TUNABLE_FIELDS,
@@ -48,15 +48,15 @@
 message-most 128k
 keepalive 4s 1s
 """
-OWN_TEXT = """\
+PER_PLANNER_TEXT = """\
 planner 1 of 3
 home-zone b
 listen 127.0.0.1:7400
 directory 127.0.0.1:7300
 seed 7
 """
-# Every tunable with the value that SITE_TEXT gives it; none is a default.
-TUNED = {
+# The value that SITE_TEXT gives to each tunable field; none is the default.
+EXPECTED_TUNABLES = {
     "dial_timeout_us": 300_000,
     "reconnect_delay_us": 50_000,
     "max_reconnect_delay_us": 3_000_000,
@@ -77,7 +77,7 @@
 }
 
 
-def planner(tmp_path: Path, text: str) -> PlannerConfig:
+def load_planner_text(tmp_path: Path, text: str) -> PlannerConfig:
     path = tmp_path / "planner.conf"
     path.write_text(text)
     return load_planner(path)
@@ -85,8 +85,8 @@
 
 def test_every_tunable_is_read_into_its_field() -> None:
     site = load_site_text(SITE_TEXT)
-    assert {name: getattr(site, name) for name in TUNED} == TUNED
-    assert set(TUNED) == {field.name for field in fields(SiteSettings)} - {"cluster"}
+    assert {name: getattr(site, name) for name in EXPECTED_TUNABLES} == EXPECTED_TUNABLES
+    assert set(EXPECTED_TUNABLES) == {field.name for field in fields(SiteSettings)} - {"cluster"}
     assert site.cluster.max_attempts == 4
     assert list(site.cluster.zones) == ["a", "b"]
 
@@ -103,8 +103,8 @@
 
 
 def test_a_planners_file_is_a_site_file_and_its_own_keys(tmp_path: Path) -> None:
-    assert PLANNER_SCHEMA == SITE_SCHEMA + OWN_SCHEMA
-    config = planner(tmp_path, OWN_TEXT + SITE_TEXT)
+    assert PLANNER_SCHEMA == SITE_SCHEMA + PER_PLANNER_SCHEMA
+    config = load_planner_text(tmp_path, PER_PLANNER_TEXT + SITE_TEXT)
     site = load_site_text(SITE_TEXT)
     assert {f.name: getattr(config, f.name) for f in fields(SiteSettings)} == {
         f.name: getattr(site, f.name) for f in fields(SiteSettings)
@@ -112,16 +112,16 @@
 
 
 def test_site_settings_replace_those_of_a_planner(tmp_path: Path) -> None:
-    old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
+    old = load_planner_text(tmp_path, PER_PLANNER_TEXT + SITE_TEXT)
     changed = SITE_TEXT.replace("max-attempts 4", "max-attempts 5").replace("open-most 100", "open-most 7", 1)
     new = merge_site(old, load_site_text(changed))
-    assert new == planner(tmp_path, OWN_TEXT + changed)
+    assert new == load_planner_text(tmp_path, PER_PLANNER_TEXT + changed)
     assert new.settings.max_attempts == 5
     assert new.max_open_requests == 7
 
 
 def test_keys_of_the_planner_itself_are_unchanged(tmp_path: Path) -> None:
-    old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
+    old = load_planner_text(tmp_path, PER_PLANNER_TEXT + SITE_TEXT)
     new = merge_site(old, load_site_text(SITE_TEXT))
     assert new == old
     assert (new.settings.position, new.settings.planners, new.settings.zone) == (1, 3, 1)
@@ -129,13 +129,13 @@
 
 
 def test_the_home_zone_is_found_by_its_name(tmp_path: Path) -> None:
-    old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
-    turned = SITE_TEXT.replace("zone a\nzone b\n", "zone b\nzone a\n")
-    assert merge_site(old, load_site_text(turned)).settings.zone == 0
+    old = load_planner_text(tmp_path, PER_PLANNER_TEXT + SITE_TEXT)
+    reordered = SITE_TEXT.replace("zone a\nzone b\n", "zone b\nzone a\n")
+    assert merge_site(old, load_site_text(reordered)).settings.zone == 0
 
 
 def test_a_site_without_the_home_zone_is_rejected(tmp_path: Path) -> None:
-    old = planner(tmp_path, OWN_TEXT + SITE_TEXT)
+    old = load_planner_text(tmp_path, PER_PLANNER_TEXT + SITE_TEXT)
     site = load_site_text(SITE_TEXT.replace("zone b\n", "zone c\n"))
     with pytest.raises(SettingsError, match=r"site\.conf:1:1: zone: no zone b.*known: a, c"):
         merge_site(old, site, "site.conf")
@@ -161,30 +161,30 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "place", "key", "says"),
+    ("old", "new", "position", "key", "message"),
     [
         ("dial-retry 50ms 3s", "dial-retry 4s 3s", "14:1", "dial-retry", "longer one"),
         ("open-most 100", "open-most 0", "19:11", "open-most", "not within 1"),
         ("keepalive 4s 1s", "keepalive 4s", "28:1", "keepalive", "value 2 of 2 is missing"),
         ("effect repeatable", "effect twice", "2:12", "effect", "none of repeatable"),
-        ("zone b", "zone a", "7:1", "zone", "there twice"),
+        ("zone b", "zone a", "7:1", "zone", "a is given twice"),
         ("mean-cores 0.5\n", "", "1:1", "mean-cores", "is required"),
     ],
 )
-def test_errors_have_places(old: str, new: str, place: str, key: str, says: str) -> None:
+def test_errors_name_their_position(old: str, new: str, position: str, key: str, message: str) -> None:
     assert old in SITE_TEXT
     with pytest.raises(SettingsError) as caught:
         load_site_text(SITE_TEXT.replace(old, new, 1), "site.conf")
-    found = [p for p in caught.value.problems if p.key == key and says in p.message]
-    assert found, str(caught.value)
-    assert str(found[0]).startswith(f"site.conf:{place}: ")
+    matching = [p for p in caught.value.problems if p.key == key and message in p.message]
+    assert matching, str(caught.value)
+    assert str(matching[0]).startswith(f"site.conf:{position}: ")
 
 
 def test_a_planners_file_reports_problems_of_both_parts_at_once(tmp_path: Path) -> None:
-    text = OWN_TEXT.replace("planner 1 of 3", "planner 3 of 3")
+    text = PER_PLANNER_TEXT.replace("planner 1 of 3", "planner 3 of 3")
     text += SITE_TEXT.replace("dial-retry 50ms 3s", "dial-retry 4s 3s")
     with pytest.raises(SettingsError) as caught:
-        planner(tmp_path, text)
+        load_planner_text(tmp_path, text)
     assert sorted(p.key for p in caught.value.problems) == ["dial-retry", "planner"]
 
 
