--- a/stairplank/platform/actions.py
+++ b/stairplank/platform/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the core's actions on the connections: messages, dials, closes, log lines."""
+"""Carries out the core's actions: sends messages, opens and closes connections, writes log lines."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 from .node_watch import NodeWatch
 from .streams import Stream
 
-TRACKED_KINDS = (Kind.PLACE, Kind.HEALTH_CHECK)  # the core is notified where these are not written completely
+# The core is notified if a message of these kinds is not written completely.
+TRACKED_KINDS = (Kind.PLACE, Kind.HEALTH_CHECK)
 
 
 class ActionExecutor:
@@ -29,7 +30,10 @@
         node_watch: NodeWatch,
         confirm_settings: Callable[[ev.SettingsChanged], None],
     ) -> None:
-        """Act on these connections; ``confirm_settings`` is called once the core runs by changed settings."""
+        """Create an executor for these connections.
+
+        ``confirm_settings`` is called with a change of settings once the core has applied it.
+        """
         self._core = core
         self._clients = clients
         self._machines = machines
@@ -38,23 +42,23 @@
         self._unflushed: dict[Stream, None] = {}  # in the order of their first message
 
     def with_unsent(self, events: list[ev.Event]) -> list[ev.Event]:
-        """Return these events, where a lost link also names the messages that found it closed."""
+        """Return the events; the unsent ids of a lost link include messages sent after its socket closed."""
         return [
             self._machines.with_unsent(event) if isinstance(event, ev.LinkLost) else event for event in events
         ]
 
     def execute_all(self, actions: list[ev.Action]) -> None:
-        """Carry out actions; one that fails is logged."""
+        """Carry out actions in order. An action that fails is logged and does not stop the others."""
         for action in actions:
             try:
                 self._execute(action)
-            except Exception:  # noqa: BLE001 - whatever the fault is, the other actions are carried out
-                # Danger: with a message that cannot be sent, the rest of what the turn sends would be lost.
+            except Exception:  # noqa: BLE001 - a failed action must not stop the other actions
+                # Without this, one message that cannot be sent would lose the turn's remaining messages.
                 self._core.loop.count("faults")
                 log("fault", at=traceback.format_exc(limit=-3))
 
     def flush(self) -> None:
-        """Write what a turn has sent: the messages to one peer in one piece."""
+        """Write the messages of a turn, those for one peer in a single write."""
         while self._unflushed:
             streams = self._unflushed
             self._unflushed = {}
@@ -87,8 +91,8 @@
         stream = self._machines.stream_for(action.link, mark)
         self._write(stream, jsonlines.encode(message), mark)
         if stream is not None and message.kind is Kind.RELEASE:
-            # Danger: left to the turn's end, a placement request that is cancelled here may be sent elsewhere
-            # before this line is: connections are written in the order of their first message.
+            # Connections are flushed in the order of their first message. If the release waited for the end
+            # of the turn, the task's next attempt could be sent to another machine before this release.
             stream.flush()
 
     def _write(self, stream: Stream | None, data: bytes, mark: str = "") -> None:
--- a/stairplank/platform/binary.py
+++ b/stairplank/platform/binary.py
@@ -1,4 +1,7 @@
-"""The format of clients: length, type, id, parameters, big-endian. No I/O; buffers are bounded."""
+"""The clients' binary message format: length, type, id and parameters, big-endian.
+
+No I/O; buffers are bounded.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 from .messages import MAX_MESSAGE_BYTES, Kind, Message, ProtocolError
 
 LENGTH_BYTES = 2
-HEAD = struct.Struct(">HB8s")  # the length counts all that follows it
+HEAD = struct.Struct(">HB8s")  # length of everything after it, type, id
 PARAMETER = struct.Struct(">BH")
 CAUSE, BODY = 128, 130
 NAMES = {100: "class", 102: "left", 104: "tenant", 106: "retry", 108: "key", 110: "extras", 112: "wait"}
@@ -18,21 +21,21 @@
 
 
 class MessageReader:
-    """Splits what was read into messages."""
+    """Splits a stream of bytes into messages."""
 
     def __init__(self) -> None:
         self._data = bytearray()
 
     @property
     def pending_bytes(self) -> int:
-        """How many bytes of an incomplete message there are."""
+        """Return how many bytes of an incomplete message are buffered."""
         return len(self._data)
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are complete by now.
+        """Add data to the buffer and return the messages that it completes.
 
         Raises:
-            ProtocolError: for what cannot be read; the messages before it are in its ``messages``.
+            ProtocolError: If a message is malformed; the messages before it are in its ``messages``.
         """
         self._data += data
         messages: list[Message] = []
@@ -44,13 +47,13 @@
         return messages
 
     def _next(self) -> Message | None:
-        """Take the first complete message out of the buffer."""
+        """Remove the first message from the buffer and return it, or None if it is incomplete."""
         if len(self._data) < LENGTH_BYTES:
             return None
         size = int.from_bytes(self._data[:LENGTH_BYTES], "big") + LENGTH_BYTES
-        # Danger: a length is believed before its bytes are here; the reader would wait for them.
+        # Without this check, the reader would buffer data for a length that no message may have.
         if size < HEAD.size or size > MAX_MESSAGE_BYTES:
-            raise ProtocolError(f"a message of {size - LENGTH_BYTES} bytes")
+            raise ProtocolError(f"invalid message length: {size - LENGTH_BYTES} bytes")
         if len(self._data) < size:
             return None
         message = decode(bytes(self._data[:size]))
@@ -59,11 +62,11 @@
 
 
 def decode(data: bytes) -> Message:
-    """One complete message. Raises ProtocolError."""
+    """Decode one complete message. Raises ProtocolError if it is malformed."""
     _, number, raw = HEAD.unpack_from(data)
     kind = _KINDS.get(number)
     if kind is None:
-        raise ProtocolError(f"type {number}")
+        raise ProtocolError(f"unknown message type {number}")
     fields: dict[str, str] = {}
     cause, body = None, None
     for code, value in _parameters(data):
@@ -79,22 +82,22 @@
 
 
 def _parameters(data: bytes) -> Iterator[tuple[int, bytes]]:
-    """The codes and values of a message's parameters, in order."""
+    """Yield the code and the value of each parameter of a message, in order."""
     at = HEAD.size
     while at < len(data):
         if at + PARAMETER.size > len(data):
-            raise ProtocolError("a parameter without its length")
+            raise ProtocolError("a parameter has no complete code and length")
         code, size = PARAMETER.unpack_from(data, at)
         at += PARAMETER.size
         if at + size > len(data):
-            raise ProtocolError(f"parameter {code} runs past the message")
+            raise ProtocolError(f"parameter {code} runs past the end of the message")
         yield code, data[at : at + size]
         at += size
 
 
 def _cause(value: bytes) -> int:
     if len(value) != 1:
-        raise ProtocolError(f"a cause of {len(value)} bytes")
+        raise ProtocolError(f"the cause has {len(value)} bytes instead of 1")
     return value[0]
 
 
@@ -102,11 +105,11 @@
     try:
         return value.decode()
     except UnicodeDecodeError:
-        raise ProtocolError(f"parameter {code} is no text") from None
+        raise ProtocolError(f"parameter {code} is not valid UTF-8") from None
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message. Raises ValueError for one that is too long."""
+    """Encode a message. Raises ValueError if it is too long."""
     parts = []
     for name, text in message.fields.items():
         value = text.encode()
@@ -119,5 +122,5 @@
     rest = b"".join(parts)
     size = HEAD.size - 2 + len(rest)
     if size + 2 > MAX_MESSAGE_BYTES:
-        raise ValueError(f"a message of {size} bytes")
+        raise ValueError(f"the message is too long: {size} bytes")
     return HEAD.pack(size, message.kind, bytes.fromhex(message.id)) + rest
--- a/stairplank/platform/client_connections.py
+++ b/stairplank/platform/client_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients: accepted up to a bound, read by a greenlet each, closed once all is written."""
+"""Client connections: accepted up to a bound, each read by its own greenlet, closed once all is written."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from .messages import Message, ProtocolError
 from .streams import RESOURCE_EXHAUSTED_ERRNOS, PacedReads, Stream
 
-# Of one read of one connection: a burst of one delays the others by no more than reading it.
+# Bytes of one read: limits how long a burst on one connection delays the others.
 READ_BYTES = 16_384
-MIN_DECODE_BYTES = 512  # decoded at once when a round of reading has lasted as long as a slice of turns
-LINGER_READ_BYTES = 65_536  # of one read of a connection that is being closed
-PARTIAL_MESSAGE_TIMEOUT_S = 2.0  # a message that has begun is complete by then, or its connection is closed
-QUEUE_FULL_PAUSE_S = 0.02  # between reads while as many placement requests wait as may
-ACCEPT_RETRY_S = 0.02  # after a connection that could not be accepted for want of descriptors
-CLOSE_POLL_S = 0.05  # between looks whether a connection has closed
+MIN_DECODE_BYTES = 512  # bytes decoded at once when a round of reading has used up its time slice
+LINGER_READ_BYTES = 65_536  # bytes of one read of a connection that is being closed
+PARTIAL_MESSAGE_TIMEOUT_S = 2.0  # the connection is closed if a message that has begun takes longer
+QUEUE_FULL_PAUSE_S = 0.02  # pause between reads while the queue of placement requests is full
+ACCEPT_RETRY_S = 0.02  # pause after an accept that failed for lack of file descriptors
+CLOSE_POLL_S = 0.05  # interval of the check whether a connection has closed
 TRANSIENT_ACCEPT_ERRNOS = frozenset({errno.ECONNABORTED, errno.EPROTO, errno.EINTR})
 
 
 class ClientConnections:
-    """The sockets of the core's client sessions, by the connections' numbers."""
+    """The sockets of the client connections, by connection number."""
 
     def __init__(self, driver: CoreDriver, sessions: ClientSessions, max_connections: int) -> None:
-        """Accept at most ``max_connections``, those that are being closed included."""
+        """Create a server for at most ``max_connections`` connections, including closing ones."""
         self._driver = driver
         self._sessions = sessions
         self.max_connections = max_connections
         self.streams: dict[int, Stream] = {}
-        self.accepted: set[Stream] = set()  # those that are closing included
+        self.accepted: set[Stream] = set()  # includes connections that are being closed
         self._last_connection = 0
 
     def accept(self, listener: Any) -> None:
@@ -53,12 +53,12 @@
                 address.abort(sock)
                 continue
             self._open(sock, peer[0])
-            # Danger: hundreds come at once, and those that are here would not be read until all are in.
+            # Without the yield, a burst of hundreds of new connections would delay every read to its end.
             gevent.sleep(0)
 
     def _can_accept_more(self, error: OSError) -> bool:
         if error.errno in RESOURCE_EXHAUSTED_ERRNOS:
-            # Danger: out of descriptors, accepting would spin and nothing else would run.
+            # Without the pause, accepting without free file descriptors would be a busy loop.
             self._close_idlest()
             gevent.sleep(ACCEPT_RETRY_S)
             return True
@@ -76,7 +76,7 @@
     def _close_idlest(self) -> bool:
         """Close the idlest connection; return whether there was one.
 
-        Danger: silent connections would keep good clients, machines and the node list service out.
+        Without this, idle connections would keep out correct clients, machines and the node list service.
         """
         number = self._sessions.idlest_connection()
         stream = self.streams.get(number) if number is not None else None
@@ -88,10 +88,10 @@
         return True
 
     def has_unread(self, number: int) -> bool:
-        """Return whether something of that client waits: read and not handled, begun, or still in its socket.
+        """Return whether a connection has input that is not handled yet.
 
-        Danger: a placement request that lies there would be lost with a connection that is closed as idle, or
-        for another one.
+        The input may be a queued message, a part of a message, or data in the socket. Closing an idle
+        connection without this check could lose a placement request.
         """
         if number in self._driver.clients_in_turn or self._driver.queue.has_pending(number):
             return True
@@ -99,23 +99,23 @@
         return stream is not None and (stream.has_partial_message or stream.is_readable())
 
     def has_partial_message(self) -> bool:
-        """Return whether a message has begun to arrive on any connection, and is not complete."""
+        """Return whether any connection has received a part of a message."""
         return any(stream.has_partial_message for stream in self.streams.values())
 
     def close(self, number: int) -> None:
-        """Close a connection once all is written."""
+        """Close a connection once its send buffer is written."""
         stream = self.streams.get(number)
         if stream is not None:
             stream.close_gracefully()
             self._disconnected(stream)
 
     def close_all(self) -> None:
-        """Close every connection once all is written."""
+        """Close every connection once its send buffer is written."""
         for number in list(self.streams):
             self.close(number)
 
     def are_closed(self) -> bool:
-        """Return whether every connection that was accepted is closed."""
+        """Return whether all accepted connections are closed."""
         return all(stream.is_closed for stream in self.accepted)
 
     def _disconnected(self, stream: Stream) -> None:
@@ -150,26 +150,25 @@
                 if len(data) == max_bytes:
                     self._check_hang_up(stream)
                 if self._decode(stream, reader, data):
-                    reads.restart_deadline()  # what remains has begun with these bytes
+                    reads.restart_deadline()  # the incomplete message that remains began in this read
             stream.has_partial_message = bool(reader.pending_bytes)
             reads.yield_to_others()
             if self._wait_while_full(stream):
-                reads.restart_deadline()  # the rest of a message may lie unread meanwhile
+                reads.restart_deadline()  # the rest of a message may have arrived during the pause
 
     def _decode(self, stream: Stream, reader: binary.MessageReader, data: bytes) -> bool:
-        """Decode what was read into messages and queue them; return whether there were any.
+        """Decode the data of one read and queue its messages. Return whether there were any.
 
-        Danger: with hundreds that flood, a round in which all that was read of each is decoded at once lasts
-        longer than a client's departure may go unnoticed.
+        The data is decoded in pieces: with hundreds of busy connections, a round that decodes each read at
+        once would last too long for a client's departure to be noticed in time.
         """
         found = False
         while data and not stream.is_closed and not stream.is_closing:
             size = MIN_DECODE_BYTES if self._driver.is_round_over() else READ_BYTES
             piece = data[:size]
             data = data[size:]
-            stream.has_partial_message = (
-                True  # Danger: closed as idle, or for another, the rest would be lost
-            )
+            # Without the flag, the connection could be closed as idle and the rest of the data lost.
+            stream.has_partial_message = True
             found |= self._feed(stream, reader, piece)
             if data:
                 self._check_hang_up(stream)
@@ -177,10 +176,10 @@
         return found
 
     def _check_hang_up(self, stream: Stream) -> None:
-        """Queue that the client has closed its connection, once, before what it sent is read.
+        """Queue a ``ClientHungUp`` event, once, if the client has closed its connection.
 
-        Danger: the end of a connection lies behind all that was sent on it. Read in order, a client that
-        sends hundreds of placement requests and closes would have them placed one after the other.
+        Reading in order reaches the end of a connection only after all data sent before it. Without this
+        check, the placement requests of a client that sends hundreds and closes would all be placed.
         """
         if not stream.hang_up_reported and not stream.is_closing and stream.is_closed_by_peer():
             stream.hang_up_reported = True
@@ -188,7 +187,7 @@
             self._driver.enqueue(ev.ClientHungUp(stream.number))
 
     def _feed(self, stream: Stream, reader: binary.MessageReader, data: bytes) -> bool:
-        """Queue the messages that are complete now; return whether there are any."""
+        """Decode data and queue the messages that it completes. Return whether there were any."""
         try:
             messages = reader.feed(data)
         except ProtocolError as error:
@@ -205,9 +204,10 @@
         self._driver.enqueue(*[ev.ClientMessage(stream.number, message, now) for message in messages])
 
     def _wait_while_full(self, stream: Stream) -> bool:
-        """Slow a client down, and stop it while too many events wait; return whether it was.
+        """Pause reading a connection while the event queue is full. Return whether there was a pause.
 
-        Danger: not read at all while placement requests wait, a client that cancels or leaves goes unnoticed.
+        A full queue of placement requests causes one pause, so that cancellations and closed connections are
+        still read; an overloaded queue stops the reading while ``must_wait`` holds for the connection.
         """
         queue = self._driver.queue
         is_slowed = queue.is_full()
--- a/stairplank/platform/client_requests.py
+++ b/stairplank/platform/client_requests.py
@@ -1,19 +1,20 @@
-"""The first table: the requests of clients, from a placement request to the one answer and the one release.
-No I/O or clock.
+"""Handles clients' requests, from a placement request to its one answer and, for a task that ran, its one
+release. No I/O or clock.
 
 Invariants (tests/platform/test_platform_core.py):
 
-1. A task that was taken gets one answer: it stands, refused, or failed; none once its client has given it up
-   or its connection has gone.
-2. A task that stands belongs to no connection. Its one release goes out by ``client_sessions``.
-3. ``open`` of a connection has the tasks of its own that are open.
-4. An id that is open or stands is not taken again, and whoever sends it again does not end the first one's
-   wait.
-5. A client's wait is cut to its class's deadline: nothing is remembered for longer than that on its word.
-6. An id that was withdrawn while an attempt of it may have run, and that may not be repeated, is not placed
-   anew: sent again, it is failed at once.
-
-Tables: ``task_table`` has the tasks, ``client_sessions`` the connections.
+1. An accepted task gets one answer (placed, shed or failed), or none if its client has cancelled it or has
+   disconnected.
+2. A running task does not depend on a connection. Its one release is sent by ``client_sessions``.
+3. ``ClientConnection.open`` holds the open tasks that were requested on the connection.
+4. The id of an open or running task is not accepted a second time, and another client that sends the same id
+   does not end the first client's wait.
+5. A client's wait is limited to the deadline of its task class, so that a client cannot make the planner
+   keep state for longer than that.
+6. A task that was withdrawn while one of its attempts may have run, and that must not run twice, is not
+   placed again: a new request with its id fails at once.
+
+Tables: ``task_table`` holds the tasks, ``client_sessions`` the connections.
 """
 
 from __future__ import annotations
@@ -34,13 +35,13 @@
 from .validation import InvalidRequest, PlacementRequest, validate_request
 
 SWEEP_US = 250_000
-ANSWER_MARGIN_US = 30_000  # the module's deadline is so much before the client's: the answer takes a while
-ADOPTED_TIMEOUT_US = 3_600_000_000  # an adopted task of which no machine sent a message is forgotten
+ANSWER_MARGIN_US = 30_000  # from the module's deadline to the client's, for sending the answer
+ADOPTED_TIMEOUT_US = 3_600_000_000  # an adopted task without a message from a machine is released
 ADOPTED_SWEEP_US = 60_000_000
 
 
 class Attempts(Protocol):
-    """What clients' requests need of the attempts at machines."""
+    """The part of the attempts' interface that client requests use."""
 
     def withdrawn(self, task: Task) -> None: ...
     def release(self, task: Task) -> None: ...
@@ -48,13 +49,13 @@
 
 
 class Adoption(Protocol):
-    """What clients' requests need of the adoption of running tasks."""
+    """The part of the adoption's interface that client requests use."""
 
     def take(self, task: Task) -> None: ...
 
 
 class ClientRequests:
-    """What clients ask for and what they are owed."""
+    """Handles clients' messages and sends their answers and releases."""
 
     def __init__(
         self,
@@ -75,12 +76,12 @@
         self.ready = False
 
     def set_settings(self, settings: api.Settings, tenants: tuple[str, ...]) -> None:
-        """Settings and tenants' names from now on; what was taken keeps its wait, class and tenant."""
+        """Apply changed settings and tenant names; accepted tasks keep their wait, class and tenant."""
         self.settings = settings
         self.tenants = tenants
 
     def start(self) -> None:
-        """Answer tests with "ready" from now on."""
+        """Report "ready" to clients' health checks from now on, and start the periodic sweeps."""
         self.ready = True
         self.loop.call_at(self.loop.now + SWEEP_US, self._sweep)
         self.loop.call_at(self.loop.now + ADOPTED_SWEEP_US, self._sweep_adopted)
@@ -88,11 +89,14 @@
     # Connections
 
     def connected(self, event: ev.ClientConnected) -> None:
-        """A client has connected."""
+        """Register a client that has connected."""
         self.sessions.add(event.conn, event.client)
 
     def hung_up(self, event: ev.ClientHungUp) -> None:
-        """A client has closed: it waits for no answer any more; what it sent before may still be received."""
+        """Withdraw the open tasks of a client that has closed its connection.
+
+        Messages that it sent before it closed may still be received.
+        """
         connection = self.sessions.get(event.conn)
         if connection is not None:
             self._withdraw_open(connection)
@@ -102,7 +106,7 @@
             self._withdraw(self.tasks.by_id[id])
 
     def disconnected(self, event: ev.ClientDisconnected) -> None:
-        """A client has disconnected: nobody waits for its open tasks any more."""
+        """Remove a client's connection, withdraw its open tasks and resend its unacknowledged releases."""
         connection = self.sessions.remove(event.conn)
         if connection is None:
             return
@@ -128,15 +132,15 @@
             case Kind.RELEASE | Kind.MIGRATE:
                 self._cancelled(connection, message, event.cancelled_unhandled)
             case Kind.HEALTH_CHECK:
-                self._answer_test(connection, message)
+                self._answer_health_check(connection, message)
             case Kind.ACKNOWLEDGEMENT:
                 self.sessions.acknowledge(connection, message.id)
             case Kind.STATUS_UPDATE if message.id in self.tasks.by_id:
                 self.sessions.touch(connection)
             case _:
-                self.sessions.unexpected(connection)
+                self.sessions.handle_unexpected(connection)
 
-    def _answer_test(self, connection: ClientConnection, message: Message) -> None:
+    def _answer_health_check(self, connection: ClientConnection, message: Message) -> None:
         self.sessions.touch(connection)
         answer = Message(Kind.HEALTH_CHECK_RESULT, message.id, cause=1 if self.ready else 0)
         self.loop.emit(ev.SendToClient(connection.number, answer))
@@ -151,11 +155,11 @@
             return
         known = self.tasks.by_id.get(message.id)
         if known is not None:
-            self._repeated(connection, known, request, message)
+            self._handle_repeated_id(connection, known, request, message)
         elif request.at:
             self._adopt(connection, request, message)
         elif message.id in self.tasks.unproven:
-            # Danger: the same task again, after its connection broke: taken as new, it would run twice.
+            # A task that may have run before its connection broke would run twice if it were accepted as new.
             self.sessions.reject(connection, message.id, Cause.RESET, "unproven")
         elif over_limit or not self._has_capacity(connection.client, message):
             self.sessions.reject(connection, message.id, Cause.BUSY, "full", admission.BUSY_RETRY_US)
@@ -170,7 +174,7 @@
     def _open(
         self, connection: ClientConnection, request: PlacementRequest, message: Message, read_at: int
     ) -> None:
-        """Take a new task and have the decision module place it."""
+        """Accept a new task and request its placement from the decision module."""
         task = self._accept(connection, request, message, self._wait_us(request, read_at))
         connection.open[task.id] = None
         self.tasks.count_open(task)
@@ -178,8 +182,9 @@
         self.loop.notify_module(api.TaskRequested(task.for_module()))
 
     def _wait_us(self, request: PlacementRequest, read_at: int) -> int:
-        """How long the decision module has for it."""
-        # Danger: a wait of weeks would keep a timer for each placement request that was withdrawn long ago.
+        """Return how long the decision module may take to place a task."""
+        # Without the limit to the class's deadline, a client that requests a wait of weeks and then cancels
+        # would leave a timer in the planner for weeks.
         wait = min(request.wait_us, self.settings.classes[request.class_index].deadline_us)
         wait -= min(ANSWER_MARGIN_US, wait // 10)
         if read_at:
@@ -204,28 +209,29 @@
         self.tasks.add(task)
         return task
 
-    def _repeated(
+    def _handle_repeated_id(
         self, connection: ClientConnection, task: Task, request: PlacementRequest, message: Message
     ) -> None:
-        """An id that is here already."""
-        same = task.client == connection.client and task.request.key == request.key
-        same = same and task.fingerprint == _fingerprint(message.body or "")
-        here = task.conn == connection.number
-        if same and request.at and task.state is TaskState.RUNNING:
+        """Handle a placement request with the id of a task that is open or running."""
+        is_same = task.client == connection.client and task.request.key == request.key
+        is_same = is_same and task.fingerprint == _fingerprint(message.body or "")
+        is_same_connection = task.conn == connection.number
+        if is_same and request.at and task.state is TaskState.RUNNING:
             self.sessions.touch(connection)
             self.sessions.reassign(task, connection)
-        elif same and not request.at and task.state is TaskState.OPEN and not here:
-            self.sessions.touch(connection)  # sent again on a new connection, as the old one broke
+        elif is_same and not request.at and task.state is TaskState.OPEN and not is_same_connection:
+            # The client repeats its request on a new connection because the old one broke.
+            self.sessions.touch(connection)
             self.sessions.reassign(task, connection)
-        elif here and task.state is TaskState.OPEN:
-            # Two under one number: the client could not tell whose an answer is.
+        elif is_same_connection and task.state is TaskState.OPEN:
+            # With two open tasks under one id, the client could not tell which one an answer is for.
             self._withdraw(task)
             self.sessions.reject(connection, message.id, Cause.INVALID, "twice")
-        elif not here:
+        elif not is_same_connection:
             self.sessions.reject(connection, message.id, Cause.INVALID, "taken_id")
 
     def _adopt(self, connection: ClientConnection, request: PlacementRequest, message: Message) -> None:
-        """A task that a machine holds already."""
+        """Adopt a task that already runs on a machine; with a full task table, send its release instead."""
         if self.tasks.is_full():
             self.sessions.touch(connection)
             release = Message(Kind.RELEASE, message.id, cause=int(Cause.RESET))
@@ -243,7 +249,10 @@
         self.adoption.take(task)
 
     def _sweep_adopted(self, _: None) -> None:
-        """Danger: a task that no machine knows would be kept for good."""
+        """Release adopted tasks whose timeout has passed.
+
+        Without the sweep, a task that no machine knows would stay in the table forever.
+        """
         self.loop.call_at(self.loop.now + ADOPTED_SWEEP_US, self._sweep_adopted)
         oldest = self.loop.now - ADOPTED_TIMEOUT_US
         for task in list(self.tasks.by_id.values()):
@@ -258,18 +267,19 @@
             self.loop.count("cancelled_unhandled")
         if task is None or task.client != connection.client:
             if not connection.last_received_at:
-                self.sessions.unexpected(connection)  # crossed with our own message, or of no use
+                # The cancellation crossed with the task's release, or its id names no task of this client.
+                self.sessions.handle_unexpected(connection)
             return
         self.sessions.touch(connection)
         if task.state is TaskState.OPEN:
             self._withdraw(task)
         elif task.attempt is None:
-            self.ended(task, None)  # adopted, and its machine is not listed yet
+            self.ended(task, None)  # an adopted task whose machine is not listed yet has no attempt
         else:
             self.attempts.release(task)
 
     def _withdraw(self, task: Task) -> None:
-        """Nobody waits for it any more."""
+        """End an open task whose client no longer waits for an answer."""
         self.loop.count("withdrawn")
         is_sent = task.attempt is not None and task.attempt.state is AttemptState.SENT
         effect = self.settings.classes[task.request.class_index].effect
@@ -282,8 +292,8 @@
     # Messages to clients
 
     def placed(self, task: Task, body: str) -> None:
-        """Its machine's answer, passed on unchanged."""
-        self._no_longer_open(task)
+        """Mark a task as running and forward its machine's answer to the client, unchanged."""
+        self._leave_open(task)
         task.state, task.placement_state = (
             self.loop.transition(TASK_TRANSITIONS, task.state, "accepted"),
             PlacementState.PLACED,
@@ -295,14 +305,14 @@
         self.loop.emit(ev.SendToClient(task.conn, Message(Kind.ANSWER, task.id, body=body)))
 
     def shed(self, action: api.Shed) -> None:
-        """The decision module refuses a task: its client may come again."""
+        """Answer a task that the decision module sheds: its client may retry."""
         task = self.tasks.by_number.get(action.task)
         if task is not None and task.state is TaskState.OPEN:
             fields = {"wait": str(action.retry_after_us // 1000)} if action.retry_after_us else {}
             self._answer(task, PlacementState.SHED, Message(Kind.RELEASE, task.id, fields, int(Cause.BUSY)))
 
     def fail(self, action: api.Fail) -> None:
-        """The decision module fails a task: it may have run."""
+        """Answer a task that the decision module fails because it may have run."""
         task = self.tasks.by_number.get(action.task)
         if task is not None and task.state is TaskState.OPEN:
             self._answer(task, PlacementState.FAILED, Message(Kind.RELEASE, task.id, cause=int(Cause.RESET)))
@@ -311,23 +321,25 @@
         self.loop.count(placement_state.value)
         number = task.conn
         self._end(task, placement_state)
-        # Danger: answered first, a client may come again before its machine hears that this one is given up.
+        # If the client were answered first, its retry could reach the machine before the machine is notified
+        # that this attempt is abandoned.
         self.attempts.withdrawn(task)
         self.loop.emit(ev.SendToClient(number, message))
 
     def ended(self, task: Task, cause: int | None) -> None:
-        """A task that stood is over; without a cause its client is owed no message."""
+        """End a running task. Its client is sent a release with ``cause``, or nothing if that is None."""
         self._end(task, task.placement_state)
         if cause is not None:
             release = Message(Kind.RELEASE, task.id, cause=cause)
             self.sessions.release(task.conn, task.client, release)
 
     def migrated(self, task: Task) -> None:
-        """It ends, also at its machine, and its client comes again."""
+        """End a running task here and ask its client to place it again (``Kind.MIGRATE``)."""
         self._end(task, task.placement_state)
         self.sessions.release(task.conn, task.client, Message(Kind.MIGRATE, task.id))
 
-    def _no_longer_open(self, task: Task) -> None:
+    def _leave_open(self, task: Task) -> None:
+        """Remove a task from the open tasks of its connection and of the table."""
         connection = self.sessions.get(task.conn)
         if connection is not None:
             connection.open.pop(task.id, None)
@@ -336,7 +348,7 @@
 
     def _end(self, task: Task, placement_state: PlacementState) -> None:
         if task.state is TaskState.OPEN:
-            self._no_longer_open(task)
+            self._leave_open(task)
         else:
             connection = self.sessions.get(task.conn)
             if connection is not None:
--- a/stairplank/platform/client_sessions.py
+++ b/stairplank/platform/client_sessions.py
@@ -1,14 +1,17 @@
-"""Connections of clients as the core knows them: which are useful, and releases that must reach a client.
+"""Client connections as the core knows them: which ones to keep open, and the delivery of releases.
 
 No I/O or clock. Invariants (tests/platform/test_platform_core.py):
 
-1. A release goes out on the connection of its placement request, else on another of that client's, else it is
-   kept for the next one. One that may not have been received when its connection broke is sent again.
-2. A connection with an open task is never closed, nor one with a placement request that was read and waits.
-3. Bounds: releases of one connection that are not acknowledged (``MAX_UNACKNOWLEDGED``), releases that wait
-   for a connection (``MAX_PENDING_RELEASES``, ``PENDING_RELEASES_US``); connections by the service.
+1. A release is sent on the connection of its placement request, or on another connection of the same client,
+   or else on the next connection that this client opens. A release that may not have been received when its
+   connection broke is sent again.
+2. A connection with an open task is never closed, nor is a connection with a placement request that was read
+   and not yet handled.
+3. Bounds: the unacknowledged releases of a connection (``MAX_UNACKNOWLEDGED``) and the releases that wait for
+   a connection (``MAX_PENDING_RELEASES``, ``PENDING_RELEASES_US``). The service bounds the connections.
 
-Tables: ``connections`` by number, ``by_client`` their numbers, ``pending_releases``.
+Tables: ``connections`` (by number), ``by_client`` (the numbers of a client's connections) and
+``pending_releases``.
 """
 
 from __future__ import annotations
@@ -22,32 +25,33 @@
 from .messages import Cause, Kind, Message
 from .tables import Task, TaskState
 
-UNRESPONSIVE_US = 2_000_000  # a connection that has sent nothing useful is closed then
-IDLE_US = 6_000_000  # one with nothing under way; clients close theirs after 4 s
-UNACKNOWLEDGED_US = 1_500_000  # so long a release may be on its way when its connection breaks
-MAX_UNACKNOWLEDGED = 256  # of one connection
+UNRESPONSIVE_US = 2_000_000  # age at which a connection that has sent nothing useful is closed
+IDLE_US = 6_000_000  # idle time after which a connection is closed; clients close theirs after 4 s
+UNACKNOWLEDGED_US = 1_500_000  # a release sent this long before its connection breaks may not have arrived
+MAX_UNACKNOWLEDGED = 256  # unacknowledged releases of one connection
 MAX_PENDING_RELEASES, PENDING_RELEASES_US = 4096, 60_000_000
-MAX_REJECTIONS = 16  # refusals of unusable messages on a connection before it is closed
+MAX_REJECTIONS = 16  # unusable messages on a connection before it is closed
 
 
 @dataclass(slots=True)
 class ClientConnection:
-    """One connection of a client."""
+    """A connection of a client, its tasks and its unacknowledged releases."""
 
     number: int
     client: str
     connected_at: int
-    last_received_at: int = 0  # when it last sent something useful
-    open: dict[str, None] = field(default_factory=dict)  # ids of its open tasks
+    last_received_at: int = 0  # when the last useful message was received; 0 before the first
+    open: dict[str, None] = field(default_factory=dict)  # ids of the connection's open tasks
     running_count: int = 0
     rejections: int = 0
     closing: bool = False
-    unacknowledged: deque[tuple[int, Message]] = field(default_factory=deque)  # releases, with their time
+    # Releases that are not acknowledged yet, each with the time it was sent.
+    unacknowledged: deque[tuple[int, Message]] = field(default_factory=deque)
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRelease:
-    """A release for a client that has no connection."""
+    """A release that waits for its client to connect."""
 
     since: int
     client: str
@@ -55,21 +59,22 @@
 
 
 class ClientSessions:
-    """The connections of all clients, and the releases on their way."""
+    """The connections of all clients, and the releases that are not delivered yet."""
 
     def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
         self.connections: dict[int, ClientConnection] = {}
         self.by_client: dict[str, dict[int, None]] = {}
         self.pending_releases: deque[PendingRelease] = deque()
-        self.has_unread: Callable[[int], bool] = lambda number: False  # whether a message of it waits
+        # Whether a connection has input that is not handled yet; the service replaces it.
+        self.has_unread: Callable[[int], bool] = lambda number: False
 
     def get(self, number: int) -> ClientConnection | None:
-        """The connection of that number, if it is there."""
+        """Return the connection with a number, or None if there is none."""
         return self.connections.get(number)
 
     def add(self, number: int, client: str) -> None:
-        """A client has connected."""
+        """Register a new connection and send the releases that wait for its client."""
         connection = ClientConnection(number, client, self.loop.now)
         self.connections[number] = connection
         self.by_client.setdefault(client, {})[number] = None
@@ -77,7 +82,7 @@
             self._send_pending_releases(connection)
 
     def remove(self, number: int) -> ClientConnection | None:
-        """A client has disconnected; the connection it was."""
+        """Remove a connection. Return it, or None if there is none with that number."""
         connection = self.connections.pop(number, None)
         if connection is None:
             return None
@@ -88,11 +93,11 @@
         return connection
 
     def touch(self, connection: ClientConnection) -> None:
-        """It has sent something useful."""
+        """Record that a useful message was received on a connection."""
         connection.last_received_at = self.loop.now
 
     def reassign(self, task: Task, connection: ClientConnection) -> None:
-        """The task belongs to that connection from now on."""
+        """Move a task to another connection of its client."""
         old = self.connections.get(task.conn)
         if task.state is TaskState.OPEN:
             if old is not None:
@@ -107,15 +112,17 @@
     # Closing
 
     def sweep(self) -> None:
-        """Forget releases that are too old, close connections that are of no use."""
+        """Drop releases that are too old and close connections that are unresponsive or idle."""
         self._drop_old_releases()
         for connection in list(self.connections.values()):
             self._forget_acknowledgements(connection)
             self._close_if_unused(connection)
 
     def idlest_connection(self) -> int | None:
-        """The connection that can best be closed for room: nothing under way, longest without a useful
-        message.
+        """Choose the connection to close when a new one needs its place, and mark it as closing.
+
+        Return its number, or None if every connection has open tasks or unhandled input. Connections without
+        running tasks come first, then those with the oldest useful message.
         """
         idle = [c for c in self.connections.values() if not c.open and not c.closing]
         for connection in sorted(
@@ -130,10 +137,10 @@
         if connection.open or connection.closing:
             return
         now, last = self.loop.now, connection.last_received_at
-        # Danger: connections that send nothing, or nothing useful, would take all descriptors.
+        # Without this, connections that send nothing useful would use up all file descriptors.
         is_silent = not last and connection.connected_at < now - UNRESPONSIVE_US
         is_idle = last and not connection.running_count and last < now - IDLE_US
-        # Danger: a placement request that waits its turn would find its connection closed, and is lost.
+        # Without the ``has_unread`` check, a placement request that is not handled yet would be lost.
         if (is_silent or is_idle) and not self.has_unread(connection.number):
             self._close(connection, "silent" if is_silent else "idle")
 
@@ -142,12 +149,13 @@
         self.loop.count("closed_" + why)
         self.loop.emit(ev.CloseClient(connection.number, why))
 
-    # Messages that cannot be used
+    # Unexpected and invalid messages
+
+    def handle_unexpected(self, connection: ClientConnection) -> None:
+        """Count a message that has no meaning in the current state; close a connection that sends no other.
 
-    def unexpected(self, connection: ClientConnection) -> None:
-        """A message without a meaning here. Danger: who sends nothing else is owed a close; a good client,
-        whose message crossed with ours, must not lose what it has open, nor placement requests that were read
-        after that message and wait.
+        A correct client's message may cross with one from the planner. Its connection stays open while it has
+        open tasks, or placement requests that were read after that message and are not handled yet.
         """
         connection.rejections += 1
         if connection.open or self.has_unread(connection.number):
@@ -158,14 +166,14 @@
     def reject(
         self, connection: ClientConnection, id: str, cause: Cause, why: str, after_us: int = 0
     ) -> None:
-        """Refuse a placement request without taking it. ``after_us``: when the client may come again."""
+        """Reject a placement request. ``after_us``: how long the client should wait before a retry."""
         self.loop.count("rejected_" + why)
         fields = {"wait": str(max(1, after_us // 1000))} if after_us else {}
         message = Message(Kind.RELEASE, id, fields, int(cause))
         self.loop.emit(ev.SendToClient(connection.number, message))
         if cause is not Cause.INVALID:
-            # Danger: a good client that is rejected at SIGTERM, or for want of room, would have its
-            # connection closed under the placement requests that wait behind.
+            # Without this, a correct client whose requests are rejected during shutdown or for lack of
+            # capacity would have its connection closed, and lose the placement requests that still wait.
             self.touch(connection)
             return
         connection.rejections += 1
@@ -176,10 +184,10 @@
     # Releases
 
     def release(self, number: int, client: str, message: Message) -> None:
-        """Send a release on that connection, else on another of that client's, else on its next."""
+        """Send a release on a connection, on another of the same client, or when the client reconnects."""
         connection = self.connections.get(number)
         if connection is None or connection.closing:
-            connection = self._latest_of(client)
+            connection = self._last_active_connection(client)
         if connection is not None:
             self.send_release(connection, message)
             return
@@ -190,33 +198,35 @@
             self.loop.count("releases_dropped")
 
     def send_release(self, connection: ClientConnection, message: Message) -> None:
-        """Send a release that the client is to acknowledge."""
+        """Send a release and keep it until the client acknowledges it."""
         connection.unacknowledged.append((self.loop.now, message))
         if len(connection.unacknowledged) > MAX_UNACKNOWLEDGED:
             connection.unacknowledged.popleft()
         self.loop.emit(ev.SendToClient(connection.number, message))
 
     def acknowledge(self, connection: ClientConnection, id: str) -> None:
-        """The client has received the release of that task."""
+        """Drop the release that a client has acknowledged."""
         waiting = connection.unacknowledged
         if any(message.id == id for _, message in waiting):
             self.touch(connection)
             connection.unacknowledged = deque(sent for sent in waiting if sent[1].id != id)
         elif not connection.last_received_at:
-            self.unexpected(connection)
+            self.handle_unexpected(connection)
 
     def resend_unacknowledged(self, connection: ClientConnection) -> None:
-        """Danger: a release that was written as the connection broke was not received, and its task stays up
-        there.
+        """Send the recent unacknowledged releases of a broken connection again.
+
+        A release that was written while the connection broke may be lost; without it, the client would take
+        its task for running.
         """
         for at, message in connection.unacknowledged:
             if at > self.loop.now - UNACKNOWLEDGED_US:
                 self.release(0, connection.client, message)
 
-    def _latest_of(self, client: str) -> ClientConnection | None:
-        """The client's connection that was useful last, but for those that are being closed."""
-        all_of = [self.connections[number] for number in self.by_client.get(client, ())]
-        usable = [connection for connection in all_of if not connection.closing]
+    def _last_active_connection(self, client: str) -> ClientConnection | None:
+        """Return the client's open connection with the latest useful message, or None."""
+        connections = [self.connections[number] for number in self.by_client.get(client, ())]
+        usable = [connection for connection in connections if not connection.closing]
         return max(usable, key=lambda c: c.last_received_at, default=None)
 
     def _send_pending_releases(self, connection: ClientConnection) -> None:
--- a/stairplank/platform/event_queue.py
+++ b/stairplank/platform/event_queue.py
@@ -1,24 +1,24 @@
-"""What has been read and not yet handled, in the order in which it is to be handled. No I/O or clock.
+"""The queue of events that are read and not yet handled, in the order of handling. No I/O or clock.
 
 Invariants (tests/platform/test_platform_event_queue.py):
 
-1. Node list updates and changed settings come before everything; then departures: connections that come and
-   go, and cancellations; then what else clients send, but for new placement requests, and what they are owed
-   at once, answers and the ends of tasks that stood; then what else machines and links report; then new
-   placement requests: a placement request is placed by all that is known, not by what happened to be read
-   first.
-2. Between events of the same task or connection the order is kept, but that a client's departure (as
-   ``ClientHungUp``, where more of it waits) overtakes them: it only ends its open tasks.
-3. A placement request that its client cancels, or whose connection goes, leaves at once, unhandled, however
-   many wait before it; one that is read after its client has hung up is dropped.
-4. Bounds: ``MAX_PLACEMENTS`` placement requests wait, further ones are marked to be rejected
-   (``over_limit``); with twice as many events in all (``is_overloaded``) no client is read of which
-   ``CONNECTION_SHARE`` wait. Machines and the node list always are; what they send is bounded by the attempts
-   at them.
-
-Tables: the queues, and of what waits in them ``_by_task``, ``_by_connection``, ``_client_messages``,
-``_machine_messages``, ``_urgent_tasks``, ``_urgent_clients``, ``_links_coming_up``; of connections
-``_clients`` and ``_hung_up``.
+1. The order of handling is: node list updates and changed settings; departures (connections that open or
+   close, and cancellations); urgent events (other messages of clients except new placement requests, and
+   answers and ends of running tasks from machines); other events of machines and links; new placement
+   requests. A placement request is last so that it is placed with everything that is known by then.
+2. Events of the same task or connection keep their order, except that a client's departure overtakes them:
+   with other events of the client in the queue, it does so as ``ClientHungUp``, which only ends the client's
+   open tasks.
+3. A placement request that its client cancels, or whose connection is lost, is removed unhandled at once,
+   however many events are before it. A placement request read after its client has hung up is dropped.
+4. Bounds: at most ``MAX_PLACEMENTS`` placement requests wait; further ones are marked to be rejected
+   (``over_limit``). With twice as many events in all (``is_overloaded``), no connection with
+   ``CONNECTION_SHARE`` queued messages is read. Machines and the node list service are always read;
+   the number of attempts bounds what machines send.
+
+Tables: the queues; indexes of the queued events (``_by_task``, ``_by_connection``, ``_client_messages``,
+``_machine_messages``, ``_urgent_tasks``, ``_urgent_clients``, ``_links_coming_up``); the connections
+(``_clients``, ``_hung_up``).
 """
 
 from __future__ import annotations
@@ -30,16 +30,17 @@
 from . import events as ev
 from .messages import END_CAUSES, Kind
 
-EVENTS_PER_TURN, PLACEMENTS_PER_TURN = 32, 8  # of one turn of the core: between turns messages are written
+# Events of one turn of the core; messages are written between turns.
+EVENTS_PER_TURN, PLACEMENTS_PER_TURN = 32, 8
 MAX_PLACEMENTS = 2048
 MAX_EVENTS = 2 * MAX_PLACEMENTS
-# Of one connection, while the queue is overloaded. Danger: with none a client that cancels, or closes its
-# connection, is not noticed while others flood; with many the queue has no bound.
+# Queued messages at which a connection is not read while the queue is overloaded. With 0, a client that
+# cancels or disconnects would go unnoticed during an overload; a large value would not bound the queue.
 CONNECTION_SHARE = 16
 
 
 def is_new_placement(event: ev.Event) -> bool:
-    """Whether it is a placement request of a task that no machine has yet."""
+    """Return whether an event is a placement request for a task that no machine runs yet."""
     if not isinstance(event, ev.ClientMessage) or event.message.kind is not Kind.PLACE:
         return False
     extras = event.message.fields.get("extras", "")
@@ -47,29 +48,30 @@
 
 
 def comes_before_time(event: ev.Event) -> bool:
-    """Whether a turn handles it before the timers that are due: a node list update, changed settings or a
-    departure. Danger: a timer would send a placement request to a machine that drains, or for a client that
-    has gone.
+    """Return whether a turn handles an event before the timers that are due.
+
+    This holds for node list updates, changed settings and departures. Otherwise a timer could send a
+    placement request to a draining machine, or for a client that has disconnected.
     """
     changes = (ev.NodeListUpdated, ev.NodeListConfirmed, ev.SettingsChanged)
     return isinstance(event, changes) or is_departure(event)
 
 
 def is_departure(event: ev.Event) -> bool:
-    """Whether it can only end what a client waits for, or opens its connection."""
+    """Return whether an event opens or closes a client's connection, or cancels a task."""
     if isinstance(event, ev.ClientMessage):
         return event.message.kind in (Kind.RELEASE, Kind.MIGRATE)
     return isinstance(event, (ev.ClientConnected, ev.ClientHungUp, ev.ClientDisconnected))
 
 
-def is_due_to_client(event: ev.MachineMessage) -> bool:
-    """Whether a client is to be notified of it: an answer, or the end of what stood."""
+def must_notify_client(event: ev.MachineMessage) -> bool:
+    """Return whether a client must be notified of a machine's message: an answer, or the end of a task."""
     message = event.message
     return message.kind is Kind.ANSWER or (message.kind is Kind.RELEASE and message.cause in END_CAUSES)
 
 
 class EventQueue:
-    """The events that wait for a turn of the core, by urgency."""
+    """The events that wait for a turn of the core, in one queue per urgency."""
 
     def __init__(self) -> None:
         self._node_list: deque[ev.Event] = deque()
@@ -78,35 +80,39 @@
         self._other: deque[ev.Event] = deque()
         self._placements: OrderedDict[int, ev.Event] = OrderedDict()
         self._number = 0
-        self._by_task: dict[str, dict[int, int]] = {}  # id: its waiting placements, and their connections
-        self._by_connection: dict[int, dict[int, None]] = {}  # connection: the same
-        self._client_messages: Counter[int] = Counter()  # by connection, in any queue
-        self._machine_messages: Counter[str] = Counter()  # by task, in ``_other``
-        # Placement requests and machines' messages by task, in ``_urgent``.
+        self._by_task: dict[
+            str, dict[int, int]
+        ] = {}  # task id: its queued events by number, with connections
+        self._by_connection: dict[
+            int, dict[int, None]
+        ] = {}  # connection: the numbers of its events in ``_placements``
+        self._client_messages: Counter[int] = Counter()  # count by connection, in all queues
+        self._machine_messages: Counter[str] = Counter()  # count by task, in ``_other``
+        # Number of placement requests and machines' messages in ``_urgent``, by task.
         self._urgent_tasks: Counter[str] = Counter()
-        self._urgent_clients: Counter[int] = Counter()  # the same of clients, by connection
-        self._links_coming_up: Counter[int] = Counter()  # by link, in ``_other``
-        self._clients: dict[int, str] = {}  # by connection
-        self._hung_up: set[int] = set()  # connections that are not disconnected yet
+        self._urgent_clients: Counter[int] = Counter()  # clients' messages in ``_urgent``, by connection
+        self._links_coming_up: Counter[int] = Counter()  # LinkUp events in ``_other``, by link
+        self._clients: dict[int, str] = {}  # client address by connection
+        self._hung_up: set[int] = set()  # connections that have hung up and are not disconnected yet
 
     def __len__(self) -> int:
         queues = (self._node_list, self._departures, self._urgent, self._other, self._placements)
         return sum(map(len, queues))
 
     def is_full(self) -> bool:
-        """Whether as many placement requests wait as may."""
+        """Return whether the maximum number of placement requests is queued."""
         return len(self._placements) >= MAX_PLACEMENTS
 
     def is_overloaded(self) -> bool:
-        """Whether so many events wait that clients with many of them are not read."""
+        """Return whether so many events are queued that connections with many messages are not read."""
         return len(self) >= MAX_EVENTS
 
     def must_wait(self, conn: int) -> bool:
-        """Whether no more of that client is to be read for now."""
+        """Return whether reading from a connection must pause."""
         return self.is_overloaded() and self._client_messages[conn] >= CONNECTION_SHARE
 
     def has_pending(self, conn: int) -> bool:
-        """Whether a message of that connection waits: read, and not yet handled."""
+        """Return whether a message of a connection is queued."""
         return conn in self._client_messages
 
     def add(self, event: ev.Event) -> None:
@@ -143,12 +149,12 @@
         if event.conn not in self._by_connection and event.conn not in self._urgent_clients:
             self._departures.append(event)
             return
-        # Danger: behind what the client sent before, and all that waits before that, it is seen after further
-        # attempts for a client that has gone.
+        # The disconnect must stay behind the client's earlier messages. Without ClientHungUp ahead of them,
+        # further attempts would start for a client that has disconnected.
         if not has_hung_up:
             self._departures.append(ev.ClientHungUp(event.conn))
         if event.conn in self._by_connection:
-            # An adoption request waits, by its id.
+            # An adoption request of the connection is queued; the disconnect stays behind it.
             self._add_placement(event, "", event.conn)
         else:
             self._urgent.append(event)
@@ -161,7 +167,7 @@
             self._urgent_clients[event.conn] += 1
 
     def _machine_message(self, event: ev.MachineMessage) -> None:
-        if is_due_to_client(event) and self._overtakes(event):
+        if must_notify_client(event) and self._overtakes(event):
             self._add_urgent(event)
         else:
             self._other.append(event)
@@ -180,8 +186,8 @@
             self._add_message(event)
         else:
             if event.message.kind in (Kind.RELEASE, Kind.MIGRATE):
-                # Danger: behind the placement request that it ends, and all that waits before that, it is
-                # seen once the placement request has gone out for a client that has left.
+                # A cancellation queued behind its placement request would be handled only after the request
+                # has been sent to a machine.
                 client = self._clients.get(event.conn, event.conn)
                 own = [n for n, c in self._by_task[id].items() if self._clients.get(c, c) == client]
                 if self._remove_placements(own):
@@ -192,15 +198,21 @@
                 self._add_message(event)
 
     def _add_message(self, event: ev.ClientMessage) -> None:
-        """Danger: behind thousands of other messages a cancellation is seen after further attempts."""
+        """Queue a client's message; a cancellation goes ahead of other messages.
+
+        Behind thousands of other messages, it would be handled only after further attempts for its task.
+        """
         if is_departure(event) and event.message.id not in self._urgent_tasks:
             self._departures.append(event)
         else:
             self._add_urgent(event)
 
     def _overtakes(self, event: ev.MachineMessage) -> bool:
-        """Danger: in a jam hundreds of refusals wait, each a task to be placed anew, and the ends of tasks
-        behind them are reported too late.
+        """Return whether a machine's message may overtake other machines' messages.
+
+        Under overload, hundreds of rejections are queued, each with a task to place again; behind them
+        the ends of tasks would be reported too late. Messages of the same task, and messages on a link whose
+        LinkUp is queued, keep their order.
         """
         return event.message.id not in self._machine_messages and event.link not in self._links_coming_up
 
@@ -212,7 +224,7 @@
         self._by_connection.setdefault(conn, {})[self._number] = None
 
     def _remove_placements(self, numbers: list[int]) -> int:
-        """Of these the placement requests; how many."""
+        """Remove the new placement requests among the numbered events. Return how many there were."""
         numbers = [n for n in numbers if is_new_placement(self._placements[n])]
         for number in numbers:
             event: Any = self._placements.pop(number)
@@ -226,14 +238,14 @@
         _discard(self._by_connection, event.conn, number)
 
     def take(self) -> list[ev.Event]:
-        """The next turn's; nothing once all is handled."""
-        events = self._taken()
+        """Remove and return the events of the next turn; an empty list if there are none."""
+        events = self._take_most_urgent()
         for event in events:
             if isinstance(event, ev.ClientMessage):
                 _decrement(self._client_messages, event.conn)
         return events
 
-    def _taken(self) -> list[ev.Event]:
+    def _take_most_urgent(self) -> list[ev.Event]:
         if self._node_list or self._departures:
             events = list(self._node_list)
             self._node_list.clear()
@@ -267,8 +279,10 @@
         return event
 
     def take_all(self, placements: bool = True, limit: int | None = None) -> list[ev.Event]:
-        """Everything, or what comes first of it: some more than ``limit``, once there are so many. Without
-        ``placements`` the new placement requests stay.
+        """Remove and return all events, or only the first ones.
+
+        With ``limit``, it stops after the turn that reaches that number of events. Without ``placements``,
+        the new placement requests stay in the queue.
         """
         events: list[ev.Event] = []
         while len(self) > (0 if placements else len(self._placements)) and (
@@ -278,13 +292,14 @@
         return events
 
     def has_messages(self) -> bool:
-        """Whether anything but new placement requests waits."""
+        """Return whether anything other than new placement requests is queued."""
         return len(self) > len(self._placements)
 
 
 def _concerns_task(event: ev.Event) -> bool:
-    """Whether a cancellation of its task has to come after it. Danger: counted by their id alone, the tests
-    of another client would hold a cancellation back.
+    """Return whether a cancellation of the event's task must stay behind the event.
+
+    Health checks carry ids too; if they counted, another client's health checks could delay a cancellation.
     """
     if isinstance(event, ev.ClientMessage):
         return event.message.kind is Kind.PLACE
@@ -298,7 +313,7 @@
 
 
 def _discard(table: dict[Any, dict[int, Any]], key: Any, number: int) -> None:
-    of = table[key]
-    del of[number]
-    if not of:
+    entries = table[key]
+    del entries[number]
+    if not entries:
         del table[key]
--- a/stairplank/platform/events.py
+++ b/stairplank/platform/events.py
@@ -1,7 +1,7 @@
 """The events that the platform's core handles and the actions it returns.
 
-Times are microseconds on the planner's own clock. Connections, of clients and to machines, are numbers that
-nothing else of this incarnation has.
+Times are microseconds on the planner's own clock. Client connections and links to machines are identified by
+numbers that are unique within an incarnation of the planner.
 """
 
 from __future__ import annotations
@@ -20,34 +20,34 @@
     """A client has connected."""
 
     conn: int
-    client: str  # whose connection it is: the address it comes from
+    client: str  # the client's name: the address it connects from
 
 
 @dataclass(frozen=True, slots=True)
 class ClientMessage:
     """A client has sent a message.
 
-    ``cancelled_unhandled``: a cancellation whose placement request was read before and is dropped with it.
-    ``over_limit``: a placement request that was read while as many wait as may.
+    ``cancelled_unhandled``: a cancellation whose placement request was still queued and has been dropped.
+    ``over_limit``: a placement request that was read while the event queue was full.
     """
 
     conn: int
     message: Message
-    at: int = 0  # when it was read, if it has waited since
+    at: int = 0  # when the message was read; 0 if unknown
     cancelled_unhandled: bool = False
     over_limit: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ClientHungUp:
-    """The client has closed its connection and waits for no answer; what it sent before may lie unread."""
+    """A client has closed its connection and expects no answer; earlier messages may still be unread."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The connection of a client is no more."""
+    """A client's connection is closed."""
 
     conn: int
 
@@ -61,7 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFailed:
-    """A dial has failed. ``refused``: nobody listens there; ``ours``: no descriptor was left to dial with."""
+    """A dial has failed.
+
+    ``refused``: no process listens at the address. ``ours``: the planner had no file descriptor left to dial.
+    """
 
     link: int
     refused: bool
@@ -70,9 +73,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkLost:
-    """A connection to a machine is no more.
+    """A connection to a machine is closed.
 
-    ``unsent``: ids of the messages of which not every byte was written.
+    ``unsent``: ids of the messages that were not written completely.
     """
 
     link: int
@@ -81,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessagesUnsent:
-    """These were removed from a connection's buffer completely, as they might not be sent any more."""
+    """Messages were removed whole from a connection's send buffer because they must not be sent any more."""
 
     link: int
     ids: frozenset[str]
@@ -104,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeListConfirmed:
-    """The node list service sent its last revision, and no update is missing here."""
+    """The node list service has sent its latest revision, and the planner has every update up to it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,14 +117,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The process is asked to end. ``at``: when its signal came."""
+    """The planner process is to shut down. ``at``: when the signal was received."""
 
     at: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class MachinesClosing:
-    """No answer is due any more: connections to machines are closed, and none is dialled."""
+    """All answers are sent: connections to machines are closed, and none is dialled any more."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +132,7 @@
     """Settings that may change while the planner runs (``reload``) have changed."""
 
     revision: str
-    changed: tuple[str, ...]  # fields that differ
+    changed: tuple[str, ...]  # names of the fields that differ
     settings: api.Settings
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
@@ -139,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """Time has passed."""
+    """A timer of the core is due."""
 
 
 Event = (
@@ -174,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseClient:
-    """Close a client's connection once what was sent to it is written."""
+    """Close a client's connection once its send buffer is written."""
 
     conn: int
     why: str
@@ -198,26 +201,29 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseLink:
-    """Close, and read on until the other side has closed too. A LinkLost follows where it was up."""
+    """Close a link and read from it until the machine has closed it too.
+
+    A LinkLost event follows if the link was up.
+    """
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchNodeList:
-    """Make sure that the node list service is connected, now."""
+    """Connect to the node list service at once if it is not connected."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsInForce:
-    """The core has applied a change of settings: the node list's names follow."""
+    """The core has applied a change of settings; the node list is to use its names from now on."""
 
     change: SettingsChanged
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """An event for the log."""
+    """Write a log line with an event's name and fields."""
 
     event: str
     fields: dict[str, object]
--- a/stairplank/platform/jsonlines.py
+++ b/stairplank/platform/jsonlines.py
@@ -1,5 +1,6 @@
-"""The format of machines and of the node list service: one JSON object a line. No I/O; buffers are
-bounded.
+"""The message format of machines and of the node list service: one JSON object per line.
+
+No I/O; buffers are bounded.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class LineReader:
-    """Splits what was read into lines, without their ends."""
+    """Splits a stream of bytes into lines, without their line breaks."""
 
     def __init__(self, max_bytes: int = MAX_MESSAGE_BYTES) -> None:
         self._max_bytes = max_bytes
@@ -33,57 +34,61 @@
 
     @property
     def pending_bytes(self) -> int:
-        """How many bytes of an incomplete line there are."""
+        """Return how many bytes of an incomplete line are buffered."""
         return len(self._data)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are complete by now. Raises Unreadable for one that is too long; the lines before it
-        are in its ``lines``.
+        """Add data to the buffer and return the lines that it completes.
+
+        Raises:
+            ProtocolError: If a line is too long; the lines before it are in its ``lines``.
         """
         self._data += data
         *complete, rest = bytes(self._data).split(b"\n") if b"\n" in data else (bytes(self._data),)
         if len(complete):
             self._data = bytearray(rest)
         for number, line in enumerate([*complete, rest]):
-            # Danger: a line that never ends would be kept as it grows.
+            # Without this check, a line that never ends would grow the buffer without bound.
             if len(line) >= self._max_bytes:
-                raise ProtocolError(f"a line of {len(line)} bytes or more", lines=complete[:number])
+                raise ProtocolError(
+                    f"the line is too long: {len(line)} bytes or more", lines=complete[:number]
+                )
         return complete
 
 
 def parse_object(line: bytes) -> dict[str, Any]:
-    """A line's object. Raises Unreadable."""
+    """Parse the JSON object of a line. Raises ProtocolError if the line is not a JSON object."""
     try:
         value = json.loads(line)
     except (ValueError, RecursionError):
-        raise ProtocolError("a line that is no JSON") from None
+        raise ProtocolError("the line is not valid JSON") from None
     if not isinstance(value, dict):
-        raise ProtocolError("a line that is no object")
+        raise ProtocolError("the line is not a JSON object")
     return value
 
 
 def decode(line: bytes) -> Message:
-    """A machine's message.
+    """Decode a machine's message.
 
     Raises:
-        ProtocolError: nothing of such a line may be used, nor of what comes after it.
+        ProtocolError: If the line is malformed; neither it nor any later line may be used.
     """
     value = parse_object(line)
     kind = KINDS.get(value.get("kind", "")) if isinstance(value.get("kind"), str) else None
     fields, cause, body = value.get("meta", {}), value.get("reason"), value.get("body")
     if kind is None:
-        raise ProtocolError("a line of no known kind")
+        raise ProtocolError("the message's kind is unknown")
     if not is_id(value.get("uid")):
-        raise ProtocolError("a line without a task's id")
+        raise ProtocolError("the uid is not a task's id")
     if not isinstance(fields, dict) or not all(isinstance(v, (str, int, float)) for v in fields.values()):
-        raise ProtocolError("a line whose fields are no strings or numbers")
+        raise ProtocolError("the message's meta is not an object of strings and numbers")
     _check_cause(cause)
     if body is not None and not isinstance(body, str):
-        raise ProtocolError("a line whose description is no text")
+        raise ProtocolError("the message's body is not a string")
     _check_text([body or "", *map(str, fields), *map(str, fields.values())])
     needs_cause = kind in (Kind.RELEASE, Kind.HEALTH_CHECK_RESULT)
     if (kind is Kind.ANSWER and not body) or (needs_cause and cause is None):
-        raise ProtocolError("a line that lacks its description or cause")
+        raise ProtocolError("the message lacks its body or its reason")
     return Message(kind, value["uid"], {str(k): str(v) for k, v in fields.items()}, cause, body)
 
 
@@ -91,24 +96,27 @@
     if cause is None:
         return
     if not isinstance(cause, int) or isinstance(cause, bool) or not 0 <= cause <= MAX_CAUSE:
-        raise ProtocolError("a line whose cause is no number")
+        raise ProtocolError(f"the message's reason is not an integer from 0 to {MAX_CAUSE}")
 
 
 def _check_text(texts: list[str]) -> None:
-    """Danger: JSON can name half a character, which no other form can be given."""
+    """Raise ProtocolError for a text with an unpaired surrogate.
+
+    JSON can escape half of a character, which cannot be encoded as UTF-8 and so cannot be forwarded.
+    """
     try:
         "".join(texts).encode()
     except UnicodeEncodeError:
-        raise ProtocolError("a line with half a character") from None
+        raise ProtocolError("the message's text has an unpaired surrogate") from None
 
 
 def encode_text(body: str) -> bytes:
-    """A description as a line has it."""
+    """Encode a description as in a line of this format."""
     return json.dumps(body, ensure_ascii=False).encode()
 
 
 def encode(message: Message) -> bytes:
-    """The line of a message. Raises ValueError for one that is too long."""
+    """Encode a message as a line. Raises ValueError if it is too long."""
     value: dict[str, Any] = {"kind": NAMES[message.kind], "uid": message.id, "meta": message.fields}
     if message.cause is not None:
         value["reason"] = message.cause
@@ -116,5 +124,5 @@
         value["body"] = message.body
     line = json.dumps(value, separators=(",", ":"), ensure_ascii=False).encode() + b"\n"
     if len(line) > MAX_MESSAGE_BYTES:
-        raise ValueError(f"a line of {len(line)} bytes")
+        raise ValueError(f"the line is too long: {len(line)} bytes")
     return line
--- a/stairplank/platform/messages.py
+++ b/stairplank/platform/messages.py
@@ -1,4 +1,4 @@
-"""The platform's messages, in either format: a kind, a task's id, fields, perhaps a cause and a body."""
+"""The platform's messages, independent of format: a kind, a task's id, fields, an optional cause and body."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-MAX_MESSAGE_BYTES = 16_384  # bytes of a whole message, in either form
-ID_FORM = re.compile(r"[0-9a-f]{16}", re.ASCII)
+MAX_MESSAGE_BYTES = 16_384  # bytes of a complete message, in either format
+ID_PATTERN = re.compile(r"[0-9a-f]{16}", re.ASCII)
 
 
 class PlatformError(Exception):
-    """The base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class ProtocolError(PlatformError):
-    """What came cannot be followed, nor anything after it on that connection.
+    """A connection sent malformed data; nothing after it on that connection can be used.
 
-    ``messages`` or ``lines``, by the format, were complete before the fault.
+    ``messages`` (binary format) or ``lines`` (JSON format) hold what was complete before the error.
     """
 
     def __init__(self, reason: str, messages: Sequence[Message] = (), lines: Sequence[bytes] = ()) -> None:
@@ -28,7 +28,7 @@
 
 
 class Kind(IntEnum):
-    """What a message is, numbered as in the binary format."""
+    """The kind of a message, with its number in the binary format."""
 
     PLACE = 1
     PROGRESS = 6
@@ -42,9 +42,9 @@
 
 
 class Cause(IntEnum):
-    """Why a task is released, by the platform's numbers."""
+    """The reason for a release, with its number in the platform's protocol."""
 
-    ENDED = 16  # from a client that waits: cancelled
+    ENDED = 16  # a client that waits for an answer cancels its task with this cause
     CANCELLED = 31
     FULL = 34
     RESET = 41
@@ -54,14 +54,15 @@
     NOT_SENT = 102
 
 
-END_CAUSES = frozenset({int(Cause.ENDED), int(Cause.CANCELLED), int(Cause.RESET)})  # of a task that ran
+# Causes of a machine's release that end a running task.
+END_CAUSES = frozenset({int(Cause.ENDED), int(Cause.CANCELLED), int(Cause.RESET)})
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
     """A message of either format.
 
-    ``fields`` have the names of the JSON format; a body is forwarded and never read.
+    ``fields`` are keyed by the names of the JSON format. ``body`` is forwarded and never parsed.
     """
 
     kind: Kind
@@ -72,5 +73,5 @@
 
 
 def is_id(text: object) -> bool:
-    """Whether it is a task's id or key: 16 hexadecimal digits."""
-    return isinstance(text, str) and ID_FORM.fullmatch(text) is not None
+    """Return whether a value has the form of a task's id or key: 16 hexadecimal digits."""
+    return isinstance(text, str) and ID_PATTERN.fullmatch(text) is not None
--- a/stairplank/platform/request_router.py
+++ b/stairplank/platform/request_router.py
@@ -1,7 +1,7 @@
-"""Routes what connections to machines carry: attempts and health checks, and the machines' messages. No I/O.
+"""Routes attempts, health checks and machines' messages between the links and their components. No I/O.
 
-The links know requests only by their machine, their id and their start; what becomes of one is up to the
-component that sent it.
+The links know a request only by its machine, its id and its start time; the component that sent it decides
+what follows from its result.
 """
 
 from __future__ import annotations
@@ -14,56 +14,56 @@
 
 
 class RequestRouter:
-    """The links' view of the components that send requests."""
+    """Forwards the links' calls to the component that sent the request."""
 
     def __init__(self, attempts: Attempts, health_checks: HealthChecks) -> None:
         self.attempts = attempts
         self.health_checks = health_checks
 
     def may_send(self, request: OutboundRequest) -> bool:
-        """Whether it may still go to its machine, now."""
+        """Return whether a request may still be sent to its machine."""
         return isinstance(request, HealthCheck) or self.attempts.may_send(request)
 
     def message_of(self, request: OutboundRequest) -> Message:
-        """The message that is written for it, now."""
+        """Return the message to write for a request at this moment."""
         if isinstance(request, HealthCheck):
             return self.health_checks.message_of(request)
         return self.attempts.message_of(request)
 
     def written(self, request: OutboundRequest, link: int) -> None:
-        """It was written to that connection."""
+        """Record that a request was written to a connection."""
         request.link = link
         if not isinstance(request, HealthCheck):
             self.attempts.written(request)
 
     def not_written(self, request: OutboundRequest) -> bool:
-        """Not every byte of it left: whether it is to be sent again."""
+        """Handle a request that was not written completely. Return whether it is to be sent again."""
         request.link = 0
         if isinstance(request, HealthCheck):
             return self.health_checks.is_pending(request)
         return self.attempts.not_written(request)
 
     def unreachable(self, request: OutboundRequest, result: api.Result = api.Result.UNREACHABLE) -> None:
-        """It never left."""
+        """Handle a request that was never sent."""
         if isinstance(request, HealthCheck):
             self.health_checks.failed(request)
         else:
             self.attempts.unreachable(request, result)
 
     def recall(self, request: OutboundRequest) -> None:
-        """Its connection is about to be closed: its machine is notified that it is abandoned."""
+        """Notify the machine that an attempt is abandoned, before its connection is closed."""
         if not isinstance(request, HealthCheck):
             self.attempts.recall(request)
 
     def broken(self, request: OutboundRequest) -> None:
-        """Its connection broke after a complete write."""
+        """Handle a request whose connection broke after it was written completely."""
         if isinstance(request, HealthCheck):
             self.health_checks.failed(request)
         else:
             self.attempts.broken(request)
 
     def received(self, machine: int, link: int, message: Message) -> None:
-        """A machine's message, on that connection."""
+        """Pass a message that was received from a machine to the component that it answers."""
         if message.kind is Kind.HEALTH_CHECK_RESULT:
             self.health_checks.received(machine, message)
         else:
--- a/stairplank/platform/tables.py
+++ b/stairplank/platform/tables.py
@@ -15,25 +15,25 @@
 
 
 class AttemptState(Enum):
-    """How an attempt at a machine stands."""
+    """The state of an attempt to run a task on a machine."""
 
-    __hash__ = object.__hash__  # the enum's own is computed anew from the name at each look-up
+    __hash__ = object.__hash__  # the enum's own hashes the name at each look-up, which is slower
 
-    WAITING = "waiting"  # for a connection: not every byte has left
-    SENT = "sent"  # written whole; the machine has not answered
+    WAITING = "waiting"  # waits for a connection, or is not written completely
+    SENT = "sent"  # written completely; the machine has not answered
     RUNNING = "running"
-    ABANDONED = "abandoned"  # the module has its outcome; the machine may still accept it
-    RELEASED = "released"  # it ran, or runs after all, and its machine was ordered to end it
+    ABANDONED = "abandoned"  # the module has its outcome; the machine may still start the task
+    RELEASED = "released"  # the machine started the task and was ordered to end it
     ENDED = "ended"
 
 
 class TaskState(Enum):
-    """How a client's task stands."""
+    """The state of a client's task."""
 
-    __hash__ = object.__hash__  # see AttemptState
+    __hash__ = object.__hash__  # faster than the enum's own, see AttemptState
 
-    OPEN = "open"  # its client waits
-    RUNNING = "running"  # answered, or adopted; its end is owed
+    OPEN = "open"  # the client waits for an answer
+    RUNNING = "running"  # placed or adopted; the client is still to be sent its release
     ENDED = "ended"
 
 
@@ -67,14 +67,14 @@
 
 
 class Location(NamedTuple):
-    """Where a machine is, by the settings' zones and the list's groups."""
+    """The zone (from the settings) and the group (from the node list) of a machine."""
 
     zone: int
     group: int
 
 
 class MachinePlace(NamedTuple):
-    """Where a machine was, and since when it had been running, as an attempt was bound to it."""
+    """The location and start time of a machine when an attempt was bound to it."""
 
     location: Location
     started_at: int
@@ -82,25 +82,25 @@
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """A client's task. The decision module knows it by ``number``, client and machines by ``id``."""
+    """A client's task. The decision module knows it by ``number``, the client and the machines by ``id``."""
 
     number: int
     id: str
     client: str
     conn: int
     request: PlacementRequest
-    body: str  # the description, until no machine needs it any more
+    body: str  # the task's description; emptied once no machine needs it
     expires_at: int
-    fingerprint: bytes = b""  # of the description, by which a repeated request is recognised
+    fingerprint: bytes = b""  # hash of the description, to recognise a repeated request
     state: TaskState = TaskState.OPEN
     placement_state: PlacementState = PlacementState.OPEN
     attempt_count: int = 0
-    attempt: Attempt | None = None  # the one in flight, or the one that runs
-    is_proven_not_run: bool = True  # every attempt that ended is proven not to have run
-    may_have_run_since: int = 0  # when the first one that may have run began
+    attempt: Attempt | None = None  # the attempt that is in flight or runs
+    is_proven_not_run: bool = True  # whether every ended attempt is proven not to have run
+    may_have_run_since: int = 0  # start of the first attempt that may have run; 0 without one
 
     def for_module(self) -> api.Task:
-        """The task as the decision module knows it."""
+        """Return the task in the form that the decision module uses."""
         spec = self.request.spec
         return api.Task(
             self.number,
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt to have a machine run a task. Times are microseconds on the planner's clock."""
+    """An attempt to run a task on a machine. Times are microseconds on the planner's clock."""
 
     task: Task
     number: int
@@ -128,18 +128,21 @@
     state: AttemptState = AttemptState.WAITING
     link: int = 0
     forget_at: int = 0  # when an abandoned attempt is forgotten
-    place: MachinePlace | None = None  # of its machine, as it was bound
-    last_status_at: int = 0  # when its machine last sent a status update of it
+    place: MachinePlace | None = None  # the machine's location and start time at the bind
+    last_status_at: int = 0  # time of the machine's last status update for it
 
     @property
     def id(self) -> str:
-        """The task's id, by which the machine knows the attempt."""
+        """Return the task's id, by which the machine knows the attempt."""
         return self.task.id
 
 
 @dataclass(slots=True, eq=False)
 class HealthCheck:
-    """A health check that the module requested, or (``is_requested`` False) one of the links' own."""
+    """A health check of a machine.
+
+    ``is_requested``: whether the decision module requested it; the links also send their own.
+    """
 
     id: str
     machine: int
@@ -148,26 +151,26 @@
     link: int = 0
 
 
-# What is sent to a machine and awaits its answer.
+# A request that is sent to a machine and awaits an answer.
 OutboundRequest = Attempt | HealthCheck
 
 
 @dataclass(slots=True, eq=False)
 class Link:
-    """A connection to a machine, or one that is being dialled."""
+    """A connection to a machine that is up or being dialled."""
 
     number: int
     machine: int
     is_up: bool = False
     opened_at: int = 0
     used_at: int = 0
-    is_suspect: bool = False  # an answer did not come on it: nothing new goes there
+    is_suspect: bool = False  # an answer was overdue on it: no new request is sent on it
     outstanding: dict[str, OutboundRequest] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A machine of the node list, with its connections and what waits for one."""
+    """A machine of the node list, with its connections and the requests that wait for a connection."""
 
     id: int
     name: str
@@ -186,16 +189,17 @@
     removed_at: int = 0
     checked_at: int = 0
     last_received_at: int = 0
-    opened_at: int = 0  # when one last came up; 0: none has, or what was sent on the last may be lost
+    # When a connection last came up; 0 if none has, or if messages on the last may be lost.
+    opened_at: int = 0
 
     def links_up(self) -> list[Link]:
-        """Its connections that have come up."""
+        """Return the connections that are up."""
         return [link for link in self.links.values() if link.is_up]
 
     def usable_links(self) -> list[Link]:
-        """Its connections on which a new request may be sent."""
+        """Return the connections on which a new request may be sent."""
         return [link for link in self.links.values() if link.is_up and not link.is_suspect]
 
     def dials(self) -> int:
-        """How many connections to it are being dialled."""
+        """Return how many connections to the machine are being dialled."""
         return sum(not link.is_up for link in self.links.values())
--- a/stairplank/platform/validation.py
+++ b/stairplank/platform/validation.py
@@ -12,19 +12,19 @@
 from . import jsonlines
 from .messages import MAX_MESSAGE_BYTES, Message, PlatformError, is_id
 
-MAX_OTHER_BYTES = 1024  # of a placement request's line, beside the description
-MAX_MACHINE_NAME = 200
+MAX_REQUEST_OVERHEAD_BYTES = 1024  # bytes of a placement request's line without its description
+MAX_MACHINE_NAME_LENGTH = 200
 MAX_WAIT_DIGITS = 10
-MAX_WAIT_US = 2**32 * 1000  # a client's longest wait: what the format has for requests with ``at``
-KEY_FORM = re.compile(r"[0-9a-f]{32}", re.ASCII)
-NUMBER_FORM = re.compile(r"[0-9]{1,7}(\.[0-9]{1,6})?", re.ASCII)
+MAX_WAIT_US = 2**32 * 1000  # longest wait of a client; the format allows it for requests with ``at``
+IDEMPOTENCY_KEY_PATTERN = re.compile(r"[0-9a-f]{32}", re.ASCII)
+NUMBER_PATTERN = re.compile(r"[0-9]{1,7}(\.[0-9]{1,6})?", re.ASCII)
 BOUNDS = admission.Bounds(
     open_tasks=4096, open_tasks_per_client=1024, attempts=32_768, max_wait_us=MAX_WAIT_US
 )
 
 
 class InvalidRequest(PlatformError):
-    """The text names what is wrong."""
+    """A placement request is invalid; the message names the reason."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,29 +33,29 @@
 
     spec: TaskSpec
     class_index: int
-    tenant: int  # its number in the settings, 0 where they have none
+    tenant: int  # index of the tenant in the settings; 0 where they have no tenants
     wait_us: int
     key: str
     idem: str
-    at: str  # the machine that holds it already, or nothing
+    at: str  # name of the machine that already runs the task, or empty
 
 
 def validate_request(
     message: Message, client: str, settings: api.Settings, tenants: tuple[str, ...] = ()
 ) -> PlacementRequest:
-    """Validate a client's placement request.
+    """Validate a client's placement request and return it in the form that the core uses.
 
-    Danger: the module computes with what it is given; a figure that is none, or a class that is not there,
-    would spoil what it believes of every machine.
+    The decision module computes with these values unchecked: a value that is not a finite number, or a class
+    that does not exist, would corrupt its estimate of the load of every machine.
 
     Args:
-        message: the request as it was received.
-        client: whose it is.
-        settings: those in force.
-        tenants: by name, in the settings' order.
+        message: The request as it was received.
+        client: The client that sent the request.
+        settings: The settings in force.
+        tenants: The tenants' names, in the settings' order.
 
     Raises:
-        InvalidRequest: where anything in it cannot be used.
+        InvalidRequest: If a field is missing or has a value that cannot be used.
     """
     fields = message.fields
     extras = _parse_extras(fields.get("extras", ""))
@@ -63,9 +63,9 @@
     wait_us = _parse_wait_us(fields.get("left", ""))
     key, service, idempotency_key = fields.get("key", ""), extras.get("service", ""), fields.get("idem", "")
     if not is_id(key) or not is_id(service):
-        raise InvalidRequest("no name of the task or of its service")
-    if idempotency_key and not KEY_FORM.fullmatch(idempotency_key):
-        raise InvalidRequest("a key that is none")
+        raise InvalidRequest("the task's key or its service is not 16 hexadecimal digits")
+    if idempotency_key and not IDEMPOTENCY_KEY_PATTERN.fullmatch(idempotency_key):
+        raise InvalidRequest("the idempotency key is not 32 hexadecimal digits")
     spec = TaskSpec(
         client=client,
         key=int(key, 16),
@@ -79,39 +79,40 @@
     )
     class_index = _admissible_class(spec, wait_us, idempotency_key, settings, tenants)
     at = extras.get("at", "")
-    if len(at) > MAX_MACHINE_NAME:
-        raise InvalidRequest("a machine's name that is none")
+    if len(at) > MAX_MACHINE_NAME_LENGTH:
+        raise InvalidRequest(f"the machine's name is longer than {MAX_MACHINE_NAME_LENGTH} characters")
     tenant = tenants.index(spec.tenant) if spec.tenant else 0
     return PlacementRequest(spec, class_index, tenant, wait_us, key, idempotency_key, at)
 
 
 def _check_content(message: Message) -> None:
     if message.id == "0" * 16:
-        raise InvalidRequest("no id")
+        raise InvalidRequest("no id: all digits are zero")
     if not message.body:
-        raise InvalidRequest("no description")
-    # Danger: what fits a binary message may not fit a line, and the turn that writes it would end there.
-    if len(jsonlines.encode_text(message.body)) > MAX_MESSAGE_BYTES - MAX_OTHER_BYTES:
-        raise InvalidRequest("a description that no machine's line can hold")
+        raise InvalidRequest("the request has no description")
+    # A description that fits a binary message may not fit a machine's line once it is escaped; writing it
+    # would fail and end the core's turn.
+    if len(jsonlines.encode_text(message.body)) > MAX_MESSAGE_BYTES - MAX_REQUEST_OVERHEAD_BYTES:
+        raise InvalidRequest("the description is too long for a machine's line")
 
 
 def _admissible_class(
     spec: TaskSpec, wait_us: int, idempotency_key: str, settings: api.Settings, tenants: tuple[str, ...]
 ) -> int:
-    """The index of the task's class in the settings, where they admit the task."""
-    fault = admission.task_error(spec, wait_us, BOUNDS, settings, tenants)
-    if fault is not None:
-        raise InvalidRequest(f"{fault.field}: {fault.message}")
+    """Return the index of the task's class in the settings. Raises InvalidRequest if they reject the task."""
+    error = admission.task_error(spec, wait_us, BOUNDS, settings, tenants)
+    if error is not None:
+        raise InvalidRequest(f"{error.field}: {error.message}")
     index = next((i for i, c in enumerate(settings.classes) if c.name == spec.task_class), -1)
     if settings.classes[index].effect is api.Effect.IDEMPOTENT_BY_KEY and not idempotency_key:
-        raise InvalidRequest("no key, in a keyed class")
+        raise InvalidRequest("no idempotency key for a class that is idempotent by key")
     return index
 
 
 def _parse_wait_us(text: str) -> int:
-    """A client's wait, which a request gives in milliseconds."""
+    """Return a client's wait in microseconds; the request states it in milliseconds."""
     if not text.isascii() or not text.isdigit() or len(text) > MAX_WAIT_DIGITS:
-        raise InvalidRequest("no wait")
+        raise InvalidRequest(f"the wait is not a number of at most {MAX_WAIT_DIGITS} digits")
     return int(text) * 1000
 
 
@@ -120,22 +121,25 @@
     for part in text.split(";"):
         name, colon, value = part.partition(":")
         if not colon or name in extras:
-            raise InvalidRequest("figures that cannot be read")
+            raise InvalidRequest("the extras are not distinct name:value pairs")
         extras[name] = value
     return extras
 
 
 def _parse_amount(text: str) -> float:
-    if not NUMBER_FORM.fullmatch(text):
-        raise InvalidRequest("an amount that is no number")
+    if not NUMBER_PATTERN.fullmatch(text):
+        raise InvalidRequest("an amount is not a decimal number")
     value = float(text)
     if not math.isfinite(value):
-        raise InvalidRequest("an amount that is no number")
+        raise InvalidRequest("an amount is not a decimal number")
     return value
 
 
 def parse_load_report(text: str, names: tuple[str, ...]) -> tuple[float, ...]:
-    """A load report's figures in the settings' order; none where one is missing or is no number."""
+    """Return the values of a load report in the settings' order.
+
+    Returns an empty tuple if a value is missing or is not a finite number.
+    """
     values: dict[str, float] = {}
     for part in text.split(";"):
         name, _, value = part.partition(":")
@@ -143,11 +147,11 @@
             values[name] = float(value)
         except ValueError:
             return ()
-    figures = tuple(values.get(name, math.nan) for name in names)
-    return figures if all(math.isfinite(figure) for figure in figures) else ()
+    ordered = tuple(values.get(name, math.nan) for name in names)
+    return ordered if all(math.isfinite(value) for value in ordered) else ()
 
 
 def load_report_in(message: Message, names: tuple[str, ...]) -> tuple[float, ...]:
-    """The figures of a message's load report in the settings' order; none where it has no valid one."""
+    """Return the values of a message's load report, or an empty tuple if it has no valid report."""
     load = message.fields.get("load", "")
     return parse_load_report(load, names) if load else ()
