--- a/tests/platform/desk.py
+++ b/tests/platform/desk.py
@@ -1,4 +1,4 @@
-"""The platform's core with everything around it played by hand."""
+"""A harness that takes the place of everything around the platform's core."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 
 
 def row(number: int, health: str = "SERVING", **changes: Any) -> dict[str, Any]:
+    """Return a machine's row of the node list; ``changes`` replace its fields."""
     return {
         "host": f"s-{number:08x}",
         "dial": f"127.8.1.{number}:2905",
@@ -36,14 +37,17 @@
 
 
 def notice(rev: int, *rows: dict[str, Any], whole: bool = False) -> dict[str, Any]:
+    """Return a revision of the node list as the node list service sends it."""
     return {"rev": rev, "pool": {"seq": rev, "whole": whole, "hosts": list(rows)}}
 
 
 def name(number: int) -> str:
+    """Return the id of a task."""
     return f"{number:016x}"
 
 
 def set_up(number: int, sort: str = "repeat", body: str = BODY, **changes: str) -> Message:
+    """Return a placement request for a task of the class ``sort``; ``changes`` replace its fields."""
     at = changes.pop("at", "")
     extras = "cores:1;memory:2;service:00000000b4d65521" + (f";at:{at}" if at else "")
     fields = {"class": sort, "left": "6000", "key": name(number + 500), "extras": extras}
@@ -53,6 +57,8 @@
 
 
 class Desk:
+    """Runs a core with a simulated clock, passes events to it and records its actions."""
+
     def __init__(
         self,
         machines: int = 3,
@@ -72,19 +78,21 @@
         self.node_list = NodeList(("east",), ("std",), lambda: (1_000 * SECOND + self.now, self.now))
         self.now = CLOCK
         self.rev = 1
-        self.to_clients: list[tuple[int, Message]] = []  # to owners
-        self.to_machines: list[tuple[int, Message]] = []  # to machines
-        self.dials: dict[int, str] = {}  # under way
-        self.up: dict[int, str] = {}
-        self.closed: list[int] = []
-        self.hung: list[int] = []
-        self.ending: list[int] = []  # closed by the core, and not yet by the machine
+        self.to_clients: list[tuple[int, Message]] = []  # connection and message
+        self.to_machines: list[tuple[int, Message]] = []  # link and message
+        self.dials: dict[int, str] = {}  # address by link, of links that are being dialled
+        self.up: dict[int, str] = {}  # address by link, of links that are up
+        self.closed: list[int] = []  # client connections that the core closed
+        self.hung: list[int] = []  # links that the core closed
+        self.ending: list[
+            int
+        ] = []  # links that were up and are closed by the core, but not yet by the machine
         self._conn = 0
         first = self.node_list.apply(notice(1, *(row(n) for n in range(1, machines + 1)), whole=True))[0]
         assert first is not None
-        self._take(self.core.start(self.now, [first]))
+        self._record(self.core.start(self.now, [first]))
 
-    def _take(self, actions: list[ev.Action]) -> None:
+    def _record(self, actions: list[ev.Action]) -> None:
         for action in actions:
             match action:
                 case ev.SendToClient(conn, message):
@@ -102,17 +110,17 @@
                         self.ending.append(link)
 
     def feed(self, *events: ev.Event, after: int = 0) -> None:
-        """Time passes first, in small steps, so that nothing that falls due is late."""
+        """Advance the clock by ``after`` in steps of 50 ms, so that no timer is late; then handle events."""
         end = self.now + after
         while after and self.ending:
-            self._take(self.core.handle(self.now, [ev.LinkLost(self.ending.pop(0), frozenset())]))
+            self._record(self.core.handle(self.now, [ev.LinkLost(self.ending.pop(0), frozenset())]))
         while self.now < end:
             self.now = min(end, self.now + 50_000)
-            self._take(self.core.handle(self.now, [ev.TimerDue()]))
-        self._take(self.core.handle(self.now, events))
+            self._record(self.core.handle(self.now, [ev.TimerDue()]))
+        self._record(self.core.handle(self.now, events))
 
     def passes(self, span: int, answering: bool = True) -> None:
-        """Time passes; machines let connections come up at once."""
+        """Advance the clock by ``span``; with ``answering``, dialled links come up at once."""
         end = self.now + span
         while self.now < end:
             self.feed(after=min(50_000, end - self.now))
@@ -120,55 +128,63 @@
                 self.connect()
 
     def connect(self) -> None:
+        """Let every dialled link come up."""
         while self.dials:
             link, address = self.dials.popitem()
             self.up[link] = address
             self.feed(ev.LinkUp(link))
 
     def refuse(self) -> None:
+        """Let every dial fail because its address refuses the connection."""
         while self.dials:
             link, _ = self.dials.popitem()
             self.feed(ev.LinkFailed(link, True))
 
     def owner(self, client: str = "127.8.240.2") -> int:
+        """Connect a client. Return the number of its connection."""
         self._conn += 1
         self.feed(ev.ClientConnected(self._conn, client))
         return self._conn
 
     def ask(self, conn: int, number: int, sort: str = "repeat", **changes: str) -> None:
+        """Send a placement request of a client for a task of the class ``sort``."""
         self.feed(ev.ClientMessage(conn, set_up(number, sort, **changes)))
 
     def sent(self, number: int) -> list[tuple[int, Message]]:
-        """Set-ups of that task that went to machines."""
+        """Return the placement requests for a task that were sent to machines, each with its link."""
         return [(k, m) for k, m in self.to_machines if m.id == name(number) and m.kind is Kind.PLACE]
 
     def send(self, conn: int, number: int, sort: str = "repeat") -> int:
-        """A task that is out; the link it was sent on."""
+        """Request a task and let it be sent to a machine. Return the link it was sent on."""
         self.ask(conn, number, sort)
         self.connect()
         return self.sent(number)[-1][0]
 
     def place(self, conn: int, number: int, sort: str = "repeat") -> int:
-        """A task that stands; the link it was sent on."""
+        """Request a task and let a machine accept it. Return the link it was sent on."""
         link = self.send(conn, number, sort)
         self.machine(link, Message(Kind.ANSWER, name(number), body="stands " + name(number)))
         return link
 
     def machine(self, link: int, message: Message) -> None:
+        """Pass a machine's message to the core."""
         self.feed(ev.MachineMessage(link, message))
 
     def ends(self, link: int, number: int, cause: Cause = Cause.ENDED, **fields: str) -> None:
+        """Pass a machine's release of a task to the core."""
         self.machine(link, Message(Kind.RELEASE, name(number), fields, int(cause)))
 
     def replies(self, number: int) -> list[tuple[int, Kind, int | None]]:
-        """What owners were told of that task."""
+        """Return the messages about a task that clients were sent: connection, kind and cause."""
         return [(c, m.kind, m.cause) for c, m in self.to_clients if m.id == name(number)]
 
     def list_update(self, *rows: dict[str, Any]) -> None:
+        """Pass the next revision of the node list to the core."""
         self.rev += 1
-        got: NodeListUpdate | None = self.node_list.apply(notice(self.rev, *rows))[0]
-        assert got is not None
-        self.feed(ev.NodeListUpdated(got))
+        update: NodeListUpdate | None = self.node_list.apply(notice(self.rev, *rows))[0]
+        assert update is not None
+        self.feed(ev.NodeListUpdated(update))
 
     def machine_of(self, link: int) -> int:
+        """Return the number of the machine that a link leads to."""
         return int(self.up[link].split(":")[0].rsplit(".", 1)[1])
--- a/tests/platform/flooding_client.py
+++ b/tests/platform/flooding_client.py
@@ -1,6 +1,6 @@
 """A client that sends placement requests at full speed on many connections.
 
-``flooding_client.py HOST:PORT NUMBER`` prints a line once all are open, and goes on until it is killed.
+``flooding_client.py HOST:PORT NUMBER`` prints a line once its connections are open; it ends when killed.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from stairplank.platform import binary
 from stairplank.platform.messages import Kind, Message
 
-FIRST_ID = 1 << 40  # its tasks' ids: far above those of other clients
-BATCH = 64
-SOURCES = 100  # addresses that it comes from: one alone may not have many tasks open
+FIRST_ID = 1 << 40  # ids of its tasks start here, far above the ids of other clients
+BATCH = 64  # placement requests in one write
+SOURCES = 100  # source addresses, because the open tasks of one client are bounded
 READ_BYTES = 262_144
 
 
@@ -24,9 +24,11 @@
     return binary.encode(Message(Kind.PLACE, id, fields, body="x" * 100))
 
 
-class Flood:
-    def __init__(self, where: str, connections: int) -> None:
-        host, port = where.rsplit(":", 1)
+class FloodingClient:
+    """Sends placement requests on all its connections without waiting for answers."""
+
+    def __init__(self, address: str, connections: int) -> None:
+        host, port = address.rsplit(":", 1)
         self.selector = selectors.DefaultSelector()
         self.number = FIRST_ID
         self.template = placement_request(FIRST_ID)
@@ -62,6 +64,6 @@
 
 
 if __name__ == "__main__":
-    flood = Flood(sys.argv[1], int(sys.argv[2]))
+    client = FloodingClient(sys.argv[1], int(sys.argv[2]))
     print("open", flush=True)
-    flood.run()
+    client.run()
--- a/tests/platform/test_platform_bounds.py
+++ b/tests/platform/test_platform_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds that keep one side that does not read, or many that give up, from filling the process."""
+"""Bounds on memory: peers and log readers that do not read, and clients that cancel many tasks."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from stairplank.platform.messages import Kind, Message
 
 
-def test_who_does_not_read_is_given_up() -> None:
-    ours, theirs = gsocket.socketpair()
-    gone: list[streams.Stream] = []
-    stream = streams.Stream(ours, 1, gone.append)
+def test_a_connection_whose_peer_does_not_read_is_closed() -> None:
+    sock, peer = gsocket.socketpair()
+    disconnected: list[streams.Stream] = []
+    stream = streams.Stream(sock, 1, disconnected.append)
     for number in range(2000):
         stream.put(b"x" * 1000, f"m{number}")
         stream.flush()
-        if gone:
+        if disconnected:
             break
-    assert gone == [stream] and stream.is_closed
+    assert disconnected == [stream] and stream.is_closed
     assert 0 < len(stream.unsent_marks()) <= streams.MAX_UNREAD_BYTES // 1000 + 1
-    assert "m0" not in stream.unsent_marks()  # that one left whole
-    theirs.close()
+    assert "m0" not in stream.unsent_marks()  # the first message was written completely
+    peer.close()
 
 
-def test_given_up_attempts_are_remembered_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_abandoned_attempts_are_kept_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(attempt_table, "MAX_ABANDONED", 5)
     desk = Desk(machines=4)
     conn = desk.owner()
@@ -40,7 +40,7 @@
     assert len(desk.core.attempts.table.by_machine_and_id) == 5
 
 
-def test_attempts_under_way_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempts_in_flight_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(attempts, "MAX_IN_FLIGHT", 3)
     desk = Desk(machines=4)
     conn = desk.owner()
@@ -50,9 +50,9 @@
     assert [m.cause for _, m in desk.to_clients] == [42] * 6
 
 
-def test_a_log_that_nobody_reads_stops_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_log_that_is_not_read_does_not_block_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
     reads, writes = os.pipe()
-    kept = os.dup(2)
+    original_stderr = os.dup(2)
     try:
         os.dup2(writes, 2)
         logs.make_stderr_nonblocking()
@@ -62,9 +62,9 @@
             logs.log("event", number=number, text="x" * 1000)
         assert not budget.take(time.monotonic())
     finally:
-        os.dup2(kept, 2)
+        os.dup2(original_stderr, 2)
         os.set_blocking(2, True)
-        for fd in (reads, writes, kept):
+        for fd in (reads, writes, original_stderr):
             os.close(fd)
 
 
--- a/tests/platform/test_platform_core.py
+++ b/tests/platform/test_platform_core.py
@@ -169,7 +169,7 @@
     back = next((k for k, a in desk.up.items() if a == gone), None)
     if back is None:
         desk.core.links.pool.dial(next(m for m in desk.core.links.machines.values() if m.address == gone))
-        desk._take(desk.core.loop.actions)
+        desk._record(desk.core.loop.actions)
         desk.connect()
         back = next(k for k, a in desk.up.items() if a == gone)
     desk.machine(back, answer(1))
@@ -264,7 +264,7 @@
     desk.core.loop.begin(desk.now)
     desk.core.attempts.evict(api.Evict(task.number))
     desk.core._run()
-    desk._take(desk.core.loop.actions)
+    desk._record(desk.core.loop.actions)
     assert desk.replies(1)[-1] == (conn, Kind.MIGRATE, None)
     assert desk.to_machines[-1] == (link, Message(RELEASE, name(1), cause=Cause.CANCELLED))
 
@@ -616,7 +616,7 @@
     link, _ = desk.sent(1)[0]
     desk.now += 9 * SECOND  # stood still past the deadline, the answer unread
     read = [ev.ClientMessage(conn, set_up(2)), ev.MachineMessage(link, answer(1))]
-    desk._take(desk.core.handle_after_stall(desk.now, read))
+    desk._record(desk.core.handle_after_stall(desk.now, read))
     assert [w[1] for w in desk.replies(1)] == [ANSWER]
     desk.connect()
     assert len(desk.sent(2)) == 1
@@ -634,7 +634,7 @@
     desk.core.loop.call_at(desk.now + SECOND, desk.core.attempts.bind, bind)
     desk.now += 2 * SECOND
     given_up = ev.ClientMessage(conn, Message(RELEASE, name(1), cause=int(Cause.ENDED)))
-    desk._take(desk.core.handle_after_stall(desk.now, [given_up]))
+    desk._record(desk.core.handle_after_stall(desk.now, [given_up]))
     desk.passes(SECOND)
     assert len(desk.sent(1)) == 1 and desk.replies(1) == []
 
@@ -793,7 +793,7 @@
     assert drain is not None
     refusal = Message(RELEASE, name(20), {"note": "nc"}, int(Cause.FULL))
     desk.now += 3 * SECOND
-    desk._take(
+    desk._record(
         desk.core.handle_after_stall(desk.now, [ev.MachineMessage(link, refusal), ev.NodeListUpdated(drain)])
     )
     assert len(desk.sent(20)) == 1
