--- a/tests/platform/test_platform_departed_clients.py
+++ b/tests/platform/test_platform_departed_clients.py
@@ -1,6 +1,6 @@
-"""A client that closes its connection or cancels has left: no retry begins for it, wherever its task waits.
+"""No attempt starts for a client that has cancelled or disconnected, wherever its task waits.
 
-Real connections; where a guard is at stake, its test fails without the guard.
+The tests use real connections. Each test of a guard fails without the guard.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 from stairplank.rpc import address
 
 HOW = pytest.mark.parametrize("how", ["cancel", "close", "reset"])
-GONE_WITHIN_S = 0.1  # no attempt may begin later
+HANDLED_WITHIN_S = 0.1  # no attempt may start later than this after the departure
 
 
 @pytest.fixture
@@ -70,54 +70,56 @@
 
 
 @HOW
-def test_a_task_that_waits_for_a_dial_goes_nowhere(
+def test_a_task_that_waits_for_a_dial_is_not_sent(
     live: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     one = live()
-    gate, dial = Flag(), address.dial
+    may_dial, dial = Flag(), address.dial
 
-    def dials(where: str, wait: float) -> Any:
-        if where == one.machines[0].address:
-            gate.wait()
-        return dial(where, wait)
+    def delayed_dial(target: str, timeout_s: float) -> Any:
+        if target == one.machines[0].address:
+            may_dial.wait()
+        return dial(target, timeout_s)
 
-    monkeypatch.setattr(address, "dial", dials)
+    monkeypatch.setattr(address, "dial", delayed_dial)
     client, other = one.connect_client(), one.connect_client("127.0.0.9")
     id = one.run_in_thread(client.request_placement, 1)
     one.wait_until(lambda: one.service.machines.dials)
     leave_and_notice(one, client, id, how)
-    gate.set()
-    one.place(other, 2)  # goes out on that very connection
+    may_dial.set()
+    one.place(other, 2)  # sent on the connection that was being dialled
     assert attempts(one, id) == 0
 
 
 @HOW
-def test_a_task_that_waits_for_room_for_a_connection_goes_nowhere(live: MakeService, how: str) -> None:
+def test_a_task_that_waits_for_a_free_link_is_not_sent(live: MakeService, how: str) -> None:
     one = live(machines=2)
     for machine in one.machines:
         machine.fault = answers_nothing
     one.service.core.links.pool.max_links = 1
     client, other = one.connect_client(), one.connect_client("127.0.0.9")
     first = one.run_in_thread(other.request_placement, 1)
-    taken = one.wait_until(lambda: next((m for m in one.machines if m.placement_requests()), None))
-    free = next(m for m in one.machines if m is not taken)
-    one.node_list_service.publish(taken.row("DRAINING"))
+    used = one.wait_until(lambda: next((m for m in one.machines if m.placement_requests()), None))
+    free = next(m for m in one.machines if m is not used)
+    one.node_list_service.publish(used.row("DRAINING"))
     one.wait_until(lambda: one.service.node_list.revision == 2)
-    one.service.core.links.dial_timeout_us = 60_000_000  # it waits as long as it must
+    one.service.core.links.dial_timeout_us = 60_000_000  # the dial must not time out during the test
     id = one.run_in_thread(client.request_placement, 2)
     one.wait_until(lambda: one.service.core.links.pool.dial_queue)
     leave_and_notice(one, client, id, how)
     free.fault = None
     one.run_in_thread(
-        taken.send, taken.connection_of(first), Message(Kind.RELEASE, first, cause=int(Cause.ERROR))
+        used.send, used.connection_of(first), Message(Kind.RELEASE, first, cause=int(Cause.ERROR))
     )
-    assert [m.kind for m in one.run_in_thread(other.replies, first)] == [Kind.ANSWER]  # there is room now
+    assert [m.kind for m in one.run_in_thread(other.replies, first)] == [
+        Kind.ANSWER
+    ]  # the link limit is free again
     one.place(other, 3)
     assert attempts(one, id) == 0
 
 
 @HOW
-def test_a_task_that_no_machine_fits_goes_nowhere(live: MakeService, how: str) -> None:
+def test_a_task_that_no_machine_fits_is_not_sent(live: MakeService, how: str) -> None:
     one = live()
     one.node_list_service.publish(one.machines[0].row("DRAINING"))
     one.wait_until(lambda: one.service.node_list.revision == 2)
@@ -131,19 +133,21 @@
 
 
 def waits_for_retry(one: LiveService, client: FakeClient) -> str:
-    """A task that two machines have refused: the third attempt waits for a timer. A connection to each
-    machine is up and free: it would leave at once."""
+    """Request a task that two machines reject, so that its third attempt waits for a timer. Return its id.
+
+    A connection to each machine is up, so the third attempt would be sent without a dial.
+    """
     number = 100
     while not all(machine.placement_requests() for machine in one.machines):
         number += 1
         one.place(client, number)
 
-    def refuses(sock: Any, message: Message) -> bool:
+    def reject(sock: Any, message: Message) -> bool:
         sock.sendall(jsonlines.encode(Message(Kind.RELEASE, message.id, {"note": "nc"}, int(Cause.FULL))))
         return True
 
     for machine in one.machines:
-        machine.fault = refuses
+        machine.fault = reject
     id = one.run_in_thread(client.request_placement, 1)
     one.wait_until(lambda: attempts(one, id) == 2 and one.service.core.counts.get("ended_refused") == 2)
     for machine in one.machines:
@@ -153,8 +157,8 @@
 
 @pytest.mark.parametrize("when", ["before the timer", "as the timer is due"])
 @HOW
-def test_a_task_that_waits_for_its_retry_goes_nowhere(live: MakeService, how: str, when: str) -> None:
-    """Timers were felt before the events of a turn: the one that is due began a further attempt."""
+def test_a_task_that_waits_for_its_retry_is_not_sent(live: MakeService, how: str, when: str) -> None:
+    """When due timers ran before a turn's events, a retry was sent although its client had left."""
     one = live(machines=3)
     client, other = one.connect_client(), one.connect_client("127.0.0.9")
     id = waits_for_retry(one, client)
@@ -171,7 +175,7 @@
 
 @pytest.mark.parametrize("event", [ev.ClientDisconnected(1), ev.ClientHungUp(1), "cancel"])
 def test_a_timer_that_is_due_with_a_departure_begins_no_attempt(event: Any) -> None:
-    """The same without sockets, for the turn itself; the connection to the machine is up."""
+    """A single turn of the core, without sockets: the link to the machine is up, so a retry would be sent."""
     desk = Desk(machines=1)
     conn = desk.owner()
     link = desk.send(conn, 1)
@@ -191,7 +195,7 @@
 
 
 @HOW
-def test_a_task_that_lies_in_a_buffer_behind_a_machine_that_does_not_read_goes_nowhere(
+def test_a_task_in_the_send_buffer_of_a_machine_that_does_not_read_is_not_sent(
     live: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     shrink_buffers(monkeypatch)
@@ -208,11 +212,11 @@
     assert attempts(one, id) == 0
 
 
-# While others flood
+# While other clients flood the planner
 
 
 def flood(one: LiveService, client: FakeClient, count: int) -> None:
-    """Messages that wait to be handled."""
+    """Send ``count`` health checks of a client."""
     data = b"".join(
         binary.encode(Message(Kind.HEALTH_CHECK, f"{n:016x}", cause=0)) for n in range(1, count + 1)
     )
@@ -223,7 +227,7 @@
 def test_a_departure_is_read_while_others_fill_the_event_queue(
     live: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    """No client was read while so many events waited."""
+    """When an overloaded queue stopped the reading of all clients, a departure went unnoticed."""
     monkeypatch.setattr(event_queue, "MAX_EVENTS", 200)
     one = live(machines=3)
     client, other = one.connect_client(), one.connect_client("127.0.0.9")
@@ -233,7 +237,7 @@
     one.wait_until(lambda: one.service.driver.queue.must_wait(2))
     one.run_in_thread(
         client.send, Message(Kind.HEALTH_CHECK, f"{7:016x}", cause=0)
-    )  # read, and what comes after it is held back
+    )  # read; later messages wait until the next read
     one.wait_until(lambda: one.has_read(ev.ClientMessage, f"{7:016x}"))
     gevent.sleep(3 * client_connections.QUEUE_FULL_PAUSE_S)
     leave_and_notice(one, client, id, how)
@@ -245,7 +249,7 @@
 
 @HOW
 def test_a_departure_is_handled_before_thousands_of_other_messages(live: MakeService, how: str) -> None:
-    """It came behind them, in the order in which they were read."""
+    """When events were handled in the order of reading, the departure came after all of these messages."""
     one = live(machines=3)
     client, other = one.connect_client(), one.connect_client("127.0.0.9")
     id = waits_for_retry(one, client)
@@ -256,11 +260,11 @@
     handled: list[ev.Event] = []
     handle = one.service.core.handle
 
-    def handles(now: int, events: list[ev.Event]) -> list[ev.Action]:
+    def recording_handle(now: int, events: list[ev.Event]) -> list[ev.Action]:
         handled.extend(events)
         return handle(now, events)
 
-    one.service.core.handle = handles  # type: ignore[method-assign, assignment]
+    one.service.core.handle = recording_handle  # type: ignore[method-assign, assignment]
     one.resume()
     one.wait_until(lambda: is_withdrawn(one, id))
     before = next(n for n, event in enumerate(handled) if is_departure_of(event, id, how))
@@ -273,7 +277,7 @@
 def test_a_close_is_noticed_behind_all_that_was_sent_before_it(
     live: MakeService, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It lay behind hundreds of requests, which were placed one after the other before it was read."""
+    """A close is read only after all data before it; without a check, hundreds of requests were placed."""
     monkeypatch.setattr(event_queue, "MAX_PLACEMENTS", 100)
     monkeypatch.setattr(event_queue, "MAX_EVENTS", 200)
     one = live(machines=3)
@@ -282,7 +286,7 @@
     one.pause()
     data = b"".join(
         encoded_placement_request(number) for number in range(10_000, 10_400)
-    )  # what a receive buffer holds
+    )  # as many as fit a receive buffer
     one.run_in_thread(client.sock.sendall, data)
     one.wait_until(one.service.driver.queue.is_overloaded)
     one.run_in_thread(client.sock.close)
@@ -300,13 +304,13 @@
 def test_a_round_of_reading_ends_in_time_however_many_clients_flood(
     live: MakeService, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All that was read of a connection was decoded, four times in a row, before others had their turn."""
+    """When four reads of a connection were decoded in a row, other connections had to wait too long."""
     one = live()
     one.machines[0].fault = answers_nothing
     feed = binary.MessageReader.feed
 
     def slow_feed(reader: binary.MessageReader, data: bytes) -> list[Message]:
-        time.sleep(len(data) / 1024 * 0.0015)  # a process that is slow, whatever this machine is
+        time.sleep(len(data) / 1024 * 0.0015)  # simulates a slow process on any machine
         return feed(reader, data)
 
     others = [one.connect_client(f"127.0.0.{number}") for number in range(20, 60)]
@@ -319,26 +323,26 @@
         for n in range(1, len(others) + 1)
     ]
     for other, sent in zip(others, data, strict=True):
-        other.sock.sendall(sent)  # this greenlet does not wait: all of it lies there
-    noticed: list[float] = []
+        other.sock.sendall(sent)  # without a yield, so that nothing is read yet
+    handled_at: list[float] = []
     disconnected = one.service.core.requests.disconnected
 
-    def notices(event: ev.ClientDisconnected) -> None:
-        noticed.append(time.monotonic())
+    def recording_disconnected(event: ev.ClientDisconnected) -> None:
+        handled_at.append(time.monotonic())
         disconnected(event)
 
-    one.service.core._handlers[ev.ClientDisconnected] = notices
-    left = time.monotonic()
+    one.service.core._handlers[ev.ClientDisconnected] = recording_disconnected
+    closed_at = time.monotonic()
     client.sock.close()
     one.wait_until(lambda: id not in one.service.core.tasks.by_id)
-    assert noticed[0] - left < 1.0  # 3 s for all that lies there
+    assert handled_at[0] - closed_at < 1.0  # decoding everything that was sent takes 3 s
     monkeypatch.setattr(binary.MessageReader, "feed", feed)
 
 
-# The real process, with its whole share of a core in use
+# A real planner process that uses its whole share of a core
 
-FLOODING = 100  # connections
-CLIENTS, TASKS = 40, 3  # that leave, and what each waits for
+FLOODING_CONNECTIONS = 100
+CLIENTS, TASKS = 40, 3  # number of clients that leave, and of the tasks of each
 HERE = Path(__file__).parent
 
 
@@ -350,7 +354,8 @@
 
     def __init__(self, process: PlannerProcess, fleet: list[FakeMachine]) -> None:
         self.process, self.fleet = process, fleet
-        self.left: dict[str, float] = {}  # task: the planner's processor time as its client had left, in ms
+        # By task: the planner's processor time, in ms, when the task's client had left.
+        self.left_at_ms: dict[str, float] = {}
         self.clients: list[tuple[FakeClient, list[str]]] = []
         for number in range(1, CLIENTS + 1):
             client = FakeClient(process.address, f"127.0.2.{number}")
@@ -364,37 +369,43 @@
                     leave(client, id, how)
             else:
                 leave(client, ids[0], how)
-            self.left |= dict.fromkeys(ids, processor_time_ms(str(self.process.child.pid)))
-            threading.Timer(0.15, self._refuse, (ids,)).start()
+            self.left_at_ms |= dict.fromkeys(ids, processor_time_ms(str(self.process.child.pid)))
+            threading.Timer(0.15, self._reject, (ids,)).start()
             time.sleep(0.02)
 
-    def _refuse(self, ids: list[str]) -> None:
+    def _reject(self, ids: list[str]) -> None:
         for machine in self.fleet:
             for id in {m.id for m in machine.placement_requests()} & set(ids):
-                with suppress(OSError):  # cancelled, and its connection closed
+                with suppress(OSError):  # the attempt is cancelled and its connection closed
                     machine.send(
                         machine.connection_of(id), Message(Kind.RELEASE, id, {"note": "nc"}, int(Cause.FULL))
                     )
 
     def sent(self, kind: Kind) -> dict[str, float]:
-        """The last time after its client left, in ms of the planner's processor time, by task."""
+        """Return, by task, when the last message of a kind was sent.
+
+        Times are in ms of the planner's processor time since the task's client left.
+        """
         events = [e for e in self.process.events("sent") if e["kind"] == kind.name]
-        return {e["id"]: e["cpu_ms"] - self.left[e["id"]] for e in events}
+        return {e["id"]: e["cpu_ms"] - self.left_at_ms[e["id"]] for e in events}
 
 
 @pytest.mark.parametrize("how, stalls", [("cancel", False), ("close", False), ("close", True)])
 def test_a_departure_is_handled_in_time_while_others_use_the_whole_share_of_a_core(
     tmp_path: Path, how: str, stalls: bool
 ) -> None:
-    """Measured in the planner's processor time: that of a machine with other work is no fault of its own.
-    After a stall all that came meanwhile was handled in one turn of some tenths of a second."""
+    """Time is measured as the planner's processor time, so that other load on the machine does not count.
+
+    With a stall, the test guards against handling everything that arrived during it in one turn, which took
+    some tenths of a second.
+    """
     fleet = [FakeMachine(f"s-{n:08x}", answers_nothing) for n in range(1, 7)]
     node_list_service = FakeNodeListService([m.row() for m in fleet])
     process = PlannerProcess(tmp_path, node_list_service, 512, command=(str(HERE / "recording_planner.py"),))
     flood = None
     try:
         clients = DepartingClients(process, fleet)
-        run = [sys.executable, str(HERE / "flooding_client.py"), process.address, str(FLOODING)]
+        run = [sys.executable, str(HERE / "flooding_client.py"), process.address, str(FLOODING_CONNECTIONS)]
         flood = subprocess.Popen(run, env=os.environ | {"PYTHONPATH": str(ROOT)}, stdout=subprocess.PIPE)
         assert flood.stdout is not None and flood.stdout.readline() == b"open\n"
         time.sleep(0.5)
@@ -405,9 +416,9 @@
         clients.leave(how)
         wait_until(lambda: len(clients.sent(Kind.RELEASE)) == CLIENTS * TASKS)
         time.sleep(0.3)
-        most = GONE_WITHIN_S * 1e3
+        most = HANDLED_WITHIN_S * 1e3
         assert max(clients.sent(Kind.PLACE).values()) <= most
-        # After a stall nothing begins for 0.1 s, in which what came meanwhile is read.
+        # After a stall no attempt starts for 0.1 s, in which the input that arrived during it is read.
         assert max(clients.sent(Kind.RELEASE).values()) <= (2 * most if stalls else most)
     finally:
         if flood is not None:
--- a/tests/platform/test_platform_event_queue.py
+++ b/tests/platform/test_platform_event_queue.py
@@ -1,4 +1,4 @@
-"""The order in which what has been read is handled."""
+"""The order in which the event queue hands out events, and its bounds."""
 
 from __future__ import annotations
 
@@ -12,176 +12,226 @@
 from stairplank.platform.messages import Cause, Kind, Message
 from stairplank.platform.node_list import NodeListUpdate
 
-ASK = ev.ClientMessage(1, set_up(1))
-HELD = ev.ClientMessage(2, set_up(2, at="s-00000001"))
-WORD = ev.MachineMessage(9, Message(Kind.RELEASE, name(3), cause=int(Cause.ENDED)))
+PLACEMENT_REQUEST = ev.ClientMessage(1, set_up(1))
+ADOPTION_REQUEST = ev.ClientMessage(2, set_up(2, at="s-00000001"))
+TASK_ENDED = ev.MachineMessage(9, Message(Kind.RELEASE, name(3), cause=int(Cause.ENDED)))
 DRAIN = ev.NodeListUpdated(NodeListUpdate(False, ()))
 
 
-def taken(*events: ev.Event) -> list[ev.Event]:
-    box = EventQueue()
+def handling_order(*events: ev.Event) -> list[ev.Event]:
+    queue = EventQueue()
     for event in events:
-        box.add(event)
-    return box.take_all()
-
-
-def test_the_board_comes_first_and_new_set_ups_last() -> None:
-    full = word(7, Cause.FULL)
-    assert taken(ASK, full, HELD, WORD, DRAIN) == [DRAIN, HELD, WORD, full, ASK]
-    assert taken(ASK, full, WORD, HELD, DRAIN) == [DRAIN, WORD, HELD, full, ASK]
+        queue.add(event)
+    return queue.take_all()
+
+
+def test_node_list_updates_come_first_and_new_placement_requests_last() -> None:
+    rejection = machine_release(7, Cause.FULL)
+    assert handling_order(PLACEMENT_REQUEST, rejection, ADOPTION_REQUEST, TASK_ENDED, DRAIN) == [
+        DRAIN,
+        ADOPTION_REQUEST,
+        TASK_ENDED,
+        rejection,
+        PLACEMENT_REQUEST,
+    ]
+    assert handling_order(PLACEMENT_REQUEST, rejection, TASK_ENDED, ADOPTION_REQUEST, DRAIN) == [
+        DRAIN,
+        TASK_ENDED,
+        ADOPTION_REQUEST,
+        rejection,
+        PLACEMENT_REQUEST,
+    ]
 
 
-def test_a_drain_that_comes_between_turns_overtakes_the_set_ups_that_wait() -> None:
-    box = EventQueue()
+def test_a_drain_between_turns_overtakes_queued_placement_requests() -> None:
+    queue = EventQueue()
     for number in range(1, 30):
-        box.add(ev.ClientMessage(1, set_up(number)))
-    assert len(box.take()) == event_queue.PLACEMENTS_PER_TURN
-    box.add(DRAIN)
-    assert box.take() == [DRAIN]
+        queue.add(ev.ClientMessage(1, set_up(number)))
+    assert len(queue.take()) == event_queue.PLACEMENTS_PER_TURN
+    queue.add(DRAIN)
+    assert queue.take() == [DRAIN]
 
 
-def ends(id: int, conn: int, **more: bool) -> ev.ClientMessage:
-    return ev.ClientMessage(conn, Message(Kind.RELEASE, name(id), cause=int(Cause.ENDED)), **more)
+def cancellation(id: int, conn: int, **flags: bool) -> ev.ClientMessage:
+    return ev.ClientMessage(conn, Message(Kind.RELEASE, name(id), cause=int(Cause.ENDED)), **flags)
 
 
-def test_what_ends_a_set_up_takes_it_along_at_once_whoever_waits_before() -> None:
-    came = [
+def test_a_cancellation_or_disconnect_removes_queued_placement_requests_at_once() -> None:
+    connected = [
         ev.ClientConnected(1, "127.8.240.2"),
         ev.ClientConnected(5, "127.8.240.2"),
         ev.ClientConnected(6, "127.8.240.3"),
     ]
     before = ev.ClientMessage(6, set_up(3))
-    full = word(7, Cause.FULL)
-    # given up on its own connection, or on another of the same client
-    assert taken(*came, before, ASK, full, ends(1, 1)) == [
-        *came,
-        ends(1, 1, cancelled_unhandled=True),
-        full,
+    rejection = machine_release(7, Cause.FULL)
+    # A client may cancel on the connection of its request, or on another of its connections.
+    assert handling_order(*connected, before, PLACEMENT_REQUEST, rejection, cancellation(1, 1)) == [
+        *connected,
+        cancellation(1, 1, cancelled_unhandled=True),
+        rejection,
         before,
     ]
-    assert taken(*came, before, ASK, ends(1, 5)) == [*came, ends(1, 5, cancelled_unhandled=True), before]
-    # another client's word ends nothing: it stays behind
-    assert taken(*came, before, ASK, ends(1, 6)) == [*came, before, ASK, ends(1, 6)]
-    # its connection goes: all that waits of it, and no more
-    assert taken(*came, before, ASK, full, ev.ClientDisconnected(1)) == [
-        *came,
+    assert handling_order(*connected, before, PLACEMENT_REQUEST, cancellation(1, 5)) == [
+        *connected,
+        cancellation(1, 5, cancelled_unhandled=True),
+        before,
+    ]
+    # A cancellation from another client removes nothing and is handled after the request.
+    assert handling_order(*connected, before, PLACEMENT_REQUEST, cancellation(1, 6)) == [
+        *connected,
+        before,
+        PLACEMENT_REQUEST,
+        cancellation(1, 6),
+    ]
+    # A disconnect removes the placement requests of its own connection only.
+    assert handling_order(*connected, before, PLACEMENT_REQUEST, rejection, ev.ClientDisconnected(1)) == [
+        *connected,
         ev.ClientDisconnected(1),
-        full,
+        rejection,
         before,
     ]
-    assert taken(ends(4, 5), ev.ClientDisconnected(5), ASK) == [ends(4, 5), ev.ClientDisconnected(5), ASK]
+    assert handling_order(cancellation(4, 5), ev.ClientDisconnected(5), PLACEMENT_REQUEST) == [
+        cancellation(4, 5),
+        ev.ClientDisconnected(5),
+        PLACEMENT_REQUEST,
+    ]
 
 
-def test_what_a_machine_holds_already_is_not_taken_out_with_its_connection() -> None:
-    """It waits behind a set-up of its id; it stands whatever becomes of the connection."""
-    held = ev.ClientMessage(1, set_up(1, at="s-00000001"))
-    assert taken(ASK, held, ev.ClientDisconnected(1)) == [
+def test_an_adoption_request_is_not_removed_with_its_connection() -> None:
+    """It is queued behind a placement request with its id, and its task runs on without the connection."""
+    adoption = ev.ClientMessage(1, set_up(1, at="s-00000001"))
+    assert handling_order(PLACEMENT_REQUEST, adoption, ev.ClientDisconnected(1)) == [
         ev.ClientHungUp(1),
-        held,
+        adoption,
         ev.ClientDisconnected(1),
     ]
 
 
-def test_a_set_up_that_goes_again_does_not_leave_with_the_first_ones_connection() -> None:
+def test_a_repeated_placement_request_is_not_removed_with_the_first_ones_connection() -> None:
     again = ev.ClientMessage(2, set_up(1))
-    assert taken(ASK, again, ev.ClientDisconnected(1)) == [ev.ClientDisconnected(1), again]
+    assert handling_order(PLACEMENT_REQUEST, again, ev.ClientDisconnected(1)) == [
+        ev.ClientDisconnected(1),
+        again,
+    ]
 
 
-def test_nothing_of_a_task_is_remembered_once_it_is_taken() -> None:
-    box = EventQueue()
+def test_an_emptied_queue_keeps_no_index_entries() -> None:
+    queue = EventQueue()
     for number in range(1, 200):
-        box.add(ev.ClientMessage(number, set_up(number)))
-        box.add(ev.LinkUp(number))
-        box.add(ev.MachineMessage(number, Message(Kind.RELEASE, name(number), cause=int(Cause.FULL))))
+        queue.add(ev.ClientMessage(number, set_up(number)))
+        queue.add(ev.LinkUp(number))
+        queue.add(ev.MachineMessage(number, Message(Kind.RELEASE, name(number), cause=int(Cause.FULL))))
     for number in range(1, 400):
-        box.add(ev.ClientConnected(number, "c"))
-        box.add(ev.ClientMessage(number, set_up(number)))
-        box.add(ends(number, number) if number % 2 else ev.ClientDisconnected(number))
+        queue.add(ev.ClientConnected(number, "c"))
+        queue.add(ev.ClientMessage(number, set_up(number)))
+        queue.add(cancellation(number, number) if number % 2 else ev.ClientDisconnected(number))
         if number % 3:
-            box.add(ev.ClientHungUp(number))
-            box.add(ev.ClientMessage(number, set_up(number + 1000)))
-        box.add(ev.ClientDisconnected(number))
-    box.take_all()
-    assert not box._clients and not box._by_task and not box._by_connection
-    assert not box._machine_messages and not box._links_coming_up and not len(box)
-    assert not box._hung_up and not box._urgent_tasks and not box._urgent_clients and not box._client_messages
-
-
-def test_set_ups_beyond_a_bound_are_turned_away_and_owners_are_not_read_beyond_another() -> None:
-    box = EventQueue()
+            queue.add(ev.ClientHungUp(number))
+            queue.add(ev.ClientMessage(number, set_up(number + 1000)))
+        queue.add(ev.ClientDisconnected(number))
+    queue.take_all()
+    assert not queue._clients and not queue._by_task and not queue._by_connection
+    assert not queue._machine_messages and not queue._links_coming_up and not len(queue)
+    assert (
+        not queue._hung_up
+        and not queue._urgent_tasks
+        and not queue._urgent_clients
+        and not queue._client_messages
+    )
+
+
+def test_placement_requests_over_the_limit_are_marked_and_clients_not_read_in_an_overload() -> None:
+    queue = EventQueue()
     for number in range(event_queue.MAX_PLACEMENTS):
-        assert not box.is_full()
-        box.add(ev.ClientMessage(1, set_up(number + 1)))
-    assert box.is_full() and not box.is_overloaded()
-    more = ev.ClientMessage(1, set_up(number + 2))
-    box.add(more)
-    box.add(ends(1, 1))  # seen to all the same
-    assert box.take() == [ends(1, 1, cancelled_unhandled=True)]
-    assert box.take() == [replace(more, over_limit=True)] and not box.is_full()
-    while not box.is_overloaded():
-        assert not box.must_wait(1)
-        box.add(ev.ClientMessage(1, Message(Kind.HEALTH_CHECK, name(5), cause=0)))
-    assert len(box) == event_queue.MAX_EVENTS
-    assert box.must_wait(1)
-    for _ in range(event_queue.CONNECTION_SHARE):  # others may still give up, and leave
-        assert not box.must_wait(2)
-        box.add(ev.ClientMessage(2, Message(Kind.HEALTH_CHECK, name(6), cause=0)))
-    assert box.must_wait(2)
-    while box.is_overloaded():
-        box.take()
-    assert not box.must_wait(1) and not box.must_wait(2)
-
-
-def test_it_knows_whose_words_wait() -> None:
-    for event in (ASK, HELD, ends(4, 3)):
-        box = EventQueue()
-        box.add(event)
-        assert box.has_pending(event.conn) and not box.has_pending(9)
-        box.take()
-        assert not box.has_pending(event.conn)
-    box.add(ASK)
-    box.add(ends(1, 1))
-    box.take()
-    assert not box.has_pending(1) and not box._client_messages
-
-
-def word(id: int, cause: Cause, link: int = 9) -> ev.MachineMessage:
+        assert not queue.is_full()
+        queue.add(ev.ClientMessage(1, set_up(number + 1)))
+    assert queue.is_full() and not queue.is_overloaded()
+    over_limit = ev.ClientMessage(1, set_up(number + 2))
+    queue.add(over_limit)
+    queue.add(cancellation(1, 1))  # handled although the queue is full
+    assert queue.take() == [cancellation(1, 1, cancelled_unhandled=True)]
+    assert queue.take() == [replace(over_limit, over_limit=True)] and not queue.is_full()
+    while not queue.is_overloaded():
+        assert not queue.must_wait(1)
+        queue.add(ev.ClientMessage(1, Message(Kind.HEALTH_CHECK, name(5), cause=0)))
+    assert len(queue) == event_queue.MAX_EVENTS
+    assert queue.must_wait(1)
+    for _ in range(event_queue.CONNECTION_SHARE):  # other clients may still cancel and disconnect
+        assert not queue.must_wait(2)
+        queue.add(ev.ClientMessage(2, Message(Kind.HEALTH_CHECK, name(6), cause=0)))
+    assert queue.must_wait(2)
+    while queue.is_overloaded():
+        queue.take()
+    assert not queue.must_wait(1) and not queue.must_wait(2)
+
+
+def test_connections_with_queued_messages_are_known() -> None:
+    for event in (PLACEMENT_REQUEST, ADOPTION_REQUEST, cancellation(4, 3)):
+        queue = EventQueue()
+        queue.add(event)
+        assert queue.has_pending(event.conn) and not queue.has_pending(9)
+        queue.take()
+        assert not queue.has_pending(event.conn)
+    queue.add(PLACEMENT_REQUEST)
+    queue.add(cancellation(1, 1))
+    queue.take()
+    assert not queue.has_pending(1) and not queue._client_messages
+
+
+def machine_release(id: int, cause: Cause, link: int = 9) -> ev.MachineMessage:
     return ev.MachineMessage(link, Message(Kind.RELEASE, name(id), cause=int(cause)))
 
 
-def test_answers_and_ends_overtake_refusals_but_nothing_of_their_own_task_or_connection() -> None:
-    """Seen on join+mass: 1,442 words waited, and ends of tasks were told more than a second late."""
-    full, over = word(5, Cause.FULL), word(6, Cause.RESET)
+def test_answers_and_ends_overtake_rejections_but_nothing_of_their_own_task_or_connection() -> None:
+    """In scenario join+mass, with 1,442 messages queued, ends of tasks were reported over a second late."""
+    rejection, ended = machine_release(5, Cause.FULL), machine_release(6, Cause.RESET)
     answer = ev.MachineMessage(9, Message(Kind.ANSWER, name(7), body="b"))
-    assert taken(full, over, answer) == [over, answer, full]
-    late, held = word(5, Cause.ENDED), ev.ClientMessage(2, set_up(6, at="s-00000001"))
-    assert taken(full, late) == [full, late]  # a second word on one task
-    assert taken(full, held, over) == [held, over, full]  # its end, before it was known here
-    assert taken(ev.LinkUp(9), over) == [ev.LinkUp(9), over]
-    assert taken(over, ev.LinkLost(9, frozenset())) == [over, ev.LinkLost(9, frozenset())]
+    assert handling_order(rejection, ended, answer) == [ended, answer, rejection]
+    late_end, adoption = machine_release(5, Cause.ENDED), ev.ClientMessage(2, set_up(6, at="s-00000001"))
+    # A second message about a task stays behind the first.
+    assert handling_order(rejection, late_end) == [rejection, late_end]
+    # The end of a task stays behind the task's adoption request.
+    assert handling_order(rejection, adoption, ended) == [adoption, ended, rejection]
+    assert handling_order(ev.LinkUp(9), ended) == [ev.LinkUp(9), ended]
+    assert handling_order(ended, ev.LinkLost(9, frozenset())) == [ended, ev.LinkLost(9, frozenset())]
 
 
 def test_departures_overtake_the_messages_of_others_but_none_of_their_own_task() -> None:
-    tests = [ev.ClientMessage(1, Message(Kind.HEALTH_CHECK, name(n), cause=0)) for n in range(10, 200)]
-    comes, goes = ev.ClientConnected(4, "127.8.240.4"), ev.ClientDisconnected(5)
-    assert taken(*tests, comes, ends(7, 4), goes) == [comes, ends(7, 4), goes, *tests]
+    health_checks = [
+        ev.ClientMessage(1, Message(Kind.HEALTH_CHECK, name(n), cause=0)) for n in range(10, 200)
+    ]
+    connect, disconnect = ev.ClientConnected(4, "127.8.240.4"), ev.ClientDisconnected(5)
+    assert handling_order(*health_checks, connect, cancellation(7, 4), disconnect) == [
+        connect,
+        cancellation(7, 4),
+        disconnect,
+        *health_checks,
+    ]
     answer = ev.MachineMessage(9, Message(Kind.ANSWER, name(7), body="b"))
-    held = ev.ClientMessage(4, set_up(7, at="s-00000001"))
-    for earlier in (answer, held):
-        assert taken(*tests, earlier, ends(7, 4)) == [*tests, earlier, ends(7, 4)]
-    # Its connection goes while other messages of it wait: its open tasks end at once, the rest in order.
-    assert taken(*tests, held, ev.ClientDisconnected(4)) == [
+    adoption = ev.ClientMessage(4, set_up(7, at="s-00000001"))
+    for earlier in (answer, adoption):
+        assert handling_order(*health_checks, earlier, cancellation(7, 4)) == [
+            *health_checks,
+            earlier,
+            cancellation(7, 4),
+        ]
+    # When a client disconnects with messages queued, its open tasks end at once; the rest keeps its order.
+    assert handling_order(*health_checks, adoption, ev.ClientDisconnected(4)) == [
         ev.ClientHungUp(4),
-        *tests,
-        held,
+        *health_checks,
+        adoption,
         ev.ClientDisconnected(4),
     ]
 
 
-def test_a_client_that_has_hung_up_has_no_more_set_ups_taken_but_what_a_machine_holds() -> None:
-    held = ev.ClientMessage(1, set_up(2, at="s-00000001"))
+def test_after_a_hang_up_only_adoption_requests_of_the_client_are_queued() -> None:
+    adoption = ev.ClientMessage(1, set_up(2, at="s-00000001"))
     later = ev.ClientMessage(1, set_up(3))
     other = ev.ClientMessage(2, set_up(4))
-    assert taken(ASK, ev.ClientHungUp(1), later, held, other) == [ev.ClientHungUp(1), held, other]
-    came = [ASK, ev.ClientHungUp(1), later, held, other, ev.ClientDisconnected(1)]
-    assert taken(*came) == [ev.ClientHungUp(1), held, ev.ClientDisconnected(1), other]
+    assert handling_order(PLACEMENT_REQUEST, ev.ClientHungUp(1), later, adoption, other) == [
+        ev.ClientHungUp(1),
+        adoption,
+        other,
+    ]
+    events = [PLACEMENT_REQUEST, ev.ClientHungUp(1), later, adoption, other, ev.ClientDisconnected(1)]
+    assert handling_order(*events) == [ev.ClientHungUp(1), adoption, ev.ClientDisconnected(1), other]
