--- a/tests/platform/desk.py
+++ b/tests/platform/desk.py
@@ -90,9 +90,9 @@
         self._conn = 0
         first = self.node_list.apply(notice(1, *(row(n) for n in range(1, machines + 1)), whole=True))[0]
         assert first is not None
-        self._record(self.core.start(self.now, [first]))
+        self._take(self.core.start(self.now, [first]))
 
-    def _record(self, actions: list[ev.Action]) -> None:
+    def _take(self, actions: list[ev.Action]) -> None:
         for action in actions:
             match action:
                 case ev.SendToClient(conn, message):
@@ -113,11 +113,11 @@
         """Advance the clock by ``after`` in steps of 50 ms, so that no timer is late; then handle events."""
         end = self.now + after
         while after and self.ending:
-            self._record(self.core.handle(self.now, [ev.LinkLost(self.ending.pop(0), frozenset())]))
+            self._take(self.core.handle(self.now, [ev.LinkLost(self.ending.pop(0), frozenset())]))
         while self.now < end:
             self.now = min(end, self.now + 50_000)
-            self._record(self.core.handle(self.now, [ev.TimerDue()]))
-        self._record(self.core.handle(self.now, events))
+            self._take(self.core.handle(self.now, [ev.TimerDue()]))
+        self._take(self.core.handle(self.now, events))
 
     def passes(self, span: int, answering: bool = True) -> None:
         """Advance the clock by ``span``; with ``answering``, dialled links come up at once."""
--- a/tests/platform/test_platform_core.py
+++ b/tests/platform/test_platform_core.py
@@ -1,4 +1,4 @@
-"""What owners are owed and what is out at machines, danger by danger, without sockets."""
+"""Answers and releases to clients, and attempts at machines, for each known failure; without sockets."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
     return Message(Kind.ANSWER, name(number), body=body)
 
 
-def test_a_task_is_placed_and_its_end_told() -> None:
+def test_a_task_is_placed_and_its_end_reported() -> None:
     desk = Desk()
     conn = desk.owner()
     desk.ask(conn, 1)
     desk.connect()
     ((link, sent),) = desk.sent(1)
     assert sent.body == BODY and sent.fields["key"] == name(501) and sent.fields["class"] == "repeat"
-    assert 5_800 < int(sent.fields["left"]) <= 6_000  # the module has less time than the owner
+    assert 5_800 < int(sent.fields["left"]) <= 6_000  # the module has less time than the client
     desk.machine(link, answer(1, "from the machine"))
     assert desk.to_clients[-1] == (conn, answer(1, "from the machine"))
     desk.ends(link, 1)
@@ -42,7 +42,7 @@
     assert not desk.core.tasks.by_id and not desk.core.attempts.table.by_machine_and_id
 
 
-def test_what_the_module_gives_up_is_answered_at_once() -> None:
+def test_a_task_that_the_module_sheds_is_answered_at_once() -> None:
     desk = Desk(machines=1)
     conn = desk.owner()
     desk.ask(conn, 1)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("sort", ["once", "keyed"])
-def test_a_connection_that_breaks_after_a_whole_write_proves_nothing(sort: str) -> None:
+def test_a_connection_that_breaks_after_a_complete_write_does_not_prove_not_run(sort: str) -> None:
     desk = Desk()
     conn = desk.owner()
     desk.ask(conn, 1, sort)
@@ -70,10 +70,10 @@
     links = [k for k, _ in desk.sent(1)]
     if sort == "once":
         assert len(links) == 1
-    assert desk.replies(1)[-1][1:] == (RELEASE, Cause.RESET)  # failed, not refused
+    assert desk.replies(1)[-1][1:] == (RELEASE, Cause.RESET)  # failed, not shed
 
 
-def test_a_set_up_that_did_not_leave_whole_goes_again_as_the_same_attempt() -> None:
+def test_an_incompletely_written_request_is_sent_again_as_the_same_attempt() -> None:
     desk = Desk()
     conn = desk.owner()
     desk.ask(conn, 1, "once")
@@ -87,24 +87,24 @@
     assert desk.core.tasks.by_id[name(1)].attempt_count == 1
 
 
-def test_a_refused_connection_proves_that_nothing_ran() -> None:
+def test_a_refused_connection_proves_not_run() -> None:
     desk = Desk(machines=1)
     conn = desk.owner()
     desk.ask(conn, 1, "once")
     desk.refuse()
     desk.passes(9 * SECOND, answering=False)
     desk.refuse()
-    assert desk.replies(1)[-1][1:] == (RELEASE, Cause.BUSY)  # refused: trying again is harmless
+    assert desk.replies(1)[-1][1:] == (RELEASE, Cause.BUSY)  # shed: a retry cannot run the task twice
 
 
-def test_an_end_with_a_description_is_the_answer_and_the_end() -> None:
+def test_a_release_with_a_body_is_an_answer_and_an_end() -> None:
     desk = Desk()
     conn = desk.owner()
     desk.ask(conn, 1, "once")
     desk.connect()
     link, _ = desk.sent(1)[0]
     desk.machine(link, Message(RELEASE, name(1), cause=Cause.ENDED, body="it was here"))
-    desk.ends(link, 1, Cause.RESET)  # a second word changes nothing
+    desk.ends(link, 1, Cause.RESET)  # a second release changes nothing
     assert desk.replies(1) == [(conn, ANSWER, None), (conn, RELEASE, Cause.ENDED)]
     assert [m.body for _, m in desk.to_clients] == ["it was here", None]
     assert len(desk.sent(1)) == 1 and not desk.core.attempts.table.by_machine_and_id
@@ -114,7 +114,7 @@
     )
 
 
-def test_an_end_without_one_proves_nothing() -> None:
+def test_a_release_without_a_body_does_not_prove_not_run() -> None:
     desk = Desk()
     conn = desk.owner()
     desk.ask(conn, 1, "once")
@@ -123,10 +123,10 @@
     assert desk.replies(1) == [(conn, RELEASE, Cause.RESET)]
 
 
-# Late words, second words
+# Late and repeated messages
 
 
-def test_a_second_copy_and_unknown_ids_change_nothing() -> None:
+def test_a_second_answer_and_unknown_ids_change_nothing() -> None:
     desk = Desk()
     conn = desk.owner()
     desk.ask(conn, 1)
@@ -138,55 +138,55 @@
     assert [m.body for _, m in desk.to_clients] == ["first"]
 
 
-@pytest.mark.parametrize(("sort", "cut"), [("repeat", True), ("keyed", False)])
-def test_a_late_answer_is_cut_or_left_standing_by_its_class(sort: str, cut: bool) -> None:
+@pytest.mark.parametrize(("sort", "is_cancelled"), [("repeat", True), ("keyed", False)])
+def test_a_late_answer_is_cancelled_or_kept_by_its_class(sort: str, is_cancelled: bool) -> None:
     desk = Desk()
     conn = desk.owner()
     desk.ask(conn, 1, sort)
     desk.connect()
     link, _ = desk.sent(1)[0]
     desk.feed(ev.ClientMessage(conn, Message(RELEASE, name(1), cause=16)))
-    assert desk.to_machines[-1] == (link, Message(RELEASE, name(1), cause=16))  # given up at the machine too
+    assert desk.to_machines[-1] == (link, Message(RELEASE, name(1), cause=16))  # cancelled at the machine too
     before = len(desk.to_machines)
     desk.machine(link, answer(1))
-    assert [m.cause for _, m in desk.to_machines[before:]] == ([Cause.CANCELLED] if cut else [])
+    assert [m.cause for _, m in desk.to_machines[before:]] == ([Cause.CANCELLED] if is_cancelled else [])
     assert desk.replies(1) == []
 
 
-def test_a_copy_beside_one_that_stands_is_cut_on_whatever_connection_it_speaks() -> None:
+def test_a_duplicate_of_a_running_task_is_cancelled_on_any_connection_of_its_machine() -> None:
     desk = Desk(machines=3)
     conn = desk.owner()
     desk.ask(conn, 1)
     desk.connect()
     first, _ = desk.sent(1)[0]
-    gone = desk.up[first]
+    address = desk.up[first]
     desk.feed(ev.LinkLost(first, frozenset()))
     desk.connect()
     second, _ = desk.sent(1)[1]
     desk.machine(second, answer(1))
     desk.ask(conn, 2)
     desk.connect()
-    back = next((k for k, a in desk.up.items() if a == gone), None)
-    if back is None:
-        desk.core.links.pool.dial(next(m for m in desk.core.links.machines.values() if m.address == gone))
-        desk._record(desk.core.loop.actions)
+    new_link = next((k for k, a in desk.up.items() if a == address), None)
+    if new_link is None:
+        desk.core.links.pool.dial(next(m for m in desk.core.links.machines.values() if m.address == address))
+        desk._take(desk.core.loop.actions)
         desk.connect()
-        back = next(k for k, a in desk.up.items() if a == gone)
-    desk.machine(back, answer(1))
-    assert desk.to_machines[-1] == (back, Message(RELEASE, name(1), cause=Cause.CANCELLED))
+        new_link = next(k for k, a in desk.up.items() if a == address)
+    desk.machine(new_link, answer(1))
+    assert desk.to_machines[-1] == (new_link, Message(RELEASE, name(1), cause=Cause.CANCELLED))
     assert [w[1] for w in desk.replies(1)] == [ANSWER]
 
 
-# Standing tasks belong to no connection
+# Running tasks do not depend on a connection
 
 
-def test_a_machines_release_counts_on_any_connection_of_its_own_only() -> None:
+def test_a_release_counts_on_any_connection_to_its_machine_and_on_no_other() -> None:
     desk = Desk(machines=2)
     conn = desk.owner()
     link = desk.place(conn, 1)
     address = desk.up[link]
     desk.feed(ev.LinkLost(link, frozenset()))
-    assert [w[1] for w in desk.replies(1)] == [ANSWER]  # it stands on
+    assert [w[1] for w in desk.replies(1)] == [ANSWER]  # the task runs on
     desk.passes(300_000)
     other = next(k for k, a in desk.up.items() if a == address)
     wrong = next((k for k, a in desk.up.items() if a != address), None)
@@ -214,7 +214,7 @@
     assert not desk.core.sessions.pending_releases
 
 
-def test_a_release_written_as_its_connection_broke_is_said_again() -> None:
+def test_a_release_that_was_written_as_its_connection_broke_is_sent_again() -> None:
     desk = Desk()
     one = desk.owner("a")
     link = desk.place(one, 1)
@@ -222,7 +222,7 @@
     desk.feed(ev.ClientDisconnected(one), after=200_000)
     two = desk.owner("a")
     assert desk.replies(1)[1:] == [(one, RELEASE, Cause.ENDED), (two, RELEASE, Cause.ENDED)]
-    # one that was heard, or long ago, is not
+    # An acknowledged release is not sent again.
     three = desk.owner("c")
     link = desk.place(three, 3)
     desk.ends(link, 3)
@@ -232,7 +232,7 @@
     assert all(c != four for c, _, _ in desk.replies(3))
 
 
-def test_kept_releases_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pending_releases_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_sessions, "MAX_PENDING_RELEASES", 3)
     desk = Desk(machines=6)
     conn = desk.owner("a")
@@ -245,18 +245,18 @@
     assert not desk.core.sessions.pending_releases
 
 
-def test_an_owner_ends_its_task_from_any_connection() -> None:
+def test_a_client_cancels_its_task_from_any_connection() -> None:
     desk = Desk()
     one, two = desk.owner("a"), desk.owner("a")
     link = desk.place(one, 1)
     desk.feed(ev.ClientMessage(two, Message(RELEASE, name(1), cause=16)))
     assert desk.to_machines[-1] == (link, Message(RELEASE, name(1), cause=Cause.CANCELLED))
     desk.ends(link, 1, Cause.CANCELLED)
-    assert [w[1] for w in desk.replies(1)] == [ANSWER]  # it is owed no release
+    assert [w[1] for w in desk.replies(1)] == [ANSWER]  # a client that cancels gets no release
     assert not desk.core.attempts.table.by_machine_and_id and not desk.core.tasks.by_id
 
 
-def test_a_move_ends_the_task_here_and_there() -> None:
+def test_an_eviction_ends_the_task_here_and_at_its_machine() -> None:
     desk = Desk()
     conn = desk.owner()
     link = desk.place(conn, 1)
@@ -264,16 +264,16 @@
     desk.core.loop.begin(desk.now)
     desk.core.attempts.evict(api.Evict(task.number))
     desk.core._run()
-    desk._record(desk.core.loop.actions)
+    desk._take(desk.core.loop.actions)
     assert desk.replies(1)[-1] == (conn, Kind.MIGRATE, None)
     assert desk.to_machines[-1] == (link, Message(RELEASE, name(1), cause=Cause.CANCELLED))
 
 
-# What is believed of load
+# Load reports
 
 
-def test_a_probe_asks_for_the_report_and_the_module_hears_it() -> None:
-    """A test with cause 0 is passed without a report: the planner would never learn how busy a machine is."""
+def test_a_health_check_requests_a_load_report_for_the_module() -> None:
+    """A machine answers a health check with cause 0 without a load report; the load would stay unknown."""
     desk = Desk(machines=1, probes=True, report_fields=("free_cores", "free_memory", "util"))
     conn = desk.owner()
     desk.passes(SECOND)
@@ -288,7 +288,7 @@
     assert not desk.core.health_checks.pending
 
 
-def test_the_module_believes_out_what_the_connections_carried() -> None:
+def test_the_module_counts_the_same_attempts_in_flight_as_the_core() -> None:
     desk = Desk(machines=4)
     for number in range(1, 200):
         conn = desk.owner(f"client {number % 5}")
@@ -307,12 +307,12 @@
             desk.feed(ev.ClientMessage(conn, Message(RELEASE, name(number - 3), cause=16)))
         desk.passes(50_000)
         for node in desk.core.module.table.nodes.values():
-            out = [
+            in_flight = [
                 a.task.number
                 for (m, _), a in desk.core.attempts.table.by_machine_and_id.items()
                 if m == node.entry.id and a.state.value in ("waiting", "sent", "running")
             ]
-            assert sorted(out) == sorted(a.task.id for a in node.attempts.values())
+            assert sorted(in_flight) == sorted(a.task.id for a in node.attempts.values())
 
 
 # Adopted tasks
@@ -322,15 +322,15 @@
     desk = Desk()
     conn = desk.owner()
     desk.ask(conn, 1, at="s-00000002")
-    desk.ask(conn, 1, at="s-00000002")  # it may name what is held already
+    desk.ask(conn, 1, at="s-00000002")  # a repeated adoption request changes nothing
     assert desk.replies(1) == [] and len(desk.core.tasks.by_id) == 1
     desk.passes(300_000)
-    link = next(k for k in desk.up if desk.machine_of(k) == 2)  # it has a connection, to be heard on
+    link = next(k for k in desk.up if desk.machine_of(k) == 2)  # the core has dialled it, to receive messages
     desk.ends(link, 1, Cause.RESET, note="ev")
     assert desk.replies(1) == [(conn, RELEASE, Cause.RESET)]
 
 
-def test_a_task_at_a_machine_that_the_list_does_not_name_in_time_is_over() -> None:
+def test_an_adopted_task_ends_if_its_machine_is_not_listed_in_time() -> None:
     desk = Desk()
     conn = desk.owner()
     desk.ask(conn, 1, at="s-0000ffff")
@@ -349,10 +349,10 @@
     assert not desk.core.tasks.by_id
 
 
-# Bad clients
+# Misbehaving clients
 
 
-def test_what_is_not_valid_is_turned_away_and_the_module_never_hears_of_it() -> None:
+def test_invalid_requests_are_rejected_and_do_not_reach_the_module() -> None:
     desk = Desk()
     conn = desk.owner()
     for number, changes in enumerate(({"class": "x"}, {"left": "nan"}, {"extras": "cores:nan"}), 1):
@@ -361,7 +361,7 @@
     assert not desk.core.module.pending and not desk.to_machines and not desk.dials
 
 
-def test_an_open_id_with_another_description_does_not_end_the_good_ones_wait() -> None:
+def test_another_client_with_an_open_id_does_not_end_the_first_ones_wait() -> None:
     desk = Desk()
     good, bad = desk.owner("a"), desk.owner("b")
     desk.ask(good, 1)
@@ -373,7 +373,7 @@
     assert desk.replies(1) == [(bad, RELEASE, Cause.INVALID), (good, ANSWER, None)]
 
 
-def test_two_under_one_number_on_one_connection_are_both_over() -> None:
+def test_two_tasks_under_one_id_on_one_connection_both_end() -> None:
     desk = Desk()
     conn = desk.owner()
     desk.ask(conn, 1)
@@ -383,7 +383,7 @@
     assert desk.replies(1) == [(conn, RELEASE, Cause.INVALID)]
 
 
-def test_a_set_up_sent_again_as_its_connection_broke_is_the_same() -> None:
+def test_a_request_that_is_repeated_on_a_new_connection_is_the_same_task() -> None:
     desk = Desk()
     one, two = desk.owner("a"), desk.owner("a")
     desk.ask(one, 1)
@@ -395,8 +395,8 @@
     assert desk.replies(1) == [(two, ANSWER, None)]
 
 
-def test_a_useless_word_closes_no_connection_of_which_a_set_up_waits() -> None:
-    """Words are handled before set-ups that were read earlier."""
+def test_unexpected_messages_close_no_connection_with_a_queued_placement_request() -> None:
+    """Other messages are handled before placement requests that were read earlier."""
     desk = Desk(machines=1)
     conn = desk.owner()
     desk.core.sessions.has_unread = lambda number: number == conn
@@ -410,20 +410,20 @@
     assert desk.sent(1)
 
 
-def test_an_owner_that_heard_a_release_on_its_connection_keeps_it() -> None:
+def test_a_client_that_acknowledges_a_release_keeps_its_connection() -> None:
     desk = Desk(machines=1)
     first, second = desk.owner(), desk.owner()
     link = desk.place(first, 1)
     desk.feed(ev.ClientDisconnected(first))
     desk.ends(link, 1)
-    assert desk.replies(1)[-1][0] == second  # on which nothing else was said
+    assert desk.replies(1)[-1][0] == second  # nothing else was sent on this connection
     desk.feed(ev.ClientMessage(second, Message(Kind.ACKNOWLEDGEMENT, name(1))))
-    desk.feed(ev.ClientMessage(second, Message(Kind.ACKNOWLEDGEMENT, name(1))))  # twice, as it came twice
+    desk.feed(ev.ClientMessage(second, Message(Kind.ACKNOWLEDGEMENT, name(1))))  # a second acknowledgement
     assert desk.closed == []
 
 
-def test_an_owner_that_is_turned_away_at_sigterm_keeps_its_connection() -> None:
-    """Seen on roll+mass: closed as useless after 17 refusals, 15 set-ups behind them were lost."""
+def test_a_client_that_is_rejected_during_shutdown_keeps_its_connection() -> None:
+    """In scenario roll+mass, a connection closed after 17 rejections; 15 placement requests were lost."""
     desk = Desk(machines=1)
     conn = desk.owner()
     desk.feed(ev.ShutdownRequested())
@@ -434,7 +434,7 @@
     assert all(
         desk.replies(n) == [(conn, RELEASE, Cause.BUSY)] for n in range(1, 3 * client_sessions.MAX_REJECTIONS)
     )
-    desk.passes(client_sessions.UNRESPONSIVE_US + SECOND)  # nor does it count as one that says nothing
+    desk.passes(client_sessions.UNRESPONSIVE_US + SECOND)  # it does not count as unresponsive either
     assert desk.closed == []
 
 
@@ -450,7 +450,7 @@
     assert desk.closed == [useless, silent]
     desk.passes(client_sessions.IDLE_US)
     assert idle in desk.closed and busy not in desk.closed
-    # one whose task stands is kept: the release goes out there
+    # A connection with a running task is kept, because the release is sent on it.
     desk.ask(busy, 2, left="9000")
     desk.connect()
     desk.machine(desk.sent(2)[0][0], answer(2))
@@ -458,17 +458,17 @@
     assert busy not in desk.closed
 
 
-def test_the_connection_that_is_given_up_for_room_has_nothing_under_way() -> None:
+def test_only_connections_without_open_tasks_are_closed_for_a_new_one() -> None:
     desk = Desk()
-    busy, standing, quiet, idle = (desk.owner(c) for c in "abcd")
-    desk.place(standing, 1)
+    busy, running, unused, idle = (desk.owner(c) for c in "abcd")
+    desk.place(running, 1)
     desk.ask(busy, 2)
     desk.feed(ev.ClientMessage(idle, Message(Kind.HEALTH_CHECK, name(5), cause=0)))
-    spare = desk.core.sessions.idlest_connection
-    assert [spare(), spare(), spare(), spare()] == [quiet, idle, standing, None]
+    idlest = desk.core.sessions.idlest_connection
+    assert [idlest(), idlest(), idlest(), idlest()] == [unused, idle, running, None]
 
 
-def test_tables_at_the_door_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_open_tasks_are_bounded_in_all_and_for_each_client(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(validation, "BOUNDS", validation.admission.Bounds(6, 4, 8, 10**9))
     desk = Desk(machines=1)
     flood, good = desk.owner("a"), desk.owner("b")
@@ -478,10 +478,10 @@
     refused = [m for c, m in desk.to_clients if c == flood]
     assert len(refused) == 15 and {m.cause for m in refused} == {Cause.BUSY}
     desk.ask(good, 100)
-    assert desk.core.tasks.open_count == 5  # one client does not take it all
+    assert desk.core.tasks.open_count == 5  # one client cannot use up the whole bound
 
 
-def test_unheard_releases_of_a_connection_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unacknowledged_releases_of_a_connection_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_sessions, "MAX_UNACKNOWLEDGED", 2)
     desk = Desk(machines=6)
     conn = desk.owner()
@@ -491,8 +491,8 @@
     assert len(desk.core.sessions.connections[conn].unacknowledged) == 2
 
 
-def test_a_description_that_no_line_can_hold_is_turned_away_at_the_door() -> None:
-    """It fits a binary message; escaped, it would be three times too long for a machine's line."""
+def test_a_description_too_long_for_a_machines_line_is_rejected() -> None:
+    """The description fits a binary message; escaped, it is three times too long for a machine's line."""
     desk = Desk()
     conn = desk.owner()
     desk.ask(conn, 1, body="\x01" * 8000)
@@ -502,7 +502,7 @@
     assert len(jsonlines.encode(desk.sent(2)[0][1])) <= MAX_MESSAGE_BYTES
 
 
-def test_a_long_wait_leaves_nothing_behind_once_withdrawn() -> None:
+def test_withdrawn_tasks_with_a_long_wait_leave_no_timers() -> None:
     desk = Desk()
     conn = desk.owner()
     for number in range(1, 101):
@@ -514,7 +514,7 @@
     assert len(desk.core.loop._timers) < 10 and not desk.core.module.context.timers
 
 
-def test_descriptions_are_bounded_and_standing_tasks_keep_none(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_descriptions_are_bounded_and_running_tasks_keep_none(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(task_table, "MAX_OPEN_BYTES", 25_000)
     desk = Desk(machines=6)
     conn = desk.owner()
@@ -526,33 +526,33 @@
     desk.ask(conn, 5, body="x" * 10_000, at="s-00000001")
     assert desk.core.tasks.open_bytes == 10_000
     assert [len(desk.core.tasks.by_id[name(n)].body) for n in (1, 2, 5)] == [0, 10_000, 0]
-    desk.ask(conn, 5, body="y", at="s-00000001")  # another under that id is still told apart
+    desk.ask(conn, 5, body="y", at="s-00000001")  # another description under this id is still recognised
     assert desk.core.sessions.connections[conn].running_count == 2
 
 
-# Drains, leaving, time
+# Draining machines, shutdown, stalls
 
 
-def test_nothing_leaves_for_a_machine_that_drains() -> None:
+def test_nothing_is_sent_to_a_draining_machine() -> None:
     desk = Desk(machines=1)
     conn = desk.owner()
-    desk.ask(conn, 1, "once")  # waits for its connection
+    desk.ask(conn, 1, "once")  # the task waits for a connection
     desk.list_update(row(1, "DRAINING"))
     desk.connect()
     desk.passes(SECOND)
     assert desk.sent(1) == []
     desk.passes(8 * SECOND)
-    assert desk.replies(1)[-1][1:] == (RELEASE, Cause.BUSY)  # it never ran
+    assert desk.replies(1)[-1][1:] == (RELEASE, Cause.BUSY)  # the task is proven not run
 
 
-def test_a_test_is_passed_once_ready() -> None:
+def test_a_clients_health_check_succeeds_once_ready() -> None:
     desk = Desk()
     conn = desk.owner()
     desk.feed(ev.ClientMessage(conn, Message(Kind.HEALTH_CHECK, name(1), cause=0)))
     assert desk.to_clients == [(conn, Message(Kind.HEALTH_CHECK_RESULT, name(1), cause=1))]
 
 
-def test_leaving_answers_all_that_was_taken_and_lets_tasks_run_on() -> None:
+def test_shutdown_answers_all_open_tasks_and_lets_tasks_run_on() -> None:
     desk = Desk(machines=2)
     conn = desk.owner()
     desk.place(conn, 1)
@@ -560,20 +560,20 @@
     desk.connect()
     desk.feed(ev.ShutdownRequested())
     assert not desk.core.shutdown.is_done()
-    desk.ask(conn, 3)  # still taken
+    desk.ask(conn, 3)  # still accepted
     desk.connect()
     assert desk.replies(3) == []
     desk.passes(shutdown.ACCEPTING_US + 50_000)
     desk.ask(conn, 4)
     assert desk.replies(4) == [(conn, RELEASE, Cause.BUSY)]
     desk.passes(shutdown.MAX_DEADLINE_US + shutdown.ACCEPTING_US - shutdown.ANSWER_ALL_US)
-    assert desk.replies(2) == [(conn, RELEASE, Cause.RESET)]  # may have run: failed
-    assert desk.replies(3) == [(conn, RELEASE, Cause.BUSY)]  # may be repeated: refused
+    assert desk.replies(2) == [(conn, RELEASE, Cause.RESET)]  # failed, because it may have run
+    assert desk.replies(3) == [(conn, RELEASE, Cause.BUSY)]  # shed, because it may be repeated
     assert desk.core.shutdown.is_done()
     assert [w[1] for w in desk.replies(1)] == [ANSWER] and name(1) in desk.core.tasks.by_id
 
 
-def test_leaving_turns_away_what_still_waits_for_room() -> None:
+def test_shutdown_sheds_tasks_that_still_wait_for_capacity() -> None:
     desk = Desk(machines=1)
     conn = desk.owner()
     desk.ask(conn, 1, "once", extras="cores:9;memory:2;service:00000000b4d65521")
@@ -585,14 +585,14 @@
     desk.feed(ev.ShutdownRequested())
     desk.ends(link, 1)
     desk.passes(shutdown.ACCEPTING_US + 50_000)
-    desk.machine(desk.sent(2)[0][0], answer(2))  # room was left in time for one
+    desk.machine(desk.sent(2)[0][0], answer(2))  # there was capacity in time for one task
     assert desk.sent(3) == [] and not desk.core.shutdown.is_done()
     desk.passes(shutdown.MAX_DEADLINE_US + shutdown.ACCEPTING_US - shutdown.ANSWER_ALL_US)
     assert desk.replies(3) == [(conn, RELEASE, Cause.BUSY)] and desk.core.shutdown.is_done()
 
 
-def test_an_owner_is_told_after_its_machine_that_a_task_is_given_up() -> None:
-    """As a planner leaves, what may be repeated is refused while it is out."""
+def test_a_machine_is_notified_of_an_abandoned_attempt_before_its_client() -> None:
+    """During shutdown, a task that may be repeated is shed while its attempt is in flight."""
     desk = Desk(machines=1)
     conn = desk.owner()
     desk.ask(conn, 1)
@@ -600,30 +600,30 @@
     desk.feed(ev.ShutdownRequested())
     desk.now = desk.core.shutdown.killed_at
     actions = desk.core.handle(desk.now, [ev.TimerDue()])
-    said = [
+    sent_types = [
         type(a)
         for a in actions
         if isinstance(a, (ev.SendToClient, ev.SendToMachine)) and a.message.id == name(1)
     ]
-    assert said == [ev.SendToMachine, ev.SendToClient]
+    assert sent_types == [ev.SendToMachine, ev.SendToClient]
 
 
-def test_what_was_read_goes_before_timers_after_a_stall() -> None:
+def test_received_messages_are_handled_before_timers_after_a_stall() -> None:
     desk = Desk(machines=2)
     conn = desk.owner()
     desk.ask(conn, 1, "once", left="8000")
     desk.connect()
     link, _ = desk.sent(1)[0]
-    desk.now += 9 * SECOND  # stood still past the deadline, the answer unread
+    desk.now += 9 * SECOND  # a stall past the deadline, with the answer unread
     read = [ev.ClientMessage(conn, set_up(2)), ev.MachineMessage(link, answer(1))]
-    desk._record(desk.core.handle_after_stall(desk.now, read))
+    desk._take(desk.core.handle_after_stall(desk.now, read))
     assert [w[1] for w in desk.replies(1)] == [ANSWER]
     desk.connect()
     assert len(desk.sent(2)) == 1
 
 
-def test_what_an_owner_gave_up_goes_before_timers_after_a_stall() -> None:
-    """A timer of the module that fell due meanwhile would send what its owner has given up."""
+def test_cancellations_are_handled_before_timers_after_a_stall() -> None:
+    """A timer that fell due during the stall would otherwise send a task that its client has cancelled."""
     desk = Desk(machines=1)
     conn = desk.owner()
     link = desk.send(conn, 1)
@@ -633,14 +633,14 @@
     bind = api.Bind(task.number, machine, 0)
     desk.core.loop.call_at(desk.now + SECOND, desk.core.attempts.bind, bind)
     desk.now += 2 * SECOND
-    given_up = ev.ClientMessage(conn, Message(RELEASE, name(1), cause=int(Cause.ENDED)))
-    desk._record(desk.core.handle_after_stall(desk.now, [given_up]))
+    cancellation = ev.ClientMessage(conn, Message(RELEASE, name(1), cause=int(Cause.ENDED)))
+    desk._take(desk.core.handle_after_stall(desk.now, [cancellation]))
     desk.passes(SECOND)
     assert len(desk.sent(1)) == 1 and desk.replies(1) == []
 
 
-def test_every_table_forgets() -> None:
-    """Ids are always new: a day's work leaves nothing behind."""
+def test_every_table_drops_ended_tasks() -> None:
+    """Ids are never reused, so an entry that stays after its task has ended would be a leak."""
     desk = Desk(machines=4)
     for number in range(1, 400):
         conn = desk.owner(f"client {number % 7}")
@@ -655,8 +655,8 @@
             desk.machine(sent[0][0], answer(number))
             desk.ends(sent[0][0], number)
         if number % 50 == 0:
-            gone, new = number // 50, 100 + number // 50
-            desk.list_update(row(gone, "DELETED"), row(new, dial=f"127.8.1.{gone}:2905"))
+            deleted, new = number // 50, 100 + number // 50
+            desk.list_update(row(deleted, "DELETED"), row(new, dial=f"127.8.1.{deleted}:2905"))
         desk.feed(ev.ClientDisconnected(conn), after=100_000)
     desk.passes(45 * SECOND)
     core = desk.core
@@ -678,15 +678,15 @@
     assert len(core.loop._timers) < 10 and core.attempts.in_flight == 0
 
 
-def test_every_row_of_the_tables_is_named_once() -> None:
+def test_the_transition_tables_have_the_expected_number_of_rows() -> None:
     assert len({(s, e) for s, e in ATTEMPT_TRANSITIONS.rows}) == 12 and len(TASK_TRANSITIONS.rows) == 3
     assert SETTINGS.max_attempts == 3
 
 
-# Guards that only a rare order of events needs
+# Guards against rare orders of events
 
 
-def test_a_connection_with_a_set_up_open_is_closed_for_nothing() -> None:
+def test_a_connection_with_an_open_task_is_never_closed() -> None:
     desk = Desk(machines=1)
     conn = desk.owner()
     desk.ask(conn, 1, "once", left="8000")
@@ -697,7 +697,7 @@
     assert desk.closed == [] and desk.replies(1) == []
 
 
-def test_who_sends_nothing_that_can_be_taken_is_closed() -> None:
+def test_a_connection_with_only_invalid_requests_is_closed() -> None:
     desk = Desk()
     conn = desk.owner()
     for number in range(1, client_sessions.MAX_REJECTIONS + 2):
@@ -705,7 +705,7 @@
     assert desk.closed == [conn] and len(desk.to_clients) == client_sessions.MAX_REJECTIONS + 1
 
 
-def test_the_answer_leaves_before_its_owners_time_is_over() -> None:
+def test_the_answer_is_sent_before_the_clients_deadline() -> None:
     desk = Desk(machines=1)
     conn = desk.owner()
     desk.ask(conn, 1, "once", left="1000")
@@ -714,8 +714,8 @@
     assert desk.replies(1) == [(conn, RELEASE, Cause.RESET)]
 
 
-def test_a_bind_to_a_machine_that_drains_is_told_as_not_sent() -> None:
-    """The module does not ask for it; were it to, rule 3 holds all the same."""
+def test_a_bind_to_a_draining_machine_results_in_not_sent() -> None:
+    """The module makes no such bind; if it did, rule 3 would still hold."""
     desk = Desk(machines=2)
     conn = desk.owner()
     for number in (1, 2, 3, 4):
@@ -723,17 +723,17 @@
     desk.list_update(row(1, "DRAINING"))
     desk.ask(conn, 5, "once", left="8000")
     task = desk.core.tasks.by_id[name(5)]
-    out = [m for m in desk.core.links.machines.values() if m.status is api.NodeStatus.DRAINING]
+    draining = [m for m in desk.core.links.machines.values() if m.status is api.NodeStatus.DRAINING]
     before = len(desk.to_machines)
     desk.core.loop.begin(desk.now)
     task.attempt = None
-    desk.core.attempts.bind(api.Bind(task.number, out[0].id))
+    desk.core.attempts.bind(api.Bind(task.number, draining[0].id))
     assert not desk.core.loop.actions and len(desk.to_machines) == before
-    told = desk.core.loop.module_events[-1]
-    assert isinstance(told, api.Outcome) and told.result is api.Result.NOT_SENT
+    outcome = desk.core.loop.module_events[-1]
+    assert isinstance(outcome, api.Outcome) and outcome.result is api.Result.NOT_SENT
 
 
-def test_what_was_placed_on_a_machines_new_life_is_not_lost_with_its_old_one() -> None:
+def test_a_task_of_a_machines_new_incarnation_is_not_lost_with_the_old_one() -> None:
     desk = Desk(machines=1)
     conn = desk.owner()
     desk.ask(conn, 1, at="s-00000001")
@@ -744,7 +744,7 @@
     assert [w[1] for w in desk.replies(2)] == [ANSWER]
 
 
-def test_a_test_is_passed_by_the_machine_that_was_asked() -> None:
+def test_a_health_check_is_answered_only_by_the_machine_that_it_was_sent_to() -> None:
     desk = Desk(machines=2, probes=True)
     conn = desk.owner()
     for number in (1, 2, 3, 4):
@@ -760,13 +760,13 @@
     assert test.id not in desk.core.health_checks.pending
 
 
-def test_the_module_is_told_that_nothing_more_is_owed() -> None:
+def test_the_outcome_for_a_disconnected_client_is_final() -> None:
     desk = Desk(machines=1)
-    told: list[api.Event] = []
+    module_events: list[api.Event] = []
     real = desk.core.module.handle
 
     def handle(now: int, event: api.Event) -> list[api.Action]:
-        told.append(event)
+        module_events.append(event)
         return real(now, event)
 
     desk.core.module.handle = handle  # type: ignore[method-assign]
@@ -774,17 +774,17 @@
     desk.ask(conn, 1)
     desk.connect()
     desk.feed(ev.ClientDisconnected(conn))
-    assert [e.is_final for e in told if isinstance(e, api.Outcome)] == [True]
+    assert [e.is_final for e in module_events if isinstance(e, api.Outcome)] == [True]
 
 
-def test_after_a_stall_the_boards_word_goes_before_machines_words() -> None:
+def test_node_list_updates_are_handled_before_machines_messages_after_a_stall() -> None:
     desk = Desk(machines=2)
     conn = desk.owner()
     for number in range(1, 13):
         desk.ask(conn, number, extras=f"cores:0.5;memory:1;service:{number:016x}")
         desk.connect()
         desk.machine(desk.sent(number)[0][0], answer(number))
-    assert len(set(desk.up.values())) == 2  # both have a connection: a set-up would leave at once
+    assert len(set(desk.up.values())) == 2  # both have a link, so a placement request would be sent at once
     desk.ask(conn, 20, "once", left="8000")
     desk.connect()
     link = desk.sent(20)[0][0]
@@ -793,13 +793,13 @@
     assert drain is not None
     refusal = Message(RELEASE, name(20), {"note": "nc"}, int(Cause.FULL))
     desk.now += 3 * SECOND
-    desk._record(
+    desk._take(
         desk.core.handle_after_stall(desk.now, [ev.MachineMessage(link, refusal), ev.NodeListUpdated(drain)])
     )
     assert len(desk.sent(20)) == 1
 
 
-def test_a_connection_whose_set_up_waits_its_turn_is_not_closed() -> None:
+def test_a_connection_with_unhandled_input_is_not_closed() -> None:
     desk = Desk()
     conn, other = desk.owner(), desk.owner("127.8.240.3")
     desk.core.sessions.has_unread = lambda number: number == conn
@@ -810,7 +810,7 @@
     assert desk.closed == [other, conn]
 
 
-def test_a_fault_of_our_own_ends_only_what_it_touches(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_module_affects_only_its_own_task(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = Desk()
     conn = desk.owner()
     real = desk.core.module.handle
@@ -825,19 +825,19 @@
     desk.feed(*(ev.ClientMessage(conn, set_up(n)) for n in (1, 2)))
     desk.connect()
     assert desk.sent(2) and not desk.sent(1) and desk.core.counts["faults"] == 1
-    heard: list[api.Event] = []
-    monkeypatch.setattr(desk.core.module, "handle", lambda now, event: heard.append(event) or 1 / 0)
-    said = (api.TaskCancelled(1), api.TaskCancelled(2))
-    desk.core._run_guarded(lambda _: [desk.core.loop.notify_module(event) for event in said], None)
-    assert heard == list(said)  # what it is still to be told is told
+    handled: list[api.Event] = []
+    monkeypatch.setattr(desk.core.module, "handle", lambda now, event: handled.append(event) or 1 / 0)
+    cancelled = (api.TaskCancelled(1), api.TaskCancelled(2))
+    desk.core._run_guarded(lambda _: [desk.core.loop.notify_module(event) for event in cancelled], None)
+    assert handled == list(cancelled)  # the second event is delivered after the first one failed
     desk.core.survives_faults = False
     monkeypatch.setitem(desk.core._handlers, ev.ClientConnected, lambda event: 1 / 0)
     with pytest.raises(ZeroDivisionError):
         desk.owner()
 
 
-def test_attempts_are_found_by_their_machine_and_forgotten_with_them() -> None:
-    """Where many machines leave at once, all attempts were looked through for each of them."""
+def test_attempts_are_indexed_by_machine_and_dropped_with_it() -> None:
+    """Without the index, removing many machines at once scanned all attempts for each machine."""
     desk = Desk(machines=4)
     conn = desk.owner()
     for number in range(1, 9):
