--- a/stairplank/platform/binary.py
+++ b/stairplank/platform/binary.py
@@ -11,7 +11,7 @@
 from .messages import MAX_MESSAGE_BYTES, Kind, Message, ProtocolError
 
 LENGTH_BYTES = 2
-HEAD = struct.Struct(">HB8s")  # length of everything after it, type, id
+HEAD = struct.Struct(">HB8s")  # length of what follows it, type, id
 PARAMETER = struct.Struct(">BH")
 CAUSE, BODY = 128, 130
 NAMES = {100: "class", 102: "left", 104: "tenant", 106: "retry", 108: "key", 110: "extras", 112: "wait"}
--- a/stairplank/platform/event_queue.py
+++ b/stairplank/platform/event_queue.py
@@ -80,18 +80,18 @@
         self._other: deque[ev.Event] = deque()
         self._placements: OrderedDict[int, ev.Event] = OrderedDict()
         self._number = 0
-        self._by_task: dict[
-            str, dict[int, int]
-        ] = {}  # task id: its queued events by number, with connections
-        self._by_connection: dict[
-            int, dict[int, None]
-        ] = {}  # connection: the numbers of its events in ``_placements``
-        self._client_messages: Counter[int] = Counter()  # count by connection, in all queues
-        self._machine_messages: Counter[str] = Counter()  # count by task, in ``_other``
+        # By task id: the connections of the task's events in ``_placements``, by event number.
+        self._by_task: dict[str, dict[int, int]] = {}
+        # By connection: the numbers of the connection's events in ``_placements``.
+        self._by_connection: dict[int, dict[int, None]] = {}
+        self._client_messages: Counter[int] = Counter()  # number of queued client messages, by connection
+        # Number of machines' messages in ``_other``, by task.
+        self._machine_messages: Counter[str] = Counter()
         # Number of placement requests and machines' messages in ``_urgent``, by task.
         self._urgent_tasks: Counter[str] = Counter()
-        self._urgent_clients: Counter[int] = Counter()  # clients' messages in ``_urgent``, by connection
-        self._links_coming_up: Counter[int] = Counter()  # LinkUp events in ``_other``, by link
+        # Number of clients' messages in ``_urgent``, by connection.
+        self._urgent_clients: Counter[int] = Counter()
+        self._links_coming_up: Counter[int] = Counter()  # number of LinkUp events in ``_other``, by link
         self._clients: dict[int, str] = {}  # client address by connection
         self._hung_up: set[int] = set()  # connections that have hung up and are not disconnected yet
 
--- a/stairplank/platform/jsonlines.py
+++ b/stairplank/platform/jsonlines.py
@@ -111,7 +111,7 @@
 
 
 def encode_text(body: str) -> bytes:
-    """Encode a description as in a line of this format."""
+    """Return a description as the JSON string that a machine's line contains."""
     return json.dumps(body, ensure_ascii=False).encode()
 
 
--- a/stairplank/platform/request_router.py
+++ b/stairplank/platform/request_router.py
@@ -44,7 +44,7 @@
         return self.attempts.not_written(request)
 
     def unreachable(self, request: OutboundRequest, result: api.Result = api.Result.UNREACHABLE) -> None:
-        """Handle a request that was never sent."""
+        """Notify the component of a request that was never sent to its machine."""
         if isinstance(request, HealthCheck):
             self.health_checks.failed(request)
         else:
@@ -56,7 +56,7 @@
             self.attempts.recall(request)
 
     def broken(self, request: OutboundRequest) -> None:
-        """Handle a request whose connection broke after it was written completely."""
+        """Notify the component of a request whose connection broke after a complete write."""
         if isinstance(request, HealthCheck):
             self.health_checks.failed(request)
         else:
--- a/stairplank/platform/tables.py
+++ b/stairplank/platform/tables.py
@@ -17,10 +17,10 @@
 class AttemptState(Enum):
     """The state of an attempt to run a task on a machine."""
 
-    __hash__ = object.__hash__  # the enum's own hashes the name at each look-up, which is slower
+    __hash__ = object.__hash__  # the enum's own hash computes the name's hash at each look-up
 
-    WAITING = "waiting"  # waits for a connection, or is not written completely
-    SENT = "sent"  # written completely; the machine has not answered
+    WAITING = "waiting"  # the attempt waits for a connection, or is not written completely
+    SENT = "sent"  # the attempt is written completely; the machine has not answered
     RUNNING = "running"
     ABANDONED = "abandoned"  # the module has its outcome; the machine may still start the task
     RELEASED = "released"  # the machine started the task and was ordered to end it
@@ -30,7 +30,7 @@
 class TaskState(Enum):
     """The state of a client's task."""
 
-    __hash__ = object.__hash__  # faster than the enum's own, see AttemptState
+    __hash__ = object.__hash__  # the enum's own hash is slower, see AttemptState
 
     OPEN = "open"  # the client waits for an answer
     RUNNING = "running"  # placed or adopted; the client is still to be sent its release
@@ -164,7 +164,7 @@
     is_up: bool = False
     opened_at: int = 0
     used_at: int = 0
-    is_suspect: bool = False  # an answer was overdue on it: no new request is sent on it
+    is_suspect: bool = False  # an answer on the link was overdue, so no new request is sent on it
     outstanding: dict[str, OutboundRequest] = field(default_factory=dict)
 
 
--- a/stairplank/platform/task_table.py
+++ b/stairplank/platform/task_table.py
@@ -17,7 +17,8 @@
 from .tables import Task, TaskState
 
 MAX_OPEN_BYTES = 4_194_304  # total length of the descriptions of open tasks
-MAX_UNPROVEN, UNPROVEN_US = 8192, 60_000_000  # kept ids of withdrawn tasks that may have run
+# Limits on the ids that are kept of withdrawn tasks that may have run.
+MAX_UNPROVEN, UNPROVEN_US = 8192, 60_000_000
 
 
 class TaskTable:
--- a/tests/platform/desk.py
+++ b/tests/platform/desk.py
@@ -84,9 +84,8 @@
         self.up: dict[int, str] = {}  # address by link, of links that are up
         self.closed: list[int] = []  # client connections that the core closed
         self.hung: list[int] = []  # links that the core closed
-        self.ending: list[
-            int
-        ] = []  # links that were up and are closed by the core, but not yet by the machine
+        # Links that were up and are closed by the core, but not yet by the machine.
+        self.ending: list[int] = []
         self._conn = 0
         first = self.node_list.apply(notice(1, *(row(n) for n in range(1, machines + 1)), whole=True))[0]
         assert first is not None
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -65,8 +65,8 @@
     "data",
     [
         b"\xff\xff\x01",  # the length is larger than any message may be
-        b"\x00\x03\x01\x00\x00",  # too short for an id
-        b"\x00\x09\x63" + bytes(8),  # an unknown type
+        b"\x00\x03\x01\x00\x00",  # the message is too short for an id
+        b"\x00\x09\x63" + bytes(8),  # the message type is unknown
         b"\x00\x0c\x01" + bytes(8) + b"\x64\x00\x09",  # a parameter runs past the end of the message
         b"\x00\x0b\x01" + bytes(8) + b"\x64\x00",  # a parameter has no complete length
         b"\x00\x0e\x0c" + bytes(8) + b"\x80\x00\x02\x01\x01",  # a cause has two bytes
--- a/tests/platform/test_platform_core.py
+++ b/tests/platform/test_platform_core.py
@@ -55,7 +55,7 @@
     assert desk.now < 100 * SECOND + 6_050_000
 
 
-# Proof of not run
+# Which failures prove that a task has not run
 
 
 @pytest.mark.parametrize("sort", ["once", "keyed"])
@@ -70,7 +70,7 @@
     links = [k for k, _ in desk.sent(1)]
     if sort == "once":
         assert len(links) == 1
-    assert desk.replies(1)[-1][1:] == (RELEASE, Cause.RESET)  # failed, not shed
+    assert desk.replies(1)[-1][1:] == (RELEASE, Cause.RESET)  # the task is failed, not shed
 
 
 def test_an_incompletely_written_request_is_sent_again_as_the_same_attempt() -> None:
@@ -94,7 +94,7 @@
     desk.refuse()
     desk.passes(9 * SECOND, answering=False)
     desk.refuse()
-    assert desk.replies(1)[-1][1:] == (RELEASE, Cause.BUSY)  # shed: a retry cannot run the task twice
+    assert desk.replies(1)[-1][1:] == (RELEASE, Cause.BUSY)  # the task is shed: a retry cannot run it twice
 
 
 def test_a_release_with_a_body_is_an_answer_and_an_end() -> None:
@@ -252,7 +252,7 @@
     desk.feed(ev.ClientMessage(two, Message(RELEASE, name(1), cause=16)))
     assert desk.to_machines[-1] == (link, Message(RELEASE, name(1), cause=Cause.CANCELLED))
     desk.ends(link, 1, Cause.CANCELLED)
-    assert [w[1] for w in desk.replies(1)] == [ANSWER]  # a client that cancels gets no release
+    assert [w[1] for w in desk.replies(1)] == [ANSWER]  # a client that cancels a task gets no release for it
     assert not desk.core.attempts.table.by_machine_and_id and not desk.core.tasks.by_id
 
 
@@ -418,7 +418,9 @@
     desk.ends(link, 1)
     assert desk.replies(1)[-1][0] == second  # nothing else was sent on this connection
     desk.feed(ev.ClientMessage(second, Message(Kind.ACKNOWLEDGEMENT, name(1))))
-    desk.feed(ev.ClientMessage(second, Message(Kind.ACKNOWLEDGEMENT, name(1))))  # a second acknowledgement
+    desk.feed(
+        ev.ClientMessage(second, Message(Kind.ACKNOWLEDGEMENT, name(1)))
+    )  # a repeated acknowledgement changes nothing
     assert desk.closed == []
 
 
@@ -560,15 +562,15 @@
     desk.connect()
     desk.feed(ev.ShutdownRequested())
     assert not desk.core.shutdown.is_done()
-    desk.ask(conn, 3)  # still accepted
+    desk.ask(conn, 3)  # accepted, although the shutdown has begun
     desk.connect()
     assert desk.replies(3) == []
     desk.passes(shutdown.ACCEPTING_US + 50_000)
     desk.ask(conn, 4)
     assert desk.replies(4) == [(conn, RELEASE, Cause.BUSY)]
     desk.passes(shutdown.MAX_DEADLINE_US + shutdown.ACCEPTING_US - shutdown.ANSWER_ALL_US)
-    assert desk.replies(2) == [(conn, RELEASE, Cause.RESET)]  # failed, because it may have run
-    assert desk.replies(3) == [(conn, RELEASE, Cause.BUSY)]  # shed, because it may be repeated
+    assert desk.replies(2) == [(conn, RELEASE, Cause.RESET)]  # the task is failed, because it may have run
+    assert desk.replies(3) == [(conn, RELEASE, Cause.BUSY)]  # the task is shed, because it may be repeated
     assert desk.core.shutdown.is_done()
     assert [w[1] for w in desk.replies(1)] == [ANSWER] and name(1) in desk.core.tasks.by_id
 
--- a/tests/platform/test_platform_departed_clients.py
+++ b/tests/platform/test_platform_departed_clients.py
@@ -237,7 +237,7 @@
     one.wait_until(lambda: one.service.driver.queue.must_wait(2))
     one.run_in_thread(
         client.send, Message(Kind.HEALTH_CHECK, f"{7:016x}", cause=0)
-    )  # read; later messages wait until the next read
+    )  # this message is read; later messages wait until the next read
     one.wait_until(lambda: one.has_read(ev.ClientMessage, f"{7:016x}"))
     gevent.sleep(3 * client_connections.QUEUE_FULL_PAUSE_S)
     leave_and_notice(one, client, id, how)
@@ -286,7 +286,7 @@
     one.pause()
     data = b"".join(
         encoded_placement_request(number) for number in range(10_000, 10_400)
-    )  # as many as fit a receive buffer
+    )  # as many requests as fit a receive buffer
     one.run_in_thread(client.sock.sendall, data)
     one.wait_until(one.service.driver.queue.is_overloaded)
     one.run_in_thread(client.sock.close)
@@ -310,7 +310,7 @@
     feed = binary.MessageReader.feed
 
     def slow_feed(reader: binary.MessageReader, data: bytes) -> list[Message]:
-        time.sleep(len(data) / 1024 * 0.0015)  # simulates a slow process on any machine
+        time.sleep(len(data) / 1024 * 0.0015)  # the sleep simulates a slow process on any machine
         return feed(reader, data)
 
     others = [one.connect_client(f"127.0.0.{number}") for number in range(20, 60)]
@@ -323,7 +323,7 @@
         for n in range(1, len(others) + 1)
     ]
     for other, sent in zip(others, data, strict=True):
-        other.sock.sendall(sent)  # without a yield, so that nothing is read yet
+        other.sock.sendall(sent)  # sent without a yield, so that the planner reads nothing yet
     handled_at: list[float] = []
     disconnected = one.service.core.requests.disconnected
 
@@ -342,7 +342,7 @@
 # A real planner process that uses its whole share of a core
 
 FLOODING_CONNECTIONS = 100
-CLIENTS, TASKS = 40, 3  # number of clients that leave, and of the tasks of each
+CLIENTS, TASKS = 40, 3  # number of clients that leave, and of each client's tasks
 HERE = Path(__file__).parent
 
 
