--- a/stairplank/platform/client_requests.py
+++ b/stairplank/platform/client_requests.py
@@ -334,7 +334,7 @@
             self.sessions.release(task.conn, task.client, release)
 
     def migrated(self, task: Task) -> None:
-        """End a running task here and send its client a migrate message, on which it requests the task again."""
+        """End a running task here and send its client a migrate message; the client requests it again."""
         self._end(task, task.placement_state)
         self.sessions.release(task.conn, task.client, Message(Kind.MIGRATE, task.id))
 
