--- a/stairplank/planner/convert.py
+++ b/stairplank/planner/convert.py
@@ -1,6 +1,6 @@
-"""Converts between the messages of stairplank.v1 and the core's events and actions; decides nothing.
+"""Converts between the messages of stairplank.v1 and the core's events and actions; makes no decisions.
 
-Protobuf messages are untyped here: ``Any`` stands for the message that a docstring names.
+Protobuf messages are untyped here: ``Any`` is the message type that the docstring names.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from . import events as ev
 from .events import AttemptId
 
-_LAST_REASON = 7  # of api.Reason
+_LAST_REASON = 7  # the highest number in api.Reason
 _PlaceEvent = placement_pb2.PlaceEvent
 _NODE_STATUS = {
     directory_pb2.NodeEntry.STATE_GONE: api.NodeStatus.GONE,
@@ -33,7 +33,7 @@
 
 
 def task_from_proto(task: Any) -> ev.TaskSpec:
-    """A ``Task`` message as a task."""
+    """Convert a ``Task`` message to a task."""
     return ev.TaskSpec(
         task.owner,
         task.key,
@@ -48,7 +48,7 @@
 
 
 def task_to_proto(spec: ev.TaskSpec) -> Any:
-    """A task as a ``Task`` message."""
+    """Convert a task to a ``Task`` message."""
     return common_pb2.Task(
         owner=spec.client,
         key=spec.key,
@@ -63,44 +63,44 @@
 
 
 def attempt_id_from_proto(id: Any) -> AttemptId:
-    """An ``AttemptId`` message as an attempt's id."""
+    """Convert an ``AttemptId`` message to an attempt's id."""
     return AttemptId(id.life, id.placing, id.attempt)
 
 
 def attempt_id_to_proto(id: AttemptId) -> Any:
-    """An attempt's id as an ``AttemptId`` message."""
+    """Convert an attempt's id to an ``AttemptId`` message."""
     return common_pb2.AttemptId(life=id.incarnation, placing=id.placement, attempt=id.attempt)
 
 
 def group_tag_from_proto(tag: Any) -> ev.GroupTag:
-    """A ``GroupMember`` message as the tag of a group's member."""
+    """Convert a ``GroupMember`` message to the tag of a group's member."""
     return ev.GroupTag(tag.life, tag.group, tag.size, tag.member, tag.lease_us)
 
 
 def group_tag_to_proto(tag: ev.GroupTag) -> Any:
-    """The tag of a group's member as a ``GroupMember`` message."""
+    """Convert the tag of a group's member to a ``GroupMember`` message."""
     return node_pb2.GroupMember(
         life=tag.incarnation, group=tag.group, size=tag.size, member=tag.member, lease_us=tag.lease_us
     )
 
 
 def stamp_from_proto(message: Any) -> AgeStamp | None:
-    """When a message says that it was sent; None where it does not."""
+    """Return the age stamp of a message; None if the message has no ``sent`` field."""
     return AgeStamp(message.sent.grant, message.sent.since_us) if message.HasField("sent") else None
 
 
 def stamp_to_proto(stamp: AgeStamp | None) -> Any:
-    """When a message is sent, as a ``Sent`` message; None where that is not known."""
+    """Convert an age stamp to a ``Sent`` message. Returns None for None."""
     return None if stamp is None else common_pb2.Sent(grant=stamp.grant, since_us=stamp.held_us)
 
 
 def reason_from_proto(reason: int) -> api.Reason:
-    """A number of the ``Reason`` enum; UNTOLD for one that a later version may add."""
+    """Convert a number to a ``Reason``. Returns UNTOLD for numbers that this version does not know."""
     return api.Reason(reason) if 0 <= reason <= _LAST_REASON else api.Reason.UNTOLD
 
 
 def node_list_from_proto(message: Any) -> ev.NodeListReceived:
-    """A ``NodeList`` message; entries without a known state are left out."""
+    """Convert a ``NodeList`` message to an event. Entries without a known state are left out."""
     nodes = tuple(
         ev.ListedNode(
             entry.id,
@@ -121,7 +121,10 @@
 
 
 def node_event_from_proto(node: int, message: Any) -> ev.Event | None:
-    """An ``OfferEvent`` of a node; None for kinds that are no event of the core or that are not known."""
+    """Convert a node's ``OfferEvent`` to an event of the core.
+
+    Returns None for unknown kinds and for kinds that the core does not handle.
+    """
     match message.WhichOneof("kind"):
         case "accepted":
             return ev.NodeAccepted(node, attempt_id_from_proto(message.accepted.id))
@@ -162,7 +165,7 @@
 
 
 def node_tasks_from_proto(node: int, message: Any, requested_at: int) -> ev.NodeTasksReported:
-    """A ``HeldResponse`` of a node; ``requested_at`` by this planner's clock."""
+    """Convert a node's ``HeldResponse`` to an event; ``requested_at`` is a time of this planner's clock."""
     tasks = tuple(map(_node_task_from_proto, message.tasks))
     finished = tuple(map(_node_task_from_proto, message.finished))
     return ev.NodeTasksReported(
@@ -176,7 +179,7 @@
 
 
 def offer_to_proto(offer: ev.SendOffer, task_class: api.TaskClass, stamp: AgeStamp | None) -> Any:
-    """An offer as an ``OfferRequest``."""
+    """Convert an offer to an ``OfferRequest``."""
     return node_pb2.OfferRequest(
         offer=node_pb2.OfferRequest.Offer(
             id=attempt_id_to_proto(offer.id),
@@ -192,7 +195,7 @@
 
 
 def commit_to_proto(commit: ev.SendCommit, stamp: AgeStamp | None) -> Any:
-    """The start of group members as an ``OfferRequest``."""
+    """Convert the commit of group members to an ``OfferRequest``."""
     part = node_pb2.OfferRequest.Commit(
         ids=map(attempt_id_to_proto, commit.ids), lease_us=commit.lease_us, sent=stamp_to_proto(stamp)
     )
@@ -200,7 +203,7 @@
 
 
 def lease_renewal_to_proto(renewal: ev.SendLeaseRenewal, stamp: AgeStamp | None) -> Any:
-    """A renewal of leases as an ``OfferRequest``."""
+    """Convert a renewal of leases to an ``OfferRequest``."""
     part = node_pb2.OfferRequest.Keep(
         ids=map(attempt_id_to_proto, renewal.ids),
         lease_us=renewal.lease_us,
@@ -211,7 +214,7 @@
 
 
 def group_request_from_proto(session: int, request: Any, client: str, age_us: int) -> ev.GroupRequested:
-    """An ``AskGroup`` message of a client; members without an owner get the stream's."""
+    """Convert an ``AskGroup`` message to an event; members without an owner get the stream's client."""
     for member in request.members:
         member.owner = member.owner or client
     return ev.GroupRequested(
@@ -228,14 +231,14 @@
 
 
 def stop_to_proto(stop: ev.SendStop) -> Any:
-    """The stop of an attempt as an ``OfferRequest``."""
+    """Convert the stop of an attempt to an ``OfferRequest``."""
     return node_pb2.OfferRequest(
         stop=node_pb2.OfferRequest.Stop(id=attempt_id_to_proto(stop.id), why=_STOP_REASON[stop.reason])
     )
 
 
 def client_message_to_proto(message: ev.ClientMessage) -> Any:
-    """A message of the core to a client as a ``PlaceEvent``. Raises TypeError where it is none."""
+    """Convert a client message of the core to a ``PlaceEvent``. Raises TypeError for any other object."""
     converted = _task_message_to_proto(message)
     if converted is None:
         converted = _group_message_to_proto(message)
@@ -283,9 +286,9 @@
 def _group_message_to_proto(message: ev.ClientMessage) -> Any:
     match message:
         case ev.GroupPlaced(request, bindings, constraints_met, attempts):
-            each = [_PlaceEvent.Binding(member=member, node=node) for member, node in bindings]
+            binding_messages = [_PlaceEvent.Binding(member=member, node=node) for member, node in bindings]
             group_placed = _PlaceEvent.GroupPlaced(
-                ask=request, bindings=each, wishes_met=constraints_met, tries=attempts
+                ask=request, bindings=binding_messages, wishes_met=constraints_met, tries=attempts
             )
             return _PlaceEvent(group_placed=group_placed)
         case ev.GroupShed(request, retry_after_us, why, never):
--- a/stairplank/planner/daemon.py
+++ b/stairplank/planner/daemon.py
@@ -1,9 +1,10 @@
-"""The planner's process: greenlets, the clock, signals. It feeds the core and carries out what it returns.
+"""The planner's process: greenlets, clock and signals. Passes events to the core and carries out its actions.
 
-One greenlet reads each client's stream (``placement_service``), one each node's (``node_connection``), one
-waits on the clock, one watches the node list (``node_list_watch``). None of them blocks while the core works,
-so the core needs no locks. A stalled process is felt as one late batch: what came meanwhile is read in order,
-and what fell due is done before it.
+Each client stream (``placement_service``) and node stream (``node_connection``) has a greenlet that reads
+it; one more greenlet waits for timers and another watches the node list (``node_list_watch``). No greenlet
+yields during a turn of the core, so the core needs no locks. After a stall of the process, everything that
+has arrived is read before the core decides. The core then handles it as one batch: messages of nodes and of
+the node list first, then overdue timers, then messages of clients.
 """
 
 from __future__ import annotations
@@ -37,17 +38,17 @@
 from .services import PLACEMENT_SERVICE
 from .stall_detector import StallDetector
 
-SHUTDOWN_MARGIN_US = 1_000_000  # beyond stop-grace, for the core's last answers
+SHUTDOWN_MARGIN_US = 1_000_000  # time after stop-grace in which the core sends its last answers
 SHUTDOWN_POLL_S = 0.01
 CLOSE_TIMEOUT_S = 1.0
 GC_THRESHOLDS = (20_000, 20, 50)
 
 
 class Daemon:
-    """One planner on real sockets."""
+    """Runs one planner on real sockets."""
 
     def __init__(self, config: PlannerConfig, revision: Revision = NO_REVISION) -> None:
-        """``revision``: of the site's configuration that ``config`` was made with."""
+        """Build the planner; ``revision`` is the revision of the site's configuration in ``config``."""
         self.config = config
         self.position = config.settings.position
         self.incarnation = int.from_bytes(os.urandom(8), "big") >> 1 or 1
@@ -57,15 +58,15 @@
         self.placement_service = PlacementService(self)
         self.node_connections = NodeConnections(self)
         self.node_list_watch = NodeListWatch(self)
-        self._performers = self._performers_by_type()
+        self._action_handlers = self._handlers_by_action()
         self.health = Health((PLACEMENT_SERVICE.full_name,))
         self.server = self._make_server()
-        self.core_ns = 0  # time spent in the core and the decision module
+        self.core_ns = 0  # nanoseconds spent in the core and the decision module
         self._queue: deque[ev.Event] = deque()
         self._in_turn = False
         self.stall_detector = StallDetector(self._queue, self._resume_after_stall)
         self._timer_changed = Flag()
-        self._timer_due: int | None = None  # what the timer's greenlet waits for
+        self._timer_due: int | None = None  # the due time that the timer greenlet waits for
         self._stop = Flag()
         self.configuration = watch_configuration(self, revision)
 
@@ -81,16 +82,16 @@
     # Start and shutdown
 
     @property
-    def is_leaving(self) -> bool:
-        """Whether the process takes no new streams."""
+    def is_shutting_down(self) -> bool:
+        """Return whether the process is shutting down and accepts no new streams."""
         return self.server.draining
 
     def run(self) -> int:
-        """Serve until SIGTERM or SIGINT; the exit code."""
+        """Serve until SIGTERM or SIGINT. Returns the exit code: 0 after a graceful shutdown, else 1."""
         handlers = [gevent.signal_handler(number, self.stop) for number in (signal.SIGTERM, signal.SIGINT)]
         self.start()
-        # What start-up made stays for good: the collector need not look at it again and again, nor at the
-        # short-lived messages of each task more than now and then (its pauses are felt as late answers).
+        # Objects made at start-up live as long as the process, so they are frozen out of garbage collection.
+        # The thresholds make collections of short-lived messages rare, because each one delays answers.
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
@@ -101,7 +102,7 @@
         return 0 if clean else 1
 
     def start(self) -> None:
-        """Listen, start the core and the greenlets; returns at once."""
+        """Listen, and start the core and the greenlets. Returns at once."""
         self.server.start()
         self.log.info("planner starts", listen=list(self.server.addresses), life=self.incarnation)
         self._carry_out(self.core.start(now_us()))
@@ -110,18 +111,22 @@
         self.configuration.start()
 
     def stop(self) -> None:
-        """Make ``run`` shut down and return."""
+        """Make ``run`` shut the planner down and return."""
         self._stop.set()
 
     def _shut_down(self) -> bool:
-        """Take nothing new, answer every open request, close. Bounded by stop-grace and two seconds."""
+        """Accept no new streams, answer every open request and close all connections.
+
+        Takes at most stop-grace plus two seconds. Returns whether every request was answered and every stream
+        closed in time.
+        """
         self.log.info("planner leaves", owed=self.core.requests.open_tasks)
         self.health.set(False)
         self.configuration.stop()
         self.server.drain()
         self.handle(ev.ShutdownRequested())
-        until = now_us() + self.config.shutdown_grace_us + SHUTDOWN_MARGIN_US
-        while not self.core.finished and now_us() < until:
+        deadline = now_us() + self.config.shutdown_grace_us + SHUTDOWN_MARGIN_US
+        while not self.core.finished and now_us() < deadline:
             gevent.sleep(SHUTDOWN_POLL_S)
         self.placement_service.close_sessions()
         clean = self.server.stop(CLOSE_TIMEOUT_S)
@@ -132,15 +137,16 @@
     # Settings
 
     def prepare_site(self, text: str, name: str) -> PlannerConfig:
-        """This planner's configuration once the site's text is in force; ``name`` stands for its file.
+        """Return this planner's configuration with the site's text applied; errors cite ``name`` as its file.
 
         Changes nothing, and may run in another thread. Raises SettingsError and RestartRequiredError.
         """
         return prepare_config(self.config, text, name)
 
     def apply_site(self, config: PlannerConfig) -> ConfigurationChanges:
-        """Put a prepared configuration into force, at once; what has changed. Raises RestartRequiredError."""
-        # Danger: another one may have come into force since it was prepared.
+        """Put a prepared configuration into force. Returns the changes. Raises RestartRequiredError."""
+        # Compared again: another configuration may have come into force since this one was prepared, and the
+        # change from that one may need a restart.
         changes = compare_configurations(self.config, config)
         changes.raise_if_restart_required()
         if changes.is_empty:
@@ -155,16 +161,19 @@
     # Turns of the core
 
     def handle(self, event: ev.Event) -> None:
-        """Let the core handle an event, and carry out its actions; queued if a turn is in progress."""
+        """Have the core handle an event and carry out its actions.
+
+        The event is queued if a turn is in progress or the process has stalled.
+        """
         self._queue.append(event)
         if self._in_turn or self.stall_detector.is_stalled():
             return
         self._in_turn = True
         try:
             while self._queue:
-                began = time.perf_counter_ns()
+                started_ns = time.perf_counter_ns()
                 actions = self.core.handle(now_us(), self._queue.popleft())
-                self.core_ns += time.perf_counter_ns() - began
+                self.core_ns += time.perf_counter_ns() - started_ns
                 self._carry_out(actions)
         finally:
             self._in_turn = False
@@ -173,16 +182,16 @@
             self._timer_changed.set()
 
     def enqueue(self, event: ev.Event) -> None:
-        """Queue an event for the turn in progress, or for the next one."""
+        """Queue an event for the turn in progress, or for the next turn."""
         self._queue.append(event)
 
     def run_queued(self) -> None:
-        """Handle what is queued, unless a turn is in progress and will do so."""
+        """Handle the queued events, unless a turn is in progress that will handle them."""
         if not self._in_turn:
             self.handle(ev.TimerDue())
 
     def _resume_after_stall(self, stalled_us: int) -> None:
-        """The process was stopped or starved; what came meanwhile is read by now."""
+        """Handle as one batch the events that were read after a stall of ``stalled_us``."""
         events = list(self._queue)
         self._queue.clear()
         self.log.info("stood still", ms=stalled_us // 1000, came=len(events))
@@ -205,9 +214,9 @@
 
     def _carry_out(self, actions: list[ev.Action]) -> None:
         for action in actions:
-            self._performers[type(action)](action)
+            self._action_handlers[type(action)](action)
 
-    def _performers_by_type(self) -> dict[type, Callable[[Any], object]]:
+    def _handlers_by_action(self) -> dict[type, Callable[[Any], object]]:
         nodes = self.node_connections
         return {
             ev.SendToClient: self.placement_service.send,
--- a/stairplank/planner/link_state.py
+++ b/stairplank/planner/link_state.py
@@ -1,4 +1,4 @@
-"""What the core knows of its link to a node. No I/O or clock."""
+"""The state that the core keeps for its link to a node. No I/O or clock."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class LinkState(Enum):
-    """Whether messages can be sent to the node; the steps are in ``transitions.LINK``."""
+    """The state of a link; ``transitions.LINK`` holds the allowed transitions."""
 
-    __hash__ = object.__hash__  # see transitions.AttemptState
+    __hash__ = object.__hash__  # faster than Enum's own; see transitions.AttemptState
 
     DOWN = "down"
-    DIALLING = "dialling"  # or queued for it
+    DIALLING = "dialling"  # the dial is in progress or queued
     UP = "up"
 
 
 @dataclass(slots=True)
 class Link:
-    """One planner's one link to a node."""
+    """The state of this planner's link to a node."""
 
     node: int
     addresses: tuple[str, ...]
     state: LinkState = LinkState.DOWN
-    is_listed: bool = True  # in the node list; else it is kept only for what is still at the node
-    failed_dials: int = 0  # since the link was last up
-    next_dial_at: int = 0  # not before
-    started_unix_us: int = UNKNOWN_START  # the node's incarnation as it said itself
-    is_draining: bool = False  # as the node said itself, in this incarnation
-    unsettled: set[AttemptId] = field(default_factory=set)  # sent before the link broke, fate unknown
-    tasks_requested_at: int = 0  # when the node was last asked for its tasks
-    broken_at: int = 0  # when the link broke; 0: it is up, or has not been yet
+    is_listed: bool = True  # the node list names the node; if not, the link is kept for its attempts only
+    failed_dials: int = 0  # number of dials that failed since the link was last up
+    next_dial_at: int = 0  # the earliest time of the next dial
+    started_unix_us: int = UNKNOWN_START  # when the node's incarnation started, as reported by the node
+    is_draining: bool = False  # the node has reported in this incarnation that it is draining
+    unsettled: set[AttemptId] = field(default_factory=set)  # attempts sent before the link broke
+    tasks_requested_at: int = 0  # when the node's tasks were last requested
+    broken_at: int = 0  # when the link broke; 0 if it is up or has never been up
--- a/stairplank/planner/live_settings.py
+++ b/stairplank/planner/live_settings.py
@@ -1,4 +1,7 @@
-"""A planner's configuration as its core and server take it, at the start and after each change. No I/O."""
+"""Derives the settings of the core and the server from a planner's configuration. No I/O.
+
+Used at the start and after each change of the configuration.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +13,12 @@
 from .admission import Bounds
 from .core_config import CoreConfig
 
-CONNECTIONS_PER_CLIENT = 2  # a client that comes back may be there twice until its old connection is closed
-EPOCHS_PER_CLIENT = 4  # sessions that are remembered
+CONNECTIONS_PER_CLIENT = 2  # a client that reconnects has two until its old connection is closed
+EPOCHS_PER_CLIENT = 4  # number of sessions per client whose stream epochs are remembered
 
 
 def core_config(config: PlannerConfig) -> CoreConfig:
-    """Bounds and waits of the core."""
+    """Return the bounds and time-outs of the core."""
     return CoreConfig(
         bounds=Bounds(
             config.max_open_requests,
@@ -36,7 +39,7 @@
 
 
 def server_limits(config: PlannerConfig) -> Limits:
-    """Limits of each connection that is made from now on, and how many there may be."""
+    """Return the limits of new connections, and the bound on their number."""
     return Limits(
         max_message_bytes=config.max_message_bytes,
         max_unsent_bytes=config.send_buffer_bytes,
@@ -47,14 +50,14 @@
 
 
 def max_session_epochs(config: PlannerConfig) -> int:
-    """How many sessions of clients are remembered."""
+    """Return for how many client sessions the newest stream epoch is remembered."""
     return config.max_clients * EPOCHS_PER_CLIENT
 
 
 def prepare_config(config: PlannerConfig, text: str, name: str) -> PlannerConfig:
-    """The configuration of a planner after a site's text comes into force.
+    """Return the configuration of a planner with a site's text applied.
 
-    Raises SettingsError where the text is wrong, RestartRequiredError where a running planner cannot take it.
+    Raises SettingsError if the text is invalid, RestartRequiredError if a running planner cannot apply it.
     """
     new = merge_site(config, load_site_text(text, name), name)
     compare_configurations(config, new).raise_if_restart_required()
--- a/stairplank/planner/node_connection.py
+++ b/stairplank/planner/node_connection.py
@@ -1,4 +1,7 @@
-"""One planner's connection to a node: dials, reads, acknowledges, stamps. Sockets; it decides nothing."""
+"""The connection of a planner to one node: dials, reads, acknowledges and stamps messages.
+
+Performs the I/O; the decisions are made by the core.
+"""
 
 from __future__ import annotations
 
@@ -19,67 +22,67 @@
 from .received_messages import ReceivedMessages
 from .services import NODE_SERVICE
 
-ACK_MESSAGES = 32  # numbered messages of a node are acknowledged together, or
-ACK_DELAY_S = 0.25  # so long after the first of them
+ACK_MESSAGES = 32  # an acknowledgement is sent at once when this many numbered messages are unacknowledged
+ACK_DELAY_S = 0.25  # a numbered message is acknowledged at the latest after this delay
 READ_BATCH = 64  # messages of one stream handled before other greenlets run
-NEVER_SENT = 1 << 62  # number of a message that the stream did not take
+NEVER_SENT = 1 << 62  # number of a message that the stream did not accept
 _REQUEST = node_pb2.OfferRequest
 
 
 @dataclass(slots=True)
 class NodeMessages:
-    """The numbered messages of a node's incarnation."""
+    """The numbered messages received from one incarnation of a node."""
 
     started_unix_us: int
     messages: ReceivedMessages
 
 
 class SentMessage(NamedTuple):
-    """A message that was queued on the stream."""
+    """A message that was passed to the stream for sending."""
 
-    number: int  # of the stream's messages, from 0
-    attempt: AttemptId | None  # of an offer
+    number: int  # position among the messages of the stream, from 0; or NEVER_SENT
+    attempt: AttemptId | None  # the attempt, if the message is an offer
 
 
 class ConnectionTable(Protocol):
-    """Where connections are kept, as each of them sees it."""
+    """The table of connections, as a single connection uses it."""
 
     @property
     def process(self) -> PlannerProcess:
-        """The planner's process."""
+        """Return the planner's process."""
 
     @property
     def received(self) -> dict[int, NodeMessages]:
-        """By node; outlives a connection."""
+        """Return the received messages by node; they are kept when a connection ends."""
 
     def connection_ended(self, connection: NodeConnection, event: ev.Event) -> None:
-        """The connection is over; the event says how."""
+        """Remove a connection that has ended; ``event`` is DialFailed or LinkDown."""
 
     def next_epoch(self) -> int:
-        """Number of a new connection; grows with each in this process life."""
+        """Return the epoch of a new stream; epochs increase for as long as the process runs."""
 
     def clock_stepped(self) -> bool:
-        """Whether the clock has jumped since the last question; all grants are forgotten then."""
+        """Return whether the clock has jumped since the last call; if so, all grants are dropped."""
 
 
 class NodeConnection:
-    """The one connection to a node: dials its addresses in order, speaks Offers on the first that answers."""
+    """The connection to a node: dials its addresses in order and calls Offers on the first that answers."""
 
     def __init__(self, table: ConnectionTable, node: int, addresses: tuple[str, ...]) -> None:
-        """Begin to dial, in a greenlet of its own."""
+        """Start a greenlet that dials the node and reads its messages."""
         self.table = table
         self.process = table.process
         self.node = node
         self.addresses = addresses
         self.channel: Channel | None = None
         self.call: Any = None
-        self.sent: deque[SentMessage] = deque()  # not yet handed to the connection, as far as is known
+        self.sent: deque[SentMessage] = deque()  # messages possibly not yet handed to the connection
         self.closing = False
         self.received = ReceivedMessages()
         self.stamps = MessageStamper()
         self._ack_due = False
         self._last_check = 0
-        self._checks: dict[int, int] = {}  # health checks in flight: when each was sent, by number
+        self._checks: dict[int, int] = {}  # send times of the health checks in flight, by number
         self.greenlet = gevent.spawn(self._run)
 
     def _run(self) -> None:
@@ -99,7 +102,7 @@
         self.table.connection_ended(self, ev.LinkDown(self.node, unsent))
 
     def _connect(self) -> Any:
-        """The welcome of the first address that answers, or None."""
+        """Dial the addresses in order. Returns the first welcome, or None if no address answers."""
         for address in self.addresses:
             try:
                 return self._dial(address)
@@ -109,7 +112,7 @@
         return None
 
     def _resume_messages(self, started_unix_us: int) -> None:
-        """Go on after the last message that this incarnation of the node had sent."""
+        """Continue after the last numbered message that was received from this incarnation of the node."""
         known = self.table.received.get(self.node)
         if known is None or known.started_unix_us != started_unix_us:
             known = self.table.received[self.node] = NodeMessages(started_unix_us, ReceivedMessages())
@@ -117,7 +120,7 @@
         self.received.stream_opened()
 
     def _dial(self, address: str) -> Any:
-        """Open the stream; the node's welcome. Raises RpcError."""
+        """Connect to an address and open the stream. Returns the node's welcome. Raises RpcError."""
         config = self.process.config
         limits = Limits(
             keepalive_interval_s=config.keepalive_us[0] / 1e6,
@@ -146,12 +149,14 @@
         )
 
     def _check_welcome(self, first: Any) -> None:
-        """Raises RpcError where the first message is no welcome of this node."""
+        """Raise RpcError if the first message is not the welcome of this node."""
         if first is None or first.WhichOneof("kind") != "welcome":
-            raise RpcError(Code.FAILED_PRECONDITION, "the node did not say who it is", never_ran=True)
+            raise RpcError(
+                Code.FAILED_PRECONDITION, "the node's first message must be welcome", never_ran=True
+            )
         if first.welcome.node != self.node:
-            text = f"node {first.welcome.node} answers at the address of node {self.node}"
-            raise RpcError(Code.FAILED_PRECONDITION, text, never_ran=True)
+            error_text = f"node {first.welcome.node} answers at the address of node {self.node}"
+            raise RpcError(Code.FAILED_PRECONDITION, error_text, never_ran=True)
 
     def _read(self) -> None:
         count = 0
@@ -169,7 +174,10 @@
                 gevent.sleep(0)
 
     def _receive_numbered(self, number: int) -> bool:
-        """Whether to handle a numbered message; acknowledges it, or requests those missing before it."""
+        """Record a numbered message; acknowledge it, or request the messages that are missing before it.
+
+        Returns whether to handle the message.
+        """
         receipt = self.received.receive(number)
         if receipt.request_resend:
             last = self.received.last_number
@@ -190,15 +198,15 @@
         self.send(_REQUEST(ack=_REQUEST.Ack(number=self.received.last_number, again=resend)))
 
     def send(self, message: Any, attempt: AttemptId | None = None) -> bool:
-        """Queue a message; ``attempt`` is that of an offer.
+        """Queue a message; ``attempt`` is the offered attempt if the message is an offer.
 
-        False where the node has not read for so long that the buffer is full.
+        Returns False if the send buffer is full because the node does not read.
         """
         try:
             if not self.call.try_send(message):
                 return False
         except RpcError:
-            pass  # the link is breaking: this message counts as unsent
+            pass  # the stream has failed: the message counts as unsent
         stream = self.call.stream
         number = stream.messages_queued - 1 if stream.error is None else NEVER_SENT
         self.sent.append(SentMessage(number, attempt))
@@ -207,9 +215,10 @@
         return True
 
     def check_health(self) -> bool:
-        """Request the node's report; the core is given it, or that there was none in time.
+        """Request a load report of the node.
 
-        False where the request could not be queued.
+        The core receives HealthCheckCompleted, with the report or after the time-out. Returns False if the
+        request could not be queued.
         """
         self._last_check += 1
         number = self._last_check
@@ -223,7 +232,7 @@
     def _health_report(self, sampled: Any) -> ev.Event | None:
         sent_at = self._checks.pop(sampled.probe, None)
         if sent_at is None:
-            return None  # it came too late
+            return None  # the check has timed out already
         report = (sampled.report.free_cores, sampled.report.free_memory, sampled.report.util)
         return ev.HealthCheckCompleted(self.node, True, now_us() - sent_at, report)
 
@@ -233,26 +242,29 @@
             self.process.handle(ev.HealthCheckCompleted(self.node, False, now_us() - sent_at))
 
     def unsent(self) -> frozenset[AttemptId]:
-        """Attempts of which not one byte was handed to the connection."""
+        """Return the attempts whose offers were not even partly handed to the connection."""
         if self.call is None:
             return frozenset()
-        handed = self.call.stream.messages_started
+        started = self.call.stream.messages_started
         return frozenset(
-            sent.attempt for sent in self.sent if sent.attempt is not None and sent.number >= handed
+            sent.attempt for sent in self.sent if sent.attempt is not None and sent.number >= started
         )
 
     def stamp(self) -> AgeStamp | None:
-        """For a message whose times count from when it is sent; None while no grant is known."""
+        """Return the age stamp of a message that is sent now; None while no grant is known.
+
+        With the stamp the node can count the times in the message from when it was sent.
+        """
         if self.table.clock_stepped():
             self.process.log.warning("the clock has jumped: grants are forgotten")
         return self.stamps.stamp(now_us())
 
     def close(self) -> None:
-        """Close the connection; the table is told by the reading greenlet."""
+        """Close the connection; the reading greenlet then calls ``connection_ended``."""
         self.closing = True
         self._close_channel()
 
     def _close_channel(self) -> None:
-        # Aborted: what has not left by now is not to come out of a path that heals later.
+        # Aborted, not closed: unsent messages must not be delivered when a broken network path recovers.
         if self.channel is not None:
             self.channel.close(abort=True)
--- a/stairplank/planner/node_connections.py
+++ b/stairplank/planner/node_connections.py
@@ -1,4 +1,4 @@
-"""The connections to nodes: carries out what the core wants dialled, sent and asked of nodes."""
+"""The connections to nodes: carries out the core's dials, messages and requests to nodes."""
 
 from __future__ import annotations
 
@@ -17,64 +17,64 @@
 from .process import PlannerProcess
 from .services import NODE_SERVICE
 
-MAX_READING_GAP_US = 1_000  # between two readings of clocks that are compared
+MAX_READING_GAP_US = 1_000  # the longest time between two clock readings that may be compared
 MISSING_MESSAGES_POLL_S = 0.005
 
 
 class NodeConnections:
-    """At most one connection for each node."""
+    """The connections of a planner, at most one for each node."""
 
     def __init__(self, process: PlannerProcess) -> None:
-        """No node is connected yet."""
+        """Start without connections."""
         self.process = process
         self.connections: dict[int, NodeConnection] = {}
-        self.received: dict[int, NodeMessages] = {}  # by node; outlives a connection
+        self.received: dict[int, NodeMessages] = {}  # messages by node; kept when a connection ends
         self._last_epoch = 0
-        self._step_watch = ClockStepDetector()
+        self._clock_step_detector = ClockStepDetector()
 
     # Clocks and epochs
 
     def next_epoch(self) -> int:
-        """Number of a new connection; grows with each in this process life."""
+        """Return the epoch of a new stream; epochs increase for as long as the process runs."""
         self._last_epoch += 1
         return self._last_epoch
 
     def clock_stepped(self) -> bool:
-        """Whether the monotonic clock has jumped against the raw one; all grants are forgotten then."""
+        """Return whether the monotonic clock has jumped against the raw one; if so, drop all grants."""
         before = now_us()
         raw = raw_us()
         after = now_us()
-        if after - before > MAX_READING_GAP_US or not self._step_watch.has_stepped(before, raw):
-            return False  # stalled between the readings: they say nothing about each other
+        if after - before > MAX_READING_GAP_US or not self._clock_step_detector.has_stepped(before, raw):
+            return False  # the clocks agree, or a stall between the readings makes them incomparable
         for connection in self.connections.values():
             connection.stamps.forget()
         return True
 
-    # A connection's life
+    # Opening and closing connections
 
     def dial(self, action: ev.Dial) -> None:
-        """Begin to connect; the core is given LinkUp or DialFailed."""
+        """Start to connect to a node; the core receives LinkUp or DialFailed."""
         self.connections[action.node] = NodeConnection(self, action.node, action.addresses)
 
     def close(self, node: int) -> None:
-        """Close the connection to a node, if there is one; the core is given LinkDown."""
+        """Close the connection to a node, if there is one; the core receives LinkDown or DialFailed."""
         if node in self.connections:
             self.connections[node].close()
 
     def close_all(self) -> None:
-        """Close every connection, as the process shuts down."""
+        """Close every connection when the process shuts down."""
         for connection in list(self.connections.values()):
             connection.close()
 
     def connection_ended(self, connection: NodeConnection, event: ev.Event) -> None:
-        """Remove a connection that is over and give the core the event."""
+        """Remove a connection that has ended and pass the event to the core."""
         node = connection.node
         if self.connections.get(node) is not connection:
-            return  # it was replaced: what becomes of it says nothing about the newer one
+            return  # a newer connection has replaced this one, and its state must not change
         del self.connections[node]
         self.process.handle(event)
         if not self.process.core.links.is_linked(node):
-            self.received.pop(node, None)  # the node is gone: its messages need not be remembered
+            self.received.pop(node, None)  # the node is not in use any more: drop its received messages
 
     # Messages to nodes
 
@@ -91,13 +91,13 @@
         self._send(connection, message, action.id)
 
     def send_commit(self, action: ev.SendCommit) -> None:
-        """Queue the start of a group's members at their node."""
+        """Queue the commit of a group's members for their node."""
         connection = self.connections.get(action.node)
         if connection is not None:
             self._send(connection, convert.commit_to_proto(action, connection.stamp()))
 
     def send_lease_renewal(self, action: ev.SendLeaseRenewal) -> None:
-        """Queue the renewal of leases at a node."""
+        """Queue the renewal of leases for a node."""
         connection = self.connections.get(action.node)
         if connection is not None:
             self._send(connection, convert.lease_renewal_to_proto(action, connection.stamp()))
@@ -118,13 +118,13 @@
     # Requests to nodes
 
     def check_health(self, node: int) -> None:
-        """Begin a health check; without a connection it fails at once."""
+        """Start a health check of a node; without a connection it fails at once."""
         connection = self.connections.get(node)
         if connection is None or not connection.check_health():
             self.process.enqueue(ev.HealthCheckCompleted(node, False, 0))
 
     def request_tasks(self, node: int) -> None:
-        """Ask a node which tasks of this planner it has; blocks until the core is given the answer."""
+        """Request this planner's tasks at a node. Blocks until the core has received the answer."""
         process = self.process
         connection = self.connections.get(node)
         requested_at = now_us()
@@ -136,11 +136,13 @@
             process.log.info("held not told", node=node, error=str(error))
             process.handle(ev.NodeTasksFailed(node))
             return
-        # Numbered messages sent before this answer may still be on their way, on the other stream.
-        until = now_us() + process.config.link_grace_us
-        while connection is not None and connection.received.last_number < report.words and now_us() < until:
+        # Numbered messages that the node sent before this answer may still be in transit on the other stream.
+        wait_end = now_us() + process.config.link_grace_us
+        while (
+            connection is not None and connection.received.last_number < report.words and now_us() < wait_end
+        ):
             if self.connections.get(node) is not connection:
-                return  # the link broke: the next one asks again
+                return  # the link broke: the tasks are requested again when the next link is up
             gevent.sleep(MISSING_MESSAGES_POLL_S)
         if connection is None or connection.received.last_number < report.words:
             report.complete = False
--- a/stairplank/planner/node_links.py
+++ b/stairplank/planner/node_links.py
@@ -1,14 +1,14 @@
-"""The links to nodes: which are dialled, which are up, what is unsettled since one broke. No I/O or clock.
+"""The links to nodes: their states, and the attempts that are unsettled after a break. No I/O or clock.
 
-Invariants (tests/planner/test_node_links.py, with the other components played by hand):
+Invariants (tests/planner/test_node_links.py, with stubs for the other components):
 
-1. One link for each node, in one state of the table LINK; at most ``max_dials`` dials are in progress.
-2. When a link breaks, every attempt that had been sent is unsettled until the node's next message on it,
-   until the node reports its tasks, or until the grace period is over; then each is settled, once.
-3. A node is asked for its tasks at each new link, and at most once a second besides.
-4. A node that says itself that it drains is draining for this incarnation, whatever the node list says; a new
-   incarnation begins without it.
-5. A link is kept while the list names its node or an attempt is at it.
+1. Each node has one link, in one state of the table LINK; at most ``max_dials`` dials are in progress.
+2. When a link breaks, every attempt that had been sent is unsettled until the node sends a message about it,
+   until the node reports its tasks, or until the grace period is over; then it is settled, once.
+3. The tasks of a node are requested at each new link, and otherwise at most once a second.
+4. A node that reports that it is draining counts as draining for this incarnation, whatever the node list
+   says; a new incarnation is not draining at first.
+5. A link is kept while the node list names its node or an attempt is at the node.
 
 Table: ``links``.
 """
@@ -28,23 +28,23 @@
 from .placement import Attempt, Placement
 from .transitions import LINK
 
-TASK_REQUEST_INTERVAL_US = 1_000_000  # between requests for the tasks of a node, those at a new link aside
+TASK_REQUEST_INTERVAL_US = 1_000_000  # the shortest time to a further request for a node's tasks on one link
 
 
 class Attempts(Protocol):
-    """What links need of the attempts."""
+    """The operations on attempts that the links use."""
 
     def find(self, id: AttemptId) -> Attempt | None:
-        """The attempt of that id, or None."""
+        """Return the attempt with this id, or None."""
 
     def at_node(self, node: int) -> list[Attempt]:
-        """The attempts at a node."""
+        """Return the attempts at a node."""
 
     def any_at_node(self, node: int) -> bool:
-        """Whether an attempt is at the node."""
+        """Return whether an attempt is at the node."""
 
     def link_lost(self, node: int, unsent: frozenset[AttemptId]) -> list[AttemptId]:
-        """End the unsent attempts of a broken link; the ids of those that were sent."""
+        """End the unsent attempts of a broken link. Returns the ids of the attempts that were sent."""
 
     def send_waiting_offers(self, node: int) -> None:
         """Send the offers that wait for the node's link."""
@@ -53,69 +53,69 @@
         """End the attempts whose offers wait for the node's link."""
 
     def node_restarted(self, node: int) -> None:
-        """The node's former incarnation is gone, and with it all attempts there."""
+        """End all attempts at the node as lost, because the node has restarted."""
 
     def link_expired(self, ids: list[AttemptId]) -> None:
-        """These attempts count as lost."""
+        """End these attempts as lost, because their link did not come back in time."""
 
     def not_at_node(self, ids: list[AttemptId], complete: bool) -> None:
-        """The node did not report these; ``complete`` where it reported all that it knows."""
+        """Settle attempts missing from a node's report; ``complete`` if it holds all that the node knows."""
 
-    def settle_never_received(self, event: ev.NodeTasksReported, held: set[AttemptId]) -> None:
+    def settle_never_received(self, event: ev.NodeTasksReported, reported: set[AttemptId]) -> None:
         """Settle the abandoned attempts that a complete report proves were never accepted."""
 
     def node_accepted(self, event: ev.NodeAccepted) -> None:
-        """The node has accepted an attempt."""
+        """Record that the node has accepted an attempt."""
 
     def node_running(self, event: ev.NodeRunning) -> None:
-        """The node runs an attempt."""
+        """Record that the node runs an attempt."""
 
-    def stop(self, attempt: Attempt, why: ev.StopReason) -> None:
-        """Have the node stop an attempt."""
+    def stop(self, attempt: Attempt, reason: ev.StopReason) -> None:
+        """Stop an attempt at its node."""
 
     def handle_duplicate(self, attempt: Attempt) -> None:
-        """Decide about a duplicate of a task that is reported elsewhere."""
+        """Stop, adopt or keep an abandoned attempt that its node has accepted or runs."""
 
     def adopt(self, node: int, id: AttemptId, spec: ev.TaskSpec, running: bool) -> Attempt:
-        """Take over a task that a node reports and this planner does not know."""
+        """Adopt a task that a node reports and this planner does not know. Returns its new attempt."""
 
 
 class ClientRequests(Protocol):
-    """What links need of the clients' requests."""
+    """The operation on the clients' requests that the links use."""
 
     def find_by_key(self, owner: str, key: int) -> Placement | None:
-        """The newest placement of a client's task, or None."""
+        """Return the newest placement of a client's task, or None."""
 
 
 class Groups(Protocol):
-    """What links need of the groups."""
+    """The operations on groups that the links use."""
 
-    def member_reported(self, node: int, held: ev.NodeTask, tag: ev.GroupTag) -> None:
-        """A node reports an unknown task that is a member of a group."""
+    def member_reported(self, node: int, task: ev.NodeTask, tag: ev.GroupTag) -> None:
+        """Handle an unknown task that a node reports and that is a member of a group."""
 
-    def finished_member_reported(self, held: ev.NodeTask, tag: ev.GroupTag) -> None:
-        """A node reports a member that has finished."""
+    def finished_member_reported(self, task: ev.NodeTask, tag: ev.GroupTag) -> None:
+        """Handle a group member that a node reports as finished."""
 
 
 class Leases(Protocol):
-    """What links need of the leases."""
+    """The operation on leases that the links use."""
 
     def link_lost(self, node: int) -> None:
-        """Renewals on their way to the node are lost."""
+        """Count the renewals in flight to the node as lost."""
 
 
 class NodeList(Protocol):
-    """What links need of the node list."""
+    """The operation on the node list that the links use."""
 
     def node_draining(self, node: int) -> None:
-        """The node says itself that it drains."""
+        """Record that the node has reported that it is draining."""
 
 
 class NodeLinks:
     """The planner's links to nodes, by node."""
 
     def __init__(self, context: CoreContext, rng: random.Random) -> None:
-        """``rng`` spreads the waits between dials."""
+        """Start without links; ``rng`` adds jitter to the waits between dials."""
         config = context.config
         self.context = context
         self.attempts: Attempts
@@ -126,60 +126,64 @@
         self.links: dict[int, Link] = {}
         self.dial_backoff = DialBackoff(config.dial_retry_us, config.max_dial_retry_us, rng)
         self.dial_queue = DialQueue(config.max_dials)
-        self._unknown_class: set[int] = set()  # nodes that hold a task of a class that is not known
+        self._unknown_class: set[int] = set()  # nodes that reported a task of an unknown class
 
     def settings_changed(self) -> None:
-        """Take the bounds and classes of the settings in force."""
+        """Apply the bounds and classes of the settings in force."""
         config = self.context.config
         self.dial_backoff.set_bounds(config.dial_retry_us, config.max_dial_retry_us)
         self._emit_dials(self.dial_queue.set_limit(config.max_dials))
-        # Danger: a task of a class that was not known would never be adopted, nor its client notified.
+        # A class may have become known: without a new report, its tasks at nodes would never be adopted and
+        # their clients never notified.
         nodes = self._unknown_class
         self._unknown_class = set()
         for node in sorted(nodes):
             self._request_tasks_later((node, self.context.now))
 
     def _request_tasks_later(self, node_and_time: tuple[int, int]) -> None:
-        """Ask for the node's tasks as soon as it may be asked, unless it is asked after that time anyway."""
-        node, time = node_and_time
-        again = self.request_tasks_since(node, time + 1)
-        if again is not None:
-            self.context.call_at(again, self._request_tasks_later, node_and_time)
+        """Request the node's tasks once the interval allows, unless requested after the given time."""
+        node, after = node_and_time
+        retry_at = self.request_tasks_since(node, after + 1)
+        if retry_at is not None:
+            self.context.call_at(retry_at, self._request_tasks_later, node_and_time)
 
-    # Questions
+    # Queries
 
     def is_up(self, node: int) -> bool:
-        """Whether messages can be sent to the node."""
+        """Return whether messages can be sent to the node."""
         link = self.links.get(node)
         return link is not None and link.state is LinkState.UP
 
     def has_addresses(self, node: int) -> bool:
-        """Whether the node has addresses to be dialled at."""
+        """Return whether an address of the node is known."""
         link = self.links.get(node)
         return link is not None and bool(link.addresses)
 
     def is_linked(self, node: int) -> bool:
-        """Whether there is a link to the node, in whatever state."""
+        """Return whether there is a link to the node, in any state."""
         return node in self.links
 
     def nodes(self) -> list[int]:
-        """The nodes that there are links to."""
+        """Return the nodes that have a link."""
         return list(self.links)
 
     def is_draining(self, node: int, started_unix_us: int) -> bool:
-        """Whether the node said itself that it drains, in the list's incarnation of it or a later one."""
+        """Return whether the node has reported that it is draining, in the listed incarnation or a later one.
+
+        ``started_unix_us`` is the start of the listed incarnation.
+        """
         link = self.links.get(node)
         if link is None or not link.is_draining:
             return False
         if link.started_unix_us >= started_unix_us:
             return True
-        link.is_draining = False  # the list names a newer incarnation
+        link.is_draining = False  # the node list names a newer incarnation
         return False
 
     # Dialling
 
     def dial_now(self, node: int) -> bool:
-        """An offer waits: dial the node if the backoff allows; whether the link is being dialled or up."""
+        """Dial a node that an offer waits for, if the backoff allows. Returns False if it does not."""
         link = self.links[node]
         if self.dial_backoff.may_dial_now(link, self.context.now):
             self._dial(link, first=True)
@@ -206,7 +210,7 @@
             self._dial(link)
 
     def dial_failed(self, event: ev.DialFailed) -> None:
-        """No address answered: offers that wait are dropped, the next dial is due after the backoff."""
+        """Handle a failed dial: end the attempts that wait for the link and schedule the next dial."""
         self._emit_dials(self.dial_queue.finished(event.node))
         link = self.links.get(event.node)
         if link is None:
@@ -216,10 +220,10 @@
         self.context.call_at(link.next_dial_at, self._redial, link.node)
         self.attempts.fail_waiting_offers(event.node)
 
-    # A link's life
+    # Changes of a link's state
 
     def link_up(self, event: ev.LinkUp) -> None:
-        """A link is up: ask for the node's tasks, send the offers that wait."""
+        """Handle a new link: request the node's tasks and send the waiting offers."""
         self._emit_dials(self.dial_queue.finished(event.node))
         link = self.links.get(event.node)
         if link is None:
@@ -229,13 +233,13 @@
         link.failed_dials = 0
         link.broken_at = 0
         if link.started_unix_us not in (UNKNOWN_START, event.started_unix_us):
-            # Another incarnation of the node: its tasks are gone, and that it drained is over.
+            # The node has restarted: its former tasks are lost, and it is no longer draining.
             link.is_draining = False
             link.unsettled.clear()
             self.attempts.node_restarted(link.node)
         link.started_unix_us = event.started_unix_us
-        # The node's tasks are requested at each new link: the report settles what a cut left open, and after
-        # a restart of this planner it is how its tasks come back.
+        # The node's tasks are requested at each new link: the report settles the attempts that a broken link
+        # left unsettled, and after a restart of this planner it lists the running tasks to adopt.
         self._request_tasks(link)
         if event.draining:
             self.node_draining(ev.NodeDraining(event.node))
@@ -245,7 +249,7 @@
             self.attempts.send_waiting_offers(event.node)
 
     def node_draining(self, event: ev.NodeDraining) -> None:
-        """The node says itself that it drains."""
+        """Handle a node's report that it is draining."""
         link = self.links.get(event.node)
         if link is None or link.is_draining:
             return
@@ -254,7 +258,7 @@
         self.node_list.node_draining(event.node)
 
     def link_down(self, event: ev.LinkDown) -> None:
-        """A link broke: sent attempts are unsettled for the grace period, unsent ones are over."""
+        """Handle a broken link: sent attempts stay unsettled for the grace period, unsent ones end."""
         link = self.links.get(event.node)
         if link is None:
             return
@@ -268,7 +272,7 @@
         self.context.call_at(grace_end, self._grace_expired, (event.node, self.context.now))
 
     def _grace_expired(self, node_and_time: tuple[int, int]) -> None:
-        """A broken link did not come back in time: its unsettled attempts count as lost from now on."""
+        """End the unsettled attempts of a broken link as lost if the link did not come back in time."""
         node, broken_at = node_and_time
         link = self.links.get(node)
         if link is not None and link.broken_at == broken_at and link.state is not LinkState.UP:
@@ -277,13 +281,13 @@
             link.unsettled.clear()
 
     def mark_unsettled(self, node: int, id: AttemptId) -> None:
-        """The fate of this attempt is to be learnt when the link is back."""
+        """Record that the state of this attempt has to be learnt from the node when the link is up again."""
         link = self.links.get(node)
         if link is not None:
             link.unsettled.add(id)
 
     def mark_settled(self, node: int, id: AttemptId) -> None:
-        """The node has sent a message about this attempt."""
+        """Record that the node has sent a message about this attempt."""
         link = self.links.get(node)
         if link is not None:
             link.unsettled.discard(id)
@@ -291,7 +295,7 @@
     # Reports of nodes' tasks
 
     def unknown_attempt_reported(self, node: int) -> None:
-        """The node sent a message about an attempt that is not known: its report will tell what it has."""
+        """Request a node's tasks after its message about an unknown attempt, at most once per interval."""
         link = self.links.get(node)
         if (
             link is not None
@@ -301,9 +305,10 @@
             self._request_tasks(link)
 
     def request_tasks_since(self, node: int, since: int) -> int | None:
-        """Request the node's tasks, unless they were requested since then.
+        """Request the node's tasks, unless they were requested at ``since`` or later.
 
-        None: a report is on its way, or the next link requests one by itself; else when to call again.
+        Returns when to call again if the last request is too recent. Returns None if a report is expected or
+        the link is not up: the next link requests one.
         """
         link = self.links.get(node)
         if link is None or link.state is not LinkState.UP or link.tasks_requested_at >= since:
@@ -318,7 +323,7 @@
         self.context.emit(ev.RequestNodeTasks(link.node))
 
     def tasks_reported(self, event: ev.NodeTasksReported) -> None:
-        """A node reports its tasks: settle what was unsettled, take over what is unknown."""
+        """Handle a node's report of its tasks: settle unsettled attempts and adopt unknown tasks."""
         link = self.links.get(event.node)
         if link is None or link.started_unix_us != event.started_unix_us:
             return
@@ -357,11 +362,12 @@
             and attempt.outcome_reported
             and attempt is not placement.bound_attempt
         ):
-            # Danger: the stop of an abandoned duplicate was lost with its link: sent once, it would run on.
+            # The stop of an abandoned duplicate may have been lost with the link. If it were not sent again,
+            # the duplicate would keep running.
             self.attempts.handle_duplicate(attempt)
 
     def _unknown_task_reported(self, node: int, task: ev.NodeTask) -> None:
-        """A task of an earlier incarnation of this planner, or one that counted as lost."""
+        """Adopt or stop a reported task that this planner has lost, or placed before its last restart."""
         index = self.context.classes.get(task.task.task_class)
         if index is None:
             self.context.log("held task of an unknown class", node=node, task_class=task.task.task_class)
@@ -382,19 +388,19 @@
             self.attempts.adopt(node, task.id, task.task, task.running)
 
     def task_report_failed(self, event: ev.NodeTasksFailed) -> None:
-        """The node did not report its tasks: close the link, for without them nothing is settled."""
+        """Close the link of a node that did not report its tasks: no attempt is settled without a report."""
         if self.is_up(event.node):
             self.context.emit(ev.CloseLink(event.node))
 
     # Changes of the node list
 
     def node_listed(self, node: int, addresses: tuple[str, ...]) -> bool:
-        """The list names a node that is not gone: keep a link to it. False where the table is full."""
+        """Keep a link to a node that the list names. Returns False if the table of links is full."""
         link = self.links.get(node)
         if link is None:
-            most = self.context.config.max_nodes
-            if len(self.links) >= most:
-                self.context.log("node not taken: the table is full", node=node, most=most)
+            max_nodes = self.context.config.max_nodes
+            if len(self.links) >= max_nodes:
+                self.context.log("node not taken: the table is full", node=node, most=max_nodes)
                 return False
             link = self.links[node] = Link(node, addresses)
         link.is_listed = True
@@ -412,7 +418,7 @@
             self._dial(link)
 
     def node_unlisted(self, node: int) -> None:
-        """The list no longer names the node: the link stays while an attempt is at it."""
+        """Handle a node that the list no longer names: its link is kept while an attempt is at the node."""
         link = self.links[node]
         link.is_listed = False
         self.attempts.fail_waiting_offers(node)
@@ -420,7 +426,7 @@
             self._remove(link)
 
     def node_idle(self, node: int) -> None:
-        """No attempt is at the node any more: remove a link that is kept only for that."""
+        """Remove the link of a node without attempts, if the node list no longer names the node."""
         link = self.links.get(node)
         if link is not None and not link.is_listed:
             self._remove(link)
--- a/stairplank/planner/node_list.py
+++ b/stairplank/planner/node_list.py
@@ -1,16 +1,16 @@
-"""The node list as the planner knows it: entries, revisions, incarnations of nodes. No I/O or clock.
+"""The planner's copy of the node list: entries, revision and incarnations of nodes. No I/O or clock.
 
-Invariants (tests/planner/test_node_list.py, with the other components played by hand):
+Invariants (tests/planner/test_node_list.py, with stubs for the other components):
 
 1. The decision module is notified of every entry and every change once, in the order of the list's messages;
-   a message older than the current revision changes nothing.
-2. A change that does not build on the known revision is not taken: the whole list is requested, at once and
+   a change older than the current revision has no effect.
+2. A change that does not build on the known revision is not applied: the whole list is requested, at once and
    then at most every ``REFETCH_INTERVAL_US``.
-3. From the moment at which a node is known to drain or to be gone, whoever said it, no offer that still waits
-   is sent to it.
+3. As soon as a node is known to be draining or gone, from the node list or from the node itself, no waiting
+   offer is sent to it.
 4. ``entries`` has the nodes that are listed and not gone, and no others.
 
-Tables: ``entries``, ``incarnations``, and the numbers that zones and racks have.
+Tables: ``entries``, ``incarnations``, and the numbers of zones and racks by name.
 """
 
 from __future__ import annotations
@@ -23,33 +23,33 @@
 from . import events as ev
 from .context import CoreContext
 
-REFETCH_INTERVAL_US = 600_000  # between requests for the whole list because of missed changes
+REFETCH_INTERVAL_US = 600_000  # the shortest time between two requests for the whole list
 
 
 class NodeLinks(Protocol):
-    """What the list needs of the links."""
+    """The operations on links that the node list uses."""
 
     def is_linked(self, node: int) -> bool:
-        """Whether there is a link to the node, in whatever state."""
+        """Return whether there is a link to the node, in any state."""
 
     def nodes(self) -> list[int]:
-        """The nodes that there are links to."""
+        """Return the nodes that have a link."""
 
     def is_draining(self, node: int, started_unix_us: int) -> bool:
-        """Whether the node said itself that it drains, in that incarnation or a later one."""
+        """Return whether the node has reported that it is draining, in this incarnation or a later one."""
 
     def node_listed(self, node: int, addresses: tuple[str, ...]) -> bool:
-        """Keep a link to the node. False where the table is full."""
+        """Keep a link to the node. Returns False if the table of links is full."""
 
     def dial_if_due(self, node: int) -> None:
         """Dial the node if its link is down and the backoff is over."""
 
     def node_unlisted(self, node: int) -> None:
-        """The list no longer names the node."""
+        """Remove the link of a node that the list no longer names, unless an attempt is at the node."""
 
 
 class Attempts(Protocol):
-    """What the list needs of the attempts."""
+    """The operation on attempts that the node list uses."""
 
     def fail_waiting_offers(self, node: int) -> None:
         """End the attempts whose offers wait for the node's link."""
@@ -57,29 +57,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Incarnation:
-    """A node's process life, by two clocks."""
+    """When an incarnation of a node started, by two clocks."""
 
-    started_unix_us: int  # by the list
-    started_us: int  # by this planner's clock, worked out once
+    started_unix_us: int  # as the node list states it
+    started_us: int  # by this planner's clock, computed once
 
 
 class NodeList:
-    """The planner's view of the node list."""
+    """The planner's copy of the node list."""
 
     def __init__(self, context: CoreContext) -> None:
-        """No nodes are known before the first message of the list."""
+        """Start without entries; the first message of the list adds them."""
         self.context = context
         self.links: NodeLinks
         self.attempts: Attempts
         self.entries: dict[int, api.NodeEntry] = {}
-        self.incarnations: dict[int, Incarnation] = {}  # by node
+        self.incarnations: dict[int, Incarnation] = {}  # the incarnations of listed nodes, by node id
         self.node_types = self._numbered_node_types()
         self.zones = {name: i for i, name in enumerate(context.config.zones)}
         self.racks: dict[str, int] = {}
         self.revision = 0
         self._refetch_at = 0
-        self._unknown_types: dict[int, str] = {}  # by node: a type that is not in the settings
-        self._table_was_full = False  # listed nodes were left out
+        self._unknown_types: dict[int, str] = {}  # by node: its type, if that is not in the settings
+        self._table_was_full = False  # listed nodes were left out because the table of links was full
         self._fetch_scheduled = False
         self._ready_nodes: tuple[NodeCapacity, ...] | None = None
 
@@ -87,17 +87,17 @@
         return {kind.name: number for number, kind in enumerate(self.context.settings.node_types)}
 
     def settings_changed(self) -> None:
-        """Take the node types, zones and limits of the settings in force."""
+        """Apply the node types, zones and limits of the settings in force."""
         self.node_types = self._numbered_node_types()
-        # Danger: zones that nodes have named already keep the numbers that they got then.
+        # Zones that nodes have already named keep their numbers: tasks are counted by zone number.
         for name in self.context.config.zones:
             self.zones.setdefault(name, len(self.zones))
-        self._ready_nodes = None  # their capacity follows the settings' limits
+        self._ready_nodes = None  # cached capacities depend on the settings' limits
         self._refetch_if_useful()
 
     def _refetch_if_useful(self) -> None:
-        """Request the whole list where it has more nodes for this planner, no faster than the interval."""
-        if not self._may_take_more() or self._fetch_scheduled:
+        """Request the whole list, at most once per interval, if it has nodes that were left out before."""
+        if not self._accepts_left_out_nodes() or self._fetch_scheduled:
             return
         if self.context.now >= self._refetch_at:
             self._refetch()
@@ -109,32 +109,32 @@
         self._fetch_scheduled = False
         self._refetch_if_useful()
 
-    def _may_take_more(self) -> bool:
-        """Whether listed nodes that were left out may be taken by the new settings.
+    def _accepts_left_out_nodes(self) -> bool:
+        """Return whether the settings in force accept listed nodes that were left out before.
 
-        Danger: fetched at each change, the whole list would load the directory hundreds of times an hour.
+        If the whole list were fetched at every change, it would load the directory hundreds of times an hour.
         """
         if any(name in self.node_types for name in self._unknown_types.values()):
             return True
         return self._table_was_full and len(self.links.nodes()) < self.context.config.max_nodes
 
     def _refetch(self) -> None:
-        """Request the whole list: changes do not name the nodes that were left out."""
+        """Request the whole list, because changes of the list do not name the nodes that were left out."""
         self._table_was_full = False
         self._unknown_types.clear()
         self.revision = 0
         self._refetch_at = self.context.now + REFETCH_INTERVAL_US
         self.context.emit(ev.WatchNodeList(True, 0))
 
-    # Questions
+    # Queries
 
     def rack(self, node: int) -> str:
-        """Name of the node's rack; for a node that is not listed, one that no other has."""
+        """Return the name of a node's rack; an unlisted node gets a name that no other node has."""
         entry = self.entries.get(node)
         return f"?{node}" if entry is None else str(entry.group)
 
     def capacity(self) -> ClusterCapacity:
-        """Totals of the ready nodes of known types."""
+        """Return the total capacity of the ready nodes of known types."""
         settings = self.context.settings
         ready = self._ready_entries()
         cores = memory = free_cores = free_memory = 0.0
@@ -148,7 +148,7 @@
         return ClusterCapacity(len(ready), racks, cores, memory, free_cores, free_memory)
 
     def ready_nodes(self) -> tuple[NodeCapacity, ...]:
-        """The ready nodes of known types; cached until the list changes."""
+        """Return the ready nodes of known types; cached until the list or the settings change."""
         if self._ready_nodes is not None:
             return self._ready_nodes
         settings = self.context.settings
@@ -167,14 +167,14 @@
         return self._ready_nodes
 
     def _ready_entries(self) -> list[api.NodeEntry]:
-        """Entries of ready nodes whose type is known."""
+        """Return the entries of ready nodes whose type is known."""
         ready = api.NodeStatus.READY
         return [entry for entry in self.entries.values() if entry.status is ready and entry.node_type >= 0]
 
     # Messages of the list
 
     def list_received(self, event: ev.NodeListReceived) -> None:
-        """Take a whole list, or changes since a revision."""
+        """Apply a whole list, or the changes since a revision."""
         if not event.full and event.since > self.revision:
             self._changes_missed(event)
             return
@@ -192,7 +192,7 @@
         self._notify_module(api.ListKind.FULL if event.full else api.ListKind.CHANGES, known)
 
     def _changes_missed(self, event: ev.NodeListReceived) -> None:
-        """Danger: a change was missed; it may be that a node drains."""
+        """Request the whole list, because a missed change may be that a node is draining."""
         self.context.log("list changes missed", have=self.revision, since=event.since)
         self.revision = 0
         if self.context.now >= self._refetch_at:
@@ -202,12 +202,12 @@
             self.context.notify_module(api.NodeList(api.ListKind.FAILED))
 
     def list_failed(self, _event: ev.NodeListFailed) -> None:
-        """The directory is out of reach."""
+        """Notify the decision module that the directory cannot be reached."""
         self.context.count("list_failures")
         self.context.notify_module(api.NodeList(api.ListKind.FAILED))
 
     def node_draining(self, node: int) -> None:
-        """The node says itself that it drains, before the list does."""
+        """Handle a node's own report that it is draining, if the list does not state it yet."""
         entry = self.entries.get(node)
         if entry is not None and entry.status is api.NodeStatus.READY:
             self.context.log("node drains by its own word", node=node)
@@ -230,7 +230,7 @@
     def _entry(self, node: ev.ListedNode, list_now: int) -> api.NodeEntry:
         status = node.status
         if status is api.NodeStatus.READY and self.links.is_draining(node.id, node.started_unix_us):
-            status = api.NodeStatus.DRAINING  # what the node said itself is newer
+            status = api.NodeStatus.DRAINING  # the node's own report is newer than the list
         return api.NodeEntry(
             node.id,
             self.zones.setdefault(node.zone, len(self.zones)),
@@ -243,9 +243,9 @@
         )
 
     def _started_us(self, node: ev.ListedNode, list_now: int) -> int:
-        """When the node started by this planner's clock; 0 where the list does not say.
+        """Return when the node started, by this planner's clock; 0 if the list does not state it.
 
-        Worked out once for each incarnation, so that it does not seem to change from list to list.
+        Computed once for each incarnation, so that the result stays the same from list to list.
         """
         if not node.started_unix_us:
             return 0
--- a/stairplank/planner/node_list_watch.py
+++ b/stairplank/planner/node_list_watch.py
@@ -1,4 +1,4 @@
-"""Watches and fetches the node list of the directory, and gives it to the core."""
+"""Watches and fetches the directory's node list, and passes it to the core."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     """The planner's client of the Directory service; at most one watch is open."""
 
     def __init__(self, process: PlannerProcess) -> None:
-        """No watch is open yet."""
+        """Start without a watch."""
         self._process = process
-        self._watch: Any = None  # the greenlet that reads it
+        self._watch: Any = None  # the greenlet that reads the open watch; None if no watch is open
 
     def restart(self, action: ev.WatchNodeList) -> None:
-        """End the watch, and where the action says so open another from its revision on."""
+        """End the open watch; if the action is active, open a new watch from its revision on."""
         if self._watch is not None:
             self._watch.kill(block=False)
             self._watch = None
@@ -33,7 +33,7 @@
             self._watch = gevent.spawn(self._read_watch, action.revision)
 
     def fetch(self) -> None:
-        """Request the whole list once; blocks until the core has it, or knows that it failed."""
+        """Request the whole list once. Blocks until the core has received the list or NodeListFailed."""
         process = self._process
         with self._directory() as channel:
             try:
@@ -66,7 +66,7 @@
 
     @contextmanager
     def _directory(self) -> Iterator[Channel]:
-        """A channel to the directory, closed at the end."""
+        """Open a channel to the directory, and close it at the end of the context."""
         config = self._process.config
         limits = Limits(
             keepalive_interval_s=config.keepalive_us[0] / 1e6,
--- a/stairplank/planner/node_messages.py
+++ b/stairplank/planner/node_messages.py
@@ -1,4 +1,4 @@
-"""Handles what nodes report on single attempts. No I/O or clock."""
+"""Handles the messages of nodes about single attempts. No I/O or clock."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     """Applies each message of a node to the attempt that it names."""
 
     def __init__(self, attempts: AttemptLifecycle) -> None:
-        """``attempts`` holds the attempts that messages are about."""
+        """Create a handler that applies messages to these attempts."""
         self.attempts = attempts
         self.context = attempts.context
 
     def _receive(self, node: int, id: AttemptId) -> Attempt | None:
-        """The attempt that a node's message is about; None if it is unknown, or not at that node."""
+        """Return the attempt that a node's message is about; None if it is unknown or not at that node."""
         attempt = self.attempts.find(id)
         if attempt is None or attempt.node != node or attempt.waiting:
             return None
@@ -28,14 +28,14 @@
         return attempt
 
     def _receive_start(self, node: int, id: AttemptId) -> Attempt | None:
-        """As ``_receive``; a node that holds what is unknown here is asked for all that it holds."""
+        """Return the attempt like ``_receive``; if it is unknown, request all tasks of the node."""
         attempt = self._receive(node, id)
         if attempt is None:
             self.attempts.links.unknown_attempt_reported(node)
         return attempt
 
     def node_accepted(self, event: ev.NodeAccepted) -> None:
-        """A node accepted an offer."""
+        """Handle a node's message that it accepted an offer."""
         attempt = self._receive_start(event.node, event.id)
         if attempt is None or attempt.accepted:
             return
@@ -46,7 +46,7 @@
             self._bind(attempt)
 
     def node_ready(self, event: ev.NodeReady) -> None:
-        """A node holds a member of a group ready to start."""
+        """Handle a node's message that a member of a group is ready to start."""
         attempt = self._receive_start(event.node, event.id)
         if attempt is None:
             return
@@ -65,7 +65,7 @@
         self.attempts.groups.member_reserved(placement, attempt)
 
     def node_running(self, event: ev.NodeRunning) -> None:
-        """A node started a task."""
+        """Handle a node's message that a task has started."""
         attempt = self._receive_start(event.node, event.id)
         if attempt is None or attempt.running:
             return
@@ -84,10 +84,10 @@
             self._bind(attempt)
 
     def _bind(self, attempt: Attempt) -> None:
-        """The attempt is the one that places its task, unless the task has its outcome already."""
+        """Bind the task to this attempt, unless its placement already has an outcome."""
         placement = attempt.placement
         if placement.state is not PlacementState.OPEN:
-            return  # cancelled: its stop was sent
+            return  # the placement was cancelled and the stop of this attempt was sent
         placement.bound_attempt = attempt
         latency = self.context.now - attempt.created_at
         self.attempts.requests.task_placed(placement, attempt.node, attempt.number, latency)
@@ -96,33 +96,34 @@
                 self.attempts.handle_duplicate(other)
 
     def node_rejected(self, event: ev.NodeRejected) -> None:
-        """A node rejected an offer, or handed back a task that it had accepted."""
+        """Handle a node's rejection of an offer, or of a task that it had accepted before."""
         attempt = self._receive(event.node, event.id)
         if attempt is None:
             return
         if attempt is attempt.placement.bound_attempt:
-            self.attempts.end(attempt, api.Result.LOST, event.reason)  # accepted first, then handed back
+            self.attempts.end(attempt, api.Result.LOST, event.reason)  # rejected after it was accepted
         elif event.late:
-            # Proven not to have run. It says nothing about the node's capacity: the path there was slow.
+            # The attempt is proven not to have run. The rejection counts as unreachable, not as a lack of
+            # capacity, because the offer arrived too late over a slow path.
             self.context.count("too_late")
             self.attempts.end(attempt, api.Result.UNREACHABLE)
         else:
             self.attempts.end(attempt, api.Result.REJECTED, event.reason)
 
     def node_error(self, event: ev.NodeError) -> None:
-        """A node failed to handle an offer."""
+        """Handle a node's message that it failed to handle an offer."""
         attempt = self._receive(event.node, event.id)
         if attempt is not None:
             self.attempts.end(attempt, api.Result.ERROR)
 
     def node_ended(self, event: ev.NodeEnded) -> None:
-        """A task has ended at its node."""
+        """Handle a node's message that a task has ended."""
         attempt = self._receive(event.node, event.id)
         if attempt is not None:
             self.attempts.end(attempt, event.result, event.reason)
 
     def node_usage(self, event: ev.NodeUsage) -> None:
-        """A node reports what a running task uses."""
+        """Handle a node's report of the resources that a running task uses."""
         attempt = self._receive(event.node, event.id)
         if attempt is None or attempt.outcome_reported:
             return
--- a/stairplank/planner/process.py
+++ b/stairplank/planner/process.py
@@ -1,4 +1,4 @@
-"""What the parts of a planner's process need of the process itself."""
+"""The interface of the planner's process that its parts use."""
 
 from __future__ import annotations
 
@@ -10,37 +10,40 @@
 
 
 class PlannerProcess(Protocol):
-    """The process as its client sessions, node connections and node list watch see it."""
+    """The process, as client sessions, node connections and the node list watch use it."""
 
     @property
     def config(self) -> PlannerConfig:
-        """The configuration in force; replaced as a whole when settings change."""
+        """Return the configuration in force; it is replaced as a whole when settings change."""
 
     @property
     def position(self) -> int:
-        """This planner's number in its site."""
+        """Return this planner's number in its site."""
 
     @property
     def incarnation(self) -> int:
-        """Random number of this process life; never 0."""
+        """Return the random number of this incarnation of the process; never 0."""
 
     @property
     def log(self) -> Any:
-        """The process's structured logger."""
+        """Return the structured logger of the process."""
 
     @property
     def core(self) -> Core:
-        """The planner's core; to be asked, not to be fed."""
+        """Return the planner's core, for queries only; events go through ``handle``."""
 
     @property
-    def is_leaving(self) -> bool:
-        """Whether the process takes no new streams."""
+    def is_shutting_down(self) -> bool:
+        """Return whether the process is shutting down and accepts no new streams."""
 
     def handle(self, event: ev.Event) -> None:
-        """Let the core handle an event, and carry out its actions; queued if a turn is in progress."""
+        """Have the core handle an event and carry out its actions.
+
+        The event is queued if a turn is in progress or the process has stalled.
+        """
 
     def enqueue(self, event: ev.Event) -> None:
-        """Queue an event for the turn in progress, or for the next one."""
+        """Queue an event for the turn in progress, or for the next turn."""
 
     def run_queued(self) -> None:
-        """Handle what is queued, unless a turn is in progress and will do so."""
+        """Handle the queued events, unless a turn is in progress that will handle them."""
--- a/stairplank/planner/received_messages.py
+++ b/stairplank/planner/received_messages.py
@@ -1,4 +1,4 @@
-"""Numbered messages of a node: each is taken once and in order, and a gap is reported once. No I/O."""
+"""Receives the numbered messages of a node once each and in order, and detects gaps. No I/O."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Receipt(NamedTuple):
-    """What to do about a numbered message."""
+    """What to do with a numbered message."""
 
-    accepted: bool  # it is the next one: handle it
-    request_resend: bool  # messages before it are missing: request them
+    accepted: bool  # the message is the next in order: handle it
+    request_resend: bool  # earlier messages are missing: request them again
 
 
 ACCEPTED = Receipt(accepted=True, request_resend=False)
@@ -21,13 +21,13 @@
     """Tracks the numbered messages of one node's incarnation."""
 
     def __init__(self) -> None:
-        """No message has been received yet."""
-        self.last_number = 0  # all up to this one were accepted
-        self.acknowledged = 0
-        self._resend_requested_after = -1  # the last number when messages were requested again
+        """Start before the first message."""
+        self.last_number = 0  # all messages up to this number were accepted
+        self.acknowledged = 0  # the last number that was acknowledged
+        self._resend_requested_after = -1  # the value of last_number at the last resend request
 
     def receive(self, number: int) -> Receipt:
-        """Take note of a message; of several after one gap only the first requests a resend."""
+        """Record a message. Of the messages after a gap only the first requests a resend."""
         if number == self.last_number + 1:
             self.last_number = number
             return ACCEPTED
@@ -37,5 +37,5 @@
         return GAP
 
     def stream_opened(self) -> None:
-        """On a new stream the node begins with what was not received."""
+        """Expect the node to send the messages that were not received, as it does on a new stream."""
         self._resend_requested_after = -1
--- a/stairplank/planner/stall_detector.py
+++ b/stairplank/planner/stall_detector.py
@@ -1,7 +1,7 @@
-"""Detects that the process was stopped or starved; what arrived meanwhile is read before any decision.
+"""Detects that the process was stopped or starved, and has sockets read before the core decides anything.
 
-Shared by the drivers of cores. Danger: after a stall timers and sockets are ready together; a core that is
-given the time first decides by outdated state.
+Used by all drivers of cores. After a stall, timers and sockets are ready at the same time; if the core
+handled its timers first, it would decide by outdated state.
 """
 
 from __future__ import annotations
@@ -13,19 +13,20 @@
 from .clock import now_us
 
 HEARTBEAT_S = 0.05
-STALL_US = 200_000  # without a heartbeat: the process did not run
-CATCH_UP_LIMIT_US = 100_000  # spent at most on reading what arrived meanwhile
-CATCH_UP_ROUND_S = 0.002  # enough for sockets to be polled: sleep(0) may return without it
-QUIET_ROUNDS = 2  # without a new event: everything has been read
+STALL_US = 200_000  # a heartbeat that is older than this means that the process did not run
+CATCH_UP_LIMIT_US = 100_000  # the longest time spent on reading what arrived during a stall
+CATCH_UP_ROUND_S = 0.002  # long enough that sockets are polled: sleep(0) may return without a poll
+QUIET_ROUNDS = 2  # after this many rounds without a new event everything has been read
 
 
 class StallDetector:
-    """Watches by a heartbeat whether the process runs."""
+    """Detects by a heartbeat that the process did not run for a while."""
 
     def __init__(self, pending: Sized, resume: Callable[[int], None]) -> None:
-        """``pending`` grows as events are read; ``resume`` is called when it stops growing after a stall.
+        """Create a detector; ``pending`` holds the events that were read and not handled yet.
 
-        ``resume`` is given the length of the stall in microseconds.
+        After a stall, once ``pending`` has stopped growing, ``resume`` is called with the length of the stall
+        in microseconds.
         """
         self._pending = pending
         self._resume = resume
@@ -33,12 +34,12 @@
         self.catching_up = False
 
     def start(self) -> None:
-        """Start the heartbeat."""
+        """Start the greenlet of the heartbeat."""
         self.last_beat = now_us()
         gevent.spawn(self._beat)
 
     def is_stalled(self) -> bool:
-        """Whether there was a stall and nothing may be decided yet; to be asked before each turn."""
+        """Return whether sockets are still being read after a stall; call this before each turn."""
         if not self.catching_up and now_us() - self.last_beat > STALL_US:
             self.catching_up = True
             gevent.spawn(self._catch_up)
@@ -47,16 +48,17 @@
     def _beat(self) -> None:
         while True:
             gevent.sleep(HEARTBEAT_S)
-            # Danger: this timer may be the first after a stall, and would hide it from the others.
+            # This timer may be the first to run after a stall. If it renewed the heartbeat without a check,
+            # the other greenlets would not detect the stall.
             if not self.is_stalled():
                 self.last_beat = now_us()
 
     def _catch_up(self) -> None:
         stalled_us = now_us() - self.last_beat
-        until = now_us() + CATCH_UP_LIMIT_US
-        known = -1
-        while len(self._pending) != known and now_us() < until:
-            known = len(self._pending)
+        deadline = now_us() + CATCH_UP_LIMIT_US
+        known_count = -1
+        while len(self._pending) != known_count and now_us() < deadline:
+            known_count = len(self._pending)
             for _ in range(QUIET_ROUNDS):
                 gevent.sleep(CATCH_UP_ROUND_S)
         self.last_beat = now_us()
