--- a/stairplank/planner/placement_service.py
+++ b/stairplank/planner/placement_service.py
@@ -96,7 +96,7 @@
         key = ClientKey(hello.owner, hello.session)
         if key.session:
             if not self.epochs.accept((key.client, key.session), hello.epoch):
-                raise RpcError(Code.ABORTED, "a newer stream of this session has been opened")
+                raise RpcError(Code.ABORTED, "a newer stream of this session was opened earlier")
             self._end_older_streams(key)
         session = ClientSession(number, key, call, GrantIssuer(now_us(), self._rng))
         self.sessions[number] = session
