--- a/tests/planner/test_daemon_configuration.py
+++ b/tests/planner/test_daemon_configuration.py
@@ -1,5 +1,7 @@
-"""Real planner processes that follow the configuration service: in force at all of them, over kills and
-restarts, and with replicas out of reach."""
+"""Real planner processes that follow the configuration service.
+
+A revision comes into force at all planners, despite kills, restarts and unreachable replicas.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +28,7 @@
 
 PLANNERS = 3
 REPLICAS = 3
-ALLOWED_S = 15.0
+PROPAGATION_LIMIT_S = 15.0
 WAIT_S = 30.0
 SITE = """
 class worker
@@ -39,21 +41,23 @@
 mean-cores 1
 mean-memory 2
 """
-FRESH = "class fresh\n    effect repeatable\n    aim 2s\n    deadline 6s\nend\n"
-KEYED = "class worker\n    effect keyed\n    group all\n    window 5s\n    aim 2s\n    deadline 6s\nend\n"
+FRESH_CLASS = "class fresh\n    effect repeatable\n    aim 2s\n    deadline 6s\nend\n"
+KEYED_WORKER = (
+    "class worker\n    effect keyed\n    group all\n    window 5s\n    aim 2s\n    deadline 6s\nend\n"
+)
 
 
-def until(what: Callable[[], Any], wait_s: float = WAIT_S) -> Any:
-    """The first true value. Raises AssertionError after the wait."""
+def wait_until(condition: Callable[[], Any], wait_s: float = WAIT_S) -> Any:
+    """Wait until the condition is true and return its value. Raises AssertionError after ``wait_s``."""
     end = time.monotonic() + wait_s
-    while not (found := what()):
-        assert time.monotonic() < end, "it did not come about"
+    while not (value := condition()):
+        assert time.monotonic() < end, "the condition did not become true in time"
         gevent.sleep(0.02)
-    return found
+    return value
 
 
 class Site:
-    """Replicas in this process, planners as processes of their own."""
+    """A site whose replicas run in this process, and each planner in a process of its own."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -67,10 +71,10 @@
         return replica
 
     def start(self, number: int) -> None:
-        """Start that planner, in a process that ends with this one."""
+        """Start a planner in a process that ends when this one does."""
         lines = [
             f"planner {number} of {PLANNERS}",
-            f"listen {self.socket(number)}",
+            f"listen {self.socket_address(number)}",
             f"directory unix:{self.folder}/nobody.sock",
             f"configuration-copy {self.folder}/planner-{number}.copy",
             *(f"configuration {address}" for address in self.addresses),
@@ -82,7 +86,7 @@
         command += ["planner", str(file)]
         self.planners[number] = subprocess.Popen(command, stdin=subprocess.PIPE)
 
-    def socket(self, number: int) -> str:
+    def socket_address(self, number: int) -> str:
         return f"unix:{self.folder}/p{number}.sock"
 
     def kill(self, number: int) -> None:
@@ -90,18 +94,18 @@
         process.send_signal(signal.SIGKILL)
         process.wait(10)
 
-    def publish(self, more: str = "") -> Revision:
-        result = client.publish(self.addresses, SITE.format(more=more))
+    def publish(self, extra_classes: str = "") -> Revision:
+        result = client.publish(self.addresses, SITE.format(more=extra_classes))
         assert result.outcome is PublicationOutcome.PUBLISHED, result
         return result.revision
 
-    def everywhere(self, planners: int = PLANNERS) -> client.SiteStatus | None:
+    def status_if_in_force(self, planners: int = PLANNERS) -> client.SiteStatus | None:
         status = client.site_status(self.addresses)
         return status if status.in_force_everywhere(planners) else None
 
-    def answer(self, number: int, task_class: str) -> str:
-        """What that planner says to a task of that class: rejected, or taken."""
-        channel = Channel(self.socket(number))
+    def first_answer(self, number: int, task_class: str) -> str:
+        """Request a task of a class from a planner. Returns ``rejected``, ``taken`` or the error text."""
+        channel = Channel(self.socket_address(number))
         try:
             call = open_call(channel, PLACEMENT_SERVICE, "Place")
             request = placement_pb2.PlaceRequest
@@ -126,56 +130,64 @@
 
 @pytest.fixture
 def site(tmp_path: Path) -> Iterator[Site]:
-    made = Site(tmp_path)
-    yield made
-    made.close()
+    site = Site(tmp_path)
+    yield site
+    site.close()
 
 
-def test_a_change_is_in_force_everywhere_over_kills_restarts_and_lost_replicas(site: Site) -> None:
+def test_a_change_comes_into_force_at_all_planners_despite_kills_restarts_and_lost_replicas(
+    site: Site,
+) -> None:
     for number in range(PLANNERS):
         site.start(number)
-    until(lambda: site.everywhere())
-    assert site.answer(0, "fresh") == "rejected"
-    # A change while all run.
-    began = time.monotonic()
-    site.publish(FRESH)
-    until(lambda: site.everywhere(), ALLOWED_S)
-    assert time.monotonic() - began < ALLOWED_S
-    assert {site.answer(number, "fresh") for number in range(PLANNERS)} == {"taken"}
-    # One planner is killed, a change is published without it, and it comes back.
+    wait_until(lambda: site.status_if_in_force())
+    assert site.first_answer(0, "fresh") == "rejected"
+    # A change is published while all planners run.
+    published_at = time.monotonic()
+    site.publish(FRESH_CLASS)
+    wait_until(lambda: site.status_if_in_force(), PROPAGATION_LIMIT_S)
+    assert time.monotonic() - published_at < PROPAGATION_LIMIT_S
+    assert {site.first_answer(number, "fresh") for number in range(PLANNERS)} == {"taken"}
+    # One planner is killed, a change is published without it, and it starts again.
     site.kill(1)
-    later = site.publish(FRESH + FRESH.replace("fresh", "later"))
+    later_revision = site.publish(FRESH_CLASS + FRESH_CLASS.replace("fresh", "later"))
     site.start(1)
-    status = until(lambda: site.everywhere(), ALLOWED_S)
-    assert status.committed == later
-    assert {site.answer(number, "later") for number in range(PLANNERS)} == {"taken"}
-    # Every replica is gone and all planners start again: each has its copy.
+    status = wait_until(lambda: site.status_if_in_force(), PROPAGATION_LIMIT_S)
+    assert status.committed == later_revision
+    assert {site.first_answer(number, "later") for number in range(PLANNERS)} == {"taken"}
+    # All replicas are stopped and all planners start again: each planner uses its copy of the configuration.
     copies = [site.folder / f"planner-{number}.copy" for number in range(PLANNERS)]
-    until(lambda: all(_number(copy) == later.number for copy in copies))
+    wait_until(lambda: all(_copied_revision(copy) == later_revision.number for copy in copies))
     for replica in site.replicas:
         replica.server.stop(0.0)
     for number in range(PLANNERS):
         site.kill(number)
         site.start(number)
     for number in range(PLANNERS):
-        until(lambda number=number: site.answer(number, "later") == "taken")
+        wait_until(lambda number=number: site.first_answer(number, "later") == "taken")
 
 
-def _number(copy: Path) -> int:
+def _copied_revision(copy_file: Path) -> int:
     try:
-        return int(json.loads(copy.read_text())["number"])
+        return int(json.loads(copy_file.read_text())["number"])
     except (OSError, ValueError):
         return 0
 
 
-def test_what_needs_a_restart_is_reported_by_every_planner_and_taken_as_it_restarts(site: Site) -> None:
+def test_a_restart_only_change_is_reported_and_applied_at_the_restart(site: Site) -> None:
     site.start(0)
-    until(lambda: site.everywhere(1))
-    text = SITE.format(more="").replace(SITE[: SITE.index("{more}")], "\n" + KEYED)
+    wait_until(lambda: site.status_if_in_force(1))
+    text = SITE.format(more="").replace(SITE[: SITE.index("{more}")], "\n" + KEYED_WORKER)
     result = client.publish(site.addresses, text)
     assert result.outcome is PublicationOutcome.PUBLISHED
-    line = until(lambda: next((p for p in client.site_status(site.addresses).planners if p.reason), None))
-    assert line.rejected == result.revision and "needs a restart" in line.reason and "effect" in line.reason
+    planner_status = wait_until(
+        lambda: next((p for p in client.site_status(site.addresses).planners if p.reason), None)
+    )
+    assert (
+        planner_status.rejected == result.revision
+        and "needs a restart" in planner_status.reason
+        and "effect" in planner_status.reason
+    )
     site.kill(0)
     site.start(0)
-    until(lambda: site.everywhere(1), ALLOWED_S)
+    wait_until(lambda: site.status_if_in_force(1), PROPAGATION_LIMIT_S)
--- a/tests/planner/test_daemon_fence.py
+++ b/tests/planner/test_daemon_fence.py
@@ -1,4 +1,4 @@
-"""The fence on real sockets: grants and stamps on both sides of a planner, streams that overtake others."""
+"""The fence on real sockets: grants and stamps on both sides of a planner, and replaced streams."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import gevent
 import pytest
 from gevent import socket
-from test_daemon import _EVENT, _REQUEST, WAIT, World, ask, word
+from test_daemon import _EVENT, _REQUEST, WAIT_S, PlannerHarness, next_event, place_request
 
 from stairplank.planner.clock import now_us
 from stairplank.planner.services import PLACEMENT_SERVICE
@@ -19,148 +19,150 @@
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[World]:
-    made = World(tmp_path)
-    yield made
-    made.close()
-
-
-def stream(world: World, session: int = 0, epoch: int = 0, owner: str = "o") -> tuple[Any, int]:
-    """An owner's stream, and the grant of its welcome."""
-    call = open_call(Channel(world.address), PLACEMENT_SERVICE, "Place")
-    call.send(_REQUEST(hello=_REQUEST.Hello(owner=owner, session=session, epoch=epoch)))
-    welcome = call.recv(WAIT)
+def harness(tmp_path: Path) -> Iterator[PlannerHarness]:
+    harness = PlannerHarness(tmp_path)
+    yield harness
+    harness.close()
+
+
+def open_stream(
+    harness: PlannerHarness, session: int = 0, epoch: int = 0, client: str = "o"
+) -> tuple[Any, int]:
+    """Open a client stream. Returns its call and the grant of its welcome."""
+    call = open_call(Channel(harness.address), PLACEMENT_SERVICE, "Place")
+    call.send(_REQUEST(hello=_REQUEST.Hello(owner=client, session=session, epoch=epoch)))
+    welcome = call.recv(WAIT_S)
     assert welcome.WhichOneof("kind") == "welcome"
     return call, welcome.grant
 
 
-def stamped(n: int, grant: int, since_us: int, wait_s: float = 6.0) -> Any:
-    request = ask(n, wait_s=wait_s)
+def stamped_request(n: int, grant: int, since_us: int, wait_s: float = 6.0) -> Any:
+    request = place_request(n, wait_s=wait_s)
     request.ask.sent.CopyFrom(common_pb2.Sent(grant=grant, since_us=since_us))
     return request
 
 
-def test_an_ask_that_lay_on_the_way_is_rejected_as_never_taken(world: World) -> None:
-    call, grant = stream(world)
+def test_a_request_that_was_delayed_in_transit_is_rejected(harness: PlannerHarness) -> None:
+    call, grant = open_stream(harness)
     assert grant
     gevent.sleep(0.3)
-    call.send(stamped(1, grant, 0, wait_s=0.25))  # by its stamp said at once, 300 ms ago
-    rejected = word(call, "rejected", "taken")
+    call.send(stamped_request(1, grant, 0, wait_s=0.25))  # by its stamp the request was sent 300 ms ago
+    rejected = next_event(call, "rejected", "taken")
     assert rejected.code == Code.DEADLINE_EXCEEDED and rejected.field == "wait_us"
-    call.send(stamped(2, grant, 0, wait_s=6.0))
-    assert word(call, "rejected", "taken").placing
-    call.send(stamped(3, grant + (1 << 40), 0))  # a grant that was never given
-    assert word(call, "rejected").code == Code.DEADLINE_EXCEEDED
-    call.send(ask(4))  # an owner that says nothing of it is served as from now
-    assert word(call, "taken").placing
-
-
-def test_offers_say_when_they_were_said_by_the_node_s_own_grants(world: World) -> None:
-    node = world.nodes[0]
-    for n in world.nodes:
-        n.say(renewed=_EVENT.Grant())  # no grant yet: nothing can be said under one
-    call, _ = stream(world)
-    call.send(ask(1))
-    world.until(lambda: world.offers())
-    assert not world.offers()[0].HasField("sent")
-    given = time.monotonic()
-    for n in world.nodes:
+    call.send(stamped_request(2, grant, 0, wait_s=6.0))
+    assert next_event(call, "rejected", "taken").placing
+    call.send(stamped_request(3, grant + (1 << 40), 0))  # a grant that was never issued
+    assert next_event(call, "rejected").code == Code.DEADLINE_EXCEEDED
+    call.send(place_request(4))  # a request without a stamp counts as sent now
+    assert next_event(call, "taken").placing
+
+
+def test_offers_are_stamped_under_the_node_s_grants(harness: PlannerHarness) -> None:
+    node = harness.nodes[0]
+    for n in harness.nodes:
+        n.send(renewed=_EVENT.Grant())  # a message without a grant: offers cannot be stamped yet
+    call, _ = open_stream(harness)
+    call.send(place_request(1))
+    harness.wait_until(lambda: harness.offers())
+    assert not harness.offers()[0].HasField("sent")
+    granted_at = time.monotonic()
+    for n in harness.nodes:
         n.calls[-1].send(_EVENT(renewed=_EVENT.Grant(), grant=77))
     gevent.sleep(0.2)
-    call.send(ask(2))
-    world.until(lambda: len(world.offers()) == 2)
-    sent = next(o for o in world.offers() if o.task.key == 2).sent
-    assert sent.grant == 77 and 150_000 <= sent.since_us <= (time.monotonic() - given) * 1e6
+    call.send(place_request(2))
+    harness.wait_until(lambda: len(harness.offers()) == 2)
+    sent = next(o for o in harness.offers() if o.task.key == 2).sent
+    assert sent.grant == 77 and 150_000 <= sent.since_us <= (time.monotonic() - granted_at) * 1e6
     assert node.id
 
 
-def test_an_ask_kept_by_an_old_connection_does_not_overtake_its_withdrawal(world: World) -> None:
-    """Danger: read after the newer stream's withdrawal, the ask would start what nobody wants."""
-    old, _ = stream(world, session=9, epoch=1)
-    held = hold(old)
-    old.send(ask(1))
-    new, _ = stream(world, session=9, epoch=2)
+def test_a_request_delayed_on_an_old_connection_is_not_handled_after_its_cancellation(
+    harness: PlannerHarness,
+) -> None:
+    """If the planner handled the request after its cancellation, it would start a task that is not wanted."""
+    old, _ = open_stream(harness, session=9, epoch=1)
+    release_writes = delay_writes(old)
+    old.send(place_request(1))
+    new, _ = open_stream(harness, session=9, epoch=2)
     new.send(_REQUEST(withdraw=_REQUEST.Withdraw(key=1)))
-    world.until(lambda: len(world.daemon.core.requests.sessions) == 1)
-    held()
+    harness.wait_until(lambda: len(harness.daemon.core.requests.sessions) == 1)
+    release_writes()
     gevent.sleep(0.2)
-    assert not world.offers() and not world.daemon.core.requests.placements
-    new.send(ask(2))
-    assert word(new, "taken").placing  # and the newer one goes on
+    assert not harness.offers() and not harness.daemon.core.requests.placements
+    new.send(place_request(2))
+    assert next_event(new, "taken").placing  # the newer stream is still served
 
 
-def hold(call: Any) -> Any:
-    """What a call says from now on stays with it until the returned function is called."""
+def delay_writes(call: Any) -> Any:
+    """Delay what a call writes from now on. Returns a function that sends the delayed bytes."""
     connection = call.stream.connection
-    kept: list[bytes] = []
-    real = connection.sock
+    delayed: list[bytes] = []
+    original = connection.sock
 
-    class Kept:
+    class DelayedSocket:
         def sendall(self, data: bytes) -> None:
-            kept.append(data)
+            delayed.append(data)
 
         def __getattr__(self, name: str) -> Any:
-            return getattr(real, name)
+            return getattr(original, name)
 
-    connection.sock = Kept()
+    connection.sock = DelayedSocket()
 
     def release() -> None:
         try:
-            real.sendall(b"".join(kept))
+            original.sendall(b"".join(delayed))
         except OSError:
-            pass  # the planner has ended that connection: so much the better
+            pass  # the planner has closed that connection, so the bytes cannot reach it
 
     return release
 
 
-def test_an_old_connection_s_hello_is_turned_away_and_ends_nothing(world: World) -> None:
-    new, _ = stream(world, session=9, epoch=5)
+def test_the_hello_of_an_older_stream_is_rejected_and_ends_no_other_stream(harness: PlannerHarness) -> None:
+    new, _ = open_stream(harness, session=9, epoch=5)
     with pytest.raises(RpcError) as caught:
-        stream(world, session=9, epoch=4)
+        open_stream(harness, session=9, epoch=4)
     assert caught.value.code is Code.ABORTED
-    other, _ = stream(world, session=8, epoch=1)  # another process of the same owner
-    new.send(ask(1))
-    assert word(new, "taken").placing
-    other.send(ask(2))
-    assert word(other, "taken").placing
+    other, _ = open_stream(harness, session=8, epoch=1)  # another session of the same client
+    new.send(place_request(1))
+    assert next_event(new, "taken").placing
+    other.send(place_request(2))
+    assert next_event(other, "taken").placing
 
 
-def test_streams_without_a_session_stand_side_by_side(world: World) -> None:
-    one, _ = stream(world)
-    two, _ = stream(world)
+def test_streams_without_a_session_are_served_concurrently(harness: PlannerHarness) -> None:
+    one, _ = open_stream(harness)
+    two, _ = open_stream(harness)
     for n, call in ((1, one), (2, two)):
-        call.send(ask(n))
-        assert word(call, "taken").placing
+        call.send(place_request(n))
+        assert next_event(call, "taken").placing
 
 
-def test_a_jump_of_the_clock_is_noticed_and_grants_are_forgotten(
-    world: World, monkeypatch: pytest.MonkeyPatch
+def test_a_clock_jump_is_detected_and_grants_are_dropped(
+    harness: PlannerHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     import stairplank.planner.node_connections as node_connections
 
-    for n in world.nodes:
+    for n in harness.nodes:
         n.calls[-1].send(_EVENT(renewed=_EVENT.Grant(), grant=5))
-    link = world.daemon.node_connections.connections[1]
-    world.until(lambda: link.stamp() is not None)
-    monkeypatch.setattr(
-        node_connections, "raw_us", lambda: now_us() - 3_000_000
-    )  # the other clock has gone on alone
-    assert link.stamp() is None
-    world.nodes[0].calls[-1].send(_EVENT(renewed=_EVENT.Grant(), grant=6))
-    world.until(lambda: link.stamp() is not None)
-
-
-def test_a_link_that_is_given_up_sends_no_more(world: World) -> None:
-    """A plain close would go on delivering; an abort resets, and the kernel drops what is unsent."""
-    ends: list[str] = []
+    connection = harness.daemon.node_connections.connections[1]
+    harness.wait_until(lambda: connection.stamp() is not None)
+    monkeypatch.setattr(node_connections, "raw_us", lambda: now_us() - 3_000_000)  # the raw clock is 3 s off
+    assert connection.stamp() is None
+    harness.nodes[0].calls[-1].send(_EVENT(renewed=_EVENT.Grant(), grant=6))
+    harness.wait_until(lambda: connection.stamp() is not None)
+
+
+def test_an_aborted_connection_sends_no_more_data(harness: PlannerHarness) -> None:
+    """After a plain close the kernel would still deliver unsent data; an abort resets and drops it."""
+    errors: list[str] = []
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen()
     from stairplank.rpc import address
 
     sock = address.dial(f"127.0.0.1:{listener.getsockname()[1]}", 2.0)
-    far, _ = listener.accept()
-    far.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    peer, _ = listener.accept()
+    peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.setblocking(False)
     sent = 0
     try:
@@ -169,63 +171,66 @@
     except BlockingIOError:
         pass
     address.abort(sock)
-    got = 0
-    far.settimeout(WAIT)
+    received = 0
+    peer.settimeout(WAIT_S)
     try:
-        while data := far.recv(65_536):
-            got += len(data)
+        while data := peer.recv(65_536):
+            received += len(data)
     except ConnectionResetError:
-        ends.append("reset")
-    far.close()
+        errors.append("reset")
+    peer.close()
     listener.close()
-    assert ends == ["reset"] and got < sent
+    assert errors == ["reset"] and received < sent
 
 
-def test_a_planner_that_stood_still_reads_before_it_decides(world: World) -> None:
-    """Its pulse has stopped; an ask is read first, and a drain that lay in another socket after it."""
+def test_a_planner_reads_its_sockets_after_a_stall_before_it_decides(harness: PlannerHarness) -> None:
+    """After a stall, a node's report that it is draining is applied before requests that were read first."""
     from stairplank.planner import events as ev
     from stairplank.planner import stall_detector
 
-    call, _ = stream(world)
-    session = next(iter(world.daemon.placement_service.sessions))
-    spec = [ev.TaskSpec("o", n, "worker", "", 100 + n, 1.0, 1.0, 0, False) for n in range(1, 9)]
-    world.daemon.stall_detector.last_beat -= stall_detector.STALL_US + 1
-    for n, task in enumerate(spec, 1):
-        world.daemon.handle(ev.PlacementRequested(session, n, task, 6_000_000))
-    world.daemon.handle(ev.NodeDraining(1))
-    for _ in spec:
-        assert word(call, "placed").node == 2
-    assert not world.nodes[0].offers
+    call, _ = open_stream(harness)
+    session = next(iter(harness.daemon.placement_service.sessions))
+    tasks = [ev.TaskSpec("o", n, "worker", "", 100 + n, 1.0, 1.0, 0, False) for n in range(1, 9)]
+    harness.daemon.stall_detector.last_beat -= stall_detector.STALL_US + 1
+    for n, task in enumerate(tasks, 1):
+        harness.daemon.handle(ev.PlacementRequested(session, n, task, 6_000_000))
+    harness.daemon.handle(ev.NodeDraining(1))
+    for _ in tasks:
+        assert next_event(call, "placed").node == 2
+    assert not harness.nodes[0].offers
 
 
-def test_what_a_node_holds_proves_nothing_before_its_last_words_are_heard(world: World) -> None:
-    """Danger: the word that an offer was accepted and ended may still be on its way, on the other stream."""
+def test_a_node_s_report_is_incomplete_until_its_numbered_messages_have_arrived(
+    harness: PlannerHarness,
+) -> None:
+    """The message that an offer was accepted and has ended may still be in transit on the other stream."""
     from stairplank.planner import events as ev
 
-    told: list[ev.NodeTasksReported] = []
-    real = world.daemon.core.handle
+    reports: list[ev.NodeTasksReported] = []
+    original = harness.daemon.core.handle
 
     def handle(now: int, event: ev.Event) -> Any:
         if isinstance(event, ev.NodeTasksReported):
-            told.append(event)
-        return real(now, event)
+            reports.append(event)
+        return original(now, event)
 
-    world.daemon.core.handle = handle  # type: ignore[method-assign]
-    for words, proven in ((0, True), (5, False)):
-        answer = node_pb2.HeldResponse(node=1, complete=True, words=words)
-        world.daemon.node_connections._unary = lambda *args, a=answer: a  # type: ignore[method-assign]
-        world.daemon.node_connections.request_tasks(1)
-        assert told.pop().complete is proven
+    harness.daemon.core.handle = handle  # type: ignore[method-assign]
+    for messages_sent, complete in ((0, True), (5, False)):
+        answer = node_pb2.HeldResponse(node=1, complete=True, words=messages_sent)
+        harness.daemon.node_connections._unary = lambda *args, a=answer: a  # type: ignore[method-assign]
+        harness.daemon.node_connections.request_tasks(1)
+        assert reports.pop().complete is complete
 
 
-def test_an_older_link_s_end_says_nothing_of_the_newer(world: World) -> None:
+def test_the_end_of_a_replaced_connection_does_not_affect_the_newer_one(harness: PlannerHarness) -> None:
     from stairplank.planner import events as ev
 
-    world.until(lambda: world.daemon.core.links.is_up(1))  # the node has spoken, we may not have heard it yet
-    link = world.daemon.node_connections.connections[1]
+    # The node has sent its welcome by now, but the planner may not have read it yet.
+    harness.wait_until(lambda: harness.daemon.core.links.is_up(1))
+    connection = harness.daemon.node_connections.connections[1]
 
-    class Older:
+    class OlderConnection:
         node = 1
 
-    world.daemon.node_connections.connection_ended(Older(), ev.LinkDown(1))  # type: ignore[arg-type]
-    assert world.daemon.node_connections.connections[1] is link and world.daemon.core.links.is_up(1)
+    harness.daemon.node_connections.connection_ended(OlderConnection(), ev.LinkDown(1))  # type: ignore[arg-type]
+    assert harness.daemon.node_connections.connections[1] is connection and harness.daemon.core.links.is_up(1)
--- a/tests/planner/test_node_links.py
+++ b/tests/planner/test_node_links.py
@@ -1,4 +1,4 @@
-"""The links by themselves: every other component is played by hand."""
+"""The links to nodes on their own; every other component is a stub."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
 ID = AttemptId(7, 1, 0)
 
 
-class LinksAlone:
+class NodeLinksHarness:
+    """The links to some nodes, with a context and stubs for the other components."""
+
     def __init__(self, nodes: int = 1, **config: Any) -> None:
         self.context = core_context(**config)
         self.links = NodeLinks(self.context, random.Random(1))
@@ -30,7 +32,7 @@
             self.links.node_listed(node, ("a",))
             self.links.dial_if_due(node)
 
-    def up(self, node: int = 1, draining: bool = False) -> None:
+    def bring_up(self, node: int = 1, draining: bool = False) -> None:
         self.links.link_up(ev.LinkUp(node, 0, draining))
 
     def emitted(self, kind: type) -> list[Any]:
@@ -38,73 +40,73 @@
 
 
 def test_a_link_that_is_up_requests_the_node_s_tasks_and_sends_waiting_offers() -> None:
-    alone = LinksAlone()
-    alone.up()
-    assert alone.links.is_up(1)
-    assert alone.emitted(ev.RequestNodeTasks)
-    assert alone.attempts.called_names() == ["send_waiting_offers"]
+    harness = NodeLinksHarness()
+    harness.bring_up()
+    assert harness.links.is_up(1)
+    assert harness.emitted(ev.RequestNodeTasks)
+    assert harness.attempts.called_names() == ["send_waiting_offers"]
 
 
 def test_a_draining_node_gets_no_waiting_offers() -> None:
-    alone = LinksAlone()
-    alone.up(draining=True)
+    harness = NodeLinksHarness()
+    harness.bring_up(draining=True)
     assert (
-        "send_waiting_offers" not in alone.attempts.called_names()
-        and "fail_waiting_offers" in alone.attempts.called_names()
+        "send_waiting_offers" not in harness.attempts.called_names()
+        and "fail_waiting_offers" in harness.attempts.called_names()
     )
-    assert alone.links.is_draining(1, 0)
-    assert not alone.links.is_draining(1, 5)  # a newer incarnation, by the list
+    assert harness.links.is_draining(1, 0)
+    assert not harness.links.is_draining(1, 5)  # the list names a newer incarnation, which is not draining
 
 
 def test_dials_in_progress_are_bounded() -> None:
-    alone = LinksAlone(nodes=5, max_dials=2)
-    assert len(alone.emitted(ev.Dial)) == 2
-    alone.up(1)
-    assert len(alone.emitted(ev.Dial)) == 3
-
-
-@pytest.mark.parametrize("back", [True, False])
-def test_what_is_unsettled_is_settled_once(back: bool) -> None:
-    alone = LinksAlone()
-    alone.up()
-    alone.links.link_down(ev.LinkDown(1, frozenset()))
-    assert alone.links.links[1].unsettled == {ID}
-    if back:
-        pass_time(alone.context, 200_000)
-        alone.up()
-        alone.links.tasks_reported(ev.NodeTasksReported(1, 0, (), True))
-    pass_time(alone.context, 5 * SECOND)
-    settled = [a for a in alone.attempts.calls if a[0] in ("not_at_node", "link_expired") and a[1]]
-    assert settled == ([("not_at_node", [ID], True)] if back else [("link_expired", [ID])])
-    assert not alone.links.links[1].unsettled
-
-
-def test_a_node_is_asked_for_its_tasks_at_most_once_a_second() -> None:
-    alone = LinksAlone()
-    alone.up()
+    harness = NodeLinksHarness(nodes=5, max_dials=2)
+    assert len(harness.emitted(ev.Dial)) == 2
+    harness.bring_up(1)
+    assert len(harness.emitted(ev.Dial)) == 3
+
+
+@pytest.mark.parametrize("link_returns", [True, False])
+def test_an_unsettled_attempt_is_settled_once(link_returns: bool) -> None:
+    harness = NodeLinksHarness()
+    harness.bring_up()
+    harness.links.link_down(ev.LinkDown(1, frozenset()))
+    assert harness.links.links[1].unsettled == {ID}
+    if link_returns:
+        pass_time(harness.context, 200_000)
+        harness.bring_up()
+        harness.links.tasks_reported(ev.NodeTasksReported(1, 0, (), True))
+    pass_time(harness.context, 5 * SECOND)
+    settled = [a for a in harness.attempts.calls if a[0] in ("not_at_node", "link_expired") and a[1]]
+    assert settled == ([("not_at_node", [ID], True)] if link_returns else [("link_expired", [ID])])
+    assert not harness.links.links[1].unsettled
+
+
+def test_the_tasks_of_a_node_are_requested_at_most_once_a_second() -> None:
+    harness = NodeLinksHarness()
+    harness.bring_up()
     for _ in range(5):
-        alone.links.unknown_attempt_reported(1)
-    assert len(alone.emitted(ev.RequestNodeTasks)) == 1
-    again = alone.links.request_tasks_since(1, alone.context.now + 1)
-    assert again == alone.context.now + TASK_REQUEST_INTERVAL_US
-    pass_time(alone.context, TASK_REQUEST_INTERVAL_US)
+        harness.links.unknown_attempt_reported(1)
+    assert len(harness.emitted(ev.RequestNodeTasks)) == 1
+    retry_at = harness.links.request_tasks_since(1, harness.context.now + 1)
+    assert retry_at == harness.context.now + TASK_REQUEST_INTERVAL_US
+    pass_time(harness.context, TASK_REQUEST_INTERVAL_US)
     for _ in range(2):
-        assert alone.links.request_tasks_since(1, alone.context.now) is None
-        assert len(alone.emitted(ev.RequestNodeTasks)) == 2
+        assert harness.links.request_tasks_since(1, harness.context.now) is None
+        assert len(harness.emitted(ev.RequestNodeTasks)) == 2
 
 
 def test_a_link_is_kept_while_an_attempt_is_at_its_node() -> None:
-    alone = LinksAlone()
-    alone.up()
-    alone.attempts.answers["any_at_node"] = True
-    alone.links.node_unlisted(1)
-    assert alone.links.is_linked(1)
-    alone.links.node_idle(1)
-    assert not alone.links.is_linked(1) and alone.emitted(ev.CloseLink)
+    harness = NodeLinksHarness()
+    harness.bring_up()
+    harness.attempts.answers["any_at_node"] = True
+    harness.links.node_unlisted(1)
+    assert harness.links.is_linked(1)
+    harness.links.node_idle(1)
+    assert not harness.links.is_linked(1) and harness.emitted(ev.CloseLink)
 
 
 def test_illegal_transitions_are_errors() -> None:
-    alone = LinksAlone()
+    harness = NodeLinksHarness()
     with pytest.raises(IllegalTransitionError, match="link: 'lost' while 'dialling'"):
-        alone.links.link_down(ev.LinkDown(1, frozenset()))
-    assert alone.links.links[1].state is LinkState.DIALLING
+        harness.links.link_down(ev.LinkDown(1, frozenset()))
+    assert harness.links.links[1].state is LinkState.DIALLING
--- a/tests/planner/test_stall_detector.py
+++ b/tests/planner/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""A process that really stands still: what lies in its sockets is read before any timer's turn decides."""
+"""A process that really stalls: its sockets are read before a timer may start a turn of the core."""
 
 from __future__ import annotations
 
@@ -13,69 +13,69 @@
 from stairplank.planner import stall_detector
 
 
-def until(what: Callable[[], Any]) -> Any:
+def wait_until(condition: Callable[[], Any]) -> Any:
     with gevent.Timeout(10):
-        while not (got := what()):
+        while not (value := condition()):
             gevent.sleep(0.01)
-    return got
+    return value
 
 
-def test_what_lies_in_sockets_is_read_before_a_stall_is_over() -> None:
-    ours, theirs = socket.socketpair()
+def test_sockets_are_read_before_the_process_resumes_after_a_stall() -> None:
+    own_end, peer_end = socket.socketpair()
     pending: list[str] = []
-    decided: list[tuple[list[str], int]] = []
+    resumed: list[tuple[list[str], int]] = []
 
-    def woke(stood: int) -> None:
-        decided.append((list(pending), stood))
+    def resume(stalled_us: int) -> None:
+        resumed.append((list(pending), stalled_us))
         pending.clear()
 
-    watch = stall_detector.StallDetector(pending, woke)
+    detector = stall_detector.StallDetector(pending, resume)
 
-    def reads() -> None:
-        while ours.recv(1):
+    def read_socket() -> None:
+        while own_end.recv(1):
             pending.append("read")
-            watch.is_stalled()
+            detector.is_stalled()
 
-    def due() -> None:
+    def on_timer() -> None:
         pending.append("timer")
-        assert watch.is_stalled()  # it may not decide
+        assert detector.is_stalled()  # the timer may not start a turn yet
 
-    reader = gevent.spawn(reads)
-    watch.start()
+    reader = gevent.spawn(read_socket)
+    detector.start()
     gevent.sleep(stall_detector.HEARTBEAT_S)
-    timer = gevent.spawn_later(0.2, due)
-    theirs.sendall(b"xyz")
-    time.sleep(0.5)  # the whole process stands still, bytes unread, timers overdue
+    timer = gevent.spawn_later(0.2, on_timer)
+    peer_end.sendall(b"xyz")
+    time.sleep(0.5)  # the whole process stalls: bytes are unread and the timer is overdue
     timer.get(timeout=10)
-    # A busy machine may stand still a moment of its own: that one is not meant.
-    events = until(lambda: next((e for e, stood in decided if stood >= 400_000), None))
+    # A busy machine may cause shorter stalls as well; they are skipped here.
+    events = wait_until(lambda: next((e for e, stalled_us in resumed if stalled_us >= 400_000), None))
     assert sorted(events) == ["read", "read", "read", "timer"]
-    theirs.close()
+    peer_end.close()
     reader.join(10)
-    ours.close()
+    own_end.close()
 
 
-def test_its_own_timer_does_not_hide_a_stall() -> None:
-    decided: list[int] = []
-    watch = stall_detector.StallDetector([], decided.append)
-    watch.start()
+def test_the_heartbeat_timer_does_not_hide_a_stall() -> None:
+    resumed: list[int] = []
+    detector = stall_detector.StallDetector([], resumed.append)
+    detector.start()
     gevent.sleep(2 * stall_detector.HEARTBEAT_S)
     time.sleep(0.5)
-    assert until(lambda: any(stood >= 400_000 for stood in decided))
+    assert wait_until(lambda: any(stalled_us >= 400_000 for stalled_us in resumed))
 
 
-def test_reading_on_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reading_after_a_stall_is_bounded_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     pending: list[int] = []
-    decided: list[int] = []
-    watch = stall_detector.StallDetector(pending, decided.append)
+    resumed: list[int] = []
+    detector = stall_detector.StallDetector(pending, resumed.append)
 
-    def floods() -> None:
-        while not decided:
+    def add_events() -> None:
+        while not resumed:
             pending.append(1)
             gevent.sleep(0.001)
 
-    flood = gevent.spawn(floods)
-    watch.last_beat -= stall_detector.STALL_US + 1
-    assert watch.is_stalled()
-    flood.join(10)
-    assert len(decided) == 1
+    producer = gevent.spawn(add_events)
+    detector.last_beat -= stall_detector.STALL_US + 1
+    assert detector.is_stalled()
+    producer.join(10)
+    assert len(resumed) == 1
