--- a/stairplank/planner/link_state.py
+++ b/stairplank/planner/link_state.py
@@ -32,6 +32,6 @@
     next_dial_at: int = 0  # the earliest time of the next dial
     started_unix_us: int = UNKNOWN_START  # when the node's incarnation started, as reported by the node
     is_draining: bool = False  # the node has reported in this incarnation that it is draining
-    unsettled: set[AttemptId] = field(default_factory=set)  # attempts whose state is unknown since the link broke
+    unsettled: set[AttemptId] = field(default_factory=set)  # attempts in unknown state after a break
     tasks_requested_at: int = 0  # when the node's tasks were last requested
     broken_at: int = 0  # when the link broke; 0 if it is up or has never been up
