--- a/stairplank/proto/services.py
+++ b/stairplank/proto/services.py
@@ -1,4 +1,4 @@
-"""From generated service descriptors to the methods that ``stairplank.rpc`` serves and calls."""
+"""Converts generated service descriptors into the methods that ``stairplank.rpc`` serves and calls."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 def method_path(service: Any, method: str) -> str:
-    """``/package.Service/Method``. Raises KeyError for a method that the service has not."""
+    """Return a method's HTTP/2 path, ``/package.Service/Method``. Raises KeyError for an unknown method."""
     return f"/{service.full_name}/{service.methods_by_name[method].name}"
 
 
 def server_methods(service: Any, **handlers: Callable[..., Any]) -> dict[str, Method]:
-    """Methods by path for a server; every method of the service needs its handler.
+    """Return the methods of a service by path, for a server; every method needs a handler.
 
-    Raises HandlersMismatchError, which is a ValueError.
+    Raises HandlersMismatchError, a ValueError, if a handler is missing or matches no method.
     """
     unmatched = set(service.methods_by_name) ^ set(handlers)
     if unmatched:
@@ -50,7 +50,7 @@
     metadata: Metadata = (),
     timeout_s: float | None = None,
 ) -> Call:
-    """Open a call of any kind; ``timeout_s`` becomes its deadline. Raises RpcError."""
+    """Open a unary or streaming call; ``timeout_s`` sets its deadline. Raises RpcError."""
     decode = GetMessageClass(service.methods_by_name[method].output_type).FromString
     return channel.call(
         method_path(service, method),
--- a/stairplank/proto/standard.py
+++ b/stairplank/proto/standard.py
@@ -1,4 +1,4 @@
-"""The standard health and reflection services (grpc.health.v1, grpc.reflection.v1)."""
+"""Implements the standard health and reflection services (grpc.health.v1, grpc.reflection.v1)."""
 
 from __future__ import annotations
 
@@ -15,80 +15,80 @@
 
 
 class Health:
-    """Serving state by service name; the empty name is the whole server."""
+    """Serves the health state of each service by name; the empty name stands for the whole server."""
 
     def __init__(self, services: tuple[str, ...] = ()) -> None:
-        """Every service starts as SERVING."""
+        """Set every service to SERVING."""
         self._serving = dict.fromkeys(("", *services), True)
         self._changed = Event()
 
     def set(self, serving: bool) -> None:
-        """Change the state of every service and tell those who watch."""
+        """Set the state of every service and notify the clients that watch it."""
         self._serving = dict.fromkeys(self._serving, serving)
         self._changed.set()
         self._changed = Event()
 
     def methods(self) -> dict[str, Method]:
-        """The methods of grpc.health.v1.Health, for a server."""
+        """Return the methods of grpc.health.v1.Health, for a server."""
         service = health_pb2.DESCRIPTOR.services_by_name["Health"]
         return server_methods(service, Check=self._check, Watch=self._watch)
 
-    def _state(self, name: str) -> Any:
+    def _status(self, name: str) -> Any:
         if name not in self._serving:
             return Status.SERVICE_UNKNOWN
         return Status.SERVING if self._serving[name] else Status.NOT_SERVING
 
-    def _check(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - the signature of a handler
+    def _check(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - handlers take the call
         if request.service not in self._serving:
             raise RpcError(Code.NOT_FOUND, f"no service {request.service[:200]}")
-        return Status(status=self._state(request.service))
+        return Status(status=self._status(request.service))
 
     def _watch(self, request: Any, call: ServerCall) -> None:
         while True:
             changed = self._changed
-            call.send(Status(status=self._state(request.service)))
+            call.send(Status(status=self._status(request.service)))
             changed.wait()
 
 
 class Reflection:
-    """Gives clients the descriptors of the services, so that generic tools can call them."""
+    """Serves the service descriptors, so that generic clients such as grpcurl can call the services."""
 
     def __init__(self, services: tuple[str, ...]) -> None:
-        """``services`` are full names, as listed to clients."""
+        """Take the full names of the services to list to clients."""
         self._services = services
         self._pool = descriptor_pool.Default()
 
     def methods(self) -> dict[str, Method]:
-        """The methods of grpc.reflection.v1.ServerReflection, for a server."""
+        """Return the methods of grpc.reflection.v1.ServerReflection, for a server."""
         service = reflection_pb2.DESCRIPTOR.services_by_name["ServerReflection"]
-        return server_methods(service, ServerReflectionInfo=self._info)
+        return server_methods(service, ServerReflectionInfo=self._serve_info)
 
-    def _info(self, call: ServerCall) -> None:
+    def _serve_info(self, call: ServerCall) -> None:
         while (request := call.recv()) is not None:
-            call.send(self._answer(request))
+            call.send(self._response_to(request))
 
-    def _answer(self, request: Any) -> Any:
+    def _response_to(self, request: Any) -> Any:
         response = reflection_pb2.ServerReflectionResponse(valid_host=request.host, original_request=request)
         match request.WhichOneof("message_request"):
             case "list_services":
                 for name in self._services:
                     response.list_services_response.service.add(name=name)
             case "file_by_filename":
-                self._file(response, self._pool.FindFileByName, request.file_by_filename)
+                self._add_files(response, self._pool.FindFileByName, request.file_by_filename)
             case "file_containing_symbol":
-                self._file(response, self._pool.FindFileContainingSymbol, request.file_containing_symbol)
+                self._add_files(response, self._pool.FindFileContainingSymbol, request.file_containing_symbol)
             case _:
-                self._error(response, Code.UNIMPLEMENTED, "extensions are not used here")
+                self._set_error(response, Code.UNIMPLEMENTED, "extensions are not used here")
         return response
 
-    def _file(self, response: Any, find: Any, name: str) -> None:
+    def _add_files(self, response: Any, find: Any, name: str) -> None:
         try:
-            found = find(name)
+            requested = find(name)
         except KeyError:
-            self._error(response, Code.NOT_FOUND, f"{name[:200]} is not known")
+            self._set_error(response, Code.NOT_FOUND, f"{name[:200]} is not known")
             return
         files: dict[str, bytes] = {}
-        unvisited = [found]
+        unvisited = [requested]
         while unvisited:
             file = unvisited.pop()
             if file.name not in files:
@@ -97,6 +97,6 @@
         response.file_descriptor_response.file_descriptor_proto.extend(files.values())
 
     @staticmethod
-    def _error(response: Any, code: Code, text: str) -> None:
+    def _set_error(response: Any, code: Code, text: str) -> None:
         response.error_response.error_code = int(code)
         response.error_response.error_message = text
--- a/stairplank/rpc/__init__.py
+++ b/stairplank/rpc/__init__.py
@@ -1,8 +1,8 @@
-"""gRPC over HTTP/2 on gevent sockets: server, client, and proof of which calls never ran.
+"""gRPC over HTTP/2 on gevent sockets: a server, and a client that can prove that a failed call never ran.
 
-Source: the gRPC HTTP/2 protocol document (PROTOCOL-HTTP2) and RFC 9113. ``docs/design/running-planner.md``
-says why this stands beside grpcio, whose stock client and server are the outside witness in the tests.
-Names are imported on first use: a program that needs only addresses does not load h2.
+Implements the gRPC HTTP/2 protocol document (PROTOCOL-HTTP2) and RFC 9113. The tests check conformance
+against grpcio's client and server; ``docs/design/running-planner.md`` explains why the planner does not use
+grpcio itself. Names are imported on first use, so that a program that needs only addresses does not load h2.
 """
 
 from importlib import import_module
--- a/stairplank/rpc/address.py
+++ b/stairplank/rpc/address.py
@@ -1,4 +1,4 @@
-"""Addresses of endpoints: ``127.0.0.1:7400``, ``[::1]:7400``, ``unix:/run/x.sock``."""
+"""Parses endpoint addresses and opens sockets: ``127.0.0.1:7400``, ``[::1]:7400``, ``unix:/run/x.sock``."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 def parse(text: str) -> tuple[int, Any]:
-    """Address family and socket address. Raises AddressError, which is a ValueError."""
+    """Parse an address. Returns its family and socket address; raises AddressError, a ValueError."""
     if text.startswith(UNIX_PREFIX):
         path = text.removeprefix(UNIX_PREFIX)
         if not path or len(path.encode()) > MAX_UNIX_PATH_BYTES:
-            raise AddressError(text, f"a Unix socket path of 1 to {MAX_UNIX_PATH_BYTES} bytes is needed")
+            raise AddressError(text, f"the Unix socket path must be 1 to {MAX_UNIX_PATH_BYTES} bytes long")
         return socket.AF_UNIX, path
     host, colon, port = text.rpartition(":")
     if not colon or not port.isdigit() or int(port) > MAX_PORT:
-        raise AddressError(text, f"host:port with a port of 0 to {MAX_PORT} is needed")
+        raise AddressError(text, f"must be host:port with a port of 0 to {MAX_PORT}")
     if host.startswith("[") and host.endswith("]"):
         host = host[1:-1]
     elif ":" in host:
@@ -42,13 +42,13 @@
 
 
 def is_loopback(text: str) -> bool:
-    """Whether an address stays on this machine."""
+    """Return whether an address can be reached only from this machine."""
     family, socket_address = parse(text)
     return family == socket.AF_UNIX or ipaddress.ip_address(socket_address[0]).is_loopback
 
 
 def listen(text: str, backlog: int = 256) -> tuple[Any, str]:
-    """A listening socket and the address it really has (port 0 takes a free one)."""
+    """Open a listening socket. Returns it with its bound address, as port 0 selects a free port."""
     family, socket_address = parse(text)
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -66,11 +66,11 @@
 
 
 def limit_kernel_buffering(sock: Any, timeout_s: float) -> None:
-    """Leave few bytes unsent in the kernel, and not for long, where the system can.
+    """Limit how many unsent bytes the kernel buffers, and for how long, if the system supports it.
 
-    Bytes that the peer does not acknowledge for ``timeout_s`` end the connection. The socket counts as
-    writable only while the kernel has few bytes unsent: what has not left stays with us, where it is proven
-    not to have left, and can be dropped.
+    The kernel closes the connection if the peer acknowledges no data for ``timeout_s``. The socket is
+    writable only while the kernel holds few unsent bytes: other messages stay in the process, which knows
+    that they were not sent and can still drop them.
     """
     if sock.family == socket.AF_UNIX:
         return
@@ -85,10 +85,10 @@
 
 
 def abort(sock: Any) -> None:
-    """Close a socket so that its kernel sends no more of what was written: the peer sees a reset.
+    """Close a socket and discard its unsent data; the peer receives a TCP reset.
 
-    Danger: a plain close goes on delivering. Over a path that heals later, offers of a link that was given up
-    would reach their node all the same.
+    After a plain close, the kernel continues to send buffered data: once a network fault ends, the offers
+    of a link that was already given up would still reach their node.
     """
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -96,7 +96,7 @@
 
 
 def render(name: Any) -> str:
-    """The text of a socket's name, as ``getsockname`` and ``accept`` give it."""
+    """Return the text form of a socket name as returned by ``getsockname`` or ``accept``."""
     if isinstance(name, bytes):
         return UNIX_PREFIX + name.decode(errors="replace")
     if isinstance(name, str):
@@ -106,7 +106,7 @@
 
 
 def dial(text: str, timeout_s: float) -> Any:
-    """A connected socket without delay for small writes. Raises OSError or TimeoutError."""
+    """Connect to an address. Returns a socket with Nagle's algorithm off; raises OSError or TimeoutError."""
     family, socket_address = parse(text)
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
--- a/stairplank/rpc/client.py
+++ b/stairplank/rpc/client.py
@@ -1,4 +1,4 @@
-"""The calling end: one connection to one address, calls on it, and what a failed call proves."""
+"""Client side of gRPC: a channel to one address and the calls on it."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class Call:
-    """One call. ``recv`` gives messages until None; a status other than OK is raised as RpcError."""
+    """A call. ``recv`` returns messages, then None; a status other than OK is raised as RpcError."""
 
     def __init__(self, connection: ClientConnection, stream: Stream, encode: Any, decode: Any) -> None:
-        """``encode`` turns a message into bytes, ``decode`` bytes into a message."""
+        """Take ``encode``, which serializes a message, and ``decode``, which parses one."""
         self._connection = connection
         self.stream = stream
         self._encode = encode
@@ -35,18 +35,21 @@
         self.stream.send(self._encode(message), timeout_s)
 
     def try_send(self, message: Any) -> bool:
-        """Queue without waiting; False at the bound of unsent bytes."""
+        """Queue a message without waiting. Returns False if the limit of unsent bytes is reached."""
         return self.stream.try_send(self._encode(message))
 
     def close_send(self) -> None:
-        """Close the local side once the queued messages have left."""
+        """Close the local side of the stream once the queued messages are sent."""
         stream = self.stream
         if stream.error is None and stream.send_end is None and not stream.local_closed:
             stream.send_end = lambda: self._connection.h2.end_stream(stream.id)
             self._connection.schedule_write(stream)
 
     def recv(self, timeout_s: float | None = None) -> Any:
-        """The next message, or None at a good end. Raises RpcError; after ``timeout_s`` the call goes on."""
+        """Return the next message, or None after the last one.
+
+        Raises RpcError if the call fails, and after ``timeout_s``, which leaves the call open.
+        """
         raw = self.stream.recv(timeout_s)
         if raw is None:
             error = self._connection.status_of(self.stream)
@@ -56,20 +59,20 @@
         return self._decode(raw)
 
     def result(self) -> Any:
-        """The one response of a unary answer. Raises RpcError."""
+        """Return the single response of a call that has exactly one. Raises RpcError."""
         message = self.recv()
         if message is None:
-            raise RpcError(Code.INTERNAL, "OK without a response message")
+            raise RpcError(Code.INTERNAL, "status OK without a response message")
         if self.recv() is not None:
             raise RpcError(Code.INTERNAL, "more than one response message")
         return message
 
     def cancel(self) -> None:
-        """End the call from here; who waits on it gets CANCELLED."""
+        """Cancel the call; a greenlet that waits in ``send`` or ``recv`` gets CANCELLED."""
         self._reset(RpcError(Code.CANCELLED, "cancelled by the caller"))
 
     def expire(self) -> None:
-        """The deadline has passed: end the call unless it has ended already."""
+        """End the call with DEADLINE_EXCEEDED, unless it has ended already."""
         if not self.stream.remote_closed and self.stream.error is None:
             self._reset(RpcError(Code.DEADLINE_EXCEEDED, "deadline exceeded"))
 
@@ -77,32 +80,32 @@
         self._connection.reset(self.stream, h2.errors.ErrorCodes.CANCEL, error)
 
     def unsent_count(self) -> int:
-        """Messages queued of which not one byte was handed to the connection: they never reached the peer."""
+        """Return how many queued messages cannot have reached the peer because no byte was sent."""
         return self.stream.messages_queued - self.stream.messages_started
 
     @property
     def initial_metadata(self) -> Metadata:
-        """Custom metadata of the response headers."""
+        """The custom metadata in the response headers."""
         return decode_metadata(self.stream.initial_headers or ())
 
     @property
     def trailing_metadata(self) -> Metadata:
-        """Custom metadata of the trailers."""
+        """The custom metadata in the trailers."""
         return decode_metadata(self.stream.trailers or ())
 
 
 class Channel:
-    """A connection to one address. It is not renewed by itself: who uses it decides when to dial again."""
+    """A connection to one address; after it is lost, the next call or ``connect`` dials again."""
 
     def __init__(self, target: str, limits: Limits | None = None, dial_timeout_s: float = 2.0) -> None:
-        """Nothing is dialled before the first call; ``dial_timeout_s`` includes the peer's SETTINGS."""
+        """Create a channel that dials on first use; ``dial_timeout_s`` includes the wait for SETTINGS."""
         self.target = target
         self.limits = limits or Limits()
         self.dial_timeout_s = dial_timeout_s
         self.connection: ClientConnection | None = None
 
     def connect(self) -> ClientConnection:
-        """Dial and wait for the peer's SETTINGS. Raises RpcError with never_ran."""
+        """Return the open connection, dialling it if there is none. Raises RpcError with ``never_ran``."""
         if self.connection is not None and self.connection.close_error is None:
             return self.connection
         deadline_s = time.monotonic() + self.dial_timeout_s
@@ -115,8 +118,8 @@
         connection.start()
         wait_s = max(MIN_HANDSHAKE_WAIT_S, deadline_s - time.monotonic())
         if not connection.settings_received.wait(wait_s):
-            connection.close(RpcError(Code.UNAVAILABLE, "no HTTP/2 settings came"))
-            raise self._unavailable("no HTTP/2 settings")
+            connection.close(RpcError(Code.UNAVAILABLE, "no HTTP/2 SETTINGS received"))
+            raise self._unavailable("no HTTP/2 SETTINGS received")
         if connection.close_error is not None:
             raise self._unavailable(connection.close_error.message)
         self.connection = connection
@@ -134,7 +137,7 @@
         metadata: Metadata = (),
         timeout_s: float | None = None,
     ) -> Call:
-        """Open a call of any kind; ``timeout_s`` is the deadline that the server is told as well."""
+        """Open a unary or streaming call; ``timeout_s`` is its deadline, which is also sent to the server."""
         connection = self.connect()
         stream = connection.open(path, metadata, timeout_s)
         call = Call(connection, stream, encode, decode)
@@ -151,7 +154,7 @@
         metadata: Metadata = (),
         timeout_s: float | None = None,
     ) -> Any:
-        """One request, one response. Raises RpcError."""
+        """Make a unary call. Returns its response; raises RpcError."""
         call = self.call(
             path,
             lambda message: message.SerializeToString(),
@@ -168,6 +171,6 @@
                 call.deadline_timer.kill(block=False)
 
     def close(self, abort: bool = False) -> None:
-        """Close the connection. ``abort``: what was written and has not left yet is not sent any more."""
+        """Close the connection; ``abort`` discards data that the kernel has not sent yet."""
         if self.connection is not None:
             self.connection.close(abort=abort)
--- a/stairplank/rpc/client_connection.py
+++ b/stairplank/rpc/client_connection.py
@@ -1,4 +1,4 @@
-"""The calling end of a connection: opens streams and reads how they ended."""
+"""Client side of a connection: opens streams and reads their status."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 from .status import Code, RpcError, error_from_http_status, error_from_reset
 from .stream import Stream
 
-MAX_STREAMS = 1 << 30  # where the peer names no bound
+MAX_STREAMS = 1 << 30  # upper limit if the SETTINGS of the peer set none
 USER_AGENT = "grpc-python-stairplank/1"
 
 
 class ClientConnection(Connection):
-    """A connection that was dialled."""
+    """The client side of a connection."""
 
     def __init__(self, sock: Any, limits: Limits, authority: str) -> None:
-        """``authority`` is the value of the ``:authority`` header of each call."""
+        """Take a connected socket and the ``:authority`` header that each call sends."""
         super().__init__(sock, True, limits)
         self.authority = authority
 
     def open(self, path: str, metadata: Metadata, timeout_s: float | None) -> Stream:
-        """Open a stream and queue its request headers. Raises RpcError, with ``never_ran``."""
+        """Open a stream and queue its request headers. Raises RpcError with ``never_ran``."""
         self._check_may_open()
         headers = [
             (":method", "POST"),
@@ -58,12 +58,14 @@
         if self.close_error is not None:
             raise RpcError(Code.UNAVAILABLE, self.close_error.message, never_ran=True)
         if self.peer_last_stream_id is not None:
-            raise RpcError(Code.UNAVAILABLE, "the peer takes no new calls", never_ran=True)
+            raise RpcError(Code.UNAVAILABLE, "the peer sent GOAWAY and accepts no new calls", never_ran=True)
         if len(self.streams) >= min(self.h2.remote_settings.max_concurrent_streams, MAX_STREAMS):
-            raise RpcError(Code.RESOURCE_EXHAUSTED, "all streams are in use", never_ran=True)
+            raise RpcError(
+                Code.RESOURCE_EXHAUSTED, "the limit of concurrent streams is reached", never_ran=True
+            )
 
     def status_of(self, stream: Stream) -> RpcError | None:
-        """How an ended stream ended: None for OK."""
+        """Return the error that an ended stream's status stands for, or None for OK."""
         initial_headers = stream.initial_headers or []
         status_headers = initial_headers if stream.trailers is None else stream.trailers
         fields = dict(status_headers)
@@ -81,7 +83,7 @@
         return RpcError(code, message, trailers=decode_metadata(status_headers))
 
     def on_headers(self, stream_id: int, headers: Headers) -> None:
-        """Keep the response headers, and refuse a response that is not gRPC or is compressed."""
+        """Store the response headers; reject a response that is not gRPC or is compressed."""
         stream = self.streams.get(stream_id)
         if stream is None:
             return
@@ -93,11 +95,11 @@
         if not fields.get("content-type", "").startswith(CONTENT_TYPE):
             stream.trailers = [("grpc-status", "2"), ("grpc-message", "the response is not gRPC")]
         elif encoding != IDENTITY:
-            error = RpcError(Code.INTERNAL, f"response encoding {encoding[:40]} was not offered")
+            error = RpcError(Code.INTERNAL, f"response encoding {encoding[:40]} is not supported")
             self.reset(stream, h2.errors.ErrorCodes.CANCEL, error)
 
     def on_remote_closed(self, stream: Stream) -> None:
-        """The response is complete: what the local side has not sent yet is no longer wanted."""
+        """Handle the end of the response: drop unsent messages, as the server no longer needs them."""
         if not stream.local_closed:
             stream.drop_unsent()
             self.send_reset(stream.id, h2.errors.ErrorCodes.NO_ERROR)
@@ -107,12 +109,14 @@
             stream.on_error(self.status_of(stream) or RpcError(Code.OK))
 
     def on_remote_reset(self, stream: Stream, error_code: int) -> None:
-        """A reset with NO_ERROR after the trailers ends a complete response; any other is an error."""
+        """Fail the stream, unless the reset is NO_ERROR after the trailers of a complete response."""
         if stream.trailers is None or error_code != h2.errors.ErrorCodes.NO_ERROR:
             stream.fail(error_from_reset(error_code))
 
     def on_invalid_message(self, stream: Stream, error: RpcError) -> None:
-        """Cancel the call."""
-        if error.code is Code.UNIMPLEMENTED:  # a compressed message that nobody asked for
+        """Cancel the call, as the server has sent an invalid message."""
+        if (
+            error.code is Code.UNIMPLEMENTED
+        ):  # the server sent a compressed message although the client accepts none
             error = RpcError(Code.INTERNAL, error.message)
         self.reset(stream, h2.errors.ErrorCodes.CANCEL, error)
--- a/stairplank/rpc/connection.py
+++ b/stairplank/rpc/connection.py
@@ -1,13 +1,13 @@
-"""One HTTP/2 connection on a gevent socket, shared by server and client.
+"""HTTP/2 connection on a gevent socket: the common base of the server side and the client side.
 
-One greenlet reads and one writes; h2 holds the protocol's state between them and never blocks.
+One greenlet reads and one writes; h2 keeps the protocol state that they share and never blocks.
 
-Bounds (``Limits``), each with its answer: a message over ``max_message_bytes`` ends its stream with
-RESOURCE_EXHAUSTED; a stream's unread bytes end at its flow-control window; the unread bytes of all streams of
-a connection end at ``max_unread_bytes``, past which the connection window is not opened again until something
-is read; a stream's unsent bytes end at ``max_unsent_bytes``, past which ``send`` waits and ``try_send``
-returns False; streams past ``max_streams`` are refused with REFUSED_STREAM; resets or pings in a flood end
-the connection with ENHANCE_YOUR_CALM.
+The following limits (``Limits``) are enforced: a message over ``max_message_bytes`` ends its stream with
+RESOURCE_EXHAUSTED. The unread bytes of a stream are limited by its flow-control window. If the unread bytes
+of all streams exceed ``max_unread_bytes``, the connection window is not reopened until messages are read. If
+the unsent bytes of a stream would exceed ``max_unsent_bytes``, ``send`` waits and ``try_send`` returns False.
+Streams beyond ``max_streams`` are refused with REFUSED_STREAM. A flood of RST_STREAM or PING frames ends the
+connection with ENHANCE_YOUR_CALM.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 from .stream import ReceivedMessage, Stream
 from .writer import ConnectionWriter
 
-DEFAULT_WINDOW_BYTES = 65_535  # of a connection, before any WINDOW_UPDATE
+DEFAULT_WINDOW_BYTES = 65_535  # initial connection window that RFC 9113 defines
 READ_BYTES = 65_536
 UNLIMITED_STREAMS = 2**31 - 1
 
@@ -65,19 +65,19 @@
 
 
 class Connection(ABC):
-    """The common half of both ends. Subclasses say what headers and resets mean.
+    """Base class of client and server connections, which handle headers, resets and invalid messages.
 
     Attributes:
-        streams: the open streams by id.
+        streams: the open streams, by id.
         close_error: why the connection is closed, or None while it is open.
-        peer_last_stream_id: from the peer's GOAWAY: it processes no stream above; None before one came.
-        draining: the local side opens, or accepts, no more streams.
-        last_received_s: ``time.monotonic()`` of the last bytes from the peer.
-        settings_received: set once the peer's SETTINGS have come, or the connection is closed.
+        peer_last_stream_id: highest stream id that the peer processes, from its GOAWAY; None before a GOAWAY.
+        draining: whether the local side accepts no new streams.
+        last_received_s: ``time.monotonic()`` when data was last received.
+        settings_received: set once the peer's SETTINGS are received or the connection is closed.
     """
 
     def __init__(self, sock: Any, client_side: bool, limits: Limits) -> None:
-        """Take over a connected socket; nothing is sent before ``start``."""
+        """Take ownership of a connected socket; nothing is sent before ``start``."""
         self.sock = sock
         self.limits = limits
         self.h2 = _new_protocol(limits, client_side=client_side)
@@ -103,8 +103,9 @@
         self.h2.initiate_connection()
         if limits.connection_window_bytes > DEFAULT_WINDOW_BYTES:
             self.h2.increment_flow_control_window(limits.connection_window_bytes - DEFAULT_WINDOW_BYTES)
-        # The peer learns the bound by SETTINGS; what it opened before reading them is refused by stream
-        # (REFUSED_STREAM proves that it never ran), not by an error that ends the connection.
+        # SETTINGS tell the peer the limit. h2 must not enforce it, as that would end the connection when the
+        # peer has opened more streams before it read the SETTINGS: such streams are refused one by one
+        # instead, with REFUSED_STREAM, which proves that their calls never ran.
         self.h2.local_settings[h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS] = UNLIMITED_STREAMS
         self.h2.local_settings.acknowledge()
         self._writer.wake()
@@ -112,19 +113,19 @@
         if limits.keepalive_interval_s > 0:
             self._greenlets.append(gevent.spawn(run_keepalive, self))
 
-    # For streams
+    # Methods that the streams use
 
     def schedule_write(self, stream: Stream) -> None:
-        """A stream has something to send."""
+        """Mark a stream as ready to send and wake the writer."""
         self._writer.mark_ready(stream.id)
         self._writer.wake()
 
     def message_consumed(self, stream: Stream, received: ReceivedMessage) -> None:
-        """A message has left a stream's receive queue: its bytes open the window again."""
+        """Credit the flow-control windows for a message that was read from a stream."""
         self._windows.message_consumed(stream, received, is_open=self.close_error is None)
 
     def reset(self, stream: Stream, error_code: int, error: RpcError) -> None:
-        """Cancel a stream: the peer sees RST_STREAM, the stream's user sees ``error``."""
+        """Cancel a stream: send RST_STREAM to the peer and fail the stream locally with ``error``."""
         if self.close_error is None and not stream.is_closed():
             self.send_reset(stream.id, error_code)
             self._writer.wake()
@@ -133,20 +134,20 @@
         self.remove_stream(stream)
 
     def send_reset(self, stream_id: int, error_code: int) -> None:
-        """Queue RST_STREAM, unless the stream is closed already; the writer is not woken."""
+        """Queue RST_STREAM without waking the writer, unless the stream is closed already."""
         with contextlib.suppress(h2.exceptions.ProtocolError):
             self.h2.reset_stream(stream_id, error_code)
 
     def remove_stream(self, stream: Stream) -> None:
-        """Forget a stream that is over."""
+        """Remove a closed stream from the connection."""
         if self.streams.pop(stream.id, None) is not None:
             self._writer.remove(stream.id)
             self.on_stream_closed(stream)
 
-    # For the connection as a whole
+    # Methods that act on the whole connection
 
     def send_goaway(self, last_stream_id: int, error_code: int, debug_text: str = "") -> None:
-        """Send GOAWAY without closing; h2's own would end the connection."""
+        """Send GOAWAY and keep the connection open, which h2's own method would close."""
         goaway = GoAwayFrame(
             0,
             last_stream_id=last_stream_id,
@@ -162,7 +163,7 @@
         self._writer.wake()
 
     def close(self, error: RpcError | None = None, abort: bool = False) -> None:
-        """Close the socket; every open stream ends with ``error``. ``abort``: and nothing more is sent."""
+        """Close the socket and fail every open stream with ``error``; ``abort`` discards unsent data."""
         if self.close_error is not None:
             return
         self.close_error = error or RpcError(Code.CANCELLED, "connection closed")
@@ -185,7 +186,7 @@
             stream.fail(error)
             self.remove_stream(stream)
 
-    # Loops
+    # Read and write loops
 
     def _read_loop(self) -> None:
         error = RpcError(Code.UNAVAILABLE, "connection closed by the peer")
@@ -194,8 +195,8 @@
                 self.last_received_s = time.monotonic()
                 self._receive(data)
         except h2.exceptions.ProtocolError as problem:
-            error = RpcError(Code.UNAVAILABLE, f"HTTP/2 broken by the peer: {problem}")
-            self._writer.flush_last()
+            error = RpcError(Code.UNAVAILABLE, f"HTTP/2 protocol error: {problem}")
+            self._writer.flush_final()
         except (OSError, EOFError) as problem:
             error = RpcError(Code.UNAVAILABLE, f"connection lost: {problem}")
         self.close(error)
@@ -206,12 +207,12 @@
         if data:
             for event in self.h2.receive_data(data):
                 self._handle(event)
-        # The writer is woken only where there is something to write: with many links most of what
-        # comes wants no answer, and each needless turn costs as much as reading it.
-        answer = self.h2.data_to_send()
-        if answer:
-            self._writer.queue_frames(answer)
-        if answer or self._writer.has_ready_streams:
+        # The writer is woken only if there is data to write: with many connections, most received data
+        # needs no reply, and waking the writer for nothing costs as much as reading the data.
+        reply = self.h2.data_to_send()
+        if reply:
+            self._writer.queue_frames(reply)
+        if reply or self._writer.has_ready_streams:
             self._writer.wake()
 
     def _write_loop(self) -> None:
@@ -220,9 +221,9 @@
         except (OSError, EOFError) as problem:
             self.close(RpcError(Code.UNAVAILABLE, f"connection lost: {problem}"))
         except h2.exceptions.ProtocolError as problem:
-            self.close(RpcError(Code.INTERNAL, f"HTTP/2: {problem}"))
+            self.close(RpcError(Code.INTERNAL, f"HTTP/2 protocol error while writing: {problem}"))
 
-    # Received frames
+    # Handlers of received frames
 
     def _handle(self, event: h2.events.Event) -> None:
         match event:
@@ -242,7 +243,7 @@
                 self._handle_control(event)
 
     def _handle_control(self, event: h2.events.Event) -> None:
-        """Frames that carry nothing of a call."""
+        """Handle the frames that do not belong to a call: WINDOW_UPDATE, SETTINGS and PING."""
         match event:
             case h2.events.WindowUpdated():
                 if event.stream_id:
@@ -299,31 +300,34 @@
                 self._fail_streams([stream], RpcError(Code.UNAVAILABLE, str(goaway), never_ran=True))
 
     def _check_flood(self, kind: ControlFrame) -> None:
-        """Danger: resets and pings are cheap to send and cost us work (rapid reset)."""
+        """End the connection on a flood of RST_STREAM or PING frames (rapid reset).
+
+        These frames are cheap to send but costly to process, so a peer could otherwise overload this process.
+        """
         if self._flood_guard.is_flood(kind):
             code = h2.errors.ErrorCodes.ENHANCE_YOUR_CALM
             self.send_goaway(self.h2.highest_inbound_stream_id, code, kind)
             raise h2.exceptions.ProtocolError(f"too many frames of kind {kind}")
 
-    # What the two ends do differently
+    # Hooks that the client and server connections implement
 
     @abstractmethod
     def on_headers(self, stream_id: int, headers: Headers) -> None:
-        """The peer has sent a stream's first header block."""
+        """Handle the first header block of a stream."""
 
     @abstractmethod
     def on_remote_reset(self, stream: Stream, error_code: int) -> None:
-        """The peer has cancelled a stream."""
+        """Handle an RST_STREAM frame from the peer."""
 
     @abstractmethod
     def on_invalid_message(self, stream: Stream, error: RpcError) -> None:
-        """The peer has sent a message that is malformed or too large."""
+        """Handle a received message that is malformed or too large."""
 
-    def on_remote_closed(self, stream: Stream) -> None:  # noqa: B027 - an optional hook, empty on purpose
-        """The peer has sent its last message of a stream."""
+    def on_remote_closed(self, stream: Stream) -> None:  # noqa: B027 - an optional hook
+        """Handle the end of the peer's side of a stream."""
 
-    def on_stream_closed(self, stream: Stream) -> None:  # noqa: B027 - an optional hook, empty on purpose
-        """Called once when a stream is over on both sides."""
+    def on_stream_closed(self, stream: Stream) -> None:  # noqa: B027 - an optional hook
+        """Handle the removal of a stream; called once for each stream."""
 
-    def on_closed(self) -> None:  # noqa: B027 - an optional hook, empty on purpose
-        """Called once when the connection is closed."""
+    def on_closed(self) -> None:  # noqa: B027 - an optional hook
+        """Handle the close of the connection; called once."""
--- a/stairplank/rpc/errors.py
+++ b/stairplank/rpc/errors.py
@@ -1,54 +1,56 @@
-"""Errors of the transport: one base, and one type for each kind of malformed input."""
+"""Exceptions of the transport: a base class, and a class for each kind of malformed input."""
 
 from __future__ import annotations
 
 
 class TransportError(Exception):
-    """Base of every error that ``stairplank.rpc`` raises itself."""
+    """Base class of the exceptions that ``stairplank.rpc`` defines."""
 
 
 class AddressError(TransportError, ValueError):
-    """An endpoint address that cannot be used."""
+    """An endpoint address is malformed."""
 
     def __init__(self, address: str, problem: str) -> None:
-        """Keep the address as it was written and what is wrong with it."""
+        """Store the address as given and a description of the problem."""
         super().__init__(f"address {address!r}: {problem}")
         self.address = address
         self.problem = problem
 
 
 class TimeoutFormatError(TransportError, ValueError):
-    """A ``grpc-timeout`` header that the protocol does not allow."""
+    """A ``grpc-timeout`` header does not follow the gRPC protocol."""
 
     def __init__(self, header: str) -> None:
-        """Keep the value of the header."""
+        """Store the value of the header."""
         super().__init__(f"grpc-timeout {header!r} is not 1 to 8 digits and a unit of H M S m u n")
         self.header = header
 
 
 class MetadataKeyError(TransportError, ValueError):
-    """A metadata key that is malformed or reserved."""
+    """A metadata key is malformed or reserved."""
 
     def __init__(self, key: str) -> None:
-        """Keep the key."""
-        super().__init__(f"metadata key {key!r} cannot be sent")
+        """Store the metadata key."""
+        super().__init__(f"metadata key {key!r} is malformed or reserved")
         self.key = key
 
 
 class MetadataValueError(TransportError, ValueError):
-    """A metadata value that is not printable ASCII under a key without ``-bin``."""
+    """A metadata value is not printable ASCII, which a key without the suffix ``-bin`` requires."""
 
     def __init__(self, key: str) -> None:
-        """Keep the key of the value."""
-        super().__init__(f"metadata value of {key!r} is not printable ASCII; name the key {key}-bin")
+        """Store the metadata key of the value."""
+        super().__init__(
+            f"metadata value of {key!r} is not printable ASCII; binary values need the key {key}-bin"
+        )
         self.key = key
 
 
 class HandlersMismatchError(TransportError, ValueError):
-    """A service whose handlers and methods are not the same."""
+    """The handlers given for a service do not match its methods."""
 
     def __init__(self, service: str, names: list[str]) -> None:
-        """Keep the service's full name and the names that only one side has."""
-        super().__init__(f"{service}: handlers and methods differ in {names}")
+        """Store the service's full name and the names that have a handler or a method but not both."""
+        super().__init__(f"{service}: missing or unknown handlers: {names}")
         self.service = service
         self.names = names
--- a/stairplank/rpc/flood_guard.py
+++ b/stairplank/rpc/flood_guard.py
@@ -1,4 +1,4 @@
-"""Limits on frames that are cheap to send and costly to answer (CVE-2023-44487, rapid reset)."""
+"""Rate limit for frames that are cheap to send and costly to process (rapid reset, CVE-2023-44487)."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class ControlFrame(StrEnum):
-    """Kinds of frames that are counted; the value is the debug data of the GOAWAY that a flood is given."""
+    """Rate-limited frame types; the value is sent as debug data in the GOAWAY that answers a flood."""
 
     RESET = "reset"
     PING = "ping"
 
 
 class FloodGuard:
-    """Counts the peer's control frames of the last ten seconds, by kind."""
+    """Counts the control frames received from the peer in the last ten seconds, by kind."""
 
     def __init__(self, max_frames: int) -> None:
-        """``max_frames`` of one kind within ``FLOOD_SPAN_S`` are let pass."""
+        """Allow at most ``max_frames`` frames of one kind within ``FLOOD_SPAN_S``."""
         self._max_frames = max_frames
         self._times_s: dict[ControlFrame, deque[float]] = {kind: deque() for kind in ControlFrame}
 
     def is_flood(self, kind: ControlFrame) -> bool:
-        """Count one frame; True where there are too many."""
+        """Count a received frame. Returns True if its kind now exceeds the limit."""
         times_s = self._times_s[kind]
         now_s = time.monotonic()
         times_s.append(now_s)
--- a/stairplank/rpc/framing.py
+++ b/stairplank/rpc/framing.py
@@ -1,4 +1,4 @@
-"""The parts of the gRPC protocol that are bytes and text: message prefix, timeouts, status text, metadata."""
+"""Encodes and decodes the gRPC wire format: message prefix, timeouts, status messages, metadata."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 Metadata = tuple[tuple[str, str | bytes], ...]
 
 CONTENT_TYPE = "application/grpc"
-IDENTITY = "identity"  # the one message encoding that is spoken here
+IDENTITY = "identity"  # the only supported message encoding
 MAX_TIMEOUT_COUNT = 99_999_999
 PREFIX = struct.Struct(">BI")  # compressed flag, length
 PREFIX_BYTES = PREFIX.size
@@ -30,25 +30,25 @@
 
 
 def encode_message(message: bytes) -> bytes:
-    """A length-prefixed, uncompressed message."""
+    """Return a message with its length prefix, uncompressed."""
     return PREFIX.pack(0, len(message)) + message
 
 
 class MessageDecoder:
-    """Cuts the bytes of a stream into messages; holds at most one incomplete message."""
+    """Splits the bytes of a stream into messages; buffers at most one incomplete message."""
 
     def __init__(self, max_message_bytes: int) -> None:
-        """A message over ``max_message_bytes`` is an error."""
+        """Reject messages larger than ``max_message_bytes``."""
         self._max_message_bytes = max_message_bytes
         self._buffer = bytearray()
 
     @property
     def partial_bytes(self) -> int:
-        """Bytes of the message that is still incomplete."""
+        """Number of buffered bytes of the incomplete message."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that ``data`` completes. Raises RpcError where the peer breaks the format."""
+        """Return the messages that ``data`` completes. Raises RpcError if the format is invalid."""
         buffer = self._buffer
         buffer += data
         messages: list[bytes] = []
@@ -79,7 +79,7 @@
 
 
 def encode_timeout(seconds: float) -> str:
-    """``grpc-timeout``, rounded up, in the finest unit that fits into eight digits."""
+    """Return a ``grpc-timeout`` value, rounded up, in the finest unit that fits into eight digits."""
     if seconds <= 0:
         return "0n"
     for unit, per_second in _UNITS_FINEST_FIRST:
@@ -90,7 +90,7 @@
 
 
 def decode_timeout(text: str) -> float:
-    """Seconds. Raises TimeoutFormatError for what the protocol does not allow."""
+    """Return a ``grpc-timeout`` value in seconds. Raises TimeoutFormatError if it is malformed."""
     match = _TIMEOUT_PATTERN.fullmatch(text)
     if match is None:
         raise TimeoutFormatError(text)
@@ -98,7 +98,7 @@
 
 
 def encode_status_message(text: str) -> str:
-    """``grpc-message``: percent-encoded UTF-8."""
+    """Return a status message as a ``grpc-message`` value, which is percent-encoded UTF-8."""
     return "".join(
         chr(byte) if 0x20 <= byte <= 0x7E and byte != 0x25 else f"%{byte:02X}"
         for byte in text.encode("utf-8")
@@ -106,13 +106,13 @@
 
 
 def decode_status_message(text: str) -> str:
-    """The text of a ``grpc-message`` header; what is not UTF-8 is replaced."""
+    """Return the text of a ``grpc-message`` header, with invalid UTF-8 replaced."""
     raw = re.sub(r"%([0-9A-Fa-f]{2})", lambda match: chr(int(match[1], 16)), text)
     return raw.encode("latin-1", "replace").decode("utf-8", "replace")
 
 
 def encode_metadata(metadata: Iterable[tuple[str, str | bytes]]) -> Headers:
-    """Headers for metadata; keys ending in -bin carry bytes. Raises MetadataKeyError, MetadataValueError."""
+    """Return metadata as headers; -bin keys carry bytes. Raises MetadataKeyError, MetadataValueError."""
     headers: Headers = []
     for key, value in metadata:
         if not _METADATA_KEY_PATTERN.fullmatch(key) or key.startswith(_RESERVED_KEYS):
@@ -129,7 +129,7 @@
 
 
 def decode_metadata(headers: Iterable[tuple[str, str]]) -> Metadata:
-    """Custom metadata among received headers. Unreadable -bin values are passed over."""
+    """Return the custom metadata in received headers. Values of -bin keys that are not base64 are skipped."""
     metadata: list[tuple[str, str | bytes]] = []
     for key, value in headers:
         if key.startswith(_RESERVED_KEYS):
--- a/stairplank/rpc/goaway.py
+++ b/stairplank/rpc/goaway.py
@@ -1,6 +1,6 @@
-"""GOAWAY frames, taken out of the received bytes before h2 sees them.
+"""Removes GOAWAY frames from the received bytes before h2 processes them.
 
-h2 closes a connection at the first GOAWAY, but a graceful one lets the open streams end.
+h2 closes a connection at the first GOAWAY, but open streams must be able to finish after a graceful GOAWAY.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 CONNECTION_PREFACE_START = b"PRI"
 FRAME_HEADER_BYTES = 9
 GOAWAY_FRAME_TYPE = 0x7
-MAX_GOAWAY_BYTES = 65_536  # a longer one is left to h2
+MAX_GOAWAY_BYTES = 65_536  # longer GOAWAY frames are left to h2
 MIN_GOAWAY_BYTES = 8
 MAX_DEBUG_BYTES = 192
 
@@ -21,13 +21,13 @@
 class GoAway:
     """A received GOAWAY frame."""
 
-    last_stream_id: int  # streams above it were not processed by the peer
+    last_stream_id: int  # the peer has not processed streams with a higher id
     error_code: int
     debug_data: bytes
 
     @classmethod
     def from_payload(cls, payload: bytes) -> GoAway | None:
-        """Read a frame's payload; None where it is too short."""
+        """Parse a frame's payload. Returns None if it is too short."""
         if len(payload) < MIN_GOAWAY_BYTES:
             return None
         return cls(
@@ -37,22 +37,22 @@
         )
 
     def __str__(self) -> str:
-        """One line for errors and logs."""
+        """Return a one-line description for errors and logs."""
         debug_text = self.debug_data.decode("ascii", "replace")
-        return f"the peer went away (HTTP/2 error {self.error_code}) {debug_text}".rstrip()
+        return f"the peer sent GOAWAY (HTTP/2 error {self.error_code}) {debug_text}".rstrip()
 
 
 class GoAwayFilter:
-    """Follows frame boundaries in a byte stream and takes GOAWAY frames out of it."""
+    """Tracks the frame boundaries in a byte stream and removes its GOAWAY frames."""
 
     def __init__(self, on_goaway: Callable[[GoAway], None]) -> None:
-        """``on_goaway`` is called for each frame, before the bytes around it are passed on."""
+        """Take a callback that is called for each GOAWAY frame, before ``feed`` returns the other bytes."""
         self._on_goaway = on_goaway
-        self._pending = bytearray()  # an incomplete frame header, or an incomplete GOAWAY
-        self._skip_bytes = 0  # of the current frame's payload that is still to come
+        self._pending = bytearray()  # bytes of an incomplete frame header or GOAWAY frame
+        self._skip_bytes = 0  # bytes of the current frame's payload not received yet
 
     def feed(self, data: bytes, *, may_be_preface: bool) -> bytes:
-        """The bytes to pass on. ``may_be_preface``: a client's connection preface may stand at the start."""
+        """Return ``data`` without GOAWAY frames; with ``may_be_preface``, it may start with the preface."""
         if not self._pending and self._skip_bytes >= len(data):
             self._skip_bytes -= len(data)
             return data
@@ -67,7 +67,7 @@
         return self._scan(buffer, position)
 
     def _scan(self, buffer: bytes, position: int) -> bytes:
-        """Walk the frames of ``buffer``; the first header stands at ``position``."""
+        """Return ``buffer`` without GOAWAY frames; the first frame header starts at ``position``."""
         passed: list[bytes] = []
         passed_until = 0
         while position + FRAME_HEADER_BYTES <= len(buffer):
--- a/stairplank/rpc/keepalive.py
+++ b/stairplank/rpc/keepalive.py
@@ -1,4 +1,4 @@
-"""Keepalive: half-open connections are found by a PING that is not answered."""
+"""Keepalive: detects half-open connections by PING frames that the peer does not answer."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from .connection import Connection
 
-PING_DATA = b"stairplk"  # eight bytes, as RFC 9113 asks
+PING_DATA = b"stairplk"  # RFC 9113 requires eight bytes
 
 
 def run_keepalive(connection: Connection) -> None:
-    """Ping the peer each time it has been silent for the keepalive interval, until the connection closes."""
+    """Send PING whenever nothing was received for the keepalive interval, until the connection closes."""
     limits = connection.limits
     while connection.close_error is None:
         gevent.sleep(limits.keepalive_interval_s)
@@ -28,6 +28,6 @@
         connection.send_ping(PING_DATA)
         gevent.sleep(limits.keepalive_timeout_s)
         if connection.last_received_s < pinged_s:
-            # Danger: what is still unsent must not come out of a path that heals later.
-            error = RpcError(Code.UNAVAILABLE, "keepalive: the peer does not answer pings")
+            # Without abort, the kernel would still deliver unsent data once the network fault ends.
+            error = RpcError(Code.UNAVAILABLE, "keepalive: the peer did not answer a PING")
             connection.close(error, abort=True)
--- a/stairplank/rpc/limits.py
+++ b/stairplank/rpc/limits.py
@@ -1,4 +1,4 @@
-"""Bounds of one HTTP/2 connection."""
+"""Configurable limits of an HTTP/2 connection."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of one connection; sizes in bytes, times in seconds.
+    """Limits of a connection; sizes are in bytes, times in seconds.
 
     Attributes:
-        max_message_bytes: a larger message ends its stream with RESOURCE_EXHAUSTED.
-        max_header_list_bytes: of one header block, uncompressed.
-        max_streams: concurrent streams; more are refused with REFUSED_STREAM.
+        max_message_bytes: size of a received message; a larger one ends its stream with RESOURCE_EXHAUSTED.
+        max_header_list_bytes: uncompressed size of a header block.
+        max_streams: concurrent streams; further streams are refused with REFUSED_STREAM.
         stream_window_bytes: initial flow-control window of a stream.
         connection_window_bytes: flow-control window of the connection.
-        max_unread_bytes: received and not yet read, over all streams; past it the connection window is not
-            opened again.
-        max_unsent_bytes: queued on one stream; past it ``send`` waits and ``try_send`` returns False.
-        keepalive_interval_s: silence after which the peer is pinged; 0 turns keepalive off.
-        keepalive_timeout_s: time that the peer has to answer a ping.
+        max_unread_bytes: received but unread bytes of all streams; above it the connection window is not
+            reopened.
+        max_unsent_bytes: queued bytes of a stream; above it ``send`` waits and ``try_send`` returns False.
+        keepalive_interval_s: time without received data after which a PING is sent; 0 disables keepalive.
+        keepalive_timeout_s: time that the peer has to answer a PING.
         handshake_timeout_s: time that a client has to send its SETTINGS.
-        max_control_frames: RST_STREAM frames, or PING frames, from the peer within ten seconds.
-        max_connections: of a server; more are closed at once.
+        max_control_frames: RST_STREAM frames, and PING frames, that the peer may send in ten seconds.
+        max_connections: open connections of a server; further connections are closed at once.
     """
 
     max_message_bytes: int = 4 << 20
--- a/stairplank/rpc/server.py
+++ b/stairplank/rpc/server.py
@@ -1,4 +1,4 @@
-"""The serving end: listeners, the table of connections, graceful shutdown."""
+"""Server side of gRPC: listeners, the set of open connections, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from .server_connection import ServerConnection
 from .status import Code, RpcError
 
-ACCEPT_RETRY_S = 0.05  # out of descriptors: what is open must end first
-LAST_WRITE_S = 0.01  # for the writers to flush the last trailers
+ACCEPT_RETRY_S = 0.05  # delay after a failed accept, for example when file descriptors have run out
+FINAL_WRITE_S = 0.01  # time for the writers to send the last trailers
 
 
 class Server:
     """Listens on one or more addresses and serves methods by path (``/package.Service/Method``).
 
     Attributes:
-        addresses: where it listens, with the ports that were free.
-        connections: the open connections.
-        rejected_connections: closed at once, past ``max_connections``.
-        draining: the server accepts nothing new.
+        addresses: the addresses that the server listens on, with the ports that the system selected.
+        connections: the open client connections.
+        rejected_connections: how many connections were closed at once because of ``max_connections``.
+        draining: whether the server accepts no new connections and streams.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         methods: dict[str, Method],
         limits: Limits | None = None,
     ) -> None:
-        """Bind the addresses; nothing is accepted before ``start``. Raises OSError, AddressError."""
+        """Bind the addresses; no connection is accepted before ``start``. Raises OSError, AddressError."""
         self.methods = dict(methods)
         self.limits = limits or Limits()
         self.connections: set[ServerConnection] = set()
@@ -47,7 +47,7 @@
         self._idle = Event()
 
     def start(self) -> None:
-        """Accept connections."""
+        """Start to accept connections."""
         self._accept_loops = [gevent.spawn(self._accept_loop, sock) for sock in self._listeners]
 
     def _accept_loop(self, listener: Any) -> None:
@@ -71,32 +71,32 @@
         connection = ServerConnection(sock, peer, self.limits, self)
         self.connections.add(connection)
         connection.start()
-        gevent.spawn_later(self.limits.handshake_timeout_s, self._close_if_silent, connection)
+        gevent.spawn_later(self.limits.handshake_timeout_s, self._close_without_settings, connection)
 
-    def _close_if_silent(self, connection: ServerConnection) -> None:
-        """Danger: connections that never speak would fill the table."""
+    def _close_without_settings(self, connection: ServerConnection) -> None:
+        """Close a connection that sent no SETTINGS; it would use up ``max_connections``."""
         if not connection.settings_received.is_set():
-            connection.close(RpcError(Code.UNAVAILABLE, "no HTTP/2 settings came"))
+            connection.close(RpcError(Code.UNAVAILABLE, "no HTTP/2 SETTINGS received"))
 
     def remove_connection(self, connection: ServerConnection) -> None:
-        """Forget a connection that has closed."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
         self.check_idle()
 
     def check_idle(self) -> None:
-        """Let ``stop`` go on once a draining server has no open call."""
+        """Wake ``stop`` if the server is draining and has no open calls."""
         if self.draining and not any(connection.streams for connection in self.connections):
             self._idle.set()
 
     def stop_accepting(self) -> None:
-        """Close the listeners; open connections go on."""
+        """Close the listeners; open connections stay open."""
         for greenlet in self._accept_loops:
             greenlet.kill(block=False)
         for sock in self._listeners:
             sock.close()
 
     def drain(self) -> None:
-        """Start a graceful shutdown: stop accepting, send GOAWAY; open calls go on."""
+        """Start a graceful shutdown: accept no connections, send GOAWAY and let open calls finish."""
         self.draining = True
         self.stop_accepting()
         for connection in list(self.connections):
@@ -104,12 +104,12 @@
         self.check_idle()
 
     def stop(self, grace_s: float = 0.0) -> bool:
-        """Drain, wait at most ``grace_s`` for open calls, close. True where every call had ended."""
+        """Drain, wait up to ``grace_s`` for open calls, then close. Returns True if every call had ended."""
         self.drain()
         is_clean = bool(self._idle.wait(grace_s)) if grace_s > 0 else self._idle.is_set()
         if is_clean:
             gevent.sleep(0)
-            gevent.sleep(LAST_WRITE_S)
+            gevent.sleep(FINAL_WRITE_S)
         for connection in list(self.connections):
             connection.close(RpcError(Code.UNAVAILABLE, "server stopped"))
         return is_clean
--- a/stairplank/rpc/server_call.py
+++ b/stairplank/rpc/server_call.py
@@ -1,4 +1,4 @@
-"""A method of a service, and one call of it as its handler sees it."""
+"""Server side of a call: the method and the object that its handler uses to receive and send."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """One method of a service.
+    """A method of a service.
 
-    ``handler`` takes ``(request, call)`` where the client sends one message, else ``(call)``; it returns the
-    response where the server sends one, else sends through the call. ``decode`` and ``encode`` turn bytes
-    into messages and back.
+    ``handler`` takes ``(request, call)`` if the client sends one message, otherwise ``(call)``. It returns
+    the response if the server sends one message, otherwise it sends messages through the call. ``decode``
+    parses a message from bytes and ``encode`` serializes one.
     """
 
     kind: MethodKind
@@ -52,18 +52,18 @@
 
 
 class ServerCall:
-    """One call as its handler sees it.
+    """A call on the server, as passed to its handler.
 
     Attributes:
         peer: the client's address.
-        metadata: from the client.
-        deadline_s: the client's deadline as ``time.monotonic()`` seconds, or None.
-        trailing_metadata: set by the handler, sent with the status.
-        finished: the status is decided; nothing more is sent.
+        metadata: custom metadata that the client has sent.
+        deadline_s: the client's deadline in ``time.monotonic()`` seconds, or None.
+        trailing_metadata: metadata that the handler sets and that is sent with the status.
+        finished: whether the status is final, after which no more messages are sent.
     """
 
     def __init__(self, stream: Stream, path: str, method: Method, headers: Headers) -> None:
-        """``headers`` are those of the request."""
+        """Take a stream, its method and the request headers."""
         self.stream = stream
         self.path = path
         self.metadata: Metadata = decode_metadata(headers)
@@ -76,30 +76,30 @@
         self._initial_metadata: Metadata = ()
 
     def metadata_value(self, key: str) -> str | None:
-        """The first text of a metadata key, or None."""
+        """Return the first text value of a metadata key, or None."""
         return next((value for name, value in self.metadata if name == key and isinstance(value, str)), None)
 
     def remaining_s(self) -> float | None:
-        """Seconds to the client's deadline, or None without one."""
+        """Return the seconds until the client's deadline, or None without a deadline."""
         return None if self.deadline_s is None else self.deadline_s - time.monotonic()
 
     def send_initial_metadata(self, metadata: Metadata) -> None:
-        """Send response headers now. Only once, before the first message."""
+        """Send the response headers with metadata, once, before the first message. Raises RpcError."""
         if self._headers_sent:
-            raise RpcError(Code.INTERNAL, "response headers have left already")
+            raise RpcError(Code.INTERNAL, "the response headers have already been sent")
         self._initial_metadata = metadata
         self._send_headers()
 
     def recv(self, timeout_s: float | None = None) -> Any:
-        """The client's next message, or None after its last. Raises RpcError."""
+        """Return the client's next message, or None after its last. Raises RpcError."""
         raw = self.stream.recv(timeout_s)
         return None if raw is None else self.decode(raw)
 
     def decode(self, raw: bytes) -> Any:
-        """Turn bytes into a message. Raises RpcError with INVALID_ARGUMENT."""
+        """Parse a message. Raises RpcError with INVALID_ARGUMENT if it is malformed."""
         try:
             return self._method.decode(raw)
-        except Exception as problem:  # noqa: BLE001 - decoders are given by the services: any error may come
+        except Exception as problem:  # noqa: BLE001 - a decoder may raise any exception
             kind = type(problem).__name__
             raise RpcError(Code.INVALID_ARGUMENT, f"the request cannot be read: {kind}") from None
 
@@ -109,7 +109,7 @@
         self.stream.send(self._method.encode(message), timeout_s)
 
     def try_send(self, message: Any) -> bool:
-        """Send without waiting; False where the client does not read and the bound is reached."""
+        """Queue a message without waiting. Returns False if the limit of unsent bytes is reached."""
         self._send_headers()
         return self.stream.try_send(self._method.encode(message))
 
@@ -122,7 +122,7 @@
         connection.schedule_write(self.stream)
 
     def finish(self, code: Code, message: str = "", *, drop: bool = False) -> None:
-        """Send the status; the first call counts. ``drop``: at once, not after all that is queued."""
+        """Send the status; only the first call has an effect. ``drop`` discards queued messages."""
         if self.finished:
             return
         self.finished = True
@@ -131,7 +131,7 @@
         if stream.error is not None or connection.close_error is not None or stream.local_closed:
             return
         trailers = self._trailers(code, message)
-        if drop and stream.send_offset:  # within a message: trailers cannot follow half of it
+        if drop and stream.send_offset:  # trailers cannot follow a partly sent message, so reset
             connection.reset(stream, h2.errors.ErrorCodes.CANCEL, RpcError(code, message))
             return
         if drop:
@@ -151,6 +151,6 @@
         protocol = stream.connection.h2
         headers = [] if self._headers_sent else RESPONSE_HEADERS
         protocol.send_headers(stream.id, headers + trailers, end_stream=True)
-        if not stream.remote_closed:  # nothing more is wanted from the client
+        if not stream.remote_closed:  # ask the client to stop sending
             protocol.reset_stream(stream.id, h2.errors.ErrorCodes.NO_ERROR)
             stream.remote_closed = True
--- a/stairplank/rpc/server_connection.py
+++ b/stairplank/rpc/server_connection.py
@@ -1,4 +1,4 @@
-"""The serving end of a connection: checks requests, runs a handler for each call, keeps deadlines."""
+"""Server side of a connection: validates requests, runs a handler for each call, enforces deadlines."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def _http_error(fields: dict[str, str]) -> int | None:
-    """HTTP status for a request that is not gRPC at all; None for one that is."""
+    """Return the HTTP error status for a request that is not gRPC, or None for a gRPC request."""
     if not _is_grpc(fields.get("content-type", "")):
         return HTTP_UNSUPPORTED_MEDIA_TYPE
     if fields.get(":method") != "POST":
@@ -47,7 +47,7 @@
     return None
 
 
-def _unimplemented_handler(call: ServerCall) -> None:  # noqa: ARG001 - the signature of a handler
+def _unimplemented_handler(call: ServerCall) -> None:  # noqa: ARG001 - handlers take the call
     raise RpcError(Code.UNIMPLEMENTED)
 
 
@@ -55,10 +55,10 @@
 
 
 class ServerConnection(Connection):
-    """One client's connection."""
+    """The server side of a connection."""
 
     def __init__(self, sock: Any, peer: str, limits: Limits, server: Server) -> None:
-        """``peer`` is the client's address, as text."""
+        """Take an accepted socket and the client's address as text."""
         super().__init__(sock, False, limits)
         self.peer = peer
         self.server = server
@@ -67,17 +67,17 @@
 
     @property
     def open_calls(self) -> tuple[ServerCall, ...]:
-        """Calls whose handlers were started and whose streams are open."""
+        """The calls whose handlers were started and whose streams are open."""
         return tuple(running.call for running in self._running.values())
 
     def drain(self) -> None:
-        """Accept no new streams; those that are open go on."""
+        """Send GOAWAY and accept no new streams; open streams continue."""
         if not self.draining:
             self.draining = True
             self.send_goaway(self.last_accepted_stream_id, h2.errors.ErrorCodes.NO_ERROR, "leaving")
 
     def on_headers(self, stream_id: int, headers: Headers) -> None:
-        """Accept a call and start its handler, or refuse it."""
+        """Start the handler of a new call, or refuse the call."""
         stream = Stream(self, stream_id)
         if len(self.streams) >= self.limits.max_streams or self.draining:
             self.h2.reset_stream(stream_id, h2.errors.ErrorCodes.REFUSED_STREAM)
@@ -129,7 +129,7 @@
         self.remove_stream(stream)
 
     def _run(self, call: ServerCall, method: Method) -> None:
-        """Run a handler to its end and send the status."""
+        """Run a handler and send the call's status."""
         code = Code.OK
         message = ""
         try:
@@ -160,7 +160,7 @@
             call.send(response)
 
     def _deadline_passed(self, call: ServerCall) -> None:
-        """Send DEADLINE_EXCEEDED and end the handler."""
+        """Send DEADLINE_EXCEEDED and stop the handler of the call."""
         if call.finished:
             return
         running = self._running.get(call.stream.id)
@@ -174,7 +174,7 @@
             running.greenlet.kill(block=False)
 
     def on_remote_reset(self, stream: Stream, error_code: int) -> None:
-        """The client has cancelled: end the handler, without a status."""
+        """Handle a cancellation by the client: stop the handler and send no status."""
         stream.fail(RpcError(Code.CANCELLED, f"cancelled by the client (HTTP/2 error {error_code})"))
         running = self._running.get(stream.id)
         if running is not None:
@@ -182,7 +182,7 @@
             running.greenlet.kill(block=False)
 
     def on_invalid_message(self, stream: Stream, error: RpcError) -> None:
-        """Send the error as the call's status and end the handler."""
+        """Send the error as the call's status and stop the handler."""
         running = self._running.get(stream.id)
         if running is None:
             return
@@ -192,10 +192,10 @@
         running.greenlet.kill(block=False)
 
     def on_stream_closed(self, stream: Stream) -> None:
-        """Forget the call."""
+        """Remove the call and check whether the server is now idle."""
         self._running.pop(stream.id, None)
         self.server.check_idle()
 
     def on_closed(self) -> None:
-        """Leave the server's table."""
+        """Remove this connection from the server."""
         self.server.remove_connection(self)
--- a/stairplank/rpc/status.py
+++ b/stairplank/rpc/status.py
@@ -1,4 +1,4 @@
-"""Status codes of gRPC and the error that carries one."""
+"""gRPC status codes and the exception that carries one."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Code(IntEnum):
-    """The status codes, numbered as the gRPC documents number them."""
+    """The status codes, with the numbers that the gRPC specification assigns."""
 
     OK = 0
     CANCELLED = 1
@@ -30,10 +30,10 @@
 
 
 class RpcError(TransportError):
-    """A call that did not end with OK.
+    """A call did not end with OK.
 
-    ``never_ran`` is set only where the peer's HTTP/2 frames, or the lack of a connection, prove that no
-    handler saw the call; a call that was cut in any other way may have run.
+    ``never_ran`` is set only if the peer's HTTP/2 frames, or the lack of a connection, prove that no handler
+    received the call; a call that failed in any other way may have run.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         never_ran: bool = False,
         trailers: tuple[tuple[str, str | bytes], ...] = (),
     ) -> None:
-        """``trailers`` is the metadata that came with the status."""
+        """Store the status; ``trailers`` is the metadata received with it."""
         super().__init__(f"{code.name}: {message}" if message else code.name)
         self.code = code
         self.message = message
@@ -52,7 +52,7 @@
         self.trailers = trailers
 
 
-# RFC 9113 section 7 to gRPC, as the protocol document maps them.
+# Maps HTTP/2 error codes (RFC 9113, section 7) to status codes, as the gRPC HTTP/2 protocol document does.
 _CODE_OF_H2_ERROR = {
     0x7: Code.UNAVAILABLE,  # REFUSED_STREAM
     0x8: Code.CANCELLED,  # CANCEL
@@ -74,7 +74,7 @@
 
 
 def error_from_reset(error_code: int) -> RpcError:
-    """What an RST_STREAM frame says of the call."""
+    """Return the error of a call whose stream the peer reset with ``error_code``."""
     code = _CODE_OF_H2_ERROR.get(error_code, Code.INTERNAL)
     return RpcError(
         code,
@@ -84,7 +84,7 @@
 
 
 def error_from_http_status(status: int) -> RpcError:
-    """A response without grpc-status: the HTTP status decides."""
+    """Return the error of a response without grpc-status, derived from its HTTP status."""
     return RpcError(
-        _CODE_OF_HTTP_STATUS.get(status, Code.UNKNOWN), f"HTTP status {status} and no grpc-status"
+        _CODE_OF_HTTP_STATUS.get(status, Code.UNKNOWN), f"HTTP status {status} without grpc-status"
     )
--- a/stairplank/rpc/stream.py
+++ b/stairplank/rpc/stream.py
@@ -1,4 +1,4 @@
-"""The messages of one call, both ways, and their send and receive queues."""
+"""HTTP/2 stream of a call: its send and receive queues and its state."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 class ReceivedMessage(NamedTuple):
-    """A complete message that nobody has read yet."""
+    """A complete received message that waits in the receive queue."""
 
     data: bytes
-    window_bytes: int  # returned to the stream's flow-control window when the message is read
+    window_bytes: int  # bytes credited to the stream's window when the message is read
 
     @property
     def framed_bytes(self) -> int:
-        """Size with the length prefix."""
+        """Size of the message including its length prefix."""
         return len(self.data) + PREFIX_BYTES
 
 
 def _wait_until(event: Event, deadline_s: float | None) -> bool:
-    """Wait for an event until a ``time.monotonic()`` time, or without end. False where the time was up."""
+    """Wait for an event, without limit if ``deadline_s`` is None. Returns False if the deadline passed."""
     if deadline_s is None:
         return bool(event.wait())
     remaining_s = deadline_s - time.monotonic()
@@ -41,34 +41,34 @@
 
 
 class Stream:
-    """Messages of one call, both ways.
+    """A stream: the messages of one call in both directions.
 
     Attributes:
-        messages_queued: messages ever queued to be sent.
-        messages_started: of those, the ones of which a byte was handed to the connection. The others
-            provably never reached the peer.
-        local_closed: END_STREAM or RST_STREAM has left.
-        remote_closed: the peer has sent END_STREAM or RST_STREAM.
+        messages_queued: how many messages have been queued to be sent.
+        messages_started: how many queued messages have been passed to the connection at least in part; the
+            other messages cannot have reached the peer.
+        local_closed: whether END_STREAM or RST_STREAM has been sent.
+        remote_closed: whether the peer has sent END_STREAM or RST_STREAM.
         initial_headers: the first header block from the peer.
-        send_end: closes the local side once the send queue is empty.
-        error: why the stream ended early; set once.
-        on_error: called once, with the error.
+        send_end: callback that closes the local side once the send queue is empty; None if not requested.
+        error: the error that ended the stream early, or None; set once.
+        on_error: callback that is called once, with the error.
     """
 
     def __init__(self, connection: Connection, stream_id: int) -> None:
-        """Make the record of a stream; the connection's table of streams does not hold it yet."""
+        """Create a stream; the caller adds it to the streams of the connection."""
         self.connection = connection
         self.id = stream_id
 
         self.decoder = MessageDecoder(connection.limits.max_message_bytes)
         self.receive_queue: deque[ReceivedMessage] = deque()
         self.unread_bytes = 0
-        self.window_debt_bytes = 0  # to be returned to the flow-control window
-        self.partial_window_bytes = 0  # window that the incomplete message holds
+        self.unreturned_window_bytes = 0  # bytes to credit with the next WINDOW_UPDATE frame
+        self.partial_window_bytes = 0  # flow-control window used by the incomplete message
         self.readable = Event()
 
         self.send_queue: deque[bytes] = deque()
-        self.send_offset = 0  # bytes of the first queued message that have left
+        self.send_offset = 0  # bytes of the first queued message already passed to h2
         self.unsent_bytes = 0
         self.messages_queued = 0
         self.messages_started = 0
@@ -83,11 +83,11 @@
         self.on_error: Callable[[RpcError], None] | None = None
 
     def try_send(self, message: bytes) -> bool:
-        """Queue a message; False where the stream's unsent bytes are at their bound. Raises RpcError."""
+        """Queue a message. Returns False if the limit of unsent bytes is reached; raises RpcError."""
         if self.error is not None:
             raise self.error
         if self.send_end is not None or self.local_closed:
-            raise RpcError(Code.INTERNAL, "the own side of the stream is closed")
+            raise RpcError(Code.INTERNAL, "the local side of the stream is closed")
         max_unsent_bytes = self.connection.limits.max_unsent_bytes
         if self.unsent_bytes and self.unsent_bytes + len(message) > max_unsent_bytes:
             return False
@@ -104,10 +104,10 @@
         while not self.try_send(message):
             self.writable.clear()
             if not _wait_until(self.writable, deadline_s):
-                raise RpcError(Code.DEADLINE_EXCEEDED, "no room to send within the time-out")
+                raise RpcError(Code.DEADLINE_EXCEEDED, "no send buffer space within the timeout")
 
     def recv(self, timeout_s: float | None = None) -> bytes | None:
-        """The next message, or None after the peer's last. Raises RpcError, also after ``timeout_s``."""
+        """Return the next message, or None after the last one. Raises RpcError, also after ``timeout_s``."""
         deadline_s = _deadline_after(timeout_s)
         while not self.receive_queue:
             if self.error is not None:
@@ -123,7 +123,7 @@
         return received.data
 
     def take_chunk(self, size: int) -> bytes:
-        """At most ``size`` bytes from the head of the send queue, of as many messages as fit."""
+        """Remove and return up to ``size`` bytes from the send queue; they may span several messages."""
         parts: list[bytes] = []
         while self.send_queue and size > 0:
             first = self.send_queue[0]
@@ -140,17 +140,17 @@
         return b"".join(parts)
 
     def drop_unsent(self) -> None:
-        """Forget what is queued to be sent."""
+        """Discard the queued messages that have not been sent."""
         self.send_queue.clear()
         self.unsent_bytes = 0
 
     def wake_waiters(self) -> None:
-        """Let those who wait in ``send`` or ``recv`` look at the stream's state again."""
+        """Wake the greenlets that wait in ``send`` or ``recv``, so that they check the stream's state."""
         self.readable.set()
         self.writable.set()
 
     def fail(self, error: RpcError) -> None:
-        """End the stream for its user; what is queued to be sent is dropped. The first error counts."""
+        """Fail the stream and discard its queued messages; only the first error is kept."""
         if self.error is not None:
             return
         self.error = error
@@ -160,10 +160,10 @@
             self.on_error(error)
 
     def close_both_sides(self) -> None:
-        """Record that no frame of this stream is to be sent or expected any more."""
+        """Mark both sides as closed, so that no more frames of the stream are sent or expected."""
         self.local_closed = True
         self.remote_closed = True
 
     def is_closed(self) -> bool:
-        """Whether both sides have closed."""
+        """Return whether both sides are closed."""
         return self.remote_closed and self.local_closed
--- a/stairplank/rpc/writer.py
+++ b/stairplank/rpc/writer.py
@@ -1,6 +1,6 @@
-"""The sending half of a connection: which stream writes next, and how much, and the socket's write loop.
+"""Send side of a connection: schedules the streams' data and runs the socket's write loop.
 
-Messages of one stream that wait together leave in one DATA frame, so that a busy stream costs less a message.
+Queued messages of a stream are sent in one DATA frame, which lowers the cost of a message on a busy stream.
 """
 
 from __future__ import annotations
@@ -17,48 +17,48 @@
 if TYPE_CHECKING:
     from .connection import Connection
 
-MAX_TURN_BYTES = 65_536  # of one stream in one turn: a large stream must not hold up small ones
-LAST_FLUSH_TIMEOUT_S = 0.5
+MAX_TURN_BYTES = 65_536  # limit for a stream in a turn, so that large streams do not delay small ones
+FINAL_FLUSH_TIMEOUT_S = 0.5
 
 
 class ConnectionWriter:
     """Moves messages from the streams' send queues into h2, and bytes from h2 to the socket."""
 
     def __init__(self, connection: Connection) -> None:
-        """Make a writer; ``run`` is its loop, for a greenlet of its own."""
+        """Create a writer, whose loop ``run`` needs a dedicated greenlet."""
         self._connection = connection
         self._protocol = connection.h2
-        self._frames: list[bytes] = []  # serialized earlier than what h2 holds
+        self._frames: list[bytes] = []  # serialized frames to send before the data buffered in h2
         self._ready: dict[int, None] = {}  # ids of streams that may have something to send, in order
         self._wakeup = Event()
 
     @property
     def has_ready_streams(self) -> bool:
-        """Whether a stream is marked ready."""
+        """Whether any stream is marked as ready to send."""
         return bool(self._ready)
 
     def mark_ready(self, stream_id: int) -> None:
-        """A stream may send, or its window has opened; the writer is not woken."""
+        """Mark a stream with new data or a reopened window as ready, without waking the writer."""
         self._ready[stream_id] = None
 
     def mark_queued_ready(self) -> None:
-        """Every stream with queued messages may send; the writer is not woken."""
+        """Mark every stream with queued messages as ready to send, without waking the writer."""
         self._ready.update(dict.fromkeys(s.id for s in self._connection.streams.values() if s.send_queue))
 
     def remove(self, stream_id: int) -> None:
-        """The stream is over."""
+        """Remove a closed stream from the streams that are ready to send."""
         self._ready.pop(stream_id, None)
 
     def wake(self) -> None:
-        """Let the loop look for something to write."""
+        """Wake the write loop, which then sends all data that is ready."""
         self._wakeup.set()
 
     def queue_frames(self, data: bytes) -> None:
-        """Write serialized frames before anything that h2 holds."""
+        """Queue serialized frames to be sent before the data buffered in h2."""
         self._frames.append(data)
 
     def run(self) -> None:
-        """Write until the greenlet is killed. Raises OSError and h2's ProtocolError."""
+        """Write data until the greenlet is killed. Raises OSError and h2's ProtocolError."""
         while True:
             self._wakeup.wait()
             self._wakeup.clear()
@@ -71,14 +71,14 @@
                 if not has_more:
                     break
 
-    def flush_last(self) -> None:
-        """Send the GOAWAY that h2 has prepared, without waiting on a peer that does not read."""
+    def flush_final(self) -> None:
+        """Send the GOAWAY that h2 has queued; a timeout guards against a peer that does not read."""
         with contextlib.suppress(OSError, h2.exceptions.ProtocolError):
-            self._connection.sock.settimeout(LAST_FLUSH_TIMEOUT_S)
+            self._connection.sock.settimeout(FINAL_FLUSH_TIMEOUT_S)
             self._connection.sock.sendall(self._protocol.data_to_send() + b"".join(self._frames))
 
     def _fill(self) -> bool:
-        """Move what the windows allow from the send queues into h2; True where more is left to move."""
+        """Move queued data into h2, as far as the windows allow. Returns True if more can be moved."""
         has_more = False
         for stream_id in list(self._ready):
             self._ready.pop(stream_id, None)
@@ -96,7 +96,7 @@
         return has_more
 
     def _fill_stream(self, stream: Stream) -> bool:
-        """One stream's turn; True where it has more to send and the window to send it."""
+        """Send one stream's data. Returns True if it has more to send and the window allows it."""
         if stream.send_queue:
             self._send_queued(stream)
             if stream.send_queue:
