--- a/stairplank/proto/standard.py
+++ b/stairplank/proto/standard.py
@@ -38,7 +38,7 @@
             return Status.SERVICE_UNKNOWN
         return Status.SERVING if self._serving[name] else Status.NOT_SERVING
 
-    def _check(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - handlers take the call
+    def _check(self, request: Any, call: ServerCall) -> Any:  # noqa: ARG002 - every handler takes the call
         if request.service not in self._serving:
             raise RpcError(Code.NOT_FOUND, f"no service {request.service[:200]}")
         return Status(status=self._status(request.service))
--- a/stairplank/rpc/address.py
+++ b/stairplank/rpc/address.py
@@ -1,4 +1,4 @@
-"""Parses endpoint addresses and opens sockets: ``127.0.0.1:7400``, ``[::1]:7400``, ``unix:/run/x.sock``."""
+"""Parses addresses such as ``127.0.0.1:7400``, ``[::1]:7400``, ``unix:/run/x.sock``; opens their sockets."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     if text.startswith(UNIX_PREFIX):
         path = text.removeprefix(UNIX_PREFIX)
         if not path or len(path.encode()) > MAX_UNIX_PATH_BYTES:
-            raise AddressError(text, f"the Unix socket path must be 1 to {MAX_UNIX_PATH_BYTES} bytes long")
+            raise AddressError(text, f"a Unix socket path of 1 to {MAX_UNIX_PATH_BYTES} bytes is needed")
         return socket.AF_UNIX, path
     host, colon, port = text.rpartition(":")
     if not colon or not port.isdigit() or int(port) > MAX_PORT:
-        raise AddressError(text, f"must be host:port with a port of 0 to {MAX_PORT}")
+        raise AddressError(text, f"host:port with a port of 0 to {MAX_PORT} is needed")
     if host.startswith("[") and host.endswith("]"):
         host = host[1:-1]
     elif ":" in host:
@@ -48,7 +48,7 @@
 
 
 def listen(text: str, backlog: int = 256) -> tuple[Any, str]:
-    """Open a listening socket. Returns it with its bound address, as port 0 selects a free port."""
+    """Open a listening socket. Returns it and its bound address, which names the port chosen for port 0."""
     family, socket_address = parse(text)
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
--- a/stairplank/rpc/client_connection.py
+++ b/stairplank/rpc/client_connection.py
@@ -21,7 +21,7 @@
 from .status import Code, RpcError, error_from_http_status, error_from_reset
 from .stream import Stream
 
-MAX_STREAMS = 1 << 30  # upper limit if the SETTINGS of the peer set none
+MAX_STREAMS = 1 << 30  # limit of open streams if the peer's SETTINGS set none
 USER_AGENT = "grpc-python-stairplank/1"
 
 
@@ -115,8 +115,7 @@
 
     def on_invalid_message(self, stream: Stream, error: RpcError) -> None:
         """Cancel the call, as the server has sent an invalid message."""
-        if (
-            error.code is Code.UNIMPLEMENTED
-        ):  # the server sent a compressed message although the client accepts none
+        # UNIMPLEMENTED stands for a compressed message, which is a server error as the client accepts none.
+        if error.code is Code.UNIMPLEMENTED:
             error = RpcError(Code.INTERNAL, error.message)
         self.reset(stream, h2.errors.ErrorCodes.CANCEL, error)
--- a/stairplank/rpc/connection.py
+++ b/stairplank/rpc/connection.py
@@ -323,11 +323,11 @@
     def on_invalid_message(self, stream: Stream, error: RpcError) -> None:
         """Handle a received message that is malformed or too large."""
 
-    def on_remote_closed(self, stream: Stream) -> None:  # noqa: B027 - an optional hook
+    def on_remote_closed(self, stream: Stream) -> None:  # noqa: B027 - optional hook, empty on purpose
         """Handle the end of the peer's side of a stream."""
 
-    def on_stream_closed(self, stream: Stream) -> None:  # noqa: B027 - an optional hook
+    def on_stream_closed(self, stream: Stream) -> None:  # noqa: B027 - optional hook, empty on purpose
         """Handle the removal of a stream; called once for each stream."""
 
-    def on_closed(self) -> None:  # noqa: B027 - an optional hook
+    def on_closed(self) -> None:  # noqa: B027 - optional hook, empty on purpose
         """Handle the close of the connection; called once."""
--- a/stairplank/rpc/framing.py
+++ b/stairplank/rpc/framing.py
@@ -18,7 +18,7 @@
 CONTENT_TYPE = "application/grpc"
 IDENTITY = "identity"  # the only supported message encoding
 MAX_TIMEOUT_COUNT = 99_999_999
-PREFIX = struct.Struct(">BI")  # compressed flag, length
+PREFIX = struct.Struct(">BI")  # message prefix: compressed flag, message length
 PREFIX_BYTES = PREFIX.size
 
 _COMPRESSED_FLAG = 1
--- a/stairplank/rpc/server.py
+++ b/stairplank/rpc/server.py
@@ -14,7 +14,7 @@
 from .server_connection import ServerConnection
 from .status import Code, RpcError
 
-ACCEPT_RETRY_S = 0.05  # delay after a failed accept, for example when file descriptors have run out
+ACCEPT_RETRY_S = 0.05  # if file descriptors have run out, connections must end before accept succeeds
 FINAL_WRITE_S = 0.01  # time for the writers to send the last trailers
 
 
--- a/stairplank/rpc/server_connection.py
+++ b/stairplank/rpc/server_connection.py
@@ -47,7 +47,7 @@
     return None
 
 
-def _unimplemented_handler(call: ServerCall) -> None:  # noqa: ARG001 - handlers take the call
+def _unimplemented_handler(call: ServerCall) -> None:  # noqa: ARG001 - every handler takes the call
     raise RpcError(Code.UNIMPLEMENTED)
 
 
