--- a/stairplank/fence/__init__.py
+++ b/stairplank/fence/__init__.py
@@ -1,7 +1,8 @@
-"""How old a message is, without a common clock; which of two connections is the newer. No I/O.
+"""Rejection of outdated messages without a common clock, and of streams that a newer one replaced. No I/O.
 
-``grants`` has the receiver's and the sender's half of the fence by age, ``epochs`` the order of streams.
-docs/design/held-bytes.md compares the alternatives and has the proof.
+``grants`` bounds the age of a message, with one class for its receiver and one for its sender. ``epochs``
+decides which of a peer's streams is the newest. docs/design/held-bytes.md compares the alternatives and has
+the proof.
 """
 
 from .epochs import StreamEpochs
--- a/stairplank/fence/grants.py
+++ b/stairplank/fence/grants.py
@@ -1,20 +1,20 @@
-"""Grants: a message proves how old it is at most by a number that its receiver issued on the same stream.
+"""Grants: numbers issued by a receiver that bound the age of the messages sent to it on the same stream.
 
-The receiver (``GrantIssuer``) issues numbers that name moments of its own clock. The sender
-(``MessageStamper``) names one of them and how long ago it received it. A message is sent after its grant was
-received, and a grant is received after it was issued; so by the receiver's clock the message was sent no
-earlier than the grant was issued, plus the time that the sender names. What the fence overstates is the delay
-of the grant; it never understates an age.
+The receiver (``GrantIssuer``) issues grants, which encode times of its own clock. The sender
+(``MessageStamper``) puts into each message a grant and the time since it received that grant. A grant is
+received after it was issued, and a message is sent after its grant was received. By the receiver's clock, the
+message was therefore sent no earlier than the grant's time of issue plus the time that the sender states.
+The receiver may overestimate a message's age by the network delay of the grant; it never underestimates it.
 
 Invariants (tests/fence checks them against a model that knows the true times):
 
-1. No message is taken to be younger than it is, whatever the network delays, as long as the two clocks differ
-   in rate by no more than ``MAX_DRIFT_PPM`` and neither has stepped unseen.
-2. A message is taken to be older than it is by no more than the shortest delay of a grant of the last
-   ``GRANT_VALIDITY_US``, and the allowance for drift since.
-3. A clock of the sender's that steps back makes messages look old; one that steps forward is detected as
-   soon as a message would come from the future, or by the sender itself, which then forgets its grants.
-4. Nothing grows: a receiver stores four numbers a stream, a sender two grants.
+1. The estimated age of a message is never below its true age, whatever the network delays, as long as the two
+   clocks differ in rate by no more than ``MAX_DRIFT_PPM`` and neither has made an undetected step.
+2. The estimated age exceeds the true age by no more than the shortest delay of a grant of the last
+   ``GRANT_VALIDITY_US`` plus the allowance for clock drift since that grant.
+3. If the sender's clock steps back, messages appear older than they are. If it steps forward, the step is
+   detected as soon as a message appears to come from the future, or by the sender, which drops its grants.
+4. Memory is bounded: a receiver stores four numbers per stream, a sender two grants.
 """
 
 from __future__ import annotations
@@ -22,40 +22,43 @@
 import random
 from typing import NamedTuple
 
-MAX_DRIFT_PPM = 1_000  # two clocks that are off by 500 ppm each, in opposite senses
-GRANT_INTERVAL_US = 250_000  # between grants of a stream in use; they go with messages that are sent anyway
-IDLE_GRANT_INTERVAL_US = 10_000_000  # between grants of a stream on which nothing else is sent
-GRANT_VALIDITY_US = 60_000_000  # a message under an older grant proves nothing
-PPM = 1_000_000  # parts in a whole
-SALT_BITS = 48  # grants of one stream mean nothing on another
+MAX_DRIFT_PPM = 1_000  # two clocks, one 500 ppm fast and the other 500 ppm slow
+GRANT_INTERVAL_US = 250_000  # between grants on an active stream, where other messages carry them
+IDLE_GRANT_INTERVAL_US = 10_000_000  # between grants on a stream on which nothing else is sent
+GRANT_VALIDITY_US = 60_000_000  # an older grant does not bound the age of a message
+PPM = 1_000_000  # divisor of a rate in parts per million
+SALT_BITS = 48  # of the random offset that makes a grant of one stream invalid on another
 
 
 class AgeStamp(NamedTuple):
-    """What a message carries: a grant, and for how long its sender has had it, in microseconds."""
+    """The grant in a message, and the time in microseconds since the sender of the message received it."""
 
     grant: int
     held_us: int
 
 
 class GrantIssuer:
-    """The receiver's half, for one stream. Times are microseconds of the receiver's clock."""
+    """Issues grants on one stream and bounds the age of its messages.
+
+    All times are microseconds of the receiver's clock.
+    """
 
     __slots__ = ("_base", "_last_issued_at", "_oldest_valid_at", "clock_steps")
 
     def __init__(self, now: int, rng: random.Random) -> None:
-        """Begin with a random base, so that grants of another stream mean nothing on this one."""
+        """Choose a random base for this stream, so that grants of another stream are invalid on it."""
         self._base = now - (1 + rng.getrandbits(SALT_BITS))
-        self._last_issued_at = 0  # 0: none yet
-        self._oldest_valid_at = now  # grants from before are not accepted any more
-        self.clock_steps = 0  # of the sender's clock that were detected
+        self._last_issued_at = 0  # 0 until the first grant is issued
+        self._oldest_valid_at = now  # grants issued earlier are rejected
+        self.clock_steps = 0  # number of forward steps detected on the sender's clock
 
     def issue(self, now: int) -> int:
-        """Return a new grant."""
+        """Issue a grant for the time ``now`` and return it."""
         self._last_issued_at = now
         return now - self._base
 
     def issue_if_due(self, now: int) -> int:
-        """Return a new grant for a message that is sent anyway; 0 where the last is recent enough."""
+        """Return a new grant to add to an outgoing message, or 0 while the last grant is recent enough."""
         return (
             self.issue(now)
             if not self._last_issued_at or now - self._last_issued_at >= GRANT_INTERVAL_US
@@ -63,11 +66,11 @@
         )
 
     def next_due(self) -> int:
-        """Return when a grant has to be sent even if nothing else is."""
+        """Return when a grant must be sent in a message of its own if no other message has carried one."""
         return self._last_issued_at + IDLE_GRANT_INTERVAL_US
 
     def earliest_send_time(self, now: int, stamp: AgeStamp | None) -> int | None:
-        """Return when a message with this stamp was sent at the earliest; None where it proves nothing."""
+        """Return the earliest time at which a message with this stamp can have been sent; None if unknown."""
         if stamp is None or not stamp.grant or stamp.held_us > GRANT_VALIDITY_US:
             return None
         issued_at = self._base + stamp.grant
@@ -75,8 +78,8 @@
             return None
         sent_at = issued_at + stamp.held_us - stamp.held_us * MAX_DRIFT_PPM // PPM
         if sent_at > now:
-            # Danger: the sender's clock has run ahead. A message of its own that was delayed for as long as
-            # the step would look fresh: what it sends under earlier grants proves nothing from now on.
+            # The sender's clock has stepped forward. A message delayed for as long as the step would appear
+            # to have been sent just now, so all grants issued before this time become invalid.
             self._oldest_valid_at = now
             self._last_issued_at = 0
             self.clock_steps += 1
@@ -89,28 +92,32 @@
     received_at: int
 
     @property
-    def freshness(self) -> int:
-        """By how much messages under it look younger than under another; in millionths of a microsecond."""
+    def send_time_bias(self) -> int:
+        """Return a score, in millionths of a microsecond, that is higher the shorter the grant's delay was.
+
+        With the higher-scoring of two grants, the receiver estimates a lower age for the same message.
+        """
         return self.grant * PPM - self.received_at * (PPM - MAX_DRIFT_PPM)
 
 
 class MessageStamper:
-    """The sender's half, for one stream. Times are microseconds of the sender's clock.
+    """Stores received grants of one stream and stamps outgoing messages with them.
 
-    Of all grants that were received the one with the shortest delay counts: it makes messages look least old.
-    Since the allowance for drift grows alike for all of them, which one that is does not change with time, so
-    one is enough to store; the newest is stored beside it for when that one has grown too old.
+    All times are microseconds of the sender's clock. The stamp uses the grant with the shortest network
+    delay, because the receiver then overestimates the age of a message the least. The allowance for drift
+    grows at the same rate for all grants, so the best grant stays the best and no other needs to be kept for
+    comparison. The newest grant is stored as well, for use when the best one has expired.
     """
 
     __slots__ = ("_best", "_newest")
 
     def __init__(self) -> None:
-        """Begin without a grant: messages cannot be stamped yet."""
+        """Start without a grant; messages cannot be stamped until the first one is received."""
         self._best: _ReceivedGrant | None = None
         self._newest: _ReceivedGrant | None = None
 
     def receive_grant(self, now: int, grant: int) -> None:
-        """Record a grant that has arrived now; 0 is none."""
+        """Store a grant received at ``now``. A grant of 0 means that the message carried none."""
         if not grant:
             return
         newest = _ReceivedGrant(grant, now)
@@ -119,35 +126,35 @@
         if (
             best is None
             or now - best.received_at > GRANT_VALIDITY_US // 2
-            or newest.freshness >= best.freshness
+            or newest.send_time_bias >= best.send_time_bias
         ):
             self._best = newest
 
     def stamp(self, now: int) -> AgeStamp | None:
-        """Return the stamp of a message that is sent now; None where no grant is recent enough."""
-        for known in (self._best, self._newest):
-            if known is not None and 0 <= now - known.received_at <= GRANT_VALIDITY_US:
-                return AgeStamp(known.grant, now - known.received_at)
+        """Return the stamp for a message sent at ``now``, or None if no grant is recent enough."""
+        for candidate in (self._best, self._newest):
+            if candidate is not None and 0 <= now - candidate.received_at <= GRANT_VALIDITY_US:
+                return AgeStamp(candidate.grant, now - candidate.received_at)
         return None
 
     def forget(self) -> None:
-        """Drop all grants: the own clock may not have run evenly since they were received."""
+        """Drop all grants, because the sender's clock may have stepped since they were received."""
         self._best = None
         self._newest = None
 
 
 class ClockStepDetector:
-    """Compares two clocks that should run alike; tells when one of them has jumped against the other."""
+    """Compares two clocks that should advance at the same rate and detects a step of one of them."""
 
     __slots__ = ("_last_readings", "_max_step_us")
 
     def __init__(self, max_step_us: int = 50_000) -> None:
-        """Allow so much difference between two readings besides drift, in microseconds."""
+        """``max_step_us``: tolerated divergence between two calls, in microseconds, on top of clock drift."""
         self._last_readings: tuple[int, int] | None = None
         self._max_step_us = max_step_us
 
     def has_stepped(self, first_clock: int, second_clock: int) -> bool:
-        """Return whether, since the last call, the clocks diverged by more than drift and the allowance."""
+        """Return whether the clocks diverged since the last call by more than drift and the tolerance."""
         last = self._last_readings
         self._last_readings = (first_clock, second_clock)
         if last is None:
--- a/stairplank/groups/__init__.py
+++ b/stairplank/groups/__init__.py
@@ -1,8 +1,8 @@
-"""All-or-nothing groups: a coordinator without I/O above the decision module.
+"""All-or-nothing groups of tasks, scheduled by a coordinator that performs no I/O.
 
-Each member is placed by the module; the coordinator decides when a group is attempted, in which order its
-members are placed, when they are committed together, when an attempt is given up and what is released.
-docs/design/groups.md has the states and invariants.
+The decision module chooses a node for each member. The coordinator decides when to attempt a group, in which
+order its members are placed, when they are committed together, when an attempt is abandoned and which members
+are released. docs/design/groups.md has the states and invariants.
 """
 
 from .config import GroupConfig
--- a/stairplank/groups/actions.py
+++ b/stairplank/groups/actions.py
@@ -1,4 +1,4 @@
-"""Actions of the coordinator: what the planner is to do for a group, or to tell its client."""
+"""Actions that the coordinator returns: work for the planner, or messages for a group's client."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceMember:
-    """Have this member placed by the deadline; its node reserves it and does not run it yet."""
+    """Place a member before the deadline. Its node makes a reservation and does not run the member yet."""
 
     group: int
     member: int
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """Run these reserved members, under a lease of this length."""
+    """Tell the nodes to run these reserved members under a lease of ``lease_us`` microseconds."""
 
     group: int
     members: tuple[int, ...]
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewLeases:
-    """Renew the leases of these members."""
+    """Renew the leases of these members for ``lease_us`` microseconds."""
 
     group: int
     members: tuple[int, ...]
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Abandon the attempts of these members; the end of each is reported by ``member_over``."""
+    """Abandon the attempts of these members. The planner calls ``member_over`` when each one has ended."""
 
     group: int
     members: tuple[int, ...]
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """The group is complete: these members run or have finished."""
+    """Report to the client that the group is complete: these members are running or have finished."""
 
     group: int
     members: tuple[int, ...]
@@ -52,7 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Shed:
-    """The group was not started, and none of its members runs. ``is_permanent``: it can never fit."""
+    """Report that the group was not started and that none of its members runs.
+
+    ``is_permanent``: the cluster could not run the group even when empty.
+    """
 
     group: int
     reason: str
@@ -62,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The group was not completed, and some of its members may have run."""
+    """Report that the group did not become complete, although some of its members may have run."""
 
     group: int
     reason: str
@@ -70,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempted:
-    """An attempt was given up; the next one follows in ``retry_in_us``."""
+    """Report that an attempt was abandoned and that the next one begins in ``retry_in_us`` microseconds."""
 
     group: int
     attempts: int
@@ -80,7 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """A placed group is over. ``finished``: at least the required number of members finished."""
+    """Report that a placed group has ended.
+
+    ``finished``: at least the required number of members finished.
+    """
 
     group: int
     finished: bool
--- a/stairplank/groups/constraints.py
+++ b/stairplank/groups/constraints.py
@@ -1,13 +1,13 @@
-"""Placement constraints of groups: which nodes are excluded for a member. No I/O, clock or state.
+"""Placement constraints of groups: computes which nodes are excluded for a member. No I/O, clock or state.
 
-The decision module makes each choice; what the group has taken so far, and what its other members still
-need, is one more limit on it. A node is excluded for a member where taking it violates a constraint, or
-leaves the remaining members without places of their own: each needs a node (or rack) apart, and whether that
-can still be had is a matching of members to places. Capacity is as the node list reports it; where it is
-wrong an attempt is lost.
+The decision module chooses a node for each member from the nodes that are not excluded here. A node is
+excluded if assigning the member to it violates a constraint, or prevents another member from getting a node
+(or rack) that no other member uses. The second case is decided by a matching of members to nodes or racks.
+Free capacity is taken from the node list; if the list is outdated, the attempt may fail and is repeated.
 
-``same_rack`` excludes all racks but those in which the whole group appears to fit, and all but one as soon as
-one is taken; a rack in which an attempt failed is left out of the next, until all have failed.
+``same_rack`` excludes all racks except those in which the whole group appears to fit, and all other racks
+once a member is assigned to one. Racks in which an attempt failed are excluded as long as another sufficient
+rack is left.
 """
 
 from __future__ import annotations
@@ -22,24 +22,25 @@
     by_rack,
     fits,
     requirements_of,
-    without_taken,
+    subtract_members,
 )
 from .matching import Matching
 from .spec import GroupSpec
 
-# Pairs of members and nodes that are examined for one member; beyond it only taken places are excluded.
+# At most this many pairs of a member and a node are examined when a member is placed. Above the limit, the
+# search for nodes that block other members is skipped; only nodes that violate a constraint are excluded.
 MAX_PAIRS = 200_000
 
 
 def has_constraints(spec: GroupSpec) -> bool:
-    """Whether the group has constraints that could be violated."""
+    """Return whether the group has constraints that a placement could violate."""
     return len(spec.members) > 1 and (spec.same_rack or spec.distinct_nodes or spec.distinct_racks)
 
 
 def infeasible_constraint(
     spec: GroupSpec, nodes: Sequence[NodeCapacity], settings: api.Settings
 ) -> str | None:
-    """Why these nodes could not meet a constraint even when empty; None where they could, or are unknown."""
+    """Return why these nodes, even if empty, cannot meet a constraint; None if they can or none is known."""
     if not nodes:
         return None
     empty = [NodeCapacity(n.node, n.rack, n.node_type, n.cores, n.memory, n.cores, n.memory) for n in nodes]
@@ -52,48 +53,49 @@
         return None
     if not Matching(_edges(members, _places(spec, empty))).match_all():
         places = "racks" if spec.distinct_racks else "nodes"
-        return f"there are no {len(members)} {places} apart that could hold a member each"
+        return f"no assignment of {len(members)} members to distinct {places} is possible"
     return None
 
 
 def excluded_nodes(
     spec: GroupSpec,
     member: int,
-    taken: Mapping[int, int],
+    assigned: Mapping[int, int],
     nodes: Sequence[NodeCapacity],
     settings: api.Settings,
     failed_racks: Iterable[str] = (),
 ) -> frozenset[int]:
-    """Nodes that a member must not go to.
+    """Return the nodes to which a member must not be assigned.
 
-    ``taken``: the nodes of other members, by member; ``failed_racks``: racks in which attempts failed.
+    ``assigned``: maps the indices of other members to their nodes.
+    ``failed_racks``: racks in which attempts failed.
     """
     rack_of = {each.node: each.rack for each in nodes}
-    nodes = without_taken(spec.members, taken, nodes)
-    taken_racks = {rack_of.get(node, "") for node in taken.values()}
+    nodes = subtract_members(spec.members, assigned, nodes)
+    used_racks = {rack_of.get(node, "") for node in assigned.values()}
     excluded: set[int] = set()
     if spec.distinct_nodes:
-        excluded |= set(taken.values())
+        excluded |= set(assigned.values())
     if spec.distinct_racks:
-        excluded |= {each.node for each in nodes if each.rack in taken_racks}
-    remaining = [i for i in range(len(spec.members)) if i not in taken]
+        excluded |= {each.node for each in nodes if each.rack in used_racks}
+    remaining = [i for i in range(len(spec.members)) if i not in assigned]
     if spec.same_rack:
-        open_racks = taken_racks or _sufficient_racks(spec, remaining, nodes, settings, set(failed_racks))
-        excluded |= {each.node for each in nodes if each.rack not in open_racks}
+        allowed_racks = used_racks or _sufficient_racks(spec, remaining, nodes, settings, set(failed_racks))
+        excluded |= {each.node for each in nodes if each.rack not in allowed_racks}
     if spec.distinct_nodes or spec.distinct_racks:
-        open_nodes = [each for each in nodes if each.node not in excluded]
-        excluded |= _dead_ends(spec, member, remaining, open_nodes, settings)
+        allowed_nodes = [each for each in nodes if each.node not in excluded]
+        excluded |= _blocking_nodes(spec, member, remaining, allowed_nodes, settings)
     return frozenset(excluded)
 
 
-def violates(spec: GroupSpec, node: int, taken: Mapping[int, int], rack_of: Callable[[int], str]) -> bool:
-    """Whether a member at this node would violate a constraint, given the nodes of the others."""
-    if not taken:
+def violates(spec: GroupSpec, node: int, assigned: Mapping[int, int], rack_of: Callable[[int], str]) -> bool:
+    """Return whether a member on this node would violate a constraint, given the other members' nodes."""
+    if not assigned:
         return False
-    if spec.distinct_nodes and node in taken.values():
+    if spec.distinct_nodes and node in assigned.values():
         return True
-    in_taken_rack = rack_of(node) in {rack_of(other) for other in taken.values()}
-    return (spec.same_rack and not in_taken_rack) or (spec.distinct_racks and in_taken_rack)
+    in_used_rack = rack_of(node) in {rack_of(other) for other in assigned.values()}
+    return (spec.same_rack and not in_used_rack) or (spec.distinct_racks and in_used_rack)
 
 
 def _sufficient_racks(
@@ -103,7 +105,11 @@
     settings: api.Settings,
     failed_racks: set[str],
 ) -> set[str]:
-    """Racks in which all members appear to fit; those in which no attempt failed, if there are any."""
+    """Return the racks in which all remaining members appear to fit.
+
+    Racks in which an attempt failed are returned only if every sufficient rack has failed. If no rack is
+    sufficient, all racks are returned.
+    """
     members = [requirements_of(spec.members[i], settings) for i in remaining]
     sufficient = {
         name
@@ -114,7 +120,7 @@
 
 
 def _places(spec: GroupSpec, nodes: Iterable[NodeCapacity]) -> dict[Hashable, list[NodeCapacity]]:
-    """What each member needs one of, racks or nodes, with the nodes in it."""
+    """Return the nodes by place. A place is a rack or node that at most one member may use."""
     places: dict[Hashable, list[NodeCapacity]] = {}
     for each in nodes:
         places.setdefault(_place_of(spec, each), []).append(each)
@@ -134,55 +140,60 @@
     ]
 
 
-def _is_ample(spec: GroupSpec, members: Sequence[MemberRequirements], nodes: Sequence[NodeCapacity]) -> bool:
-    """Whether more places than members fit even the largest member: then none can be a dead end."""
+def _has_surplus_places(
+    spec: GroupSpec, members: Sequence[MemberRequirements], nodes: Sequence[NodeCapacity]
+) -> bool:
+    """Return whether more places than there are members fit the largest member.
+
+    No choice of a place can then leave another member without one.
+    """
     if any(member.node_type is not None for member in members):
         return False
     cores = max(member.cores for member in members)
     memory = max(member.memory for member in members)
-    found: set[Hashable] = set()
+    sufficient: set[Hashable] = set()
     for each in nodes:
         if cores <= each.free_cores and memory <= each.free_memory:
-            found.add(_place_of(spec, each))
-            if len(found) > len(members):
+            sufficient.add(_place_of(spec, each))
+            if len(sufficient) > len(members):
                 return True
     return False
 
 
-def _dead_ends(
+def _blocking_nodes(
     spec: GroupSpec,
     member: int,
     remaining: Sequence[int],
     nodes: Sequence[NodeCapacity],
     settings: api.Settings,
 ) -> set[int]:
-    """Open nodes that would leave the other members without places of their own."""
+    """Return the nodes that, if this member used them, would leave another member without a place."""
     order = [member, *(i for i in remaining if i != member)]
     if len(order) < 2 or len(order) * len(nodes) > MAX_PAIRS:
         return set()
     members = [requirements_of(spec.members[i], settings) for i in order]
-    if _is_ample(spec, members, nodes):
+    if _has_surplus_places(spec, members, nodes):
         return set()
     places = _places(spec, nodes)
     edges = _edges(members, places)
     if min(len(each) for each in edges[1:]) >= len(order):
-        return set()  # whichever is taken, each of the others has one left
-    dead_ends = _dead_end_places(edges)
-    return {each.node for place in dead_ends for each in places[place]}
+        return set()  # every other member can still get a place, whichever place this member uses
+    blocking_places = _blocking_places(edges)
+    return {each.node for place in blocking_places for each in places[place]}
 
 
-def _dead_end_places(edges: Sequence[Sequence[Hashable]]) -> list[Hashable]:
-    """Places of the first member that no matching of all the members gives to it."""
+def _blocking_places(edges: Sequence[Sequence[Hashable]]) -> list[Hashable]:
+    """Return the places that the first member has in no complete matching of members to places."""
     matching = Matching(edges)
     if not matching.match_all():
-        return []  # it seems that it cannot be had: reports are late, and nothing is excluded for it
-    own = next(place for place, holder in matching.holders.items() if holder == 0)
-    dead_ends: list[Hashable] = []
+        return []  # the constraint seems infeasible, but load reports may be outdated, so nothing is excluded
+    first_place = next(place for place, holder in matching.holders.items() if holder == 0)
+    blocking: list[Hashable] = []
     for place in edges[0]:
         holder = matching.holders.get(place)
-        if place == own or holder is None:
+        if place == first_place or holder is None:
             continue
-        others = {p: h for p, h in matching.holders.items() if p not in (own, place)}
+        others = {p: h for p, h in matching.holders.items() if p not in (first_place, place)}
         if not Matching(edges, others).augment(holder, {place}):
-            dead_ends.append(place)
-    return dead_ends
+            blocking.append(place)
+    return blocking
--- a/stairplank/groups/coordinator.py
+++ b/stairplank/groups/coordinator.py
@@ -1,16 +1,19 @@
-"""The coordinator of a planner's groups: takes events, returns actions. No I/O, no clock, no global state.
+"""The coordinator of a planner's groups: takes events and returns actions. No I/O, clock or global state.
 
-Lifecycle of a group: WAITING for its next attempt; RESERVING, while members are placed and reserved at their
-nodes; COMMITTED, once all of them were told to run; COMPLETE, once all run; RELEASING, until every member of
-an abandoned attempt is over; OVER. Invariants (the stateful test checks them):
+Lifecycle of a group: it is WAITING before its next attempt, RESERVING while members are placed and reserved,
+COMMITTED once the nodes were told to run the reserved members, COMPLETE once enough members run, RELEASING
+until every member of an abandoned attempt has ended, and finally OVER.
 
-1. Members are committed only when as many are reserved as make the group complete, and only those of one
+Invariants (the stateful test checks them):
+
+1. Members are committed only when at least the required number are reserved, and only members of a single
    attempt.
-2. Once an attempt is being released none of its members is committed.
+2. While an attempt is being released, none of its members is committed.
 3. A group has one outcome, and no member is placed after it.
-4. A new attempt begins only when every member of the one before is over.
-5. Committed members run under leases that are renewed; a group that is not complete in time, or loses a
-   member, is released, and without its planner it ends by itself.
+4. A new attempt begins only when every member of the previous attempt has ended.
+5. Committed members run under leases that the planner renews. A group is released if it does not become
+   complete in time, loses a member before that, or has too few members left afterwards. If the planner fails,
+   the leases expire and the members end.
 """
 
 from __future__ import annotations
@@ -29,32 +32,32 @@
 
 
 class Coordinator:
-    """All groups of one planner, by number.
+    """Coordinates all groups of one planner, each identified by a number.
 
-    Events take the time ``now`` in microseconds and return the actions that follow, in order; events of
-    groups that are over change nothing.
+    Event methods take the time ``now`` in microseconds and return the resulting actions in order. Events of a
+    group that has ended are ignored.
     """
 
     def __init__(self, settings: api.Settings, config: GroupConfig, seed: int) -> None:
-        """``seed`` determines the backoff."""
+        """``seed``: of the random number generator for backoff."""
         self.context = CoordinatorContext(settings, config, random.Random(seed))
         self._lifecycle = GroupLifecycle(self.context)
 
     @property
     def groups(self) -> Mapping[int, Group]:
-        """The groups that are not over."""
+        """Return the groups that have not ended, by number."""
         return self.context.groups
 
     def set_settings(self, settings: api.Settings, config: GroupConfig) -> None:
-        """Use these settings from now on; timers that are set stay."""
+        """Replace the settings and the configuration. Timers that are already set do not change."""
         self.context.settings = settings
         self.context.config = config
 
     def next_due(self) -> int | None:
-        """When ``advance`` is to be called next, or None."""
+        """Return when ``advance`` must be called next, or None."""
         return self.context.timers.next_due()
 
-    # Events
+    # Methods that handle events and return actions.
 
     def request(
         self,
@@ -65,7 +68,7 @@
         capacity: ClusterCapacity,
         nodes: Sequence[NodeCapacity] = (),
     ) -> list[Action]:
-        """A client requests a group. ``nodes`` are needed where the group has constraints."""
+        """Handle a client's request for a group. ``nodes`` are needed only for a group with constraints."""
         context = self.context
         context.begin(now, capacity)
         members = [MemberState.IDLE] * len(spec.members)
@@ -82,17 +85,17 @@
         return context.actions
 
     def _drop_infeasible_constraints(self, group: Group, nodes: Sequence[NodeCapacity]) -> None:
-        """Where a constraint can never be met the client is told at once, and the group placed without it."""
+        """Stop enforcing constraints that can never be met, and report that to the client at once."""
         reason = infeasible_constraint(group.spec, nodes, self.context.settings)
         if reason is None:
             return
         group.enforces_constraints = False
         group.constraints_infeasible = True
-        text = f"the wishes can never be met: {reason}"
-        self.context.actions.append(Attempted(group.number, 0, text, 0))
+        reason = f"the wishes can never be met: {reason}"
+        self.context.actions.append(Attempted(group.number, 0, reason, 0))
 
     def member_reserved(self, now: int, number: int, member: int, node: int, rack: str) -> list[Action]:
-        """A member is reserved at a node, ready to run."""
+        """Handle the report that a node has reserved a member and is ready to run it."""
         self.context.begin(now)
         group = self.groups.get(number)
         if group is not None:
@@ -100,7 +103,7 @@
         return self.context.actions
 
     def member_running(self, now: int, number: int, member: int) -> list[Action]:
-        """A committed member runs."""
+        """Handle the report that a committed member runs."""
         self.context.begin(now)
         group = self.groups.get(number)
         if group is not None:
@@ -108,7 +111,7 @@
         return self.context.actions
 
     def member_over(self, now: int, number: int, member: int, finished: bool, reason: str) -> list[Action]:
-        """The attempt of a member has ended: rejected, failed, lost, released or finished."""
+        """Handle the end of a member's attempt: rejected, failed, lost, released or finished."""
         self.context.begin(now)
         group = self.groups.get(number)
         if group is not None:
@@ -116,7 +119,7 @@
         return self.context.actions
 
     def cancel(self, now: int, number: int) -> list[Action]:
-        """The client cancels the group: it gets no outcome, and all members are released."""
+        """Handle a cancellation by the client: no outcome is sent, and all members are released."""
         self.context.begin(now)
         group = self.groups.get(number)
         if group is not None:
@@ -128,7 +131,7 @@
     ) -> list[Action]:
         """Take over a complete group of an earlier incarnation of this planner.
 
-        ``locations``: where members run; those without one have finished.
+        ``locations``: the nodes of the running members. Members without a location have finished.
         """
         self.context.begin(now)
         members = [
@@ -144,7 +147,7 @@
         return self.context.actions
 
     def shut_down(self, now: int) -> list[Action]:
-        """The planner shuts down: groups without an outcome are shed and released."""
+        """Handle the shutdown of the planner: groups without an outcome are shed and released."""
         self.context.begin(now)
         for group in [group for group in self.groups.values() if not group.is_answered]:
             self.context.actions.append(Shed(group.number, "this planner is leaving", False, 0))
@@ -158,46 +161,49 @@
             self._lifecycle.release(group)
 
     def advance(self, now: int, capacity: ClusterCapacity) -> list[Action]:
-        """Let timers that are due take effect."""
+        """Handle all timers that are due."""
         context = self.context
         context.begin(now, capacity)
         while (group := context.timers.pop_due(now, context.groups)) is not None:
             self._lifecycle.timer_due(group)
         return context.actions
 
-    # Queries
+    # Methods that query the state of groups and return no actions.
 
     def excluded_nodes(
-        self, number: int, member: int, taken: Mapping[int, int], nodes: Sequence[NodeCapacity]
+        self, number: int, member: int, assigned: Mapping[int, int], nodes: Sequence[NodeCapacity]
     ) -> frozenset[int]:
-        """Nodes that a member of the current attempt must not go to.
+        """Return the nodes to which a member of the current attempt must not be assigned.
 
-        ``taken``: the nodes of other members, by member. The rack of the first is noted as the attempt's.
+        ``assigned``: maps other members to their nodes. The rack of the first of these nodes in ``nodes`` is
+        stored as the rack of the attempt.
         """
         group = self.groups.get(number)
         if group is None or not group.enforces_constraints:
             return frozenset()
-        taken_nodes = set(taken.values())
-        group.rack = next((each.rack for each in nodes if each.node in taken_nodes), group.rack)
-        return excluded_nodes(group.spec, member, taken, nodes, self.context.settings, group.failed_racks)
+        assigned_nodes = set(assigned.values())
+        group.rack = next((each.rack for each in nodes if each.node in assigned_nodes), group.rack)
+        return excluded_nodes(group.spec, member, assigned, nodes, self.context.settings, group.failed_racks)
 
     def violates_constraints(
-        self, number: int, node: int, taken: Mapping[int, int], rack_of: Callable[[int], str]
+        self, number: int, node: int, assigned: Mapping[int, int], rack_of: Callable[[int], str]
     ) -> bool:
-        """Whether a member at this node would violate a constraint, given the nodes of the others."""
+        """Return whether a member on this node would violate a constraint, given the other members' nodes."""
         group = self.groups.get(number)
-        return group is not None and group.enforces_constraints and violates(group.spec, node, taken, rack_of)
+        return (
+            group is not None and group.enforces_constraints and violates(group.spec, node, assigned, rack_of)
+        )
 
     def is_reserving(self, number: int, attempt: int) -> bool:
-        """Whether this attempt of a group is still placing members."""
+        """Return whether this attempt is the current one of its group and is still placing members."""
         group = self.groups.get(number)
         return group is not None and group.state is GroupState.RESERVING and group.attempts == attempt
 
     def enforces_constraints(self, number: int) -> bool:
-        """Whether members are placed one after the other, because of the group's constraints."""
+        """Return whether the group's constraints are enforced, which places its members one at a time."""
         group = self.groups.get(number)
         return group is not None and group.enforces_constraints
 
     def has_unanswered(self) -> bool:
-        """Whether a group has no outcome yet."""
+        """Return whether any group has no outcome yet."""
         return any(not group.is_answered for group in self.groups.values())
--- a/stairplank/groups/matching.py
+++ b/stairplank/groups/matching.py
@@ -1,4 +1,4 @@
-"""Bipartite matching of members to places of their own, nodes or racks, by augmenting paths."""
+"""Bipartite matching that assigns each member a distinct place (a node or rack), by augmenting paths."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 
 
 class Matching(Generic[Place]):
-    """Which member has which place; ``edges`` lists the places that each member could have."""
+    """An assignment of members to distinct places. ``edges`` lists the possible places of each member."""
 
     def __init__(self, edges: Sequence[Sequence[Place]], holders: dict[Place, int] | None = None) -> None:
-        """Start with these holders of places, by place; without any by default."""
+        """``holders``: the initial assignment as a map from place to member; empty by default."""
         self._edges = edges
         self.holders: dict[Place, int] = holders if holders is not None else {}
 
     def match_all(self) -> bool:
-        """Give each member a place of its own; False where there are not enough."""
+        """Assign each member a distinct place. Return False if that is impossible."""
         fewest_first = sorted(range(len(self._edges)), key=lambda member: len(self._edges[member]))
         return all(self.augment(member, set()) for member in fewest_first)
 
     def augment(self, member: int, visited: set[Place]) -> bool:
-        """Give this member a place, moving others where need be.
+        """Assign this member a place, moving other members if needed. Return whether a place was found.
 
-        Places in ``visited`` are not used; those that the search comes by are added to it.
+        Places in ``visited`` are not used. The search adds every place that it examines to ``visited``.
         """
-        searching: list[tuple[int, int]] = [(member, 0)]  # member, and the index of its next edge
+        stack: list[tuple[int, int]] = [(member, 0)]  # a member and the index of its next edge to examine
         path: list[Place] = []
-        while searching:
-            current, index = searching[-1]
+        while stack:
+            current, index = stack[-1]
             if index == len(self._edges[current]):
-                searching.pop()
+                stack.pop()
                 if path:
                     path.pop()
                 continue
-            searching[-1] = (current, index + 1)
+            stack[-1] = (current, index + 1)
             place = self._edges[current][index]
             if place in visited:
                 continue
@@ -43,9 +43,9 @@
             path.append(place)
             holder = self.holders.get(place)
             if holder is None:
-                self._assign([mover for mover, _ in searching], path)
+                self._assign([mover for mover, _ in stack], path)
                 return True
-            searching.append((holder, 0))
+            stack.append((holder, 0))
         return False
 
     def _assign(self, members: Sequence[int], path: Sequence[Place]) -> None:
--- a/stairplank/groups/scheduling.py
+++ b/stairplank/groups/scheduling.py
@@ -1,6 +1,6 @@
-"""When a group is attempted: admission against free capacity, backoff and the time allowed for reservations.
+"""When to attempt a group: admission against free capacity, backoff and the time limit for reservations.
 
-Decides without I/O, clock or state of its own.
+No I/O, clock or global state.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 from .config import GroupConfig
 from .state import Group, GroupState
 
-MAX_AGE_DISCOUNT = 0.8  # of its backoff that a group is spared by the time its deadline comes
-MAX_DOUBLINGS = 6
+MAX_AGE_DISCOUNT = 0.8  # share by which the backoff is reduced when the deadline of the group is reached
+MAX_DOUBLINGS = 6  # of the initial backoff
 
 
 def reason_to_wait(
     group: Group, groups: Iterable[Group], capacity: ClusterCapacity, config: GroupConfig, now: int
 ) -> str | None:
-    """Why there is no point in attempting the group now, or None.
+    """Return why an attempt of the group should not begin now, or None if it should.
 
-    Danger: attempts that cannot succeed hold what others could use.
+    An attempt that cannot succeed would reserve capacity that other groups could use.
 
-    What other groups hold is part of the reported load already, as the planner's own bindings are. The
-    reserved share leaves capacity to single tasks, which would starve beside many reserving groups. A group
-    that has used half of its time is attempted in any case: reports are late, and a group that is never
-    attempted never starts.
+    The reported load already contains the reservations of other groups and this planner's own bindings. The
+    maximum reserved share keeps capacity free for single tasks, which would starve beside many groups that
+    reserve members. A group that has used half of its time is attempted in any case, because load reports
+    may be outdated and a group that is never attempted never starts.
     """
     is_old = group.elapsed(now) * 2 > group.time_allowed
     if capacity.nodes == 0 or is_old or config.blocking:
@@ -46,20 +46,22 @@
     return None
 
 
-def reserve_deadline(group: Group, config: GroupConfig, now: int, last: int) -> int:
-    """Until when an attempt that begins now may hold reservations; never later than ``last``."""
+def reserve_deadline(group: Group, config: GroupConfig, now: int, latest: int) -> int:
+    """Return until when an attempt that begins now may hold reservations; never later than ``latest``."""
     timeout = config.reserve_timeout_us
     timeout += int((config.max_reserve_timeout_us - timeout) * group.age(now))
     if config.blocking:
-        timeout = last - now
-    return min(last, now + timeout)
+        timeout = latest - now
+    return min(latest, now + timeout)
 
 
 def backoff_us(group: Group, config: GroupConfig, now: int, rng: random.Random) -> int:
-    """The wait before the next attempt: doubling, drawn from its upper half, shorter as the group ages.
+    """Return the wait before the next attempt of a group.
 
-    Danger: groups that each hold half of what the other needs give up and retry in step for ever; and a
-    large group, which needs more capacity to come free at once, would always find a small one there first.
+    The maximum wait doubles with each attempt and shrinks as the group ages; the wait is chosen at random
+    from the upper half of the range up to it. Without the randomness, two groups that each hold half of what
+    the other needs would fail and retry at the same times forever. Without the shorter waits of older groups,
+    a large group, which needs more capacity to become free at once, would always lose it to smaller groups.
     """
     longest = min(config.initial_backoff_us << min(group.attempts, MAX_DOUBLINGS), config.max_backoff_us)
     age = min(1.0, group.age(now))
--- a/stairplank/groups/state.py
+++ b/stairplank/groups/state.py
@@ -1,4 +1,4 @@
-"""State of one group and of its members."""
+"""State of a group and of its members."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class GroupState(Enum):
-    """Where a group is in its lifecycle."""
+    """States in the lifecycle of a group."""
 
-    WAITING = "waiting"  # for its next attempt
+    WAITING = "waiting"  # the next attempt has not begun yet
     RESERVING = "reserving"  # members are being placed and reserved
-    COMMITTED = "committed"  # members were told to run
-    COMPLETE = "complete"  # all of them run
-    RELEASING = "releasing"  # an abandoned attempt has not ended at all nodes yet
-    OVER = "over"
+    COMMITTED = "committed"  # the nodes were told to run the members
+    COMPLETE = "complete"  # enough members run or have finished
+    RELEASING = "releasing"  # some members of an abandoned attempt have not ended yet
+    OVER = "over"  # the group has ended and is removed
 
 
 class MemberState(Enum):
-    """Where a member is in the current attempt of its group."""
+    """States of a member in the current attempt of its group."""
 
-    IDLE = "idle"  # not part of an attempt
-    REQUESTED = "requested"
-    RESERVED = "reserved"
+    IDLE = "idle"  # no attempt has begun
+    REQUESTED = "requested"  # being placed
+    RESERVED = "reserved"  # reserved by a node and ready to run
     RUNNING = "running"
     FINISHED = "finished"
     OVER = "over"  # rejected, failed, lost or released
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Location:
-    """Where a member is reserved or runs."""
+    """The node on which a member is reserved or runs, and its rack."""
 
     node: int
     rack: str
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Group:
-    """One group, from its request to its end. Times are in microseconds on the planner's clock."""
+    """The state of one group from request to end. Times are in microseconds on the planner's clock."""
 
     number: int
     spec: GroupSpec
@@ -51,40 +51,40 @@
     deadline: int
     state: GroupState = GroupState.WAITING
     members: list[MemberState] = field(default_factory=list)
-    locations: dict[int, Location] = field(default_factory=dict)  # by member
+    locations: dict[int, Location] = field(default_factory=dict)  # by index of the member
     attempts: int = 0
-    state_deadline: int = 0  # of RESERVING and COMMITTED
+    state_deadline: int = 0  # latest end of the state RESERVING or COMMITTED
     lease_us: int = 0
-    reason: str = ""  # why the last attempt was given up or put off
-    was_committed: bool = False  # in any attempt
-    is_answered: bool = False  # the client has the outcome, or cancelled
-    is_placed: bool = False
-    is_final: bool = False  # no further attempt after the release
-    enforces_constraints: bool = False  # its constraints exclude nodes for its members
-    constraints_infeasible: bool = False
-    rack: str = ""  # that members of this attempt go to
-    failed_racks: set[str] = field(default_factory=set)
-    timer_generation: int = 0  # only the timer of the current generation is valid
+    reason: str = ""  # why the last attempt was abandoned or postponed
+    was_committed: bool = False  # members were committed in any attempt so far
+    is_answered: bool = False  # the client received the outcome or cancelled the group
+    is_placed: bool = False  # reported to the client as complete
+    is_final: bool = False  # no attempt follows the current release
+    enforces_constraints: bool = False  # nodes are excluded to meet the constraints
+    constraints_infeasible: bool = False  # the listed nodes could not meet them even when empty
+    rack: str = ""  # the rack to which members of this attempt are assigned
+    failed_racks: set[str] = field(default_factory=set)  # racks in which same_rack attempts failed
+    timer_generation: int = 0  # timers of earlier generations are invalid
 
     def elapsed(self, now: int) -> int:
-        """Time since the request."""
+        """Return the time since the request."""
         return now - self.requested_at
 
     @property
     def time_allowed(self) -> int:
-        """Time from the request to the deadline."""
+        """Return the time from the request to the deadline."""
         return self.deadline - self.requested_at
 
     def age(self, now: int) -> float:
-        """Share of the allowed time that has passed; above 1 after the deadline."""
+        """Return the share of the allowed time that has passed; it exceeds 1 after the deadline."""
         return self.elapsed(now) / max(1, self.time_allowed)
 
     def members_in(self, *states: MemberState) -> tuple[int, ...]:
-        """Members in one of these states, in order."""
+        """Return the indices of the members in one of these states, in ascending order."""
         return tuple(i for i, state in enumerate(self.members) if state in states)
 
     def meets_constraints(self) -> bool:
-        """Whether the members' locations meet the group's constraints."""
+        """Return whether the members' locations meet the group's constraints."""
         nodes = [location.node for location in self.locations.values()]
         racks = [location.rack for location in self.locations.values()]
         if self.spec.same_rack and len(set(racks)) > 1:
--- a/stairplank/groups/timers.py
+++ b/stairplank/groups/timers.py
@@ -1,4 +1,4 @@
-"""Timers of groups: one valid timer per group, ordered by time."""
+"""Timers of groups, ordered by due time, with at most one valid timer per group."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class GroupTimers:
-    """A heap of timers. Setting a timer invalidates the group's earlier one, which stays until it is due."""
+    """A heap of timers. An invalidated timer stays in the heap until it is due and is then ignored."""
 
     def __init__(self) -> None:
-        """Start without timers."""
+        """Create an empty heap."""
         self._heap: list[_Timer] = []
 
     def next_due(self) -> int | None:
-        """When the next timer is due, valid or not."""
+        """Return when the next timer in the heap is due, or None. The timer may be an invalidated one."""
         return self._heap[0].due if self._heap else None
 
     def set(self, group: Group, due: int) -> None:
-        """Replace the group's timer."""
+        """Set the timer of the group, invalidating its previous one."""
         group.timer_generation += 1
         heapq.heappush(self._heap, _Timer(due, group.number, group.timer_generation))
 
@@ -37,11 +37,13 @@
         group.timer_generation += 1
 
     def is_set(self, group: Group) -> bool:
-        """Whether the group has a valid timer."""
-        return any(t.group == group.number and t.generation == group.timer_generation for t in self._heap)
+        """Return whether the group has a valid timer."""
+        return any(
+            timer.group == group.number and timer.generation == group.timer_generation for timer in self._heap
+        )
 
     def pop_due(self, now: int, groups: Mapping[int, Group]) -> Group | None:
-        """The next group whose valid timer is due, or None."""
+        """Remove the first valid timer that is due and return its group; None if no valid timer is due."""
         while self._heap and self._heap[0].due <= now:
             timer = heapq.heappop(self._heap)
             group = groups.get(timer.group)
--- a/tests/groups/test_constraints.py
+++ b/tests/groups/test_constraints.py
@@ -83,8 +83,8 @@
     assert not infeasible(
         group(8, 8, same_rack=True), [place(n, "a", 0.0) for n in (1, 2)]
     )  # full is not never
-    assert "4 racks apart" in infeasible(group(1, 1, 1, 1, distinct_racks=True))
-    assert "2 nodes apart" in infeasible(
+    assert "4 members to distinct racks" in infeasible(group(1, 1, 1, 1, distinct_racks=True))
+    assert "2 members to distinct nodes" in infeasible(
         group(6, 6, distinct_nodes=True), [place(1, "a"), place(2, "b", 3, size=4)]
     )
     assert not infeasible(group(1, 1, same_rack=True), [])  # an unknown fleet rules nothing out
