--- a/tests/groups/test_constraints.py
+++ b/tests/groups/test_constraints.py
@@ -1,4 +1,7 @@
-"""Which nodes constraints exclude: what violates one and dead ends, and no more than that."""
+"""Tests which nodes the placement constraints of a group exclude for a member.
+
+Only nodes that violate a constraint or that would leave another member without a node must be excluded.
+"""
 
 from __future__ import annotations
 
@@ -23,85 +26,90 @@
 from stairplank.tasks import TaskSpec  # noqa: E402
 
 
-def place(node: int, rack: str, free: float = 8.0, kind: int = 0, size: float = 8.0) -> NodeCapacity:
-    return NodeCapacity(node, rack, kind, size, 2 * size, free, 2 * free)
+def node_capacity(
+    node: int, rack: str, free_cores: float = 8.0, node_type: int = 0, cores: float = 8.0
+) -> NodeCapacity:
+    return NodeCapacity(node, rack, node_type, cores, 2 * cores, free_cores, 2 * free_cores)
 
 
 def member(key: int, cores: float = 1.0, task_class: str = "report", service: int = 0) -> TaskSpec:
     return TaskSpec("o", key, task_class, "", service or 50 + key, cores, 1.0, 0, False)
 
 
-def group(*cores: float, task_class: str = "report", **more: bool) -> GroupSpec:
-    members = tuple(member(n, c, task_class) for n, c in enumerate(cores, 1))
-    return GroupSpec("o", members, len(members), **more)
+def group(*cores: float, task_class: str = "report", **constraints: bool) -> GroupSpec:
+    members = tuple(member(key, amount, task_class) for key, amount in enumerate(cores, 1))
+    return GroupSpec("o", members, len(members), **constraints)
 
 
-FOUR = [place(1, "a"), place(2, "a"), place(3, "b"), place(4, "c")]
+FOUR_NODES = [node_capacity(1, "a"), node_capacity(2, "a"), node_capacity(3, "b"), node_capacity(4, "c")]
 
 
-def test_taken_places_are_excluded() -> None:
-    nodes = group(1, 1, 1, distinct_nodes=True)
-    assert excluded_nodes(nodes, 1, {}, FOUR, SETTINGS) == frozenset()
-    assert excluded_nodes(nodes, 1, {0: 2}, FOUR, SETTINGS) == {2}
-    racks = group(1, 1, 1, distinct_racks=True)
-    assert excluded_nodes(racks, 1, {0: 2}, FOUR, SETTINGS) == {1, 2}
-    same = group(1, 1, 1, same_rack=True)
-    assert excluded_nodes(same, 1, {0: 2}, FOUR, SETTINGS) == {3, 4}
+def test_nodes_and_racks_that_members_use_are_excluded() -> None:
+    distinct_nodes = group(1, 1, 1, distinct_nodes=True)
+    assert excluded_nodes(distinct_nodes, 1, {}, FOUR_NODES, SETTINGS) == frozenset()
+    assert excluded_nodes(distinct_nodes, 1, {0: 2}, FOUR_NODES, SETTINGS) == {2}
+    distinct_racks = group(1, 1, 1, distinct_racks=True)
+    assert excluded_nodes(distinct_racks, 1, {0: 2}, FOUR_NODES, SETTINGS) == {1, 2}
+    same_rack = group(1, 1, 1, same_rack=True)
+    assert excluded_nodes(same_rack, 1, {0: 2}, FOUR_NODES, SETTINGS) == {3, 4}
 
 
-def test_a_rack_must_hold_the_whole_group() -> None:
-    places = [place(1, "a", 3), place(2, "a", 2), place(3, "b", 4), place(4, "b", 4)]
-    same = group(4, 3, 1, same_rack=True)
-    assert excluded_nodes(same, 0, {}, places, SETTINGS) == {1, 2}
-    assert excluded_nodes(same, 0, {}, places, SETTINGS, failed_racks=["b"]) == {
-        1,
-        2,
-    }  # no other fits: tried again
-    roomy = [replace(p, free_cores=8.0, free_memory=16.0) for p in places]
-    assert excluded_nodes(same, 0, {}, roomy, SETTINGS, failed_racks=["b"]) == {3, 4}
+def test_racks_too_small_for_the_whole_group_are_excluded() -> None:
+    nodes = [
+        node_capacity(1, "a", 3),
+        node_capacity(2, "a", 2),
+        node_capacity(3, "b", 4),
+        node_capacity(4, "b", 4),
+    ]
+    same_rack = group(4, 3, 1, same_rack=True)
+    assert excluded_nodes(same_rack, 0, {}, nodes, SETTINGS) == {1, 2}
+    # Rack b is not excluded after a failed attempt, because the group fits into no other rack.
+    assert excluded_nodes(same_rack, 0, {}, nodes, SETTINGS, failed_racks=["b"]) == {1, 2}
+    empty_nodes = [replace(node, free_cores=8.0, free_memory=16.0) for node in nodes]
+    assert excluded_nodes(same_rack, 0, {}, empty_nodes, SETTINGS, failed_racks=["b"]) == {3, 4}
 
 
-def test_a_member_does_not_take_the_only_place_of_another() -> None:
-    """The large member fits at node 3 alone: it is excluded for the small ones, though they would fit."""
-    places = [place(1, "a", 1), place(2, "a", 1), place(3, "b", 6)]
+def test_a_member_is_not_placed_on_the_only_node_for_another_member() -> None:
+    """Only node 3 is large enough for the large member, so it is excluded for the small members."""
+    nodes = [node_capacity(1, "a", 1), node_capacity(2, "a", 1), node_capacity(3, "b", 6)]
     spec = group(1, 6, 1, distinct_nodes=True)
-    assert excluded_nodes(spec, 0, {}, places, SETTINGS) == {3}
-    assert excluded_nodes(spec, 1, {}, places, SETTINGS) == frozenset()
+    assert excluded_nodes(spec, 0, {}, nodes, SETTINGS) == {3}
+    assert excluded_nodes(spec, 1, {}, nodes, SETTINGS) == frozenset()
 
 
 def test_constraints_that_seem_infeasible_exclude_nothing_more() -> None:
-    places = [place(1, "a", 0.5), place(2, "b", 0.5), place(3, "b", 6)]
-    assert excluded_nodes(group(1, 1, distinct_racks=True), 0, {}, places, SETTINGS) == frozenset()
-
-
-def test_infeasible_constraints_are_named() -> None:
-    def infeasible(spec: GroupSpec, places: list[NodeCapacity] = FOUR) -> str:
-        return infeasible_constraint(spec, places, SETTINGS) or ""
-
-    assert "no rack can hold" in infeasible(group(8, 8, 8, same_rack=True))
-    assert not infeasible(group(8, 8, same_rack=True))
-    assert not infeasible(
-        group(8, 8, same_rack=True), [place(n, "a", 0.0) for n in (1, 2)]
-    )  # full is not never
-    assert "4 members to distinct racks" in infeasible(group(1, 1, 1, 1, distinct_racks=True))
-    assert "2 members to distinct nodes" in infeasible(
-        group(6, 6, distinct_nodes=True), [place(1, "a"), place(2, "b", 3, size=4)]
+    nodes = [node_capacity(1, "a", 0.5), node_capacity(2, "b", 0.5), node_capacity(3, "b", 6)]
+    assert excluded_nodes(group(1, 1, distinct_racks=True), 0, {}, nodes, SETTINGS) == frozenset()
+
+
+def test_the_infeasible_constraint_is_named() -> None:
+    def reason(spec: GroupSpec, nodes: list[NodeCapacity] = FOUR_NODES) -> str:
+        return infeasible_constraint(spec, nodes, SETTINGS) or ""
+
+    assert "no rack can hold" in reason(group(8, 8, 8, same_rack=True))
+    assert not reason(group(8, 8, same_rack=True))
+    # Nodes that are full now can become free, which makes the constraint feasible.
+    assert not reason(group(8, 8, same_rack=True), [node_capacity(n, "a", 0.0) for n in (1, 2)])
+    assert "4 members to distinct racks" in reason(group(1, 1, 1, 1, distinct_racks=True))
+    assert "2 members to distinct nodes" in reason(
+        group(6, 6, distinct_nodes=True), [node_capacity(1, "a"), node_capacity(2, "b", 3, cores=4)]
     )
-    assert not infeasible(group(1, 1, same_rack=True), [])  # an unknown fleet rules nothing out
+    # Without any known node, every constraint is considered feasible.
+    assert not reason(group(1, 1, same_rack=True), [])
 
 
-def met(spec: GroupSpec, at: tuple[NodeCapacity, ...]) -> bool:
-    racks, nodes = {p.rack for p in at}, {p.node for p in at}
-    if spec.same_rack and len(racks) > 1 or spec.distinct_nodes and len(nodes) < len(at):
+def is_valid_assignment(spec: GroupSpec, assignment: tuple[NodeCapacity, ...]) -> bool:
+    racks, nodes = {each.rack for each in assignment}, {each.node for each in assignment}
+    if spec.same_rack and len(racks) > 1 or spec.distinct_nodes and len(nodes) < len(assignment):
         return False
-    if spec.distinct_racks and len(racks) < len(at):
+    if spec.distinct_racks and len(racks) < len(assignment):
         return False
-    for p in nodes:
-        here = [i for i, q in enumerate(at) if q.node == p]
-        place_ = next(q for q in at if q.node == p)
-        if sum(spec.members[i].cores for i in here) > place_.free_cores + 1e-9:
+    for node in nodes:
+        members = [i for i, each in enumerate(assignment) if each.node == node]
+        capacity = next(each for each in assignment if each.node == node)
+        if sum(spec.members[i].cores for i in members) > capacity.free_cores + 1e-9:
             return False
-        if sum(spec.members[i].memory for i in here) > place_.free_memory + 1e-9:
+        if sum(spec.members[i].memory for i in members) > capacity.free_memory + 1e-9:
             return False
     return True
 
@@ -114,83 +122,98 @@
     constraint=st.sampled_from(["distinct_nodes", "distinct_racks", "same_rack"]),
     seed=st.integers(0, 99),
 )
-def test_members_placed_one_after_the_other_meet_what_an_exact_search_can(
+def test_members_placed_one_at_a_time_succeed_where_an_exact_search_does(
     free: list[float], racks: int, cores: list[float], constraint: str, seed: int
 ) -> None:
-    """Whatever open node each member takes: always for places apart; one rack may be packed too tightly."""
-    places = [place(n, f"r{n % racks}", f) for n, f in enumerate(free, 1)]
+    """Compares placement on any allowed node with an exact search over all assignments.
+
+    Both succeed for the same groups with distinct nodes or racks. With ``same_rack``, placement may fail
+    although the exact search succeeds, when earlier members leave too little capacity on each node.
+    """
+    nodes = [
+        node_capacity(number, f"r{number % racks}", cores_free) for number, cores_free in enumerate(free, 1)
+    ]
     spec = group(*sorted(cores, reverse=True), **{constraint: True})
-    possible = any(met(spec, at) for at in itertools.product(places, repeat=len(cores)))
+    is_feasible = any(
+        is_valid_assignment(spec, assignment) for assignment in itertools.product(nodes, repeat=len(cores))
+    )
     rng = random.Random(seed)
-    taken: dict[int, int] = {}
-    for i, one in enumerate(spec.members):
-        excluded = excluded_nodes(spec, i, taken, places, SETTINGS)
-        used = {n: sum(spec.members[k].cores for k, at in taken.items() if at == n) for n in taken.values()}
+    assigned: dict[int, int] = {}
+    for i, task in enumerate(spec.members):
+        excluded = excluded_nodes(spec, i, assigned, nodes, SETTINGS)
+        used_cores = {
+            node: sum(spec.members[j].cores for j, other in assigned.items() if other == node)
+            for node in assigned.values()
+        }
         fitting = [
-            p
-            for p in places
-            if p.node not in excluded and one.cores <= p.free_cores - used.get(p.node, 0) + 1e-9
+            each
+            for each in nodes
+            if each.node not in excluded
+            and task.cores <= each.free_cores - used_cores.get(each.node, 0) + 1e-9
         ]
         if not fitting:
             break
-        # The module takes the roomiest of a few.
-        taken[i] = max(
-            rng.sample(fitting, min(3, len(fitting))), key=lambda p: p.free_cores - used.get(p.node, 0)
+        # The decision module chooses the node with the most free cores out of a small random sample.
+        assigned[i] = max(
+            rng.sample(fitting, min(3, len(fitting))),
+            key=lambda each: each.free_cores - used_cores.get(each.node, 0),
         ).node
-    done = len(taken) == len(spec.members)
-    by_node = {p.node: p for p in places}
-    if done:
-        assert met(spec, tuple(by_node[taken[i]] for i in range(len(cores))))
-    if possible and constraint != "same_rack":
-        assert done
-    if not possible:
-        assert not done
+    all_placed = len(assigned) == len(spec.members)
+    by_node = {each.node: each for each in nodes}
+    if all_placed:
+        assert is_valid_assignment(spec, tuple(by_node[assigned[i]] for i in range(len(cores))))
+    if is_feasible and constraint != "same_rack":
+        assert all_placed
+    if not is_feasible:
+        assert not all_placed
 
 
 @pytest.mark.parametrize("constraint", ["distinct_racks", "distinct_nodes", "same_rack"])
 def test_a_feasible_constraint_is_met_at_the_first_attempt(constraint: str) -> None:
-    """Five members in an empty cluster: all four attempts used to bind them to one node."""
-    w = World(nodes=10)
-    w.actions.clear()
-    members = tuple(w.task_spec(100 + i, "report", service=50) for i in range(5))
-    w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, **{constraint: True}))
-    offers = w.actions_of(ev.SendOffer)
+    """Guards against a fault: in an empty cluster, all four attempts bound the five members to one node."""
+    harness = World(nodes=10)
+    harness.actions.clear()
+    members = tuple(harness.task_spec(100 + i, "report", service=50) for i in range(5))
+    harness.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, **{constraint: True}))
+    offers = harness.actions_of(ev.SendOffer)
     assert len(offers) == 5
-    nodes = [o.node for o in offers]
-    racks = [(n - 1) // 2 for n in nodes]
+    nodes = [offer.node for offer in offers]
+    racks = [(node - 1) // 2 for node in nodes]
     assert len(set(nodes)) == 5 or constraint == "same_rack"
     assert len(set(racks)) == {"distinct_racks": 5, "same_rack": 1}.get(constraint, len(set(racks)))
     for offer in offers:
-        w.feed(ev.NodeAccepted(offer.node, offer.id))
-        w.feed(ev.NodeReady(offer.node, offer.id))
+        harness.feed(ev.NodeAccepted(offer.node, offer.id))
+        harness.feed(ev.NodeReady(offer.node, offer.id))
     for offer in offers:
-        w.feed(ev.NodeRunning(offer.node, offer.id))
-    (placed,) = w.client_messages(ev.GroupPlaced)
+        harness.feed(ev.NodeRunning(offer.node, offer.id))
+    (placed,) = harness.client_messages(ev.GroupPlaced)
     assert placed.constraints_met and placed.attempts == 1
 
 
-def test_a_rejected_member_goes_where_the_constraint_still_holds() -> None:
-    w = World(nodes=6)
-    w.actions.clear()
-    members = tuple(w.task_spec(100 + i, "report", service=50 + i) for i in range(2))
-    w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, distinct_racks=True))
-    first, second = w.actions_of(ev.SendOffer)
-    w.feed(ev.NodeRejected(second.node, second.id, api.Reason.QUEUE_FULL))
-    w.wait(200_000)
-    again = w.actions_of(ev.SendOffer)[2:]
-    assert again and all(
-        (o.node - 1) // 2 != (first.node - 1) // 2 for o in again if o.task.key == second.task.key
+def test_a_rejected_member_is_offered_to_another_node_that_meets_the_constraint() -> None:
+    harness = World(nodes=6)
+    harness.actions.clear()
+    members = tuple(harness.task_spec(100 + i, "report", service=50 + i) for i in range(2))
+    harness.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, distinct_racks=True))
+    first, second = harness.actions_of(ev.SendOffer)
+    harness.feed(ev.NodeRejected(second.node, second.id, api.Reason.QUEUE_FULL))
+    harness.wait(200_000)
+    new_offers = harness.actions_of(ev.SendOffer)[2:]
+    assert new_offers and all(
+        (offer.node - 1) // 2 != (first.node - 1) // 2
+        for offer in new_offers
+        if offer.task.key == second.task.key
     )
 
 
 def test_an_infeasible_constraint_is_named_in_the_first_message() -> None:
-    w = World(nodes=4)
-    w.actions.clear()
-    members = tuple(w.task_spec(100 + i, "report", service=50 + i, cores=12.0) for i in range(3))
-    w.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, same_rack=True))
-    attempted = w.client_messages(ev.GroupAttempted)
+    harness = World(nodes=4)
+    harness.actions.clear()
+    members = tuple(harness.task_spec(100 + i, "report", service=50 + i, cores=12.0) for i in range(3))
+    harness.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, same_rack=True))
+    attempted = harness.client_messages(ev.GroupAttempted)
     if attempted:
         assert attempted[0].attempts == 0 and "can never be met" in attempted[0].reason
-        assert len(w.actions_of(ev.SendOffer)) == 3  # and it is placed as it can be, without waiting
+        assert len(harness.actions_of(ev.SendOffer)) == 3  # the group is placed at once all the same
     else:
-        assert w.words(ev.GroupShed)
+        assert harness.client_messages(ev.GroupShed)
