--- a/stairplank/groups/constraints.py
+++ b/stairplank/groups/constraints.py
@@ -53,7 +53,7 @@
         return None
     if not Matching(_edges(members, _places(spec, empty))).match_all():
         places = "racks" if spec.distinct_racks else "nodes"
-        return f"no assignment of {len(members)} members to distinct {places} is possible"
+        return f"there are no {len(members)} {places} apart that could hold a member each"
     return None
 
 
--- a/stairplank/groups/lifecycle.py
+++ b/stairplank/groups/lifecycle.py
@@ -124,7 +124,7 @@
             case GroupState.WAITING:
                 self.attempt(group)
             case GroupState.RESERVING:
-                self._check_reservable(group, "not all members were reserved in time")
+                self._check_reservable(group, "not all members found a place in time")
             case GroupState.COMMITTED | GroupState.COMPLETE:
                 self.renew_leases(group)
             case GroupState.RELEASING:
@@ -196,7 +196,7 @@
         """Renew the members' leases, or abandon the attempt if the group did not become complete in time."""
         context = self.context
         if group.state is GroupState.COMMITTED and context.now >= group.state_deadline:
-            self._abandon_attempt(group, "not all members were running in time")
+            self._abandon_attempt(group, "not all members ran in time")
             return
         if group.state is GroupState.COMPLETE:
             # The lease grows by small steps. If the last renewal reached only some of the members, all of
@@ -305,7 +305,7 @@
         return Shed(group.number, reason, False, self.context.config.max_backoff_us)
 
     def _shed_expired(self, group: Group) -> None:
-        self.answer(group, self._shed(group, group.reason or "no time is left before the deadline"))
+        self.answer(group, self._shed(group, group.reason or "its time is over"))
 
     def answer(self, group: Group, outcome: Shed | Failed) -> None:
         """Send the client this outcome unless it already has one, and remove the group."""
--- a/stairplank/groups/spec.py
+++ b/stairplank/groups/spec.py
@@ -35,15 +35,15 @@
     """
     count = len(spec.members)
     if not 1 <= count <= MAX_MEMBERS:
-        return _invalid("members", f"a group has 1 to {MAX_MEMBERS} members, not {count}")
+        return _invalid("members", f"{count} members; 1 to {MAX_MEMBERS} make a group")
     index_of_key: dict[int, int] = {}
     for index, member in enumerate(spec.members):
         if member.key in index_of_key:
-            message = f"duplicates the key of members[{index_of_key[member.key]}]"
+            message = f"is the key of members[{index_of_key[member.key]}] too"
             return _invalid(f"members[{index}].key", message)
         index_of_key[member.key] = index
     if not 0 <= requested_min_members <= count:
-        return _invalid("least", f"{requested_min_members} of {count} members cannot be required")
+        return _invalid("least", f"{requested_min_members} of {count} members")
     if spec.same_rack and spec.distinct_racks:
         return _invalid("distinct_racks", "contradicts same_rack")
     return None
@@ -68,13 +68,13 @@
     cores = sum(member.cores for member in smallest)
     memory = sum(sorted(member.memory for member in spec.members)[: spec.min_members])
     if cores > capacity.cores:
-        return f"its members require {cores:g} cores, all nodes together accept {capacity.cores:g}"
+        return f"its members ask for {cores:g} cores, all nodes together accept {capacity.cores:g}"
     if memory > capacity.memory:
-        return f"its members require {memory:g} of memory, all nodes together accept {capacity.memory:g}"
+        return f"its members ask for {memory:g} of memory, all nodes together accept {capacity.memory:g}"
     if spec.distinct_nodes and spec.min_members > capacity.nodes:
-        return f"{spec.min_members} members require distinct nodes, {capacity.nodes} nodes are listed"
+        return f"{spec.min_members} members on distinct nodes, {capacity.nodes} nodes are listed"
     if spec.distinct_racks and spec.min_members > capacity.racks:
-        return f"{spec.min_members} members require distinct racks, {capacity.racks} racks are listed"
+        return f"{spec.min_members} members in distinct racks, {capacity.racks} racks are listed"
     return None
 
 
@@ -88,8 +88,8 @@
         if task_class.spread not in place_counts:
             continue
         if count - optional_members > task_class.max_per_place * place_counts[task_class.spread]:
-            limit = f"at most {task_class.max_per_place} per {task_class.spread.value}"
-            return f"{count} members of service {service}, {limit}"
+            limit = f"at most {task_class.max_per_place} in one {task_class.spread.value}"
+            return f"{count} of service {service}, {limit}"
     return None
 
 
