--- a/stairplank/emulator/__init__.py
+++ b/stairplank/emulator/__init__.py
@@ -1,6 +1,7 @@
-"""Simulated time around the same cores: planners, decision module, groups, stand-in nodes, list and clients.
+"""The emulator: runs the planners' real cores in simulated time, with stand-in nodes, node list and clients.
 
-``simulation`` drives them with an ``event_queue`` in place of sockets, over ``simulated_links``;
-``invariant_monitor`` watches for what may never happen; ``group_meter`` measures what groups cost;
-``experiment`` runs a grid of simulations over several processes and keeps the results as a table and charts.
+``simulation`` drives the cores from an ``event_queue`` in place of sockets, over ``simulated_links``.
+``invariant_monitor`` detects violations of the planners' guarantees, and ``group_meter`` measures the cores
+that incomplete groups waste. ``experiment`` runs a grid of simulations over several processes and writes the
+results as a CSV file, a table and a chart.
 """
--- a/stairplank/emulator/experiment.py
+++ b/stairplank/emulator/experiment.py
@@ -1,8 +1,9 @@
-"""A grid of simulations over several processes: what groups gain and cost against two baselines.
+"""Runs a grid of simulations over several processes, to compare groups with two baselines.
 
-A file in the manner of the settings names the cluster, what varies and how often; each cell of the grid is a
-simulation of its own seed. Results are a CSV file, one row a run, and charts; the head names version and
-file, so that a run can be repeated.
+An experiment file, in the syntax of the settings, describes the cluster and lists the values of each
+parameter that varies, seeds included. The grid has one cell, and so one simulation, for each combination of
+these values. Results are written as a CSV file with one row for each simulation, a table and a chart. The
+first line of the CSV file names the version and the experiment file, so that the run can be repeated.
 """
 
 from __future__ import annotations
@@ -70,12 +71,12 @@
     ("wasted_core_s_per_group", "wasted core-s a group"),
     ("single_in_time", "single tasks in time"),
 )
-SETTLE_US = 12_000_000  # after the last new task, for those under way to end
+SETTLE_US = 12_000_000  # simulated time after the last new task in which running tasks can end
 
 
 @dataclass(frozen=True)
 class Cell:
-    """One simulation of the grid: the file and the values that vary."""
+    """One cell of the grid: the path of the experiment file and one combination of the varying values."""
 
     path: str
     policy: str
@@ -86,19 +87,19 @@
 
 
 def grid_cells(path: str) -> list[Cell]:
-    """The grid of a file. Raises SettingsError."""
+    """Return all cells of an experiment file's grid. Raises SettingsError if the file is invalid."""
     section = load_section(path, EXPERIMENT)
     cluster = cluster_from(section)
     class_names = [each.name for each in cluster.classes]
     for key in ("single-class", "group-class"):
         if section.value(key) not in class_names:
-            text = f"no class {section.value(key)}; known: {', '.join(class_names)}"
+            text = f"unknown class {section.value(key)}; known: {', '.join(class_names)}"
             raise SettingsError([SettingsProblem(section.position_of(key), key, text)])
     node_types = [each.name for each in cluster.node_types]
     for node_type, *_ in section.all_values("fleet"):
         if node_type not in node_types:
             raise SettingsError(
-                [SettingsProblem(section.position_of("fleet"), "fleet", f"no kind {node_type}")]
+                [SettingsProblem(section.position_of("fleet"), "fleet", f"unknown kind {node_type}")]
             )
     varying = ("policy", "load", "planners", "group-size", "seeds")
     return [
@@ -107,7 +108,7 @@
 
 
 def simulation_of(cell: Cell, section: Section) -> tuple[Simulation, int]:
-    """The simulation of a cell, and for how long new tasks come, in microseconds."""
+    """Return the simulation of a cell, and for how many microseconds its clients create new tasks."""
     cluster = cluster_from(section)
     nodes = _fleet(section, cluster)
     duration_us = section.value("lasts")
@@ -146,7 +147,7 @@
 
 
 def _rate(cell: Cell, section: Section, nodes: tuple[NodeModel, ...]) -> float:
-    """Tasks a second that fill the cell's load of what the nodes accept."""
+    """Return the task rate, per second, that fills the share ``cell.load`` of the nodes' capacity."""
     cores, memory = section.value("size")
     shortest_us, longest_us = section.value("life")
     mean_duration_s = (shortest_us + longest_us) / 2e6
@@ -158,7 +159,7 @@
 
 
 def _demands(cell: Cell, section: Section) -> tuple[Demand, Demand]:
-    """Single tasks and groups, by their shares of the requests."""
+    """Return the demands for single tasks and for groups, weighted by their shares of all requests."""
     share = section.value("group-share")
     size = cell.group_size
     groups = share / size
@@ -183,7 +184,7 @@
 
 
 def run_cell(cell: Cell) -> dict[str, Any]:
-    """Play one cell; a row of the results, by ``COLUMNS``."""
+    """Run the simulation of one cell; returns its row of the results, with the keys in ``COLUMNS``."""
     section = load_section(cell.path, EXPERIMENT)
     started_s = time.perf_counter()
     simulation, duration_us = simulation_of(cell, section)
@@ -220,12 +221,12 @@
 
 def _single_figures(simulation: Simulation, section: Section, cell: Cell) -> dict[str, Any]:
     name = section.value("single-class")
-    tally = simulation.clients[0].statistics
-    counts: Any = tally.by_class.get(name, {})
+    client_statistics = simulation.clients[0].statistics
+    counts: Any = client_statistics.by_class.get(name, {})
     wanted = counts.get("wanted", 0)
-    latencies_us = sorted(tally.latencies.get(name, []))
+    latencies_us = sorted(client_statistics.latencies.get(name, []))
     if cell.policy == "singles" and name == section.value("group-class"):
-        latencies_us = []  # single tasks cannot be told from members of groups
+        latencies_us = []  # the class holds single tasks and group members, with nothing to distinguish them
     return {
         "singles": wanted,
         "single_p50_ms": _quantile_ms(latencies_us, 0.5),
@@ -241,10 +242,13 @@
 
 
 def run_experiment(path: str, processes: int, progress: Callable[[int, int], None]) -> list[dict[str, Any]]:
-    """Play all cells; rows in the order of the grid. ``progress`` is given cells done and all cells."""
+    """Run all cells and return their rows in the order of the grid.
+
+    ``progress`` is called after each cell with the number of finished cells and of all cells.
+    """
     grid = grid_cells(path)
     rows: dict[int, dict[str, Any]] = {}
-    # The largest cells first, so that the last ones do not wait for one.
+    # Start the largest cells first: a large cell started last would run alone while other processes idle.
     order = sorted(range(len(grid)), key=lambda index: -grid[index].planners * grid[index].load)
     context = multiprocessing.get_context("spawn")
     with context.Pool(processes) as pool:
@@ -260,7 +264,7 @@
 
 
 def write_results(rows: list[dict[str, Any]], path: str, folder: Path) -> None:
-    """Write results.csv, table.md and chart.png."""
+    """Write results.csv, table.md and chart.png to ``folder``, which is created if missing."""
     folder.mkdir(parents=True, exist_ok=True)
     with (folder / "results.csv").open("w", newline="") as file:
         file.write(f"# stairplank {version('stairplank')}, {Path(path).name}\n")
@@ -272,15 +276,15 @@
 
 
 def mean_figures(rows: list[dict[str, Any]], *by: str) -> Iterator[tuple[tuple[Any, ...], dict[str, float]]]:
-    """Mean of the figures over the rows that agree in ``by``."""
+    """Group the rows by the columns ``by`` and yield each group's key and means of ``MEAN_FIGURES``."""
     keys = sorted({tuple(row[column] for column in by) for row in rows}, key=str)
     for key in keys:
-        same = [row for row in rows if tuple(row[column] for column in by) == key]
-        yield key, {figure: statistics.fmean(row[figure] for row in same) for figure in MEAN_FIGURES}
+        matching_rows = [row for row in rows if tuple(row[column] for column in by) == key]
+        yield key, {figure: statistics.fmean(row[figure] for row in matching_rows) for figure in MEAN_FIGURES}
 
 
 def markdown_table(rows: list[dict[str, Any]]) -> str:
-    """The means of every setting, a line each."""
+    """Return a Markdown table of the means, one line for each combination of parameters."""
     head = (
         "| planners | group size | load | policy | whole in time | wasted core-s a group"
         " | longest partly running s | singles in time | single p95 ms |\n"
@@ -288,18 +292,18 @@
     )
     lines: list[tuple[int, int, float, int, str]] = []
     for key, means in mean_figures(rows, "planners", "group_size", "load", "policy"):
-        planners, size, load_, policy = key
+        planners, size, load, policy = key
         line = (
-            f"| {planners} | {size} | {load_} | {policy} | {means['whole_in_time']:.1%}"
+            f"| {planners} | {size} | {load} | {policy} | {means['whole_in_time']:.1%}"
             f" | {means['wasted_core_s_per_group']:.2f} | {means['partly_running_most_s']:.2f}"
             f" | {means['single_in_time']:.1%} | {means['single_p95_ms']:.0f} |\n"
         )
-        lines.append((planners, size, load_, POLICIES.index(policy), line))
+        lines.append((planners, size, load, POLICIES.index(policy), line))
     return head + "".join(line for *_, line in sorted(lines))
 
 
 def draw_chart(rows: list[dict[str, Any]], path: Path) -> None:
-    """Groups complete in time, waste and single tasks against load, a column for each number of planners."""
+    """Draw the figures of ``PANELS`` against load, with one column of plots for each number of planners."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/stairplank/emulator/group_meter.py
+++ b/stairplank/emulator/group_meter.py
@@ -1,15 +1,15 @@
-"""Measures what groups cost: core-seconds taken while a group is incomplete, and when each completes."""
+"""Measures the core time that is reserved while a group is incomplete, and when each group completes."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-TaskName = tuple[str, int]  # client and key
+TaskName = tuple[str, int]  # name of the client, key of the task
 
 
 class Reservation(NamedTuple):
-    """Cores that a task takes at a node."""
+    """The cores that a node has reserved for a task, and since when."""
 
     since_us: int
     cores: float
@@ -17,17 +17,17 @@
 
 @dataclass(slots=True)
 class GroupMeasurement:
-    """One group over all its attempts; times in microseconds."""
+    """Measurements of one group over all its requests; times in microseconds."""
 
     size: int
     requested_us: int
     reservations: dict[TaskName, Reservation] = field(default_factory=dict)
     running: set[TaskName] = field(default_factory=set)
     finished: set[TaskName] = field(default_factory=set)
-    complete_us: int = 0  # the first time; 0: never
+    complete_us: int = 0  # when the group first became complete; 0: never so far
     wasted_core_us: float = 0.0
-    partial_since_us: int = 0  # 0: it is not partly running
-    max_partial_us: int = 0  # longest stretch in which some members ran and others did not
+    partial_since_us: int = 0  # when the group became partly running; 0: it is not
+    max_partial_us: int = 0  # longest time in which some members ran and others did not
 
     def is_complete(self) -> bool:
         """Whether every member runs or has finished."""
@@ -35,15 +35,18 @@
 
 
 class GroupMeter:
-    """Follows the tasks of every group through what clients request and nodes report."""
+    """Tracks the tasks of every group from the requests of clients and the reports of nodes."""
 
     def __init__(self) -> None:
-        """Start without groups."""
+        """Create a meter that has no groups yet."""
         self.group_of: dict[TaskName, GroupMeasurement] = {}
         self.groups: list[GroupMeasurement] = []
 
     def group_requested(self, names: list[TaskName], now_us: int, former: TaskName | None = None) -> None:
-        """A group is requested; ``former`` names one of its tasks when it was requested before."""
+        """Record a request for a group.
+
+        ``former`` names a task of the group's earlier request; it is None if this is the first request.
+        """
         group = self.group_of.get(former) if former is not None else None
         if group is None:
             group = GroupMeasurement(len(names), now_us)
@@ -52,13 +55,13 @@
             self.group_of[name] = group
 
     def task_accepted(self, name: TaskName, cores: float, now_us: int) -> None:
-        """A node has reserved cores for a task."""
+        """Record that a node has accepted a task and reserved cores for it."""
         group = self.group_of.get(name)
         if group is not None:
             group.reservations[name] = Reservation(now_us, cores)
 
     def task_running(self, name: TaskName, now_us: int) -> None:
-        """A task has started."""
+        """Record that a task has started."""
         group = self.group_of.get(name)
         if group is None:
             return
@@ -68,10 +71,10 @@
             group.complete_us = group.complete_us or now_us
             for task, reservation in group.reservations.items():
                 group.wasted_core_us += (now_us - reservation.since_us) * reservation.cores
-                group.reservations[task] = Reservation(now_us, 0.0)  # from here on they are of use
+                group.reservations[task] = Reservation(now_us, 0.0)  # a complete group wastes no cores
 
     def task_over(self, name: TaskName, finished: bool, now_us: int) -> None:
-        """A node has released a task's cores; ``finished``: it ran to its end."""
+        """Record that a node has released a task's cores; ``finished`` is whether the task ran to its end."""
         group = self.group_of.get(name)
         if group is None:
             return
@@ -81,7 +84,8 @@
         if finished:
             group.finished.add(name)
         elif not group.is_complete():
-            # What is left of it counts as wasted from now on, until it is complete again.
+            # The group is incomplete again: members that had finished no longer count towards completion, and
+            # cores that are reserved from now on count as wasted until it is complete.
             group.finished.clear()
         self._update_partial(group, now_us)
 
--- a/stairplank/emulator/invariant_monitor.py
+++ b/stairplank/emulator/invariant_monitor.py
@@ -1,6 +1,7 @@
-"""Watches a simulation for what no planner may bring about: stale messages that take effect, duplicate runs.
+"""Detects violations of the planners' guarantees in a simulation: stale offers accepted and duplicate runs.
 
-It reads what passes between the cores and the models of nodes, and nothing of how they decide.
+The monitor reads only the offers of the planners' cores and the reports of the simulated nodes, so it does
+not depend on how either of them decides.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 from .node_reports import is_last_report
 from .simulation import Simulation
 
-FRESH_WAIT_US = 50_000  # an offer that came with less of its wait left than this is no loss
+FRESH_WAIT_US = 50_000  # rejecting an offer as too late does no harm if it expires within this time
 
-GroupKey = tuple[int, int]  # incarnation of the planner and group
+GroupKey = tuple[int, int]  # incarnation of the planner, id of the group
 
 
 class StaleAcceptance(NamedTuple):
-    """An offer that a node accepted after the end of its wait."""
+    """An offer that a node accepted after the offer had expired."""
 
     time_us: int
     node: int
@@ -31,7 +32,7 @@
 
 
 class DuplicateRun(NamedTuple):
-    """A second run of a task that may not be repeated."""
+    """A second start of a running task whose class does not allow repeated runs."""
 
     time_us: int
     client: str
@@ -40,28 +41,28 @@
 
 @dataclass
 class Observations:
-    """What was observed; times in microseconds."""
+    """Counts and violations that the monitor has recorded; times in microseconds."""
 
     stale_accepted: list[StaleAcceptance] = field(default_factory=list)
-    duplicate_runs: list[DuplicateRun] = field(default_factory=list)  # of one placement
-    duplicate_runs_of_retries: list[DuplicateRun] = field(default_factory=list)  # the client had asked again
+    duplicate_runs: list[DuplicateRun] = field(default_factory=list)  # both runs belong to one placement
+    duplicate_runs_of_retries: list[DuplicateRun] = field(default_factory=list)  # after a client's retry
     offers: int = 0
     stale_rejected: int = 0
-    fresh_rejected: int = 0  # as too late, with ``FRESH_WAIT_US`` of their wait left
-    partial_group_us: list[int] = field(default_factory=list)  # how long groups ran partly
+    fresh_rejected: int = 0  # rejected as too late though valid for more than ``FRESH_WAIT_US`` longer
+    partial_group_us: list[int] = field(default_factory=list)  # times in which a group ran only partly
 
 
 class InvariantMonitor:
-    """Attached to a simulation before it runs.
+    """Records offers and reports of one simulation; to be created before the simulation runs.
 
     Attributes:
-        observed: what was seen so far.
-        running_members: by group, the attempts of members that run now.
-        node_of: the node of each attempt of a group's member.
+        observed: what the monitor has recorded so far.
+        running_members: for each group, the attempts of the members that are running.
+        node_of: the node to which each attempt of a group member was offered.
     """
 
     def __init__(self, simulation: Simulation) -> None:
-        """Take over the simulation's observer callbacks."""
+        """Register the monitor as the observer of the simulation's offers, reports and node failures."""
         self.observed = Observations()
         self._simulation = simulation
         self._valid_until_us: dict[AttemptId, int] = {}
@@ -79,7 +80,7 @@
         simulation.on_node_death = self.node_died
 
     def task_of(self, attempt: AttemptId) -> ev.TaskSpec | None:
-        """The task that was offered under this id."""
+        """Return the task that was offered in this attempt, or None for an unknown attempt."""
         return self._tasks.get(attempt)
 
     def _offer_sent(self, offer: ev.SendOffer) -> None:
@@ -109,18 +110,18 @@
         now_us = self._simulation.now_us
         task = self._tasks[attempt]
         others = self._running[task.client, task.key]
-        is_same_placement = any(
+        has_same_placement = any(
             other.incarnation == attempt.incarnation and other.placement == attempt.placement
             for _, other in others
         )
-        if is_same_placement:
+        if has_same_placement:
             self.observed.duplicate_runs.append(DuplicateRun(now_us, task.client, task.key))
         elif others:
             self.observed.duplicate_runs_of_retries.append(DuplicateRun(now_us, task.client, task.key))
         others[node, attempt] = now_us
 
     def node_died(self, node: int) -> None:
-        """Nothing runs at a node any more."""
+        """Record that a node has failed, which ended all tasks that ran on it."""
         for runs in self._running.values():
             for key in [key for key in runs if key[0] == node]:
                 del runs[key]
@@ -140,7 +141,7 @@
         self._update_partial(group, tag.size)
 
     def _update_partial(self, group: GroupKey, size: int) -> None:
-        """Partial: some members run, and fewer than all run or have run to their end."""
+        """Track for how long a group is partial: some members run, but not all run or have finished."""
         running = len(self.running_members[group])
         is_partial = running > 0 and running + self._finished_members[group] < size
         if is_partial:
--- a/stairplank/emulator/node_reports.py
+++ b/stairplank/emulator/node_reports.py
@@ -1,20 +1,20 @@
-"""What simulated nodes report, as the events that a planner's core takes."""
+"""Converts the reports of simulated nodes to the events of a planner's core."""
 
 from __future__ import annotations
 
 from ..planner import events as ev
 from ..standin.node_events import Reported
 
-LAST_REPORTS = ("refused", "error", "ended")  # nothing follows them on an attempt
+LAST_REPORTS = ("refused", "error", "ended")  # an attempt has no report after one of these kinds
 
 
 def is_last_report(report: Reported) -> bool:
-    """Whether a report is the last on its attempt."""
+    """Whether a report is the last one about its attempt."""
     return report.kind in LAST_REPORTS
 
 
 def event_from_report(node: int, report: Reported) -> ev.Event:
-    """The event of a report, as the daemon makes it from a message."""
+    """Return the event that the planner's daemon would create from the message of this report."""
     match report.kind:
         case "accepted":
             return ev.NodeAccepted(node, report.id)
--- a/stairplank/emulator/simulated_links.py
+++ b/stairplank/emulator/simulated_links.py
@@ -1,9 +1,10 @@
-"""Links between planners and nodes in simulated time: connections that stall, delay, break, and heal late.
+"""Simulated connections between planners and nodes, with delays, holds and resets.
 
-A connection carries messages in order each way. Its path may be held in one direction or both: messages then
-wait and are delivered, in order, when the path opens again, also when the planner has closed the connection
-meanwhile. So messages of an old connection arrive after those of a new one, as on a network that heals. The
-decisions are those of the fence, the session and the cores; here is only the path between them.
+A connection delivers messages in order in each direction. Its path can be held in one direction or both:
+messages then wait and arrive in order when the path is released, even if the planner has closed the
+connection since. Messages of an old connection can therefore arrive after messages of a newer one, as they
+do when a network partition heals. This module simulates only the network; every decision is made by the
+real fence, session and cores.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 from ..planner.received_messages import ReceivedMessages
 from ..standin.planner_session import PlannerSession
 
-KEEPALIVE_TIMEOUT_US = 2_000_000  # a planner that receives nothing for so long closes a connection
+KEEPALIVE_TIMEOUT_US = 2_000_000  # a planner closes a connection that has been silent for this long
 DIAL_TIMEOUT_US = 250_000
-ACKNOWLEDGE_EVERY = 8  # numbered messages
+ACKNOWLEDGE_EVERY = 8  # the planner acknowledges every eighth numbered message
 
 Schedule = Callable[..., None]  # (delay in microseconds, call, *arguments)
-FeedEvent = Callable[[Any], None]  # hands an event to a planner's core
+FeedEvent = Callable[[Any], None]  # passes an event to a planner's core
 
 
 class Direction(StrEnum):
@@ -44,9 +45,9 @@
 
 @dataclass
 class NetworkPath:
-    """The path between one planner and one node, by direction."""
+    """The state of the network path between one planner and one node, for each direction."""
 
-    hold_counts: dict[str, int] = field(default_factory=_by_direction)  # overlapping faults that hold it
+    hold_counts: dict[str, int] = field(default_factory=_by_direction)  # number of overlapping holds
     extra_delay_us: dict[str, int] = field(default_factory=_by_direction)
     held_messages: dict[str, deque[tuple[SimulatedConnection, Callable[[], None]]]] = field(
         default_factory=_queue_by_direction
@@ -55,36 +56,39 @@
 
     @property
     def is_passing(self) -> bool:
-        """Whether no direction is held."""
+        """Whether messages can pass in both directions."""
         return not any(self.hold_counts.values())
 
 
 @dataclass(eq=False)
 class SimulatedConnection:
-    """One connection, as its planner knows it."""
+    """A planner's connection to a node, with the planner's state of it."""
 
     planner: int
     node: int
     epoch: int
-    incarnation: int  # of the planner
+    incarnation: int  # the planner's incarnation
     received: ReceivedMessages
     stamps: MessageStamper = field(default_factory=MessageStamper)
-    is_closed: bool = False  # by its planner, or reset: nothing more is sent on it
-    is_reset: bool = False  # messages in flight are lost as well
+    is_closed: bool = False  # the planner has closed it or it was reset; events that arrive on it are dropped
+    is_reset: bool = False  # messages that were in flight are lost
 
 
 class SimulatedLinks:
-    """All connections of a simulation.
+    """All connections and sessions between the planners and nodes of a simulation.
 
     Attributes:
-        now_us: simulated time; the simulation keeps it current.
-        is_fenced: False only to show what happens without the fence.
-        lost_messages: in flight on connections that were reset.
-        stale_messages: reached a node on a connection that was no longer the newest.
+        now_us: simulated time in microseconds; the simulation updates it.
+        is_fenced: whether the age of messages is checked; False is a baseline of experiments.
+        lost_messages: number of messages lost in flight because their connection was reset.
+        stale_messages: number of messages that reached a node on a connection older than its newest one.
     """
 
     def __init__(self, rng: random.Random, delay_us: Callable[[], int], schedule: Schedule) -> None:
-        """``delay_us`` draws the delay of one message; ``schedule`` queues a call of the simulation."""
+        """Create links without connections.
+
+        ``delay_us`` returns a random delay for one message; ``schedule`` schedules a call in the simulation.
+        """
         self.now_us = 0
         self.rng = rng
         self.is_fenced = True
@@ -95,32 +99,33 @@
         self._paths: dict[tuple[int, int], NetworkPath] = {}
         self._connections: dict[tuple[int, int], SimulatedConnection] = {}
         self._sessions: dict[tuple[int, int], PlannerSession] = {}
-        # By incarnation of the planner and node: when that node started, and what was received from it.
+        # The key is the incarnation of a planner and a node; the value is the start time of that node and the
+        # messages that the planner has received from it.
         self._received: dict[tuple[int, int], tuple[int, ReceivedMessages]] = {}
         self._epoch = 0
 
     def path(self, planner: int, node: int) -> NetworkPath:
-        """The path between a planner and a node."""
+        """Return the path between a planner and a node."""
         return self._paths.setdefault((planner, node), NetworkPath())
 
     def connection(self, planner: int, node: int) -> SimulatedConnection | None:
-        """The open connection of a planner to a node."""
+        """Return the open connection of a planner to a node, or None."""
         return self._connections.get((planner, node))
 
     def session(self, planner: int, node: int) -> PlannerSession:
-        """What a node keeps of a planner over its connections."""
+        """Return the node's session of a planner, which outlasts single connections."""
         return self._sessions.setdefault((planner, node), PlannerSession(self.rng))
 
     # Opening and closing
 
     def open(self, planner: int, incarnation: int, node: int, node_started_us: int) -> SimulatedConnection:
-        """Open a connection with both greetings exchanged, and the node's first grant."""
+        """Return a new connection on which the handshake is done and the node has issued its first grant."""
         self._epoch += 1
-        known = self._received.get((incarnation, node))
-        if known is None or known[0] != node_started_us:
-            known = (node_started_us, ReceivedMessages())
-            self._received[incarnation, node] = known
-        received = known[1]
+        entry = self._received.get((incarnation, node))
+        if entry is None or entry[0] != node_started_us:
+            entry = (node_started_us, ReceivedMessages())
+            self._received[incarnation, node] = entry
+        received = entry[1]
         connection = SimulatedConnection(planner, node, self._epoch, incarnation, received)
         self._connections[planner, node] = connection
         received.stream_opened()
@@ -131,27 +136,30 @@
         return connection
 
     def resend_unacknowledged(self, connection: SimulatedConnection, feed: FeedEvent) -> None:
-        """Let the node send again what the planner has not acknowledged."""
+        """Make the node resend its numbered messages after the last one that the planner has received."""
         session = self.session(connection.planner, connection.node)
         for number, event in session.outbox.unacknowledged_after(connection.received.last_number):
             self.send_to_planner(connection, event, feed, number)
 
     def close(self, planner: int, node: int) -> SimulatedConnection | None:
-        """The planner closes its connection; messages in flight may still arrive."""
+        """Close the planner's connection and return it, or None; messages to the node may still arrive."""
         connection = self._connections.pop((planner, node), None)
         if connection is not None:
             connection.is_closed = True
         return connection
 
     def reset(self, planner: int, node: int) -> SimulatedConnection | None:
-        """The connection breaks; messages in flight are lost."""
+        """Break a connection, which loses the messages in flight; returns the connection, or None."""
         connection = self.close(planner, node)
         if connection is not None:
             connection.is_reset = True
         return connection
 
     def remove_node(self, node: int) -> set[int]:
-        """A node's process has died, with its sessions and connections; the planners that had one."""
+        """Drop all sessions and connections of a node whose process has crashed.
+
+        Returns the planners that were connected to the node.
+        """
         for key in [key for key in self._sessions if key[1] == node]:
             del self._sessions[key]
         connected = {planner for planner, other in self._connections if other == node}
@@ -164,7 +172,10 @@
     def send_to_node(
         self, connection: SimulatedConnection, deliver: Callable[[PlannerSession], None]
     ) -> None:
-        """From the planner; ``deliver`` is called where the node still takes this connection's messages."""
+        """Send a message from the planner to the node.
+
+        ``deliver`` is called on arrival, unless the node has a newer connection or has restarted.
+        """
         self._send(Direction.TO_NODE, connection, lambda: self._deliver_to_node(connection, deliver))
 
     def _deliver_to_node(
@@ -179,15 +190,21 @@
         deliver(session)
 
     def stamp(self, connection: SimulatedConnection) -> AgeStamp | None:
-        """The fence's stamp for a message that the planner sends now."""
+        """Return the age stamp for a message that the planner sends now; None without a recent grant."""
         return connection.stamps.stamp(self.now_us)
 
     def earliest_send_us(self, session: PlannerSession, stamp: AgeStamp | None) -> int | None:
-        """When a stamped message was sent at the earliest; without the fence, when it arrives."""
+        """Return the earliest time at which a message can have been sent, or None if its age is unknown.
+
+        Without the fence this is the time of arrival, so that no message counts as old.
+        """
         return session.earliest_sent_at(self.now_us, stamp) if self.is_fenced else self.now_us
 
     def report(self, planner: int, node: int, event: Any, is_last: bool, feed: FeedEvent) -> None:
-        """A node's report to a planner; the last on an attempt is kept until it is acknowledged."""
+        """Send a node's report to a planner.
+
+        ``is_last`` marks the last report about an attempt, which is kept until the planner acknowledges it.
+        """
         session = self.session(planner, node)
         number = session.outbox.add(event) if is_last else 0
         connection = self._connections.get((planner, node))
@@ -199,7 +216,10 @@
     def send_to_planner(
         self, connection: SimulatedConnection, event: Any, feed: FeedEvent, number: int = 0
     ) -> None:
-        """From the node, with a grant; ``number`` is that of a message that is to be acknowledged."""
+        """Send an event with a grant from the node to the planner.
+
+        ``number`` is the message number of an event that needs an acknowledgement, or 0 for others.
+        """
         grant = self.session(connection.planner, connection.node).grant(self.now_us)
         self._send(
             Direction.TO_PLANNER,
@@ -235,7 +255,7 @@
     def _transmit(
         self, direction: str, path: NetworkPath, connection: SimulatedConnection, arrive: Callable[[], None]
     ) -> None:
-        """Messages of one direction arrive in the order in which they were sent."""
+        """Schedule the arrival of a message, after all earlier messages in the same direction."""
         earliest_us = self.now_us + self._delay_us() + path.extra_delay_us[direction]
         arrival_us = max(earliest_us, path.last_arrival_us[direction])
         path.last_arrival_us[direction] = arrival_us
@@ -250,12 +270,12 @@
     # Faults
 
     def hold(self, planner: int, node: int, *directions: str) -> None:
-        """Let messages of these directions wait until ``release``."""
+        """Hold all messages in these directions until ``release`` is called."""
         for direction in directions:
             self.path(planner, node).hold_counts[direction] += 1
 
     def release(self, planner: int, node: int, *directions: str) -> None:
-        """End one hold; where it was the last, the messages that waited are sent, in order."""
+        """End one hold of each direction; the end of the last hold sends the waiting messages in order."""
         path = self.path(planner, node)
         for direction in directions:
             path.hold_counts[direction] -= 1
--- a/stairplank/emulator/simulation.py
+++ b/stairplank/emulator/simulation.py
@@ -1,6 +1,6 @@
-"""A cluster in simulated time: the real cores of planners, with models of nodes, clients and the node list.
+"""Simulates a cluster: the real cores of the planners, with models of nodes, clients and the node list.
 
-Every decision is the cores' own; here are only delays, faults and a queue of events.
+The cores and the models make every decision; this module adds message delays, faults and the event queue.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from .simulated_links import DIAL_TIMEOUT_US, KEEPALIVE_TIMEOUT_US, SimulatedConnection, SimulatedLinks
 from .single_placement_client import SinglePlacementClient
 
-CLOCK_UNIX_US = 1_700_000_000_000_000  # of the simulated list's clock, when simulated time is 0
+CLOCK_UNIX_US = 1_700_000_000_000_000  # Unix time of the simulated clock when simulated time is 0
 START_US = 1_000_000
 FIRST_TASKS_AFTER_US = 500_000
 NODE_LIST_STEP_US = 100_000
@@ -36,16 +36,27 @@
 LINK_SEED_MASK = 0x3157
 BOUNDS = Bounds(100_000, 100_000, 1_000_000, 3_600_000_000)
 
-# What a message does at a node; given the time at which it was sent at the earliest, or None.
+# The effect of a message on a node. The second argument is the earliest time at which the message can have
+# been sent, or None if its age is unknown.
 NodeOperation = Callable[[Node, int | None], list[NodeEvent]]
 
 
 @dataclass(frozen=True)
 class SimulationConfig:
-    """What is simulated; times in microseconds, delays one way.
+    """The parameters of a simulation.
 
-    The last three are baselines: members of groups are requested singly; nodes take messages for as old as
-    their arrival; planners do not ask nodes about offers that are void by now.
+    Attributes:
+        cluster: the settings of the cluster.
+        nodes: the models of its nodes.
+        clients: the models of its clients.
+        planners: the number of planners.
+        seed: the seed of all random draws.
+        node_list: the model of the node list service.
+        link_delay_us: the least and the greatest one-way delay of a message, in microseconds.
+        groups: the settings of groups.
+        places_members_singly: True is a baseline in which clients request each group member as a single task.
+        is_fenced: False is a baseline in which nodes treat every message as sent at the time of its arrival.
+        checks_void_offers: False is a baseline in which planners do not query nodes about expired offers.
     """
 
     cluster: Cluster
@@ -63,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _HealthCheck:
-    """A health check that a node has not answered yet."""
+    """A health check that was sent to a node and that the node has not answered yet."""
 
     planner: int
     core: Core
@@ -71,17 +82,21 @@
 
 
 class Simulation:
-    """Planners, nodes, node list and clients; ``run`` plays them up to a time.
+    """A simulated cluster of planners, nodes, node list and clients; ``run`` advances it up to a time.
 
     Attributes:
-        cores: of the planners that are up, by position.
-        nodes: by id; None while a node's process is down.
-        on_node_report, on_offer, on_node_death: for an observer; called as nodes report, as offers are sent
-            and as nodes die.
+        cores: the cores of the planners that are up, by the planner's index.
+        nodes: the nodes by id; None while a node's process is down.
+        on_node_report: an observer that is called with the node's id and its report, for each report.
+        on_offer: an observer that is called with each offer that a planner sends.
+        on_node_death: an observer that is called with the id of each node that crashes.
     """
 
     def __init__(self, config: SimulationConfig) -> None:
-        """Start nodes, node list, clients and planners, in this order: random draws follow it."""
+        """Start nodes, node list, clients and planners.
+
+        The order is fixed because it determines which random draws each part gets.
+        """
         self.config = config
         self.rng = random.Random(config.seed)
         self.queue = EventQueue(START_US)
@@ -120,9 +135,9 @@
             self._schedule_client(index)
 
     def _make_clients(self) -> list[Client]:
-        kind = SinglePlacementClient if self.config.places_members_singly else Client
+        client_type = SinglePlacementClient if self.config.places_members_singly else Client
         return [
-            kind(model, self.config.seed * 7919 + index, self.now_us + FIRST_TASKS_AFTER_US)
+            client_type(model, self.config.seed * 7919 + index, self.now_us + FIRST_TASKS_AFTER_US)
             for index, model in enumerate(self.config.clients)
         ]
 
@@ -130,29 +145,29 @@
 
     @property
     def now_us(self) -> int:
-        """Simulated time."""
+        """The simulated time in microseconds."""
         return self.queue.now_us
 
     @property
     def events_played(self) -> int:
-        """Events played so far."""
+        """The number of events processed so far."""
         return self.queue.events_played
 
     def schedule(self, delay_us: int, call: Callable[..., None], *args: object) -> None:
-        """Call after a delay in simulated time."""
+        """Schedule a call after a delay in simulated time."""
         self.queue.schedule(delay_us, call, *args)
 
     def _delay_us(self) -> int:
         return self.rng.randint(*self.config.link_delay_us)
 
     def run(self, until_us: int) -> None:
-        """Play up to a simulated time."""
+        """Process all events up to a simulated time."""
         while self.queue.has_due(until_us):
             self.step()
         self.queue.advance(until_us)
 
     def step(self) -> None:
-        """Play the next event."""
+        """Process the next event."""
         call = self.queue.pop()
         self.links.now_us = self.now_us
         call()
@@ -160,7 +175,7 @@
     # Planners
 
     def start_planner(self, planner: int) -> None:
-        """Start an incarnation of a planner; clients connect to it."""
+        """Start a new incarnation of a planner and connect all clients to it."""
         cluster = self.config.cluster
         self.incarnations_started += 1
         config = CoreConfig(
@@ -185,7 +200,7 @@
             self._perform_for_client(index, client.connected(self.now_us, planner))
 
     def kill_planner(self, planner: int, downtime_us: int) -> None:
-        """It is gone at once; its links break; a new incarnation starts later."""
+        """Kill a planner, which closes its links; a new incarnation starts after ``downtime_us``."""
         self.cores.pop(planner, None)
         for node in self.nodes:
             self.links.close(planner, node)
@@ -195,7 +210,7 @@
         self.schedule(downtime_us, self.start_planner, planner)
 
     def feed(self, planner: int, core: Core, event: ev.Event) -> None:
-        """Give an event to a core, unless its incarnation is over."""
+        """Pass an event to a core and perform its actions; does nothing if the incarnation has ended."""
         if self.cores.get(planner) is core:
             self.perform(planner, core, core.handle(self.now_us, event))
 
@@ -206,7 +221,7 @@
         return lambda event: self.feed(planner, core, event)
 
     def perform(self, planner: int, core: Core, actions: list[ev.Action]) -> None:
-        """Carry out what a core has decided."""
+        """Perform the actions that a core has returned, and schedule the core's next timer."""
         for action in actions:
             self._perform_action(planner, core, action)
         self.queue.schedule_wakeup(core, core.next_due(), self.feed, planner, core, ev.TimerDue())
@@ -253,7 +268,7 @@
         self.node_started_us[model.id] = CLOCK_UNIX_US + self.now_us if is_cold else 0
 
     def kill_node(self, node: int, downtime_us: int) -> None:
-        """Its process dies with all its tasks and comes back cold."""
+        """Crash a node with all its tasks; it restarts as a cold node after ``downtime_us``."""
         model = self.nodes.get(node)
         if model is None:
             return
@@ -275,7 +290,7 @@
         self._announce(node)
 
     def drain_node(self, node: int) -> None:
-        """Let a node take no new tasks."""
+        """Start draining a node, which then accepts no new tasks."""
         model = self.nodes.get(node)
         if model is not None:
             self._handle_reports(node, model.drain(self.now_us))
@@ -297,7 +312,7 @@
     def _send_to_node(self, planner: int, node: int, operation: NodeOperation) -> None:
         connection = self.links.connection(planner, node)
         if connection is None:
-            return  # the planner is told of the broken link
+            return  # a separate LinkDown event informs the planner of the closed link
         stamp = self.links.stamp(connection)
 
         def deliver(session: PlannerSession) -> None:
@@ -347,9 +362,10 @@
         duration_us: int,
         answers_pings: bool = False,
     ) -> None:
-        """Hold what passes between these for a time; then it arrives, on closed connections as well.
+        """Hold messages between the given planners and nodes; they arrive after ``duration_us``.
 
-        ``answers_pings``: as by a process whose work stands still; no connection is closed for it.
+        Messages to nodes arrive even if their connection has been closed since. ``answers_pings`` simulates a
+        process that is stalled but whose transport answers keepalive pings, so that no connection is closed.
         """
         for planner in planners:
             for node in nodes:
@@ -360,7 +376,7 @@
                 self.schedule(duration_us, self.links.release, planner, node, *directions)
 
     def cut_links(self, planners: list[int], nodes: list[int]) -> None:
-        """Break connections; messages in flight are lost."""
+        """Reset the connections between the given planners and nodes; messages in flight are lost."""
         for planner in planners:
             for node in nodes:
                 self._link_broken(planner, node, self.links.reset(planner, node))
@@ -483,15 +499,15 @@
         if model is None:
             return
         model.changed = False
-        described = self.models[node]
+        node_model = self.models[node]
         free_cores, free_memory = model.free()
         entry = ev.ListedNode(
             node,
-            described.name,
+            node_model.name,
             (f"127.0.0.1:{node}",),
-            described.zone,
-            described.rack,
-            described.node_type,
+            node_model.zone,
+            node_model.rack,
+            node_model.node_type,
             api.NodeStatus.DRAINING if model.draining else api.NodeStatus.READY,
             free_cores,
             free_memory,
@@ -515,7 +531,10 @@
             self._send_node_list(planner, core, revision)
 
     def _send_node_list(self, planner: int, core: Core, since_revision: int) -> None:
-        """Send the changes since a revision; the complete list where they are not known, or for 0."""
+        """Send the node list's changes since a revision to a planner.
+
+        Sends the complete list if the changes are not available or ``since_revision`` is 0.
+        """
         changes = self.node_list.changes_since(since_revision) if since_revision else None
         is_complete = changes is None
         nodes = self.node_list.all_nodes() if changes is None else changes
@@ -527,7 +546,7 @@
     # Clients
 
     def client_received(self, index: int, planner: int, message: ev.ClientMessage) -> None:
-        """Deliver a planner's message to a client; unknown clients are passed over."""
+        """Deliver a planner's message to a client; a message to an unknown client is dropped."""
         if 0 <= index < len(self.clients):
             self._perform_for_client(index, self.clients[index].received(self.now_us, planner, message))
 
@@ -551,7 +570,7 @@
         self._schedule_client(index)
 
     def _event_of(self, index: int, action: ClientAction) -> ev.Event:
-        """The event of a client's action; requests for groups are measured."""
+        """Return the event for a client's action; the group meter also records each request for a group."""
         session = index + 1
         if isinstance(action, SubmitTask):
             return ev.PlacementRequested(session, action.request, action.task, action.wait_us)
--- a/stairplank/emulator/single_placement_client.py
+++ b/stairplank/emulator/single_placement_client.py
@@ -1,4 +1,4 @@
-"""The baseline client of experiments: it requests each member of a group by itself."""
+"""The baseline client of experiments, which requests each member of a group as a single task."""
 
 from __future__ import annotations
 
@@ -6,10 +6,14 @@
 
 
 class SinglePlacementClient(Client):
-    """Requests each member of a group by itself; ``group_keys`` are the groups not yet measured."""
+    """A client that requests each member of a group as a single task.
+
+    Attributes:
+        group_keys: the task keys of each group that the simulation has not passed to its group meter yet.
+    """
 
     def __init__(self, model: ClientModel, seed: int, start: int) -> None:
-        """``start``: simulated time of its first task, in microseconds."""
+        """Create a client; ``start`` is the simulated time of its first task in microseconds."""
         super().__init__(model, seed, start)
         self.group_keys: list[list[int]] = []
 
