--- a/stairplank/standin/node.py
+++ b/stairplank/standin/node.py
@@ -1,9 +1,9 @@
-"""A node as a state machine: what it accepts, how it starts tasks, how it fails. No I/O and no clock.
+"""Model of a node as a state machine: how it admits offers, starts tasks and fails. No I/O and no clock.
 
-The model is that of the users' brief: one ask is looked at at a time and only so many wait; tasks are
-accepted while what they ask stays within limits; starts take work, several times as much where the node has
-not the program of the service; a cold node starts at a share of its pace and falls over when pushed; a node
-that drains sends its tasks away.
+The node examines one offer at a time, and its queue of waiting offers is bounded. It accepts tasks while the
+capacity that they request stays within its limits. A start takes work, and several times as much if the
+program of the task's service is not cached on the node. A cold node starts tasks at a share of its usual pace
+and crashes when it is overloaded. A draining node evicts its tasks.
 """
 
 from __future__ import annotations
@@ -20,17 +20,19 @@
 from .node_pace import NodePace
 from .reservations import Reservations
 
-FINISHED_US = 30_000_000  # members that ran to their end are told of for so long
-MAX_FINISHED = 1_000  # and not more of them; the oldest go first
-FAILED_START_US = 20_000  # how long a start that fails takes
+FINISHED_US = 30_000_000  # how long finished group members are reported to their planner
+MAX_FINISHED = 1_000  # bound on remembered finished group members; the oldest are dropped first
+FAILED_START_US = 20_000  # work of a start that fails
 
 
 class Node:
-    """One life of a node. A restart is a new one with a later ``started``."""
+    """One incarnation of a node. A restart creates a new instance with a later ``started`` time."""
 
-    def __init__(self, model: NodeModel, copies: DedupMemories, seed: int, started: int, cold: bool) -> None:
+    def __init__(
+        self, model: NodeModel, dedup_memories: DedupMemories, seed: int, started: int, cold: bool
+    ) -> None:
         self.model = model
-        self.dedup_memories = copies
+        self.dedup_memories = dedup_memories
         self.rng = random.Random(seed)
         self.started = started
         self.pace = NodePace(model, started, cold)
@@ -38,15 +40,16 @@
         self.crashed = False
         self.faults = NodeFaults()
         self.offers: dict[AttemptId, Offer] = {}
-        self.queue: deque[Offer | int] = deque()  # offers and probes wait in one line
+        self.queue: deque[Offer | int] = deque()  # waiting offers, and tokens of health checks
         self.admission_ends_at = 0
         self.reservations = Reservations(model)
-        self.finished: deque[tuple[int, Offer]] = deque(maxlen=MAX_FINISHED)  # members of groups
-        self.changed = True  # something that the list shows
-        self.clock = started  # the latest time that was told
+        # Finished group members, each with the time of its end.
+        self.finished: deque[tuple[int, Offer]] = deque(maxlen=MAX_FINISHED)
+        self.changed = True  # whether the node list entry has changed since it was last announced
+        self.clock = started  # the latest time that a caller has passed in
         self.reports: list[NodeEvent] = []
 
-    # Driving
+    # Inputs: every method takes the current time and returns what the node reports
 
     def offer(
         self,
@@ -61,7 +64,11 @@
         *,
         said_at: int | None,
     ) -> list[NodeEvent]:
-        """``said_at``: the earliest moment at which the offer can have been said; None: nobody can tell."""
+        """Queue an offer for admission, or reject it at once.
+
+        ``said_at`` is the earliest time at which the planner can have sent the offer, or None if that is not
+        known. An offer of unknown age is rejected.
+        """
         self.reports = []
         self._advance(now)
         if self.crashed or id in self.offers:
@@ -69,16 +76,16 @@
         until = -1 if said_at is None else said_at + wait_us
         offer = Offer(planner, id, task, until, priority, window_us, now, group=group)
         if until <= now:
-            # Danger: an offer that the network has kept is for a task that runs elsewhere by now. Turned away
-            # before it costs anything, so that a heap of them does not push a cold node over.
-            self._report(offer, "refused", late=True)
+            # The task of an offer that was delayed in the network may already run on another node. The offer
+            # is rejected before it counts as load, or a burst of delayed offers would crash a cold node.
+            self._report(offer, "refused", is_late=True)
             return self.reports
         self._record_offer(now)
         if self.crashed:
             return self.reports
         if self.draining:
             self._report(offer, "refused", reason=api.Reason.NOT_HERE)
-        elif sum(isinstance(x, Offer) for x in self.queue) >= self.model.max_waiting_offers:
+        elif sum(isinstance(entry, Offer) for entry in self.queue) >= self.model.max_waiting_offers:
             self._report(offer, "refused", reason=api.Reason.QUEUE_FULL)
         else:
             self.offers[id] = offer
@@ -87,7 +94,10 @@
         return self.reports
 
     def stop(self, now: int, id: AttemptId) -> list[NodeEvent]:
-        """End a task or an offer. What had not begun is handed back: it never ran."""
+        """End a task or withdraw an offer, however old the request is.
+
+        A task that has not begun is reported as rejected: it never ran.
+        """
         self.reports = []
         self._advance(now)
         offer = self.offers.get(id)
@@ -106,10 +116,11 @@
     def commit(
         self, now: int, ids: list[AttemptId], lease_us: int, *, said_at: int | None
     ) -> list[NodeEvent]:
-        """Let members run. Those that are not held any more are passed over: their word is on its way.
+        """Start running group members that are ready.
 
-        Danger: a commit that the network has kept lets members run of a group that was released meanwhile.
-        One whose lease has passed lets nothing run; the members end with the leases they have.
+        Members that are no longer on the node are skipped: a final report about each was already sent.
+        A commit that was delayed in the network could start members of a group that has been released since.
+        So a commit whose lease has expired starts nothing, and the members end when their own leases expire.
         """
         self.reports = []
         self._advance(now)
@@ -123,7 +134,7 @@
         return self.reports
 
     def keep(self, now: int, ids: list[AttemptId], lease_us: int, *, said_at: int | None) -> list[NodeEvent]:
-        """Renew leases, from when it was said: a keep that was kept on the way lengthens nothing."""
+        """Extend leases, counted from when the renewal was sent: a delayed renewal may extend nothing."""
         self.reports = []
         self._advance(now)
         until = 0 if said_at is None else said_at + lease_us
@@ -134,7 +145,7 @@
         return self.reports
 
     def probe(self, now: int, token: int) -> list[NodeEvent]:
-        """Queue a health check behind the offers; ``token`` names its answer."""
+        """Queue a health check behind the waiting offers; its result carries ``token``."""
         self.reports = []
         self._advance(now)
         if not self.crashed:
@@ -143,7 +154,7 @@
         return self.reports
 
     def drain(self, now: int) -> list[NodeEvent]:
-        """Send every task away at once, and take nothing more."""
+        """Evict every task at once and accept no more offers."""
         self.reports = []
         self._advance(now)
         if not self.draining and not self.crashed:
@@ -154,13 +165,13 @@
         return self.reports
 
     def advance(self, now: int) -> list[NodeEvent]:
-        """Do what has come due."""
+        """Process everything that is due by ``now``."""
         self.reports = []
         self._advance(now)
         return self.reports
 
     def next_due(self) -> int | None:
-        """When ``advance`` is wanted."""
+        """Return the time at which ``advance`` has to be called next, or None if nothing is scheduled."""
         if self.crashed:
             return None
         times = [self.admission_ends_at] if self.queue and self.admission_ends_at else []
@@ -169,29 +180,29 @@
         return min(times, default=None)
 
     def offers_of(self, planner: int) -> list[Offer]:
-        """A planner's offers that are here."""
+        """Return a planner's offers and tasks on this node."""
         return [o for o in self.offers.values() if o.planner == planner]
 
     def finished_of(self, planner: int, now: int) -> list[Offer]:
-        """Members of a planner's groups that ran to their end lately."""
+        """Return the members of a planner's groups that finished within the last ``FINISHED_US``."""
         while self.finished and self.finished[0][0] < now - FINISHED_US:
             self.finished.popleft()
         return [o for _, o in self.finished if o.planner == planner]
 
     def free(self) -> tuple[float, float]:
-        """Cores and memory that no accepted task asks for."""
+        """Return the cores and the memory that no accepted task reserves."""
         return self.reservations.free_resources()
 
     def utilization(self) -> float:
-        """Busy share of the cores, starts included."""
+        """Return the busy share of the cores; a starting task counts as one busy core."""
         running = sum(o.task.cores for o in self.offers.values() if o.state is OfferState.RUNNING)
         starting = sum(1 for o in self.offers.values() if o.state is OfferState.STARTING)
         return min(1.0, (running * self.model.cores_use + starting) / self.model.cores)
 
-    # Inside
+    # Internals
 
     def _advance(self, now: int) -> None:
-        """Do what has come due, in the order of time."""
+        """Process everything that is due by ``now``, in order of time."""
         self.clock = max(self.clock, now)
         while not self.crashed:
             due = self.next_due()
@@ -202,17 +213,17 @@
                 continue
             offer = min(self.offers.values(), key=lambda o: (next_event_of(o), o.id))
             if offer.leased_until and offer.leased_until <= due:
-                # Nobody keeps it any more: its group never became whole, or its planner is gone.
+                # The lease has expired: the group was never complete, or its planner has stopped renewing.
                 self._cancel(offer)
                 self._start_accepted(due)
             else:
                 self._end(offer, due)
 
     def _record_offer(self, now: int) -> None:
-        fall = self.pace.record_offer(now)
-        if fall is not None:
+        crash = self.pace.record_offer(now)
+        if crash is not None:
             self.crashed = self.changed = True
-            self.reports.append(fall)
+            self.reports.append(crash)
 
     def _start_admission(self, now: int) -> None:
         if self.queue and not self.admission_ends_at:
@@ -221,20 +232,21 @@
             )
 
     def _finish_admission(self, now: int) -> None:
-        first = self.queue.popleft()
+        entry = self.queue.popleft()
         self.admission_ends_at = 0
-        if isinstance(first, Offer):
-            if first.id in self.offers:
-                self._admit(first, now)
+        if isinstance(entry, Offer):
+            if entry.id in self.offers:
+                self._admit(entry, now)
         else:
-            self.reports.append(HealthChecked(first, *self.free(), self.utilization()))
+            self.reports.append(HealthChecked(entry, *self.free(), self.utilization()))
         self._start_admission(now)
 
     def _admit(self, offer: Offer, now: int) -> None:
         task = offer.task
         reason = None
         if self.clock >= offer.expires_at:
-            # Danger: a node that stood still looks at offers that came before, as if it were still then.
+            # After a stall of the process, ``now`` is the due time of the admission, which lies in the past.
+            # Compared with it, an offer that expired during the stall would still be accepted.
             reason = api.Reason.NOT_HERE
         elif self.faults.rejects(task.task_class, self.rng):
             reason = api.Reason.UNTOLD
@@ -259,14 +271,17 @@
         self._start_accepted(now)
 
     def _make_capacity_for(self, offer: Offer) -> api.Reason | None:
-        """None where it fits, if need be after tasks of lower priority were pushed out."""
+        """Return None if the offer fits, where necessary after preempting tasks of lower priority.
+
+        Otherwise return the reason of the rejection.
+        """
         reason, victims = self.reservations.check(offer, self.offers.values())
         for victim in victims:
             self._evict(victim, api.Reason.PUSHED_OUT)
         return reason
 
     def _start_accepted(self, now: int) -> None:
-        """Start accepted tasks in the order of their coming, while slots are free."""
+        """Start accepted tasks in their order of arrival while start slots are free."""
         busy = sum(1 for o in self.offers.values() if o.state is OfferState.STARTING)
         for offer in self.offers.values():
             if busy >= self.model.starts_at_once:
@@ -277,7 +292,7 @@
                 work = self.pace.begin_start(offer.task.service, now)
                 offer.start_fails = self.faults.fails_start(self.rng)
                 if offer.start_fails:
-                    work = FAILED_START_US  # and fast: a node like that looks roomy
+                    work = FAILED_START_US  # the start fails fast, so the node appears to have free capacity
                 offer.ends_at = now + max(1, int(work * self.faults.slowdown * self.rng.uniform(0.8, 1.2)))
 
     def _end(self, offer: Offer, now: int) -> None:
@@ -317,7 +332,7 @@
             self._report(offer, "refused", reason=api.Reason.NOT_HERE)
 
     def die(self) -> None:
-        """Its process is gone, and its copies with it."""
+        """Mark the process as ended; none of its tasks counts as running any more."""
         self.crashed = True
         for offer in self.offers.values():
             self._forget_running(offer)
@@ -326,10 +341,10 @@
         return self.dedup_memories.of(self.model, task.task_class)
 
     def _forget_running(self, offer: Offer) -> None:
-        standing = self._dedup_memory(offer.task).running
+        running = self._dedup_memory(offer.task).running
         name = (offer.task.client, offer.task.key)
-        if standing.get(name) == offer.id:
-            del standing[name]
+        if running.get(name) == offer.id:
+            del running[name]
 
     def _release(self, offer: Offer) -> None:
         self.offers.pop(offer.id, None)
@@ -345,9 +360,9 @@
     def _report(
         self,
         offer: Offer,
-        what: str,
+        kind: str,
         result: api.Result | None = None,
         reason: api.Reason = api.Reason.UNTOLD,
-        late: bool = False,
+        is_late: bool = False,
     ) -> None:
-        self.reports.append(Reported(offer.planner, what, offer.id, result, reason, is_late=late))
+        self.reports.append(Reported(offer.planner, kind, offer.id, result, reason, is_late=is_late))
--- a/stairplank/standin/node_events.py
+++ b/stairplank/standin/node_events.py
@@ -1,4 +1,4 @@
-"""What a node reports to planners and to whoever drives it."""
+"""Events that a node reports to its planners and to the code that hosts it."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class Reported:
     """A message to a planner about an attempt.
 
-    ``kind`` is one of accepted, ready, running, refused, error, ended, usage; ``cores`` and ``memory`` are
-    the usage.
+    ``kind`` is one of accepted, ready, running, refused, error, ended, usage. ``cores`` and ``memory`` are
+    set for the kind usage only.
     """
 
     planner: int
@@ -23,12 +23,12 @@
     reason: api.Reason = api.Reason.UNTOLD
     cores: float = 0.0
     memory: float = 0.0
-    is_late: bool = False  # rejected because the offer was too old when it came
+    is_late: bool = False  # whether the offer was rejected because it was too old on arrival
 
 
 @dataclass(frozen=True, slots=True)
 class DrainingReported:
-    """The node takes no new work from now on."""
+    """The node has started to drain and accepts no new work."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crashed:
-    """A cold node was overloaded and is down: it got ``offers`` in its window and bears ``max_offers``."""
+    """An overloaded cold node has crashed: its window had ``offers`` offers, above ``max_offers``."""
 
     offers: int
     max_offers: float
--- a/stairplank/standin/node_faults.py
+++ b/stairplank/standin/node_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a script gives a node. No I/O and no clock."""
+"""Faults that a script injects into a node. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 
 @dataclass(slots=True)
 class NodeFaults:
-    """The faults of one node; none at first."""
+    """The active faults of one node; by default none."""
 
-    slowdown: float = 1.0  # times the usual work
-    start_failure_share: float = 0.0  # share of the starts that fail, quickly
-    rejection_share: float = 0.0  # share of the offers turned away without a reason
-    rejection_share_by_class: dict[str, float] = field(default_factory=dict)  # the same by class
+    slowdown: float = 1.0  # multiplies the duration of admissions and starts
+    start_failure_share: float = 0.0  # share of the starts that fail, after a short time
+    rejection_share: float = 0.0  # share of the offers rejected without a reason
+    # Share of the offers of a task class that are rejected without a reason.
+    rejection_share_by_class: dict[str, float] = field(default_factory=dict)
 
     def rejects(self, task_class: str, rng: random.Random) -> bool:
-        """Whether an offer of that class is turned away."""
+        """Choose at random whether to reject an offer of that class; True to reject it."""
         share = max(self.rejection_share, self.rejection_share_by_class.get(task_class, 0.0))
         return share > 0 and rng.random() < share
 
     def fails_start(self, rng: random.Random) -> bool:
-        """Whether a start fails."""
+        """Choose at random whether a start fails; True if it does."""
         return self.start_failure_share > 0 and rng.random() < self.start_failure_share
--- a/stairplank/standin/node_model.py
+++ b/stairplank/standin/node_model.py
@@ -1,4 +1,4 @@
-"""A node's figures, and an offer from its arrival at a node to its end. No I/O and no clock."""
+"""The parameters of a stand-in node, and the state of an offer at a node. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class NodeModel:
-    """One node's figures; times in microseconds."""
+    """The parameters of one node; times in microseconds."""
 
     id: int
     name: str
@@ -25,7 +25,7 @@
     max_waiting_offers: int = 16
     starts_at_once: int = 4
     start_us: int = 60_000
-    cold_start_factor: float = 6.0  # times the work where the program is not there
+    cold_start_factor: float = 6.0  # multiplies the work of a start if the program is not cached
     max_cached_programs: int = 8
     slow_start_share: float = 0.2
     slow_start_us: int = 10_000_000
@@ -38,41 +38,41 @@
 
 
 class OfferState(Enum):
-    """How an offer stands at its node."""
+    """The state of an offer at its node."""
 
-    WAITING = "waiting"  # not looked at
-    ACCEPTED = "accepted"  # room is taken; not begun
+    WAITING = "waiting"  # in the admission queue
+    ACCEPTED = "accepted"  # capacity is reserved; the start has not begun
     STARTING = "starting"
-    READY = "ready"  # a member of a group, made ready and held until it is let run
+    READY = "ready"  # a group member that is prepared and waits for its commit
     RUNNING = "running"
 
 
 @dataclass(slots=True)
 class Offer:
-    """An offer, from its arrival to its end."""
+    """An offer at a node, from its arrival to the end of its task."""
 
     planner: int
     id: AttemptId
     task: TaskSpec
-    expires_at: int  # an answer is of use until then
+    expires_at: int  # the offer is not accepted at or after this time
     priority: int
-    dedup_window_us: int  # keyed: how long repeats are dropped; else 0
+    dedup_window_us: int  # how long repeats of a task with a key are dropped; 0 for a task without a key
     received_at: int
     state: OfferState = OfferState.WAITING
-    ends_at: int = 0  # of the start, or of the task; 0: not by itself
-    start_fails: bool = False  # its start will
+    ends_at: int = 0  # end of the start or of the task; 0: no end is scheduled
+    start_fails: bool = False  # whether the start will fail
     group: GroupTag | None = None
-    leased_until: int = 0  # a member of a group is released by the node after that; 0: not accepted yet
+    leased_until: int = 0  # when the node releases a group member; 0: no lease
     committed: bool = False
 
     @property
     def has_begun(self) -> bool:
-        """It may have had an effect. A member that is held never has."""
+        """Whether the task may have had an effect. A group member without a commit never has."""
         if self.group is not None:
             return self.committed
         return self.state in (OfferState.STARTING, OfferState.RUNNING)
 
 
 def next_event_of(offer: Offer) -> int:
-    """When something happens to it by itself."""
+    """Return the time of the offer's next timer, or a time far in the future if none is set."""
     return min((at for at in (offer.ends_at, offer.leased_until) if at), default=2**62)
--- a/stairplank/standin/outbox.py
+++ b/stairplank/standin/outbox.py
@@ -1,4 +1,4 @@
-"""A node's final messages on attempts of one planner, kept until they are acknowledged. No I/O."""
+"""A node's final messages about attempts of one planner, kept until acknowledged. No I/O."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class Outbox:
-    """Messages to one incarnation of a planner.
+    """Unacknowledged messages to one incarnation of a planner.
 
     At the bound the oldest message is dropped, and the outbox is no longer ``complete``.
     """
 
     def __init__(self, incarnation: int, max_messages: int = 10_000) -> None:
-        """Start without messages."""
+        """Create an outbox without messages for one incarnation of a planner."""
         self.incarnation = incarnation
         self.complete = True
         self._max_messages = max_messages
@@ -28,7 +28,7 @@
         self._last_number = 0
 
     def add(self, message: Any) -> int:
-        """Keep a message; returns its number."""
+        """Keep a message until it is acknowledged, and return its number."""
         self._last_number += 1
         self._unacknowledged.append(NumberedMessage(self._last_number, message))
         if len(self._unacknowledged) > self._max_messages:
@@ -37,15 +37,15 @@
         return self._last_number
 
     def acknowledge(self, number: int) -> None:
-        """The planner has received all messages up to this number."""
+        """Drop the messages up to this number: the planner has received them."""
         while self._unacknowledged and self._unacknowledged[0].number <= number:
             self._unacknowledged.popleft()
 
     @property
     def last_number(self) -> int:
-        """The number of the last message; 0: there was none."""
+        """The number of the last message added, or 0 if there was none."""
         return self._last_number
 
     def unacknowledged_after(self, number: int) -> list[NumberedMessage]:
-        """Messages that are kept and have a higher number, in order."""
+        """Return the unacknowledged messages with a higher number, in order."""
         return [each for each in self._unacknowledged if each.number > number]
