--- a/stairplank/standin/client.py
+++ b/stairplank/standin/client.py
@@ -1,8 +1,8 @@
-"""Simulated clients as a state machine: which tasks are created, submitted, recovered, submitted again.
+"""Simulated clients as a state machine: they create tasks, submit them, and submit them again on failure.
 
-No I/O, no clock. A client submits a task again after it was shed, failed, migrated or lost, until the task's
-time is over. Where an attempt may have run and a second start could do harm it waits first: a task that turns
-out to run is reported as recovered.
+No I/O and no clock. A client submits a task again after it was shed, failed, migrated or lost, until the
+time at which it gives the task up. If an attempt may have run and a second start could do harm, the client
+waits first: a planner may still report the task as recovered, which means that it runs.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from .. import interface as api
 from ..planner import events as ev
 
-GROUP_EXPIRY_US = 9_000_000  # without its planner a group has ended by then
+GROUP_EXPIRY_US = 9_000_000  # a group without its planner has ended by itself after this time
 
 
 @dataclass(frozen=True)
 class Demand:
-    """The tasks of one class that a client creates; times in microseconds."""
+    """The tasks of one class that clients create; times in microseconds."""
 
     task_class: str
-    share: float  # of all tasks
-    sizes: tuple[tuple[float, float], ...]  # cores, memory
+    share: float  # share of all tasks
+    sizes: tuple[tuple[float, float], ...]  # cores and memory of a task, one pair per size
     duration_us: tuple[int, int]
     batch: tuple[int, int]
     services: int
-    max_tasks_per_service: int  # tasks of a service at a time
-    group: bool = False  # a batch is asked for as a group: all of it or nothing
+    max_tasks_per_service: int  # bound on the unfinished tasks of one service
+    group: bool = False  # whether a batch is submitted as a group, which is placed as a whole or not at all
 
 
 @dataclass(frozen=True)
@@ -38,33 +38,33 @@
     """Demand and retry behaviour of one client; times in microseconds."""
 
     name: str
-    rate: float  # tasks a second
+    rate: float  # tasks per second
     demands: tuple[Demand, ...]
     classes: tuple[api.TaskClass, ...]
     planners: int
     tenant: str = ""
     retry_delay_us: tuple[int, int] = (1_200_000, 3_000_000)
-    short_retry_delay_us: tuple[int, int] = (50_000, 400_000)  # after a move or a loss
+    short_retry_delay_us: tuple[int, int] = (50_000, 400_000)  # after a task was migrated or lost
     uncertain_retry_delay_us: int = 3_000_000
-    patience_us: int = 30_000_000  # a task is wanted so long; then its owner gives it up for good
-    demand_ends_us: int = 60_000_000  # no new tasks from then on
-    max_tasks: int = 0  # and not more than so many; 0: no such bound
+    patience_us: int = 30_000_000  # the client gives a task up this long after its creation
+    demand_ends_us: int = 60_000_000  # no new tasks are created this long after the start
+    max_tasks: int = 0  # bound on the number of tasks created; 0: unbounded
 
 
 class RequestState(Enum):
-    """How a task or group stands for its client."""
+    """The state of a task or group at its client."""
 
-    WAITING = "waiting"  # to be asked for at a time
+    WAITING = "waiting"  # waits for the time of its next request
     REQUESTED = "asked"
     RUNNING = "running"
-    UNCERTAIN = "unsure"  # its planner is away: it may run
+    UNCERTAIN = "unsure"  # the link to its planner is down: the task may run
     DONE = "done"
     DROPPED = "dropped"
 
 
 @dataclass(slots=True)
 class RequestedTask:
-    """A task as its client sees it."""
+    """The client's state of one task."""
 
     key: int
     demand: int
@@ -79,17 +79,17 @@
     request: int = 0
     attempts: int = 0
     resubmitted: bool = False
-    started_at: int = 0  # first start
+    started_at: int = 0  # time of the first start
     deadline: int = 0
-    generation: int = 0  # older timers do not count
+    generation: int = 0  # a timer with an older generation is ignored
 
 
 @dataclass(slots=True)
 class RequestedGroup:
-    """A group as its client sees it: its tasks are requested, run and are lost together."""
+    """The client's state of one group; its tasks are requested, run and lost together."""
 
     tasks: tuple[ev.TaskSpec, ...]
-    origin: int  # key of its first task when it was first asked for
+    origin: int  # key of the group's first task in its first request
     demand: int
     first_requested_at: int
     give_up_at: int
@@ -109,7 +109,7 @@
     request: int
     tasks: tuple[ev.TaskSpec, ...]
     wait_us: int
-    origin: int  # key of its first task when it was first asked for
+    origin: int  # key of the group's first task in its first request
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,7 +136,7 @@
 
 @dataclass
 class ClientStatistics:
-    """What became of the tasks; latencies are from the first request to the first start, in microseconds."""
+    """Outcomes of the tasks; latencies are from the first request to the first start, in microseconds."""
 
     counts: Counter[str] = field(default_factory=Counter)
     by_class: dict[str, Counter[str]] = field(default_factory=dict)
@@ -144,19 +144,19 @@
 
 
 class Client:
-    """One client's demand and the state of its tasks."""
+    """One client: it creates tasks and keeps their state."""
 
     def __init__(self, model: ClientModel, seed: int, start: int) -> None:
         self.model = model
         self.rng = random.Random(seed)
         self.start = start
-        self.rate_factor = 1.0  # demand times so much
-        self.connected_planners: set[int] = set()  # planners that can be asked
+        self.rate_factor = 1.0  # multiplies the rate of new tasks
+        self.connected_planners: set[int] = set()  # planners with an open stream
         self.tasks: dict[int, RequestedTask] = {}
         self.requests: dict[tuple[int, int], RequestedTask] = {}
-        self.groups: dict[int, RequestedGroup] = {}  # by the key of the first task
+        self.groups: dict[int, RequestedGroup] = {}  # by the key of the group's first task
         self.group_requests: dict[tuple[int, int], RequestedGroup] = {}
-        self.tasks_by_service: Counter[int] = Counter()  # tasks of a service
+        self.tasks_by_service: Counter[int] = Counter()  # number of unfinished tasks by service
         self.statistics = ClientStatistics()
         self.actions: list[ClientAction] = []
         self._next_key = 0
@@ -165,17 +165,17 @@
         self._arrival = start
         self._class_by_name = {c.name: c for c in model.classes}
 
-    # Driving
+    # Inputs: every method takes the current time and returns the actions to carry out
 
     def next_due(self) -> int | None:
-        """When ``advance`` is wanted, in microseconds, or None."""
+        """Return the time at which ``advance`` has to be called next, in microseconds, or None."""
         times = [self._arrival] if self._has_arrivals() else []
         if self._due:
             times.append(self._due[0][0])
         return min(times, default=None)
 
     def advance(self, now: int) -> list[ClientAction]:
-        """Do what has come due: new tasks, retries, timeouts."""
+        """Process new tasks, retries and timeouts that are due by ``now``."""
         self.actions = []
         while self._has_arrivals() and self._arrival <= now:
             self._arrive(self._arrival)
@@ -190,7 +190,10 @@
         return self.actions
 
     def connected(self, now: int, planner: int) -> list[ClientAction]:
-        """A stream to a planner is open. Tasks that it does not report as recovered in time count as lost."""
+        """Handle the opening of a stream to a planner.
+
+        Tasks of that planner that it does not report as recovered in time count as lost.
+        """
         self.actions = []
         self.connected_planners.add(planner)
         for task in self.tasks.values():
@@ -199,11 +202,11 @@
         return self.actions
 
     def disconnected(self, now: int, planner: int) -> list[ClientAction]:
-        """The stream broke, or the planner died: no outcome will come on it any more."""
+        """Handle the end of a stream to a planner: no further outcome arrives on it."""
         self.actions = []
         self.connected_planners.discard(planner)
         for group in [g for g in self.groups.values() if g.planner == planner]:
-            # Groups end by themselves without their planner: what ran is requested again after the wait.
+            # A group without its planner ends by itself. It is requested again only once that has happened.
             if group.state in (RequestState.REQUESTED, RequestState.RUNNING):
                 self.group_requests.pop((planner, group.request), None)
                 self._count_group(group, "cut")
@@ -222,7 +225,7 @@
         return self.actions
 
     def received(self, now: int, planner: int, message: ev.ClientMessage) -> list[ClientAction]:
-        """Take a message of a planner."""
+        """Handle a message of a planner."""
         self.actions = []
         if isinstance(message, ev.TaskRecovered):
             self._recovered(now, planner, message.request, message.key)
@@ -237,7 +240,7 @@
         return self.actions
 
     def _task_of(self, planner: int, message: ev.ClientMessage) -> RequestedTask | None:
-        """The task that a message is about: by its request, or by its key where it was recovered."""
+        """Return the task of a message, found by its request or, if it was recovered, by its key."""
         if isinstance(message, ev.TaskEnded) and message.request == 0:
             return self.tasks.get(message.key)
         return self.requests.get((planner, message.request))
@@ -268,7 +271,7 @@
                 self._resubmit(task, now, may_run=False, wait_us=rejection.retry_after_us)
 
     def restart_services(self, now: int, share: float, within_us: int) -> list[ClientAction]:
-        """Cancel that share of the services and submit their tasks again, as new ones, within the time."""
+        """Cancel a share of the services and submit their tasks again as new tasks, within ``within_us``."""
         self.actions = []
         services = sorted({t.service for t in self.tasks.values()})
         chosen = set(self.rng.sample(services, int(len(services) * share)))
@@ -278,23 +281,23 @@
             if task.state in (RequestState.RUNNING, RequestState.REQUESTED):
                 self.actions.append(CancelTask(task.planner, task.request, 0 if task.request else task.key))
                 self._forget_request(task)
-            new = self._create_task(
+            new_task = self._create_task(
                 task.demand, task.service, (task.cores, task.memory), task.duration_us, now
             )
             self._forget_task(task, RequestState.DROPPED, "restarted")
-            new.first_requested_at = now + self.rng.randrange(max(1, within_us))
-            self._schedule(new, new.first_requested_at)
+            new_task.first_requested_at = now + self.rng.randrange(max(1, within_us))
+            self._schedule(new_task, new_task.first_requested_at)
         return self.actions
 
     @property
     def idle(self) -> bool:
-        """Whether no new tasks will come, and none waits to be submitted or for an outcome."""
+        """Whether no new tasks will be created, and no task waits for its submission or its outcome."""
         unanswered = any(
             t.state in (RequestState.WAITING, RequestState.REQUESTED) for t in self.tasks.values()
         )
         return not self._has_arrivals() and not unanswered
 
-    # Inside
+    # Internals
 
     def _has_arrivals(self) -> bool:
         model = self.model
@@ -302,7 +305,7 @@
         return more and self._arrival < self.start + model.demand_ends_us
 
     def _arrive(self, now: int) -> None:
-        """A batch of one service's tasks."""
+        """Create and submit a batch of tasks of one service."""
         demands = self.model.demands
         index = self.rng.choices(range(len(demands)), [d.share for d in demands])[0]
         demand = demands[index]
@@ -326,7 +329,7 @@
             task = self._create_task(index, service, size, self.rng.randint(*demand.duration_us), now)
             self._submit(task, now)
 
-    # Groups
+    # Requests of groups
 
     def _create_group(
         self, index: int, service: int, size: tuple[float, float], count: int, now: int
@@ -335,9 +338,9 @@
         tasks = []
         for _ in range(count):
             self._next_key += 1
-            life = self.rng.randint(*demand.duration_us)
+            duration_us = self.rng.randint(*demand.duration_us)
             name = self.model.name, self._next_key, demand.task_class, self.model.tenant
-            tasks.append(ev.TaskSpec(*name, service, size[0], size[1], life, False))
+            tasks.append(ev.TaskSpec(*name, service, size[0], size[1], duration_us, False))
         group = RequestedGroup(tuple(tasks), tasks[0].key, index, now, now + self.model.patience_us)
         self.groups[tasks[0].key] = group
         self.tasks_by_service[service] += count
@@ -374,13 +377,13 @@
                     task_class = self._class_by_name[self.model.demands[group.demand].task_class]
                     if latency_us <= task_class.latency_objective_us:
                         self._count_group(group, "in_time")
-            case ev.GroupShed(_, after, _, never):
+            case ev.GroupShed(_, retry_after_us, _, is_permanent):
                 self._count_group(group, "refused")
-                if never:
+                if is_permanent:
                     self._forget_group(group, "never")
                 else:
                     self._resubmit_group(
-                        group, now + max(after, self.rng.randint(*self.model.retry_delay_us))
+                        group, now + max(retry_after_us, self.rng.randint(*self.model.retry_delay_us))
                     )
             case ev.GroupFailed():
                 self._count_group(group, "failed")
@@ -406,7 +409,7 @@
     def _resubmit_group(self, group: RequestedGroup, at: int) -> None:
         self.group_requests.pop((group.planner, group.request), None)
         group.state = RequestState.WAITING
-        # Another run of the tasks, under keys of its own: nodes drop repeats of keyed ones that have run.
+        # The tasks get new keys, since a node drops a task whose key has already run.
         del self.groups[group.tasks[0].key]
         tasks = []
         for task in group.tasks:
@@ -431,11 +434,11 @@
         self.statistics.by_class.setdefault("groups", Counter())[outcome] += 1
 
     def _create_task(
-        self, demand: int, service: int, size: tuple[float, float], life_us: int, now: int
+        self, demand: int, service: int, size: tuple[float, float], duration_us: int, now: int
     ) -> RequestedTask:
         self._next_key += 1
         until = now + self.model.patience_us
-        task = RequestedTask(self._next_key, demand, service, size[0], size[1], life_us, now, until)
+        task = RequestedTask(self._next_key, demand, service, size[0], size[1], duration_us, now, until)
         self.tasks[task.key] = task
         self.tasks_by_service[service] += 1
         self._count(task, "wanted")
@@ -473,7 +476,8 @@
         )
         self._count(task, "asked")
         self.actions.append(SubmitTask(planner, task.request, spec, wait))
-        # An answer that is overdue by a second is a broken rule; the owner goes on as after a failure.
+        # A planner that has not answered one second after the deadline breaks its contract. The client then
+        # proceeds as after a failure.
         self._schedule(task, task.deadline + 1_000_000)
 
     def _timer(self, task: RequestedTask, now: int) -> None:
@@ -513,7 +517,7 @@
 
     def _recovered(self, now: int, planner: int, request: int, key: int) -> None:
         task = self.tasks.get(key)
-        if task is None:  # it is over here: nobody waits for it
+        if task is None:  # the task has ended or was given up
             self.actions.append(CancelTask(planner, request, 0 if request else key))
             return
         if task.state in (RequestState.REQUESTED, RequestState.RUNNING) and (task.planner, task.request) != (
@@ -523,9 +527,8 @@
             if task.state is RequestState.RUNNING and task.planner == planner:
                 return
             if self._task_class(task).effect is api.Effect.IDEMPOTENT or task.state is RequestState.RUNNING:
-                self.actions.append(
-                    CancelTask(planner, request, 0 if request else key)
-                )  # a copy that is not needed
+                # The recovered task is not needed: the requested one runs or may safely start.
+                self.actions.append(CancelTask(planner, request, 0 if request else key))
                 return
             self.actions.append(CancelTask(task.planner, task.request, 0))
             self._forget_request(task)
@@ -538,8 +541,8 @@
     def _forget_request(self, task: RequestedTask) -> None:
         self.requests.pop((task.planner, task.request), None)
 
-    def _forget_task(self, task: RequestedTask, stand: RequestState, outcome: str) -> None:
-        task.state = stand
+    def _forget_task(self, task: RequestedTask, state: RequestState, outcome: str) -> None:
+        task.state = state
         task.generation += 1
         self.tasks.pop(task.key, None)
         self.tasks_by_service[task.service] -= 1
--- a/stairplank/standin/client_pool.py
+++ b/stairplank/standin/client_pool.py
@@ -1,4 +1,4 @@
-"""Stand-in clients on sockets: each has a stream to each planner."""
+"""Serves stand-in clients over sockets: each client has a stream to each planner."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from .config import ClientPoolConfig, wait_for_begin
 from .script import Fault
 
-RETRY_S = 0.2
+RETRY_S = 0.2  # delay before a client connects again
 _REQUEST = placement_pb2.PlaceRequest
 
 
@@ -65,29 +65,31 @@
 
 
 def message_from(event: Any) -> ev.ClientMessage | None:
-    """A planner's message as an event; None for the welcome and for kinds that are not known."""
+    """Convert a planner's message to an event; returns None for the welcome and for unknown kinds."""
     kind = event.WhichOneof("kind")
     to_event = _EVENT_OF.get(kind)
     return to_event(getattr(event, kind)) if to_event is not None else None
 
 
-def request_to(do: ClientAction, stamp: AgeStamp | None) -> Any:
-    """The message of an action; ``stamp`` proves its age."""
+def request_from(action: ClientAction, stamp: AgeStamp | None) -> Any:
+    """Convert a client's action to its protocol message; ``stamp`` proves the age of the message."""
     sent = convert.stamp_to_proto(stamp)
-    if isinstance(do, SubmitTask):
-        task = convert.task_to_proto(do.task)
-        return _REQUEST(ask=_REQUEST.Ask(ask=do.request, task=task, wait_us=do.wait_us, sent=sent))
-    if isinstance(do, SubmitGroup):
-        members = map(convert.task_to_proto, do.tasks)
+    if isinstance(action, SubmitTask):
+        task = convert.task_to_proto(action.task)
+        return _REQUEST(ask=_REQUEST.Ask(ask=action.request, task=task, wait_us=action.wait_us, sent=sent))
+    if isinstance(action, SubmitGroup):
+        members = map(convert.task_to_proto, action.tasks)
         return _REQUEST(
-            ask_group=_REQUEST.AskGroup(ask=do.request, members=members, wait_us=do.wait_us, sent=sent)
+            ask_group=_REQUEST.AskGroup(
+                ask=action.request, members=members, wait_us=action.wait_us, sent=sent
+            )
         )
-    assert isinstance(do, CancelTask)
-    return _REQUEST(withdraw=_REQUEST.Withdraw(ask=do.request, key=do.key))
+    assert isinstance(action, CancelTask)
+    return _REQUEST(withdraw=_REQUEST.Withdraw(ask=action.request, key=action.key))
 
 
 class ConnectedClient:
-    """One client with its streams."""
+    """One client of the pool with its streams to the planners."""
 
     def __init__(self, pool: ClientPool, model: ClientModel, seed: int, begin: int) -> None:
         self.pool = pool
@@ -116,11 +118,11 @@
             self.carry_out(self.client.advance(now_us()))
 
     def stream(self, planner: int, address: str) -> None:
-        """Keep a stream to one planner, also over its restarts."""
+        """Keep a stream to one planner open, and reconnect whenever it breaks."""
         limits = Limits(keepalive_interval_s=2.0, keepalive_timeout_s=2.0)
         while True:
             channel = self.channels[planner] = Channel(address, limits, 1.0)
-            up = False
+            is_connected = False
             try:
                 call = open_call(channel, PLACEMENT_SERVICE, "Place")
                 self.epoch += 1
@@ -131,38 +133,38 @@
                     raise RpcError(Code.UNAVAILABLE, "no welcome")
                 stamps = self.stamps[planner] = MessageStamper()
                 stamps.receive_grant(now_us(), welcome.grant)
-                up = True
+                is_connected = True
                 self.calls[planner] = call
                 self.carry_out(self.client.connected(now_us(), planner))
                 while (event := call.recv()) is not None:
                     stamps.receive_grant(now_us(), event.grant)
-                    word = message_from(event)
-                    if word is not None:
-                        self.carry_out(self.client.received(now_us(), planner, word))
+                    message = message_from(event)
+                    if message is not None:
+                        self.carry_out(self.client.received(now_us(), planner, message))
             except RpcError as error:
                 self.pool.log.debug("stream broken", planner=planner, error=str(error))
             finally:
                 channel.close(abort=True)
                 self.calls.pop(planner, None)
-                if up:
+                if is_connected:
                     self.carry_out(self.client.disconnected(now_us(), planner))
             gevent.sleep(RETRY_S)
 
-    def carry_out(self, does: list[ClientAction]) -> None:
-        """Send what the client wants sent; to planners without a stream nothing is sent."""
-        for do in does:
-            call = self.calls.get(do.planner)
+    def carry_out(self, actions: list[ClientAction]) -> None:
+        """Send actions to their planners; an action for a planner without a stream is dropped."""
+        for action in actions:
+            call = self.calls.get(action.planner)
             if call is None:
                 continue
             try:
-                call.try_send(request_to(do, self.stamps[do.planner].stamp(now_us())))
+                call.try_send(request_from(action, self.stamps[action.planner].stamp(now_us())))
             except RpcError:
                 pass  # the stream breaks: its greenlet notifies the client
         self.wake.set()
 
 
 class ClientPool:
-    """All clients of one process."""
+    """All stand-in clients of one process."""
 
     def __init__(self, config: ClientPoolConfig) -> None:
         self.config = config
@@ -174,49 +176,49 @@
         ]
 
     def start(self) -> None:
-        """Start every client, and the faults of the script."""
-        for customer in self.clients:
-            customer.start()
+        """Start every client, and schedule the faults of the script."""
+        for connected in self.clients:
+            connected.start()
         for fault in self.config.faults:
             if fault.target in ("owners", "demand"):
                 gevent.spawn(self.script, fault)
 
     def script(self, fault: Fault) -> None:
-        """Wait for a fault's time and carry it out."""
+        """Wait for a fault's time, begin the fault, and end it after its duration."""
         gevent.sleep(max(0.0, (self.begin + fault.at_us - now_us()) / 1e6))
         self.log.info("fault", what=fault.what, values=list(fault.values))
-        for customer in self.clients:
+        for connected in self.clients:
             if fault.what == "times":
-                customer.client.rate_factor *= fault.values[0]
+                connected.client.rate_factor *= fault.values[0]
             elif fault.what == "restart-services":
-                customer.carry_out(customer.client.restart_services(now_us(), *fault.values))
+                connected.carry_out(connected.client.restart_services(now_us(), *fault.values))
             elif fault.what == "cut":
-                for channel in list(customer.channels.values()):
+                for channel in list(connected.channels.values()):
                     channel.close()
         if fault.duration_us:
             gevent.sleep(fault.duration_us / 1e6)
-            for customer in self.clients:
-                customer.client.rate_factor /= fault.values[0]
+            for connected in self.clients:
+                connected.client.rate_factor /= fault.values[0]
 
     @property
     def idle(self) -> bool:
-        """Whether no client waits for anything or will submit more."""
+        """Whether every client is idle: it has no open request and will create no more tasks."""
         return all(c.client.idle for c in self.clients)
 
     def report(self) -> dict[str, Any]:
-        """Counts and latencies by class, all clients together."""
+        """Return the counts and latencies by class, summed over all clients."""
         counts: dict[str, dict[str, int]] = {}
         latencies: dict[str, list[int]] = {}
         total: dict[str, int] = {}
-        for customer in self.clients:
-            tally = customer.client.statistics
-            for name, by in tally.by_class.items():
-                for what, n in by.items():
-                    counts.setdefault(name, {})[what] = counts.get(name, {}).get(what, 0) + n
-            for what, n in tally.counts.items():
-                total[what] = total.get(what, 0) + n
-            for name, took in tally.latencies.items():
-                latencies.setdefault(name, []).extend(took)
+        for connected in self.clients:
+            statistics = connected.client.statistics
+            for name, outcomes in statistics.by_class.items():
+                for outcome, count in outcomes.items():
+                    counts.setdefault(name, {})[outcome] = counts.get(name, {}).get(outcome, 0) + count
+            for outcome, count in statistics.counts.items():
+                total[outcome] = total.get(outcome, 0) + count
+            for name, latencies_us in statistics.latencies.items():
+                latencies.setdefault(name, []).extend(latencies_us)
         return {
             "total": total,
             "classes": counts,
@@ -225,11 +227,11 @@
         }
 
     def latency_objectives(self) -> dict[str, int]:
-        """The latency objective of each class, in microseconds."""
+        """Return the latency objective of each class, in microseconds."""
         return {c.name: c.latency_objective_us for c in self.config.cluster.classes}
 
     def write_report(self) -> None:
-        """Write the report file, complete or not at all."""
+        """Write the report file atomically: a reader never finds an incomplete one."""
         if self.config.report is not None:
             path = Path(self.config.report)
             path.with_suffix(".part").write_text(json.dumps(self.report()))
--- a/stairplank/standin/config.py
+++ b/stairplank/standin/config.py
@@ -21,7 +21,7 @@
 
 COMMON: tuple[Key | Block, ...] = (
     Key("seed", (parsers.integer(),)),
-    Key("begin", (parsers.text,)),  # a file that will hold the zero of the script, in monotonic microseconds
+    Key("begin", (parsers.text,)),  # path of the file with the script's start time, in monotonic microseconds
     Key("at", (), False, True, rest_parser=parsers.text, min_rest=1),
 )
 MODEL: tuple[Key | Block, ...] = (
@@ -69,9 +69,8 @@
         Key("zone", (parsers.name,), True),
         Key("rack", (parsers.name,), True),
         Key("listen", (parsers.address,), True, True),
-        Key(
-            "advertise", (parsers.address,), False, True, rest_parser=parsers.name
-        ),  # for one directory, by its name
+        # An address to announce to the node list service of the given name, or to one without a name.
+        Key("advertise", (parsers.address,), False, True, rest_parser=parsers.name),
         Key("absent", (parsers.boolean,)),
         Key("cold", (parsers.boolean,)),
     ),
@@ -84,9 +83,8 @@
     + (
         NODE,
         Key("directory", (parsers.address,), False, True, rest_parser=parsers.name),
-        Key(
-            "on-signal", (), False, True, rest_parser=parsers.text, min_rest=1
-        ),  # done at SIGUSR1: a fault without a time
+        # A fault without a time; it is carried out on SIGUSR1.
+        Key("on-signal", (), False, True, rest_parser=parsers.text, min_rest=1),
     )
 )
 NODE_LIST = COMMON + LIST + (Key("listen", (parsers.address,), True, True),)
@@ -104,21 +102,22 @@
 
 @dataclass(frozen=True)
 class NodeConfig:
-    """One stand-in node: its model and addresses, and whether it is there at the start."""
+    """One stand-in node: its model and addresses, and whether it is absent or cold at the start."""
 
     model: NodeModel
     listen: tuple[str, ...]
-    advertise: dict[str, tuple[str, ...]]  # by the directory's name
+    # Addresses to announce, by the name of the node list service; "" stands for a service without a name.
+    advertise: dict[str, tuple[str, ...]]
     absent: bool
     cold: bool
 
 
 @dataclass(frozen=True)
 class NodePoolConfig:
-    """The nodes of one process, and their faults."""
+    """The settings of a process of stand-in nodes."""
 
     nodes: tuple[NodeConfig, ...]
-    directories: tuple[tuple[str, str], ...]  # address and name
+    directories: tuple[tuple[str, str], ...]  # address and name of each node list service
     seed: int
     begin: str | None
     faults: tuple[Fault, ...]
@@ -128,7 +127,7 @@
 
 @dataclass(frozen=True)
 class NodeListConfig:
-    """The stand-in node list."""
+    """The settings of the stand-in node list."""
 
     listen: tuple[str, ...]
     model: NodeListModel
@@ -138,7 +137,7 @@
 
 @dataclass(frozen=True)
 class ClientPoolConfig:
-    """The clients of one process, and their faults."""
+    """The settings of a process of stand-in clients."""
 
     cluster: Cluster
     clients: tuple[ClientModel, ...]
@@ -150,7 +149,10 @@
 
 
 def wait_for_begin(path: str | None) -> int:
-    """Wait for the script's zero, in microseconds on the monotonic clock; without a file it is now."""
+    """Wait for the file ``path`` and return the start time of the script that it contains.
+
+    The time is in microseconds of the monotonic clock. Without a path it is the current time.
+    """
     if path is None:
         return now_us()
     while not Path(path).exists():
@@ -159,34 +161,37 @@
 
 
 def faults_from(section: Section) -> tuple[Fault, ...]:
-    """Raises SettingsError with the place of a line that cannot be read."""
+    """Parse the ``at`` lines of a section; returns the faults in order of time.
+
+    Raises SettingsError with the position of every line that cannot be parsed.
+    """
     problems: list[SettingsProblem] = []
-    out: list[Fault] = []
-    for place, words in section.keys.get("at", ()):
+    faults: list[Fault] = []
+    for position, words in section.keys.get("at", ()):
         try:
-            out.append(parse(list(words)))
+            faults.append(parse(list(words)))
         except ValueError as error:
-            problems.append(SettingsProblem(place, "at", str(error)))
+            problems.append(SettingsProblem(position, "at", str(error)))
     if problems:
         raise SettingsError(problems)
-    return tuple(sorted(out, key=lambda f: f.at_us))
+    return tuple(sorted(faults, key=lambda f: f.at_us))
 
 
 def model_from(
     cluster: Cluster, section: Section, id: int, name: str, kind: str, zone: str, rack: str
 ) -> NodeModel:
-    """The model of one node of a type. Keys that are not in the section keep their defaults."""
-    sort = next(k for k in cluster.node_types if k.name == kind)
-    one = section.value
+    """Return the model of a node of type ``kind``. Keys that are not in the section keep their defaults."""
+    node_type = next(k for k in cluster.node_types if k.name == kind)
+    setting = section.value
     changes: dict[str, Any] = {
-        "admission_time_us": one("look-time"),
-        "max_waiting_offers": one("waiting-most"),
-        "starts_at_once": one("starts-at-once"),
-        "start_us": one("start-time"),
-        "cold_start_factor": one("from-nothing"),
-        "max_cached_programs": one("programs-kept"),
-        "cores_use": one("cores-use"),
-        "memory_use": one("memory-use"),
+        "admission_time_us": setting("look-time"),
+        "max_waiting_offers": setting("waiting-most"),
+        "starts_at_once": setting("starts-at-once"),
+        "start_us": setting("start-time"),
+        "cold_start_factor": setting("from-nothing"),
+        "max_cached_programs": setting("programs-kept"),
+        "cores_use": setting("cores-use"),
+        "memory_use": setting("memory-use"),
     }
     return NodeModel(
         id=id,
@@ -194,8 +199,8 @@
         node_type=kind,
         zone=zone,
         rack=rack,
-        cores=sort.cores,
-        memory=sort.memory,
+        cores=node_type.cores,
+        memory=node_type.memory,
         cores_limit=cluster.cores_limit,
         memory_limit=cluster.memory_limit,
         slow_start_share=cluster.slow_start_share,
@@ -209,7 +214,7 @@
 
 
 def load_node_pool(path: str | Path) -> NodePoolConfig:
-    """Read a file of nodes. Raises SettingsError."""
+    """Read a settings file of stand-in nodes. Raises SettingsError."""
     section = load_section(path, NODE_POOL)
     cluster = cluster_from(section)
     problems: list[SettingsProblem] = []
@@ -219,7 +224,7 @@
         id, name = block.values
         kind, zone = block.value("kind"), block.value("zone")
         if id in ids:
-            problems.append(SettingsProblem(block.position, "node", f"{id} is there twice"))
+            problems.append(SettingsProblem(block.position, "node", f"node {id} is defined twice"))
         ids.add(id)
         if kind not in [k.name for k in cluster.node_types]:
             problems.append(SettingsProblem(block.position_of("kind"), "kind", f"no kind {kind}"))
@@ -254,7 +259,7 @@
 
 
 def node_list_model(section: Section) -> NodeListModel:
-    """The delays of the node list that a section has."""
+    """Return the node list's delays from a section; missing keys keep their defaults."""
     base = NodeListModel()
     return NodeListModel(
         section.value("list-notice", base.update_delay_us),
@@ -264,16 +269,16 @@
 
 
 def load_node_list(path: str | Path) -> NodeListConfig:
-    """Read a node list's file. Raises SettingsError."""
+    """Read a settings file of the stand-in node list. Raises SettingsError."""
     section = load_section(path, NODE_LIST)
     listen = tuple(a for (a,) in section.all_values("listen"))
     return NodeListConfig(listen, node_list_model(section), section.value("begin"), faults_from(section))
 
 
 def demands_from(section: Section, cluster: Cluster) -> tuple[Demand, ...]:
-    """The demands of a section. Raises SettingsError for classes that are not known."""
+    """Return the demands of a section. Raises SettingsError for an unknown class or if there is no demand."""
     problems: list[SettingsProblem] = []
-    out: list[Demand] = []
+    demands: list[Demand] = []
     names = [c.name for c in cluster.classes]
     for block in section.blocks.get("demand", ()):
         (name,) = block.values
@@ -282,55 +287,55 @@
                 SettingsProblem(block.position, "demand", f"no class {name}; known: {', '.join(names)}")
             )
             continue
-        one = block.value
-        out.append(
+        setting = block.value
+        demands.append(
             Demand(
                 name,
-                one("share"),
+                setting("share"),
                 tuple((c, m) for c, m in block.all_values("size")),
-                one("life"),
-                one("batch", (1, 1)),
-                one("services", 20),
-                one("service-most", 8),
-                one("group", False),
+                setting("life"),
+                setting("batch", (1, 1)),
+                setting("services", 20),
+                setting("service-most", 8),
+                setting("group", False),
             )
         )
-    if not out and not problems:
+    if not demands and not problems:
         problems.append(SettingsProblem(section.position, "demand", "is required"))
     if problems:
         raise SettingsError(problems)
-    return tuple(out)
+    return tuple(demands)
 
 
 def client_models(
     section: Section, cluster: Cluster, names: list[str], planners: int
 ) -> tuple[ClientModel, ...]:
-    """The models of clients of these names, which divide the section's demand."""
-    one = section.value
+    """Return the models of the clients called ``names``, which share the section's demand equally."""
+    setting = section.value
     demands = demands_from(section, cluster)
     base = ClientModel("", 1.0, demands, cluster.classes, planners)
     tenants = [t for t, _ in cluster.tenants]
     return tuple(
         ClientModel(
             name=name,
-            rate=one("rate", 10.0) / len(names),
+            rate=setting("rate", 10.0) / len(names),
             demands=demands,
             classes=cluster.classes,
             planners=planners,
             tenant=tenants[i % len(tenants)] if tenants else "",
-            retry_delay_us=one("owner-again", base.retry_delay_us),
-            short_retry_delay_us=one("owner-soon", base.short_retry_delay_us),
+            retry_delay_us=setting("owner-again", base.retry_delay_us),
+            short_retry_delay_us=setting("owner-soon", base.short_retry_delay_us),
             uncertain_retry_delay_us=cluster.client_wait_us,
-            patience_us=one("owner-wanted", base.patience_us),
-            demand_ends_us=one("asks-end", base.demand_ends_us),
-            max_tasks=one("tasks-most", 0) // len(names),
+            patience_us=setting("owner-wanted", base.patience_us),
+            demand_ends_us=setting("asks-end", base.demand_ends_us),
+            max_tasks=setting("tasks-most", 0) // len(names),
         )
         for i, name in enumerate(names)
     )
 
 
 def load_client_pool(path: str | Path) -> ClientPoolConfig:
-    """Read a file of clients. Raises SettingsError."""
+    """Read a settings file of stand-in clients. Raises SettingsError."""
     section = load_section(path, CLIENT_POOL)
     cluster = cluster_from(section)
     planners = dict(section.all_values("planner"))
--- a/stairplank/standin/light_node.py
+++ b/stairplank/standin/light_node.py
@@ -1,4 +1,4 @@
-"""A light stand-in node: it answers an offer with `running` at once; many fit in one process."""
+"""A light stand-in node: it answers each offer with `running` at once, and many fit in one process."""
 
 from __future__ import annotations
 
@@ -11,41 +11,50 @@
 from ..rpc import RpcError, Server
 
 EVENT = node_pb2.OfferEvent
-FREE = 1e6  # cores and memory: it never runs short
-GRANT = 1  # every offer is stamped, as in service
+FREE = 1e6  # reported free cores and memory, more than any load uses
+GRANT = 1  # a grant, so that the planner stamps every offer as it does for a real node
 US_PER_S = 1e6
 NODES_PER_RACK = 8
 
 
 class Observer(Protocol):
-    """Who counts the traffic of light nodes."""
+    """Counts the traffic of light nodes."""
 
     def opened(self, planner: int, connection: Any) -> None:
-        """A planner's stream was opened."""
+        """Record that a planner's stream was opened."""
 
     def closed(self, planner: int, connection: Any) -> None:
-        """A planner's stream has ended."""
+        """Record that a planner's stream has ended."""
 
     def task_message(self, planner: int, message: Any) -> None:
-        """A message about a task was sent or received."""
+        """Record that a message about a task was sent or received."""
 
 
 class LightNode:
-    """``life_s``: of every task; None takes the life that its offer names. 0 is no end in both."""
+    """A node that runs any number of tasks.
+
+    ``duration_s`` is the duration of every task; None uses the duration in its offer. In both cases 0 means
+    that the task does not end.
+    """
 
     def __init__(
-        self, id: int, life_s: float | None, observer: Observer | None = None, zone: str = "a", rack: str = ""
+        self,
+        id: int,
+        duration_s: float | None,
+        observer: Observer | None = None,
+        zone: str = "a",
+        rack: str = "",
     ) -> None:
-        self.id, self.life_s = id, life_s
+        self.id, self.duration_s = id, duration_s
         self.zone, self.rack = zone, rack or f"r{id // NODES_PER_RACK}"
-        self.held: dict[Any, int] = {}  # attempts that run, and their planners
+        self.held: dict[Any, int] = {}  # the planner of each running attempt
         self._observer = observer
-        handlers = server_methods(NODE_SERVICE, Offers=self.offers, Probe=self.probe, Held=self.held_by)
+        handlers = server_methods(NODE_SERVICE, Offers=self.offers, Probe=self.probe, Held=self.list_tasks)
         self.server = Server(["127.0.0.1:0"], handlers)
         self.server.start()
 
     def entry(self) -> Any:
-        """Its line of the node list."""
+        """Return the node's entry for the node list."""
         return directory_pb2.NodeEntry(
             id=self.id,
             addresses=self.server.addresses,
@@ -57,10 +66,10 @@
             free_memory=FREE,
         )
 
-    # Calls
+    # Handlers of the node service
 
     def offers(self, call: Any) -> None:
-        """Handler of Node.Offers."""
+        """Handler of Node.Offers: serves the stream of one planner."""
         planner = call.recv().hello.planner
         connection = call.stream.connection
         if self._observer is not None:
@@ -68,22 +77,22 @@
         try:
             call.send(EVENT(welcome=EVENT.Welcome(node=self.id), grant=GRANT))
             while (request := call.recv()) is not None:
-                self._take(call, planner, request)
+                self._handle_message(call, planner, request)
         finally:
             if self._observer is not None:
                 self._observer.closed(planner, connection)
 
     def probe(self, request: Any, call: Any) -> Any:
-        """Handler of Node.Probe."""
+        """Handler of Node.Probe: returns a constant load report."""
         return node_pb2.ProbeResponse(node=self.id, report=_report())
 
-    def held_by(self, request: Any, call: Any) -> Any:
-        """Handler of Node.Held: it reports no tasks."""
+    def list_tasks(self, request: Any, call: Any) -> Any:
+        """Handler of Node.Held: always reports that no tasks are here."""
         return node_pb2.HeldResponse(node=self.id)
 
-    # Messages
+    # Messages of a planner's stream
 
-    def _take(self, call: Any, planner: int, request: Any) -> None:
+    def _handle_message(self, call: Any, planner: int, request: Any) -> None:
         match request.WhichOneof("kind"):
             case "probe":
                 sampled = EVENT.Sampled(probe=request.probe.probe, report=_report())
@@ -93,23 +102,23 @@
                 self._run(call, planner, request.offer)
 
     def _run(self, call: Any, planner: int, offer: Any) -> None:
-        self._say(call, planner, EVENT(running=EVENT.Running(id=offer.id)))
+        self._send(call, planner, EVENT(running=EVENT.Running(id=offer.id)))
         attempt = offer.id.SerializeToString()
         self.held[planner, attempt] = planner
-        life_s = offer.task.life_us / US_PER_S if self.life_s is None else self.life_s
-        if life_s:
-            gevent.spawn_later(life_s, self._end, call, planner, offer.id)
+        duration_s = offer.task.life_us / US_PER_S if self.duration_s is None else self.duration_s
+        if duration_s:
+            gevent.spawn_later(duration_s, self._end, call, planner, offer.id)
 
     def _end(self, call: Any, planner: int, id: Any) -> None:
         self.held.pop((planner, id.SerializeToString()), None)
         if call.stream.error is None:
-            self._say(call, planner, EVENT(ended=EVENT.Ended(id=id, how=EVENT.Ended.HOW_FINISHED)))
+            self._send(call, planner, EVENT(ended=EVENT.Ended(id=id, how=EVENT.Ended.HOW_FINISHED)))
 
-    def _say(self, call: Any, planner: int, event: Any) -> None:
+    def _send(self, call: Any, planner: int, event: Any) -> None:
         try:
             call.try_send(event)
         except RpcError:
-            return  # its planner has gone
+            return  # the planner has closed the stream
         self._count(planner, event)
 
     def _count(self, planner: int, message: Any) -> None:
--- a/stairplank/standin/node_list_server.py
+++ b/stairplank/standin/node_list_server.py
@@ -1,4 +1,4 @@
-"""The stand-in node list on sockets. Decides nothing."""
+"""The I/O of the stand-in node list. ``node_list_state`` makes the decisions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from .node_list_state import NodeListState
 from .script import Fault
 
-BEAT_S = 1.0  # a watcher hears something so often, if only that there is nothing new
+WATCH_INTERVAL_S = 1.0  # a watcher gets a message at least this often, without changes if there are none
 _STATES = {
     api.NodeStatus.GONE: directory_pb2.NodeEntry.STATE_GONE,
     api.NodeStatus.DRAINING: directory_pb2.NodeEntry.STATE_DRAINING,
@@ -29,7 +29,7 @@
 
 
 def entry_to(node: ListedNode) -> Any:
-    """The message of a list entry."""
+    """Convert an entry of the node list to its protocol message."""
     return directory_pb2.NodeEntry(
         id=node.id,
         name=node.name,
@@ -45,12 +45,12 @@
 
 
 class NodeListServer:
-    """Serves Directory; faults make it late, unreachable or hanging."""
+    """Serves the Directory service; faults delay it, make it unreachable or let it hang."""
 
     def __init__(self, config: NodeListConfig) -> None:
         self.config = config
         self.log = structlog.get_logger("directory")
-        # Revisions go on where an earlier life may have left off: they follow the clock.
+        # Revisions start at the clock's time, so that they are higher than those of an earlier incarnation.
         self.directory = NodeListState(config.model, revision=int(time.time()))
         self.unreachable = False
         self.not_hanging = Flag()
@@ -60,7 +60,7 @@
         self.server = Server(config.listen, handlers)
 
     def start(self) -> None:
-        """Start serving, and the faults of the script."""
+        """Start serving, and schedule the faults of the script."""
         self.server.start()
         gevent.spawn(self.clock)
         for fault in self.config.faults:
@@ -68,7 +68,7 @@
                 gevent.spawn(self.script, fault)
 
     def clock(self) -> None:
-        """Publish revisions as they come due."""
+        """Publish each revision when it is due."""
         while True:
             gevent.sleep(0.02)
             if self.directory.advance(now_us()):
@@ -76,7 +76,7 @@
                 self.updated = Flag()
 
     def script(self, fault: Fault) -> None:
-        """Wait for a fault's time, carry it out and end it."""
+        """Wait for a fault's time, begin the fault, and end it after its duration."""
         begin = wait_for_begin(self.config.begin)
         gevent.sleep(max(0.0, (begin + fault.at_us - now_us()) / 1e6))
         self.log.info("fault", what=fault.what, values=list(fault.values))
@@ -86,7 +86,7 @@
             self.apply(fault, False)
 
     def apply(self, fault: Fault, on: bool) -> None:
-        """Begin a fault, or end it."""
+        """Begin a fault (``on``) or end it."""
         match fault.what:
             case "behind":
                 self.directory.extra_delay_us = fault.values[0] if on else 0
@@ -100,24 +100,24 @@
                 else:
                     self.not_hanging.set()
             case "forget":
-                # Danger for watchers: what changed meanwhile cannot be told as changes any more.
+                # Without the history, watchers that missed changes have to get the complete list.
                 self.directory.history.clear()
                 self.break_watches()
 
     def break_watches(self) -> None:
-        """Break the watchers' streams; nodes go on announcing."""
+        """Close the connections of watchers; nodes can still announce themselves."""
         for connection in list(self.server.connections):
             if any(call.path.endswith("/Watch") for call in connection.open_calls):
-                connection.close(RpcError(Code.UNAVAILABLE, "out of reach by script"))
+                connection.close(RpcError(Code.UNAVAILABLE, "made unreachable by the fault script"))
 
     def check_reachable(self) -> None:
-        """Raise RpcError while unreachable; wait while hanging."""
+        """Raise RpcError while the service is unreachable; wait while it hangs."""
         if self.unreachable:
-            raise RpcError(Code.UNAVAILABLE, "out of reach by script")
+            raise RpcError(Code.UNAVAILABLE, "made unreachable by the fault script")
         self.not_hanging.wait()
 
     def message(self, nodes: tuple[ListedNode, ...], full: bool, since: int) -> Any:
-        """A list message with these nodes, complete or changes since a revision."""
+        """Return a list message with ``nodes``: the complete list, or the changes since a revision."""
         return directory_pb2.NodeList(
             revision=self.directory.revision,
             full=full,
@@ -127,34 +127,34 @@
         )
 
     def list(self, request: Any, call: ServerCall) -> Any:
-        """Handler of Directory.List."""
+        """Handler of Directory.List: returns the complete list."""
         self.check_reachable()
         return self.message(self.directory.all_nodes(), True, 0)
 
     def watch(self, request: Any, call: ServerCall) -> None:
-        """Handler of Directory.Watch."""
+        """Handler of Directory.Watch: sends the list or its changes to one watcher."""
         self.check_reachable()
-        have = request.revision
-        first = True
+        known_revision = request.revision
+        is_first = True
         while True:
-            news = self.updated
-            changes = self.directory.changes_since(have) if have else None
+            updated = self.updated
+            changes = self.directory.changes_since(known_revision) if known_revision else None
             if changes is None:
                 call.send(self.message(self.directory.all_nodes(), True, 0))
-            elif changes or first or not news.is_set():
-                call.send(self.message(changes, False, have))
-            first = False
-            have = self.directory.revision
-            news.wait(BEAT_S)
+            elif changes or is_first or not updated.is_set():
+                call.send(self.message(changes, False, known_revision))
+            is_first = False
+            known_revision = self.directory.revision
+            updated.wait(WATCH_INTERVAL_S)
             self.not_hanging.wait()
 
     def announce(self, call: ServerCall) -> Any:
-        """Handler of Directory.Announce: one node's stream."""
+        """Handler of Directory.Announce: reads the entries that one node announces."""
         node = None
         try:
             while (entry := call.recv()) is not None:
-                told = convert.node_list_from_proto(directory_pb2.NodeList(nodes=[entry]))
-                for node in told.nodes:
+                announced = convert.node_list_from_proto(directory_pb2.NodeList(nodes=[entry]))
+                for node in announced.nodes:
                     self.directory.announced(now_us(), node)
         finally:
             if node is not None:
--- a/stairplank/standin/node_pool.py
+++ b/stairplank/standin/node_pool.py
@@ -1,4 +1,4 @@
-"""Stand-in nodes on sockets: many in one process, each with addresses of its own. Decides nothing."""
+"""The I/O of stand-in nodes: many in one process, each with its own addresses. ``node`` decides."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from .planner_session import PlannerSession
 from .script import Fault
 
-ANNOUNCE_S = 0.1
+ANNOUNCE_S = 0.1  # interval between checks for a change to announce, and between retries
 FINAL_STATUSES = ("refused", "error", "ended")
 _EVENT = node_pb2.OfferEvent
 _STATE = {
@@ -37,11 +37,11 @@
 }
 
 
-def message(word: Reported) -> Any:
-    """The message of a report about an attempt."""
-    id = convert.attempt_id_to_proto(word.id)
-    reason: Any = int(word.reason)
-    match word.kind:
+def status_message(report: Reported) -> Any:
+    """Convert a node's report about an attempt to its protocol message."""
+    id = convert.attempt_id_to_proto(report.id)
+    reason: Any = int(report.reason)
+    match report.kind:
         case "accepted":
             return _EVENT(accepted=_EVENT.Accepted(id=id))
         case "ready":
@@ -49,18 +49,18 @@
         case "running":
             return _EVENT(running=_EVENT.Running(id=id))
         case "refused":
-            reason = common_pb2.REASON_TOO_LATE if word.is_late else reason
+            reason = common_pb2.REASON_TOO_LATE if report.is_late else reason
             return _EVENT(refused=_EVENT.Refused(id=id, reason=reason))
         case "error":
             return _EVENT(error=_EVENT.Error(id=id))
         case "usage":
-            return _EVENT(usage=_EVENT.Usage(id=id, cores=word.cores, memory=word.memory))
-    assert word.result is not None
-    return _EVENT(ended=_EVENT.Ended(id=id, how=_HOW[word.result], reason=reason))
+            return _EVENT(usage=_EVENT.Usage(id=id, cores=report.cores, memory=report.memory))
+    assert report.result is not None
+    return _EVENT(ended=_EVENT.Ended(id=id, how=_HOW[report.result], reason=reason))
 
 
 class HostedNode:
-    """One node: its present life, its listeners, its faults."""
+    """One node of the pool: its current incarnation, its server and its faults."""
 
     def __init__(self, pool: NodePool, config: NodeConfig) -> None:
         self.pool = pool
@@ -70,24 +70,24 @@
         self.node: Node | None = None
         self.server: Server | None = None
         self.started_unix_us = 0
-        self.doors: dict[int, PlannerSession] = {}
-        self.calls: dict[int, ServerCall] = {}  # the newest stream of each planner
-        self.probes: dict[int, Any] = {}
+        self.sessions: dict[int, PlannerSession] = {}
+        self.calls: dict[int, ServerCall] = {}  # the newest stream by planner
+        self.probes: dict[int, Any] = {}  # by token: how to deliver the result of a health check
         self.next_probe = 0
-        self.answer_loss = (0.0, "silence")
+        self.report_loss = (0.0, "silence")  # share of status reports that are lost, and how
         self.unresponsive = False
         self.not_hanging = Flag()
-        self.not_hanging.set()  # set: it does not hang
+        self.not_hanging.set()  # the flag is clear while the node hangs
         self.is_pausing = False
-        self.changed = 0
+        self.changed = 0  # number of changes to the node list entry
         self.announcing: list[Any] = []
         self.wake = Flag()
         self.addresses: tuple[str, ...] = config.listen
 
     def start(self, cold: bool) -> None:
-        """Begin a life: listen, announce, serve. ``cold``: it warms up."""
+        """Start a new incarnation: listen, announce and serve. A ``cold`` node begins in slow start."""
         seed = self.rng.randrange(2**63)
-        self.node = Node(self.config.model, self.pool.copies, seed, now_us(), cold)
+        self.node = Node(self.config.model, self.pool.dedup_memories, seed, now_us(), cold)
         self.started_unix_us = int(time.time() * 1e6) if cold else 0
         handlers = server_methods(NODE_SERVICE, Offers=self.offers, Probe=self.probe, Held=self.list_tasks)
         self.server = Server(self.addresses, handlers)
@@ -97,7 +97,7 @@
         gevent.spawn(self.clock, self.node)
 
     def kill(self) -> None:
-        """End the life at once, with everything it holds."""
+        """End the incarnation at once; its tasks, streams and sessions are lost."""
         node, self.node = self.node, None
         if node is not None:
             node.die()
@@ -105,10 +105,10 @@
         if self.server is not None:
             self.server.stop()
         self.calls.clear()
-        self.doors.clear()
+        self.sessions.clear()
         self.wake.set()
 
-    # Time
+    # Timers and reports
 
     def clock(self, node: Node) -> None:
         """Advance the node whenever something is due."""
@@ -121,62 +121,62 @@
             if self.node is node:
                 self.report_all(node.advance(now_us()))
 
-    def report_all(self, words: list[NodeEvent]) -> None:
-        """Send what the node reports to its planners, and carry out its crash."""
-        for word in words:
-            match word:
+    def report_all(self, events: list[NodeEvent]) -> None:
+        """Send a node's reports to its planners, and stop the node if it has crashed."""
+        for event in events:
+            match event:
                 case Reported():
-                    self.report_status(word)
+                    self.report_status(event)
                 case DrainingReported():
                     for planner, call in list(self.calls.items()):
                         self.send(call, _EVENT(draining=_EVENT.Draining()), planner)
                 case HealthChecked():
-                    waiting = self.probes.pop(word.token, None)
+                    waiting = self.probes.pop(event.token, None)
                     if isinstance(waiting, tuple):
                         call, planner, number = waiting
-                        sampled = _EVENT.Sampled(probe=number, report=self.report(word))
+                        sampled = _EVENT.Sampled(probe=number, report=self.load_report(event))
                         self.send(call, _EVENT(sampled=sampled), planner)
                     elif waiting is not None:
-                        waiting.set(word)
+                        waiting.set(event)
                 case Crashed():
                     self.pool.log.warning(
-                        "node fell over", node=self.id, offers=word.offers, borne=word.max_offers
+                        "node fell over", node=self.id, offers=event.offers, borne=event.max_offers
                     )
                     gevent.spawn(self.kill)
         self.wake.set()
 
-    def report_status(self, word: Reported) -> None:
-        """Send an attempt's status to its planner; final ones are kept until acknowledged."""
-        call = self.calls.get(word.planner)
-        event = message(word)
-        if word.kind in FINAL_STATUSES:
-            door = self.doors.get(word.planner)
-            if door is not None:
-                event.number = door.outbox.add(event)
+    def report_status(self, report: Reported) -> None:
+        """Send an attempt's status to its planner; a final status is kept until acknowledged."""
+        call = self.calls.get(report.planner)
+        event = status_message(report)
+        if report.kind in FINAL_STATUSES:
+            session = self.sessions.get(report.planner)
+            if session is not None:
+                event.number = session.outbox.add(event)
         if call is None or self.unresponsive:
             return
-        share, how = self.answer_loss
+        share, how = self.report_loss
         if share and self.rng.random() < share:
             if how == "reset":
                 call.stream.connection.close(RpcError(Code.UNAVAILABLE, "reset by script"))
             return
-        self.send(call, event, word.planner)
+        self.send(call, event, report.planner)
 
     def send(self, call: ServerCall, event: Any, planner: int) -> None:
-        """Say something on a planner's stream, with a grant where one is due."""
-        door = self.doors.get(planner)
-        if door is not None:
-            event.grant = door.grant(now_us())
+        """Send a message on a planner's stream, with a grant if one is due."""
+        session = self.sessions.get(planner)
+        if session is not None:
+            event.grant = session.grant(now_us())
         try:
             if not call.try_send(event):
                 call.stream.connection.close(RpcError(Code.RESOURCE_EXHAUSTED, "the planner does not read"))
         except RpcError:
-            pass  # the stream has gone: what was said is lost, as on a cut link
+            pass  # the stream has broken: its messages are lost, as on a broken link
 
-    # Services
+    # Handlers of the node service
 
     def offers(self, call: ServerCall) -> None:
-        """Handler of Node.Offers: one planner's stream."""
+        """Handler of Node.Offers: serves the stream of one planner."""
         self.not_hanging.wait()
         first = call.recv(5.0)
         if first is None or first.WhichOneof("kind") != "hello":
@@ -184,51 +184,51 @@
         node = self.running_node()
         hello = first.hello
         planner = hello.planner
-        door = self.doors.setdefault(planner, PlannerSession(self.rng))
-        unheard = door.open(now_us(), hello.life, hello.epoch, hello.heard)
-        if unheard is None:
+        session = self.sessions.setdefault(planner, PlannerSession(self.rng))
+        unacknowledged = session.open(now_us(), hello.life, hello.epoch, hello.heard)
+        if unacknowledged is None:
             raise RpcError(Code.ABORTED, "a newer stream of this planner has been here")
-        assert door.grants is not None
+        assert session.grants is not None
         welcome = _EVENT.Welcome(node=self.id, started_unix_us=self.started_unix_us, draining=node.draining)
-        # The newer stream wins. What is still unread of the older one must not be looked at any more: the
-        # planner takes what is neither held nor told as over for never seen.
+        # The newer stream replaces the older one, whose unread messages must not be processed: the planner
+        # assumes that an offer was never received if the node reports it neither as present nor as ended.
         older = self.calls.pop(planner, None)
         if older is not None:
             older.stream.connection.close(RpcError(Code.ABORTED, "a newer stream of this planner is here"))
         self.calls[planner] = call
-        call.send(_EVENT(welcome=welcome, grant=door.grants.issue(now_us())))
-        for _, event in unheard:
+        call.send(_EVENT(welcome=welcome, grant=session.grants.issue(now_us())))
+        for _, event in unacknowledged:
             self.send(call, event, planner)
-        renewing = gevent.spawn(self.renew, call, planner, door)
+        renewing = gevent.spawn(self.renew, call, planner, session)
         try:
             while (request := call.recv()) is not None:
                 self.not_hanging.wait()
                 if self.calls.get(planner) is not call:
-                    break  # a newer stream is here: what is unread of this one was never seen
-                self.take(self.running_node(), call, planner, request)
+                    break  # a newer stream has replaced this one, whose unread messages are dropped
+                self.handle_message(self.running_node(), call, planner, request)
         finally:
             renewing.kill(block=False)
             if self.calls.get(planner) is call:
                 del self.calls[planner]
 
-    def renew(self, call: ServerCall, planner: int, door: PlannerSession) -> None:
-        """A stream on which nothing is said is given a grant all the same, now and then."""
-        while (grants := door.grants) is not None and call.stream.error is None:
+    def renew(self, call: ServerCall, planner: int, session: PlannerSession) -> None:
+        """Send a grant on an idle stream whenever one is due."""
+        while (grants := session.grants) is not None and call.stream.error is None:
             gevent.sleep(max(0.01, (grants.next_due() - now_us()) / 1e6))
             self.not_hanging.wait()
-            if door.grants is grants and now_us() >= grants.next_due():
+            if session.grants is grants and now_us() >= grants.next_due():
                 self.send(call, _EVENT(renewed=_EVENT.Grant()), planner)
 
     @staticmethod
-    def report(told: HealthChecked) -> Any:
-        """The load report of a health check."""
+    def load_report(result: HealthChecked) -> Any:
+        """Convert the result of a health check to its load report message."""
         return common_pb2.Report(
-            free_cores=told.free_cores, free_memory=told.free_memory, util=told.utilization
+            free_cores=result.free_cores, free_memory=result.free_memory, util=result.utilization
         )
 
-    def take(self, node: Node, call: ServerCall, planner: int, request: Any) -> None:
-        """Carry out a planner's message."""
-        door = self.doors[planner]
+    def handle_message(self, node: Node, call: ServerCall, planner: int, request: Any) -> None:
+        """Process a message of a planner."""
+        session = self.sessions[planner]
         match request.WhichOneof("kind"):
             case "offer":
                 offer = request.offer
@@ -242,22 +242,22 @@
                         offer.priority,
                         offer.window_us,
                         convert.group_tag_from_proto(offer.group) if offer.HasField("group") else None,
-                        said_at=door.earliest_sent_at(now_us(), convert.stamp_from_proto(offer)),
+                        said_at=session.earliest_sent_at(now_us(), convert.stamp_from_proto(offer)),
                     )
                 )
             case "ack":
-                door.outbox.acknowledge(request.ack.number)
+                session.outbox.acknowledge(request.ack.number)
                 for _, event in (
-                    door.outbox.unacknowledged_after(request.ack.number) if request.ack.again else ()
+                    session.outbox.unacknowledged_after(request.ack.number) if request.ack.again else ()
                 ):
                     self.send(call, event, planner)
             case "commit":
                 ids = [convert.attempt_id_from_proto(i) for i in request.commit.ids]
-                said_at = door.earliest_sent_at(now_us(), convert.stamp_from_proto(request.commit))
+                said_at = session.earliest_sent_at(now_us(), convert.stamp_from_proto(request.commit))
                 self.report_all(node.commit(now_us(), ids, request.commit.lease_us, said_at=said_at))
             case "keep":
                 ids = [convert.attempt_id_from_proto(i) for i in request.keep.ids]
-                said_at = door.earliest_sent_at(now_us(), convert.stamp_from_proto(request.keep))
+                said_at = session.earliest_sent_at(now_us(), convert.stamp_from_proto(request.keep))
                 self.report_all(node.keep(now_us(), ids, request.keep.lease_us, said_at=said_at))
                 if request.keep.keep and said_at is not None:
                     self.send(call, _EVENT(kept=_EVENT.Kept(keep=request.keep.keep)), planner)
@@ -269,13 +269,13 @@
                 self.report_all(node.probe(now_us(), self.next_probe))
 
     def running_node(self) -> Node:
-        """The node's present life. Raises RpcError while it is down."""
+        """Return the node's current incarnation. Raises RpcError while the node is down."""
         if self.node is None or self.node.crashed:
             raise RpcError(Code.UNAVAILABLE, "the node is down")
         return self.node
 
     def probe(self, request: Any, call: ServerCall) -> Any:
-        """Handler of Node.Probe."""
+        """Handler of Node.Probe: returns the result of a health check."""
         self.not_hanging.wait()
         node = self.running_node()
         self.next_probe += 1
@@ -283,31 +283,35 @@
         token = self.next_probe
         try:
             self.report_all(node.probe(now_us(), token))
-            told: Any = waiting.get(timeout=5.0)
+            result: Any = waiting.get(timeout=5.0)
         except gevent.Timeout:
-            raise RpcError(Code.UNAVAILABLE, "the line is too long") from None
+            raise RpcError(
+                Code.UNAVAILABLE, "the health check was not reached in the queue within 5 s"
+            ) from None
         finally:
             self.probes.pop(token, None)
         return node_pb2.ProbeResponse(
-            node=self.id, started_unix_us=self.started_unix_us, report=self.report(told)
+            node=self.id, started_unix_us=self.started_unix_us, report=self.load_report(result)
         )
 
     def list_tasks(self, request: Any, call: ServerCall) -> Any:
-        """Handler of Node.Held: the tasks of a planner number, over all its lives."""
+        """Handler of Node.Held: lists the tasks of a planner, from all its incarnations."""
         self.not_hanging.wait()
         node = self.running_node()
-        door = self.doors.get(request.planner)
-        complete = door is not None and door.is_complete_for(request.life)
-        words = door.outbox.last_number if door is not None and door.incarnation == request.life else 0
+        session = self.sessions.get(request.planner)
+        complete = session is not None and session.is_complete_for(request.life)
+        last_number = (
+            session.outbox.last_number if session is not None and session.incarnation == request.life else 0
+        )
         answer = node_pb2.HeldResponse(
-            node=self.id, started_unix_us=self.started_unix_us, complete=complete, words=words
+            node=self.id, started_unix_us=self.started_unix_us, complete=complete, words=last_number
         )
-        for told, offers in (
+        for tasks, offers in (
             (answer.tasks, node.offers_of(request.planner)),
             (answer.finished, node.finished_of(request.planner, now_us())),
         ):
             for offer in offers:
-                told.add(
+                tasks.add(
                     id=convert.attempt_id_to_proto(offer.id),
                     task=convert.task_to_proto(offer.task),
                     running=offer.state.value == "running",
@@ -315,18 +319,18 @@
                 )
         return answer
 
-    # The node list
+    # Announcements to the node list service
 
     def announce(self, directory: str, name: str) -> None:
-        """Tell a directory what this node is, at each change, for as long as it lives."""
+        """Send the node's entry to a node list service at each change, until the node is killed."""
         while self.node is not None:
             channel = Channel(directory)
             try:
                 call = open_call(channel, DIRECTORY_SERVICE, "Announce")
-                told = -1
+                announced = -1
                 while self.node is not None:
-                    if self.changes() != told:
-                        told = self.changes()
+                    if self.changes() != announced:
+                        announced = self.changes()
                         call.send(self.entry(self.node, name))
                     if call.stream.error is not None:
                         break
@@ -337,14 +341,14 @@
                 channel.close()
 
     def changes(self) -> int:
-        """A number that grows with each change that the list shows."""
+        """Return the number of changes so far to the node's entry in the node list."""
         if self.node is not None and self.node.changed:
             self.node.changed = False
             self.changed += 1
         return self.changed
 
     def entry(self, node: Node, name: str) -> Any:
-        """The node's entry for the directory called ``name``."""
+        """Return the node's entry for the node list service called ``name``."""
         model = self.config.model
         status = api.NodeStatus.DRAINING if node.draining else api.NodeStatus.READY
         free = node.free()
@@ -363,16 +367,16 @@
 
 
 class NodePool:
-    """All nodes of one process."""
+    """All stand-in nodes of one process."""
 
     def __init__(self, config: NodePoolConfig) -> None:
         self.config = config
         self.log = structlog.get_logger("nodes")
-        self.copies = DedupMemories(config.classes)
+        self.dedup_memories = DedupMemories(config.classes)
         self.nodes = {n.model.id: HostedNode(self, n) for n in config.nodes}
 
     def start(self) -> None:
-        """Start the nodes that are not absent, and the faults of the script."""
+        """Start the nodes that are not marked absent, and schedule the faults of the script."""
         for node in self.nodes.values():
             if not node.config.absent:
                 node.start(node.config.cold)
@@ -381,18 +385,18 @@
                 gevent.spawn(self.script, fault)
 
     def run_signal_faults(self) -> None:
-        """SIGUSR1: do what the file says for it, now."""
+        """Run the ``on-signal`` faults of the settings file now; the handler of SIGUSR1."""
         for fault in self.config.on_signal:
             gevent.spawn(self.run_fault, fault)
 
     def script(self, fault: Fault) -> None:
-        """Wait for a fault's time and carry it out."""
+        """Wait for a fault's time, then run the fault."""
         begin = wait_for_begin(self.config.begin)
         gevent.sleep(max(0.0, (begin + fault.at_us - now_us()) / 1e6))
         self.run_fault(fault)
 
     def run_fault(self, fault: Fault) -> None:
-        """Carry out a fault at its nodes, and end it after its duration."""
+        """Apply a fault to its nodes, and end it after its duration."""
         nodes = [self.nodes[i] for i in fault.target_ids if i in self.nodes]
         self.log.info("fault", what=fault.what, nodes=[n.id for n in nodes], values=list(fault.values))
         for node in nodes:
@@ -403,57 +407,57 @@
                 self.apply(node, fault, False)
 
     @staticmethod
-    def pauses(served: HostedNode, length_us: int, every_us: int) -> None:
-        """The node stands still for a while, again and again: nothing is read, looked at or started."""
-        while served.is_pausing:
-            served.not_hanging.clear()
+    def pause_repeatedly(hosted: HostedNode, length_us: int, every_us: int) -> None:
+        """Stall a node for ``length_us`` in every ``every_us``: it then reads, admits and starts nothing."""
+        while hosted.is_pausing:
+            hosted.not_hanging.clear()
             gevent.sleep(length_us / 1e6)
-            served.not_hanging.set()
+            hosted.not_hanging.set()
             gevent.sleep(max(0.0, (every_us - length_us) / 1e6))
 
-    def apply(self, served: HostedNode, fault: Fault, on: bool) -> None:
-        """Begin a fault, or end it."""
-        if not self._apply_to_process(served, fault, on) and served.node is not None:
-            self._apply_to_node(served, served.node, fault, on)
+    def apply(self, hosted: HostedNode, fault: Fault, on: bool) -> None:
+        """Begin a fault (``on``) or end it."""
+        if not self._apply_to_process(hosted, fault, on) and hosted.node is not None:
+            self._apply_to_node(hosted, hosted.node, fault, on)
 
-    def _apply_to_process(self, served: HostedNode, fault: Fault, on: bool) -> bool:
-        """Faults of the process and its connections; False where the fault is another's."""
+    def _apply_to_process(self, hosted: HostedNode, fault: Fault, on: bool) -> bool:
+        """Begin or end a fault of the process or its connections; return False for any other fault."""
         match fault.what:
             case "kill" if on:
-                served.kill()
+                hosted.kill()
             case "kill":
-                served.start(cold=True)
+                hosted.start(cold=True)
             case "grow":
-                if served.node is None:
-                    served.start(cold=True)
+                if hosted.node is None:
+                    hosted.start(cold=True)
             case "cut":
-                for call in list(served.calls.values()):
+                for call in list(hosted.calls.values()):
                     call.stream.connection.close(RpcError(Code.UNAVAILABLE, "cut by script"))
             case "hang" if on:
-                served.not_hanging.clear()
+                hosted.not_hanging.clear()
             case "hang":
-                served.not_hanging.set()
+                hosted.not_hanging.set()
             case "silent":
-                served.unresponsive = on
+                hosted.unresponsive = on
             case "lose-answers":
-                served.answer_loss = (fault.values[0], fault.values[1]) if on else (0.0, "silence")
+                hosted.report_loss = (fault.values[0], fault.values[1]) if on else (0.0, "silence")
             case "pauses":
-                served.is_pausing = on
+                hosted.is_pausing = on
                 if on:
-                    gevent.spawn(self.pauses, served, *fault.values)
+                    gevent.spawn(self.pause_repeatedly, hosted, *fault.values)
             case _:
                 return False
         return True
 
     @staticmethod
-    def _apply_to_node(served: HostedNode, node: Node, fault: Fault, on: bool) -> None:
-        """Faults of how the node treats tasks."""
+    def _apply_to_node(hosted: HostedNode, node: Node, fault: Fault, on: bool) -> None:
+        """Begin or end a fault in how the node treats tasks."""
         match fault.what:
             case "drain":
-                served.report_all(node.drain(now_us()))
+                hosted.report_all(node.drain(now_us()))
             case "leave":
-                served.report_all(node.drain(now_us()))
-                gevent.spawn_later(fault.values[0] / 1e6, served.kill)
+                hosted.report_all(node.drain(now_us()))
+                gevent.spawn_later(fault.values[0] / 1e6, hosted.kill)
             case "fail-starts":
                 node.faults.start_failure_share = fault.values[0] if on else 0.0
             case "refuse":
--- a/tests/standin/test_standins.py
+++ b/tests/standin/test_standins.py
@@ -355,7 +355,7 @@
         ("1s node drain", "number of the node"),
         ("1s nodes drain", "how many nodes"),
         ("1s node 1 explode", "no fault 'explode'"),
-        ("1s node 1 drain now", "one word too many"),
+        ("1s node 1 drain now", "unexpected 'now' at the end"),
         ("1s node 1 kill", "for TIME"),
         ("1s node 1 slow for 3s", "needs|is not a number"),
         ("1s nodes 20% fail-starts 160% for 1s", "at most 100"),
