--- a/tests/standin/test_node_fenced.py
+++ b/tests/standin/test_node_fenced.py
@@ -1,4 +1,4 @@
-"""A node turns away what the network has kept: offers, commits, keeps; stops are always obeyed."""
+"""A node rejects offers, commits and renewals that the network has delayed; it obeys every stop."""
 
 from __future__ import annotations
 
@@ -13,119 +13,121 @@
 from stairplank.standin.planner_session import PlannerSession
 
 
-def say(
-    h: Host, key: int, said_at: int | None, wait: int = 3 * SECOND, group: GroupTag | None = None
+def send_offer(
+    host: Host, key: int, sent_at: int | None, wait: int = 3 * SECOND, group: GroupTag | None = None
 ) -> AttemptId:
-    id = AttemptId(h.life, key, 0)
+    id = AttemptId(host.incarnation, key, 0)
     spec = TaskSpec("o", key, "worker", "", 5, 1.0, 1.0, 0, False)
-    h.said += h.node.offer(h.now, 0, id, spec, wait, 0, 0, group, said_at=said_at)
+    host.events += host.node.offer(host.now, 0, id, spec, wait, 0, 0, group, said_at=sent_at)
     return id
 
 
-def late(h: Host, id: AttemptId) -> bool:
-    return [s for s in h.said if isinstance(s, Reported) and s.id == id][-1].is_late
+def rejected_as_late(host: Host, id: AttemptId) -> bool:
+    return [e for e in host.events if isinstance(e, Reported) and e.id == id][-1].is_late
 
 
-def member(h: Host, key: int = 1, lease: int = SECOND) -> AttemptId:
-    id = say(h, key, h.now, group=GroupTag(7, 1, 1, 0, lease))
-    h.wait(700 * MS)
-    assert h.words(id) == ["accepted", "ready"]
+def ready_member(host: Host, key: int = 1, lease: int = SECOND) -> AttemptId:
+    id = send_offer(host, key, host.now, group=GroupTag(7, 1, 1, 0, lease))
+    host.wait(700 * MS)
+    assert host.statuses(id) == ["accepted", "ready"]
     return id
 
 
 @pytest.mark.parametrize(
-    ("age", "taken"), [(0, True), (2900 * MS, True), (3 * SECOND, False), (12 * SECOND, False)]
+    ("age", "accepted"), [(0, True), (2900 * MS, True), (3 * SECOND, False), (12 * SECOND, False)]
 )
-def test_an_offer_counts_from_when_it_was_said(age: int, taken: bool) -> None:
-    h = Host(admission_time_us=(1 * MS, 1 * MS))
-    id = say(h, 1, h.now - age)
-    h.wait(10 * MS)
-    assert h.words(id) == (["accepted"] if taken else ["refused"])
-    assert late(h, id) is not taken
+def test_the_wait_of_an_offer_counts_from_its_send_time(age: int, accepted: bool) -> None:
+    host = Host(admission_time_us=(1 * MS, 1 * MS))
+    id = send_offer(host, 1, host.now - age)
+    host.wait(10 * MS)
+    assert host.statuses(id) == (["accepted"] if accepted else ["refused"])
+    assert rejected_as_late(host, id) is not accepted
 
 
-def test_an_offer_that_proves_nothing_of_its_age_is_turned_away() -> None:
-    h = Host()
-    id = say(h, 1, None)
-    assert h.words(id) == ["refused"] and late(h, id)
+def test_an_offer_of_unknown_age_is_rejected() -> None:
+    host = Host()
+    id = send_offer(host, 1, None)
+    assert host.statuses(id) == ["refused"] and rejected_as_late(host, id)
 
 
-def test_what_is_left_of_an_offer_s_wait_runs_out_in_the_line() -> None:
-    h = Host(admission_time_us=(200 * MS, 200 * MS))
-    id = say(h, 1, h.now - 2900 * MS)
-    h.wait(300 * MS)
-    assert h.words(id) == ["refused"]
+def test_an_offer_expires_in_the_admission_queue() -> None:
+    host = Host(admission_time_us=(200 * MS, 200 * MS))
+    id = send_offer(host, 1, host.now - 2900 * MS)
+    host.wait(300 * MS)
+    assert host.statuses(id) == ["refused"]
 
 
-def test_a_node_that_stood_still_does_not_take_offers_in_the_past() -> None:
-    h = Host(admission_time_us=(20 * MS, 20 * MS))
-    id = say(h, 1, h.now)
-    h.wait(10 * SECOND)  # stopped, with the offer in its line; the look would have ended long ago
-    assert h.words(id) == ["refused"]
+def test_a_node_does_not_accept_offers_that_expired_during_its_stall() -> None:
+    host = Host(admission_time_us=(20 * MS, 20 * MS))
+    id = send_offer(host, 1, host.now)
+    host.wait(10 * SECOND)  # the node stalls with the offer in its queue, past the due time of the admission
+    assert host.statuses(id) == ["refused"]
 
 
-def test_a_heap_of_late_offers_does_not_push_a_cold_node_over() -> None:
-    h = Host(cold=True)
+def test_a_burst_of_late_offers_does_not_crash_a_cold_node() -> None:
+    host = Host(cold=True)
     for n in range(200):
-        say(h, n + 1, h.now - 12 * SECOND)
-    assert not h.node.crashed and not h.node.pace.recent_offers and not h.node.offers
-
-
-def test_a_commit_that_was_kept_lets_nothing_run() -> None:
-    h = Host()
-    id = member(h)
-    h.said += h.node.commit(h.now, [id], 500 * MS, said_at=h.now - 500 * MS)
-    assert h.words(id)[-1] == "ready"
-    h.wait(SECOND)
-    assert h.words(id)[-1] == "refused"  # handed back by its own lease: it never ran
-
-
-def test_a_commit_s_lease_counts_from_when_it_was_said() -> None:
-    h = Host()
-    id = member(h)
-    h.said += h.node.commit(h.now, [id], 500 * MS, said_at=h.now - 300 * MS)
-    assert h.words(id)[-1] == "running"
-    h.wait(199 * MS)
-    assert h.words(id)[-1] == "running"
-    h.wait(2 * MS)
-    assert h.words(id)[-1] == "ended"
-
-
-@pytest.mark.parametrize(("age", "kept"), [(0, True), (2 * SECOND, False)])
-def test_a_keep_that_was_kept_lengthens_nothing(age: int, kept: bool) -> None:
-    h = Host()
-    id = member(h, lease=2 * SECOND)
-    h.wait(SECOND)
-    h.said += h.node.keep(h.now, [id], 2 * SECOND, said_at=h.now - age)
-    h.wait(1500 * MS)
-    assert (h.words(id)[-1] == "ready") is kept
-
-
-def test_a_keep_never_shortens_a_lease() -> None:
-    h = Host()
-    id = member(h, lease=5 * SECOND)
-    h.said += h.node.keep(h.now, [id], 100 * MS, said_at=h.now)
-    h.said += h.node.keep(h.now, [id], 100 * MS, said_at=None)
-    h.wait(2 * SECOND)
-    assert h.words(id)[-1] == "ready"
-
-
-def test_a_stop_is_obeyed_however_old() -> None:
-    h = Host()
-    id = say(h, 1, h.now)
-    h.wait(2 * SECOND)
-    assert h.words(id)[-1] == "running"
-    h.said += h.node.stop(h.now, id)
-    assert h.words(id)[-1] == "ended"
-
-
-def test_an_old_stream_s_hello_does_not_open_the_session() -> None:
+        send_offer(host, n + 1, host.now - 12 * SECOND)
+    assert not host.node.crashed and not host.node.pace.recent_offers and not host.node.offers
+
+
+def test_a_commit_with_an_expired_lease_starts_nothing() -> None:
+    host = Host()
+    id = ready_member(host)
+    host.events += host.node.commit(host.now, [id], 500 * MS, said_at=host.now - 500 * MS)
+    assert host.statuses(id)[-1] == "ready"
+    host.wait(SECOND)
+    assert host.statuses(id)[-1] == "refused"  # the member's own lease expired: it never ran
+
+
+def test_the_lease_of_a_commit_counts_from_its_send_time() -> None:
+    host = Host()
+    id = ready_member(host)
+    host.events += host.node.commit(host.now, [id], 500 * MS, said_at=host.now - 300 * MS)
+    assert host.statuses(id)[-1] == "running"
+    host.wait(199 * MS)
+    assert host.statuses(id)[-1] == "running"
+    host.wait(2 * MS)
+    assert host.statuses(id)[-1] == "ended"
+
+
+@pytest.mark.parametrize(("age", "extends"), [(0, True), (2 * SECOND, False)])
+def test_a_delayed_renewal_extends_no_lease(age: int, extends: bool) -> None:
+    host = Host()
+    id = ready_member(host, lease=2 * SECOND)
+    host.wait(SECOND)
+    host.events += host.node.keep(host.now, [id], 2 * SECOND, said_at=host.now - age)
+    host.wait(1500 * MS)
+    assert (host.statuses(id)[-1] == "ready") is extends
+
+
+def test_a_renewal_never_shortens_a_lease() -> None:
+    host = Host()
+    id = ready_member(host, lease=5 * SECOND)
+    host.events += host.node.keep(host.now, [id], 100 * MS, said_at=host.now)
+    host.events += host.node.keep(host.now, [id], 100 * MS, said_at=None)
+    host.wait(2 * SECOND)
+    assert host.statuses(id)[-1] == "ready"
+
+
+def test_a_stop_is_obeyed_whatever_its_age() -> None:
+    host = Host()
+    id = send_offer(host, 1, host.now)
+    host.wait(2 * SECOND)
+    assert host.statuses(id)[-1] == "running"
+    host.events += host.node.stop(host.now, id)
+    assert host.statuses(id)[-1] == "ended"
+
+
+def test_the_hello_of_an_older_stream_does_not_open_the_session() -> None:
     session = PlannerSession(random.Random(1))
     assert session.open(SECOND, 7, 2, 0) == []
     grant = session.grant(SECOND)
-    assert session.open(2 * SECOND, 7, 1, 0) is None  # it was delayed while a newer one came
-    assert session.earliest_sent_at(2 * SECOND, AgeStamp(grant, 10 * MS)) is not None  # the newer one goes on
-    assert session.open(3 * SECOND, 8, 1, 0) == []  # another incarnation starts anew
+    # The hello of the older stream was delayed and arrives after that of the newer one.
+    assert session.open(2 * SECOND, 7, 1, 0) is None
+    # The grants of the newer stream are still valid.
+    assert session.earliest_sent_at(2 * SECOND, AgeStamp(grant, 10 * MS)) is not None
+    assert session.open(3 * SECOND, 8, 1, 0) == []  # a new incarnation starts anew, with any epoch
     assert (
         session.earliest_sent_at(3 * SECOND, AgeStamp(grant, 10 * MS)) is None
         and session.expired_messages == 1
@@ -141,5 +143,6 @@
     assert session.is_complete_for(7) and not session.is_complete_for(8)
     for message in "def":
         session.outbox.add(message)
-    assert not session.is_complete_for(7)  # at the bound a message was dropped: nothing is proven any more
+    # A message was dropped at the bound, so the session no longer proves that none is missing.
+    assert not session.is_complete_for(7)
     assert session.open(SECOND, 9, 1, 0) == [] and session.is_complete_for(9)
--- a/tests/standin/test_standins.py
+++ b/tests/standin/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins' own behaviour, without sockets."""
+"""The state machines of the stand-ins, without sockets: nodes, the node list, clients and fault scripts."""
 
 from __future__ import annotations
 
@@ -24,182 +24,186 @@
 
 
 class Host:
-    """One node, advanced by hand."""
+    """One node with the events that it has reported; the test advances its clock."""
 
-    def __init__(self, copies: DedupMemories | None = None, cold: bool = False, **model: object) -> None:
+    def __init__(
+        self, dedup_memories: DedupMemories | None = None, cold: bool = False, **model: object
+    ) -> None:
         self.now = 1000 * SECOND
-        self.node = Node(replace(MODEL, **model), copies or DedupMemories(()), 3, self.now, cold)  # type: ignore[arg-type]
-        self.said: list = []
-        self.life = 7
+        self.node = Node(replace(MODEL, **model), dedup_memories or DedupMemories(()), 3, self.now, cold)  # type: ignore[arg-type]
+        self.events: list = []
+        self.incarnation = 7
 
     def offer(
         self, key: int, wait: int = 60 * SECOND, priority: int = 0, window: int = 0, **task: object
     ) -> AttemptId:
-        id = AttemptId(self.life, key, 0)
+        id = AttemptId(self.incarnation, key, 0)
         spec = TaskSpec("o", key, "worker", "", 5, 1.0, 1.0, SECOND, False)
         spec = replace(spec, **task)  # type: ignore[arg-type]
-        self.said += self.node.offer(self.now, 0, id, spec, wait, priority, window, said_at=self.now)
+        self.events += self.node.offer(self.now, 0, id, spec, wait, priority, window, said_at=self.now)
         return id
 
     def wait(self, us: int) -> None:
         self.now += us
-        self.said += self.node.advance(self.now)
+        self.events += self.node.advance(self.now)
 
-    def words(self, id: AttemptId) -> list[str]:
-        return [s.kind for s in self.said if isinstance(s, Reported) and s.id == id and s.kind != "usage"]
+    def statuses(self, id: AttemptId) -> list[str]:
+        return [e.kind for e in self.events if isinstance(e, Reported) and e.id == id and e.kind != "usage"]
 
     def reason(self, id: AttemptId) -> api.Reason:
-        return [s for s in self.said if isinstance(s, Reported) and s.id == id][-1].reason
+        return [e for e in self.events if isinstance(e, Reported) and e.id == id][-1].reason
 
 
-def test_a_task_s_life_at_a_node() -> None:
-    h = Host()
-    id = h.offer(1)
-    h.wait(10 * MS)
-    assert h.words(id) == ["accepted"] and h.node.free() == (3.0, 7.0)
-    h.wait(5 * SECOND)
-    assert h.words(id) == ["accepted", "running", "ended"] and h.node.free() == (4.0, 8.0)
-    assert h.node.next_due() is None
+def test_a_node_accepts_runs_and_ends_a_task() -> None:
+    host = Host()
+    id = host.offer(1)
+    host.wait(10 * MS)
+    assert host.statuses(id) == ["accepted"] and host.node.free() == (3.0, 7.0)
+    host.wait(5 * SECOND)
+    assert host.statuses(id) == ["accepted", "running", "ended"] and host.node.free() == (4.0, 8.0)
+    assert host.node.next_due() is None
 
 
-def test_starts_from_nothing_take_longer() -> None:
-    h = Host()
-    first = h.offer(1)
-    h.wait(100 * MS)
-    assert "running" not in h.words(first)
-    h.wait(400 * MS)
-    assert "running" in h.words(first)
-    second = h.offer(2)
-    h.wait(100 * MS)
-    assert "running" in h.words(second)
+def test_a_start_without_a_cached_program_takes_longer() -> None:
+    host = Host()
+    first = host.offer(1)
+    host.wait(100 * MS)
+    assert "running" not in host.statuses(first)
+    host.wait(400 * MS)
+    assert "running" in host.statuses(first)
+    second = host.offer(2)
+    host.wait(100 * MS)
+    assert "running" in host.statuses(second)
 
 
 @pytest.mark.parametrize(
     ("task", "reason"),
     [({"cores": 5.0}, api.Reason.NO_CORES), ({"memory": 9.0}, api.Reason.NO_MEMORY)],
 )
-def test_no_room(task: dict, reason: api.Reason) -> None:
-    h = Host()
-    id = h.offer(1, **task)
-    h.wait(10 * MS)
-    assert h.words(id) == ["refused"] and h.reason(id) is reason
+def test_an_offer_above_the_free_capacity_is_rejected(task: dict, reason: api.Reason) -> None:
+    host = Host()
+    id = host.offer(1, **task)
+    host.wait(10 * MS)
+    assert host.statuses(id) == ["refused"] and host.reason(id) is reason
 
 
-def test_only_so_many_offers_wait_and_late_ones_are_handed_back() -> None:
-    h = Host(max_waiting_offers=2, admission_time_us=(50 * MS, 50 * MS))
-    ids = [h.offer(n) for n in (1, 2, 3)]
-    assert h.words(ids[2]) == ["refused"] and h.reason(ids[2]) is api.Reason.QUEUE_FULL
+def test_the_offer_queue_is_bounded_and_expired_offers_are_rejected() -> None:
+    host = Host(max_waiting_offers=2, admission_time_us=(50 * MS, 50 * MS))
+    ids = [host.offer(n) for n in (1, 2, 3)]
+    assert host.statuses(ids[2]) == ["refused"] and host.reason(ids[2]) is api.Reason.QUEUE_FULL
     late = Host(admission_time_us=(50 * MS, 50 * MS))
     id = late.offer(1, wait=20 * MS)
     late.wait(100 * MS)
-    assert late.words(id) == ["refused"] and late.reason(id) is api.Reason.NOT_HERE
-
-
-def test_a_drain_sends_all_away_and_says_so() -> None:
-    h = Host(starts_at_once=1)
-    runs, starts = h.offer(1, expected_duration_us=0), None
-    h.wait(500 * MS)
-    starts, accepted = h.offer(2, service=6), h.offer(3, service=7)
-    h.wait(10 * MS)
-    waits = h.offer(4)
-    h.said += h.node.drain(h.now)
-    assert DrainingReported() in h.said
-    assert h.words(runs)[-1] == "ended" and h.reason(runs) is api.Reason.SENT_AWAY
-    assert h.words(starts)[-1] == "ended" and h.words(accepted)[-1] == "refused"
-    assert h.words(waits)[-1] == "refused" and h.node.free() == (4.0, 8.0)
-    assert h.words(h.offer(5)) == ["refused"]
-
-
-def test_stops_end_what_runs_and_hand_back_what_has_not_begun() -> None:
-    h = Host()
-    runs = h.offer(1, expected_duration_us=0)
-    h.wait(500 * MS)
-    waits = h.offer(2)
+    assert late.statuses(id) == ["refused"] and late.reason(id) is api.Reason.NOT_HERE
+
+
+def test_a_drain_evicts_all_tasks_and_is_reported() -> None:
+    host = Host(starts_at_once=1)
+    runs, starts = host.offer(1, expected_duration_us=0), None
+    host.wait(500 * MS)
+    starts, accepted = host.offer(2, service=6), host.offer(3, service=7)
+    host.wait(10 * MS)
+    waits = host.offer(4)
+    host.events += host.node.drain(host.now)
+    assert DrainingReported() in host.events
+    assert host.statuses(runs)[-1] == "ended" and host.reason(runs) is api.Reason.SENT_AWAY
+    assert host.statuses(starts)[-1] == "ended" and host.statuses(accepted)[-1] == "refused"
+    assert host.statuses(waits)[-1] == "refused" and host.node.free() == (4.0, 8.0)
+    assert host.statuses(host.offer(5)) == ["refused"]
+
+
+def test_a_stop_ends_a_running_task_and_rejects_one_that_has_not_begun() -> None:
+    host = Host()
+    runs = host.offer(1, expected_duration_us=0)
+    host.wait(500 * MS)
+    waits = host.offer(2)
     for id in (runs, waits, AttemptId(9, 9, 9)):
-        h.said += h.node.stop(h.now, id)
-    assert h.words(runs)[-1] == "ended" and h.words(waits) == ["refused"]
+        host.events += host.node.stop(host.now, id)
+    assert host.statuses(runs)[-1] == "ended" and host.statuses(waits) == ["refused"]
 
 
-def test_one_keyed_copy_stands_in_a_group() -> None:
-    copies = DedupMemories(())
-    a, b = Host(copies), Host(copies)
-    b.life = 8
+def test_nodes_of_a_rack_drop_repeats_of_a_task_with_a_key() -> None:
+    dedup_memories = DedupMemories(())
+    a, b = Host(dedup_memories), Host(dedup_memories)
+    b.incarnation = 8
     first = a.offer(1, window=8 * SECOND)
     a.wait(10 * MS)
     b.now = a.now
     repeat = b.offer(1, window=8 * SECOND)
     b.wait(10 * MS)
-    assert a.words(first) == ["accepted"] and b.words(repeat) == ["refused"]
-    a.wait(3 * SECOND)  # it finished; within the window repeats are dropped still
+    assert a.statuses(first) == ["accepted"] and b.statuses(repeat) == ["refused"]
+    a.wait(3 * SECOND)  # the task has finished; within the window its repeats are still dropped
     b.now = a.now
     again = b.offer(1, window=8 * SECOND)
     b.wait(10 * MS)
-    assert b.words(again)[-1] == "refused"
+    assert b.statuses(again)[-1] == "refused"
     b.now += 6 * SECOND
     later = b.offer(1, window=8 * SECOND)
     b.wait(10 * MS)
-    assert b.words(later)[-1] == "accepted"
+    assert b.statuses(later)[-1] == "accepted"
 
 
-def test_which_nodes_drop_repeats_is_the_class_s_matter() -> None:
-    """Of a class whose group is all nodes, a node of another rack drops the repeat as well."""
+def test_the_deduplication_scope_of_a_class_determines_which_nodes_drop_repeats() -> None:
+    """A node in another rack drops a repeat if the scope is the zone or all nodes, but not the rack."""
     for scope, dropped in ((api.Scope.ALL, True), (api.Scope.ZONE, True), (api.Scope.GROUP, False)):
-        sort = api.TaskClass("worker", api.Effect.IDEMPOTENT_BY_KEY, scope, 8 * SECOND, SECOND, SECOND)
-        copies = DedupMemories((sort,))
-        a, b = Host(copies), Host(copies, rack="another", id=2)
+        task_class = api.TaskClass("worker", api.Effect.IDEMPOTENT_BY_KEY, scope, 8 * SECOND, SECOND, SECOND)
+        dedup_memories = DedupMemories((task_class,))
+        a, b = Host(dedup_memories), Host(dedup_memories, rack="another", id=2)
         a.offer(1, window=8 * SECOND)
         a.wait(2 * SECOND)
         repeat = b.offer(1, window=8 * SECOND)
         b.wait(10 * MS)
-        assert (b.words(repeat) == ["refused"]) is dropped
-
-
-def test_lower_priorities_are_pushed_out() -> None:
-    h = Host(preempts=True)
-    low = [h.offer(n, cores=2.0, expected_duration_us=0, service=n) for n in (1, 2)]
-    h.wait(2 * SECOND)
-    high = h.offer(3, cores=3.0, priority=1)
-    h.wait(10 * MS)
-    assert [h.reason(i) for i in low] == [api.Reason.PUSHED_OUT] * 2 and h.words(high) == ["accepted"]
-    equal = h.offer(4, cores=3.0, priority=1)
-    h.wait(10 * MS)
-    assert h.words(equal) == ["refused"]
-
-
-def test_a_cold_node_is_slow_and_falls_over_when_pushed() -> None:
-    h = Host(cold=True, slow_start_offers=5)
-    id = h.offer(1)
-    h.wait(SECOND)
-    assert "running" not in h.words(id)
-    for n in range(2, 30):  # 17 are borne: twice what it can start within 1.5 s at a third of its pace
-        h.offer(n)
-    assert any(isinstance(w, Crashed) for w in h.said) and h.node.crashed
-    assert h.words(h.offer(20)) == [] and h.node.next_due() is None
+        assert (b.statuses(repeat) == ["refused"]) is dropped
+
+
+def test_tasks_of_lower_priority_are_preempted() -> None:
+    host = Host(preempts=True)
+    low = [host.offer(n, cores=2.0, expected_duration_us=0, service=n) for n in (1, 2)]
+    host.wait(2 * SECOND)
+    high = host.offer(3, cores=3.0, priority=1)
+    host.wait(10 * MS)
+    assert [host.reason(i) for i in low] == [api.Reason.PUSHED_OUT] * 2 and host.statuses(high) == [
+        "accepted"
+    ]
+    equal = host.offer(4, cores=3.0, priority=1)
+    host.wait(10 * MS)
+    assert host.statuses(equal) == ["refused"]
+
+
+def test_a_cold_node_starts_slowly_and_crashes_under_overload() -> None:
+    host = Host(cold=True, slow_start_offers=5)
+    id = host.offer(1)
+    host.wait(SECOND)
+    assert "running" not in host.statuses(id)
+    for n in range(2, 30):  # the bound is 17: twice what it can start within 1.5 s at a third of its pace
+        host.offer(n)
+    assert any(isinstance(e, Crashed) for e in host.events) and host.node.crashed
+    assert host.statuses(host.offer(20)) == [] and host.node.next_due() is None
     warm = Host(cold=False, slow_start_offers=5)
     for n in range(1, 30):
         warm.offer(n)
     assert not warm.node.crashed
 
 
-def test_faults_at_a_node() -> None:
-    h = Host()
-    h.node.faults.start_failure_share = 1.0
-    id = h.offer(1)
-    h.wait(SECOND)
-    assert h.words(id) == ["accepted", "error"] and h.node.free() == (4.0, 8.0)
-    h.node.faults.rejection_share = 1.0
-    other = h.offer(2)
-    h.wait(SECOND)
-    assert h.words(other) == ["refused"] and h.reason(other) is api.Reason.UNTOLD
+def test_failed_starts_and_rejections_by_faults() -> None:
+    host = Host()
+    host.node.faults.start_failure_share = 1.0
+    id = host.offer(1)
+    host.wait(SECOND)
+    assert host.statuses(id) == ["accepted", "error"] and host.node.free() == (4.0, 8.0)
+    host.node.faults.rejection_share = 1.0
+    other = host.offer(2)
+    host.wait(SECOND)
+    assert host.statuses(other) == ["refused"] and host.reason(other) is api.Reason.UNTOLD
 
 
-def test_probes_share_the_line() -> None:
-    h = Host(admission_time_us=(50 * MS, 50 * MS))
-    h.offer(1, expected_duration_us=0)
-    h.said += h.node.probe(h.now, 9)
-    assert not [w for w in h.said if isinstance(w, HealthChecked)]
-    h.wait(101 * MS)
-    assert [w for w in h.said if isinstance(w, HealthChecked)] == [HealthChecked(9, 3.0, 7.0, 0.25)]
+def test_health_checks_wait_behind_offers() -> None:
+    host = Host(admission_time_us=(50 * MS, 50 * MS))
+    host.offer(1, expected_duration_us=0)
+    host.events += host.node.probe(host.now, 9)
+    assert not [e for e in host.events if isinstance(e, HealthChecked)]
+    host.wait(101 * MS)
+    assert [e for e in host.events if isinstance(e, HealthChecked)] == [HealthChecked(9, 3.0, 7.0, 0.25)]
 
 
 # The node list
@@ -209,43 +213,52 @@
     return ListedNode(id, f"n{id}", ("127.0.0.1:1",), "a", "r", "std", status, 1.0, 1.0, started)
 
 
-def test_the_list_is_late_and_later_by_script() -> None:
-    d = NodeListState(NodeListModel(update_delay_us=SECOND, silence_timeout_us=3 * SECOND, period_us=0))
-    d.announced(0, entry(1))
-    assert not d.advance(900 * MS) and d.all_nodes() == ()
-    assert d.advance(SECOND) and d.all_nodes() == (entry(1),)
-    d.extra_delay_us = 5 * SECOND
-    d.announced(2 * SECOND, entry(1, api.NodeStatus.DRAINING))
-    assert not d.advance(7 * SECOND) and d.advance(8 * SECOND)
-
-
-def test_silent_nodes_are_taken_off_and_come_back() -> None:
-    d = NodeListState(NodeListModel(update_delay_us=0, silence_timeout_us=3 * SECOND, period_us=0))
-    d.announced(0, entry(1, started=5))
-    d.advance(0)
-    d.announcement_lost(SECOND, 1)
-    d.announced(2 * SECOND, entry(1, started=9))  # back in time
-    d.advance(10 * SECOND)
-    assert [n.started_unix_us for n in d.all_nodes()] == [9]
-    d.announced(10 * SECOND, entry(1, started=5))  # an old word that came late
-    d.advance(10 * SECOND)
-    assert [n.started_unix_us for n in d.all_nodes()] == [9]
-    d.announcement_lost(10 * SECOND, 1)
-    d.advance(14 * SECOND)
-    assert d.all_nodes() == () and d.changes_since(d.revision - 1)[0].status is api.NodeStatus.GONE  # type: ignore[index]
-
-
-def test_changes_build_on_revisions_until_too_many_were_missed() -> None:
-    d = NodeListState(NodeListModel(update_delay_us=0, period_us=0), revision=100)
+def test_the_node_list_is_delayed_and_a_fault_delays_it_further() -> None:
+    node_list = NodeListState(
+        NodeListModel(update_delay_us=SECOND, silence_timeout_us=3 * SECOND, period_us=0)
+    )
+    node_list.announced(0, entry(1))
+    assert not node_list.advance(900 * MS) and node_list.all_nodes() == ()
+    assert node_list.advance(SECOND) and node_list.all_nodes() == (entry(1),)
+    node_list.extra_delay_us = 5 * SECOND
+    node_list.announced(2 * SECOND, entry(1, api.NodeStatus.DRAINING))
+    assert not node_list.advance(7 * SECOND) and node_list.advance(8 * SECOND)
+
+
+def test_nodes_that_stop_announcing_are_removed_unless_they_return_in_time() -> None:
+    node_list = NodeListState(NodeListModel(update_delay_us=0, silence_timeout_us=3 * SECOND, period_us=0))
+    node_list.announced(0, entry(1, started=5))
+    node_list.advance(0)
+    node_list.announcement_lost(SECOND, 1)
+    node_list.announced(2 * SECOND, entry(1, started=9))  # the node returns within the silence timeout
+    node_list.advance(10 * SECOND)
+    assert [n.started_unix_us for n in node_list.all_nodes()] == [9]
+    node_list.announced(10 * SECOND, entry(1, started=5))  # a late announcement of an earlier incarnation
+    node_list.advance(10 * SECOND)
+    assert [n.started_unix_us for n in node_list.all_nodes()] == [9]
+    node_list.announcement_lost(10 * SECOND, 1)
+    node_list.advance(14 * SECOND)
+    assert (
+        node_list.all_nodes() == ()
+        and node_list.changes_since(node_list.revision - 1)[0].status is api.NodeStatus.GONE  # type: ignore[index]
+    )
+
+
+def test_changes_since_a_revision_are_known_for_the_last_512_revisions() -> None:
+    node_list = NodeListState(NodeListModel(update_delay_us=0, period_us=0), revision=100)
     for i in range(600):
-        d.announced(i, entry(1 + i % 3))
-        d.advance(i)
-    assert d.revision == 700 and d.changes_since(700) == ()
-    assert len(d.changes_since(690) or ()) == 3
-    assert d.changes_since(101) is None and d.changes_since(0) is None and d.changes_since(9999) is None
+        node_list.announced(i, entry(1 + i % 3))
+        node_list.advance(i)
+    assert node_list.revision == 700 and node_list.changes_since(700) == ()
+    assert len(node_list.changes_since(690) or ()) == 3
+    assert (
+        node_list.changes_since(101) is None
+        and node_list.changes_since(0) is None
+        and node_list.changes_since(9999) is None
+    )
 
 
-# Owners
+# Clients
 
 
 CLASSES = (
@@ -254,76 +267,82 @@
 )
 
 
-def owner(sort: str, total: int = 1) -> Client:
-    demand = Demand(sort, 1.0, ((1.0, 1.0),), (SECOND, SECOND), (1, 1), 5, 5)
-    made = Client(ClientModel("o", 10.0, (demand,), CLASSES, 1, max_tasks=total), 3, 0)
-    made.connected(0, 0)
-    return made
+def connected_client(task_class: str, max_tasks: int = 1) -> Client:
+    demand = Demand(task_class, 1.0, ((1.0, 1.0),), (SECOND, SECOND), (1, 1), 5, 5)
+    client = Client(ClientModel("o", 10.0, (demand,), CLASSES, 1, max_tasks=max_tasks), 3, 0)
+    client.connected(0, 0)
+    return client
 
 
-def first_ask(o: Client) -> SubmitTask:
-    (ask,) = o.advance(0)
-    assert isinstance(ask, SubmitTask)
-    return ask
+def first_submission(client: Client) -> SubmitTask:
+    (action,) = client.advance(0)
+    assert isinstance(action, SubmitTask)
+    return action
 
 
-def test_an_owner_asks_again_until_it_gives_up() -> None:
-    o = owner("worker")
-    ask = first_ask(o)
+def test_a_client_submits_a_shed_task_again_until_it_gives_up() -> None:
+    client = connected_client("worker")
+    submitted = first_submission(client)
     now = 1 * SECOND
-    tries = 1
-    while o.tasks:
-        o.received(now, 0, ev.TaskShed(ask.request, 0, api.Reason.UNTOLD))
-        now = (o.next_due() or now) + 1
-        for do in o.advance(now):
+    attempts = 1
+    while client.tasks:
+        client.received(now, 0, ev.TaskShed(submitted.request, 0, api.Reason.UNTOLD))
+        now = (client.next_due() or now) + 1
+        for action in client.advance(now):
             assert (
-                isinstance(do, SubmitTask)
-                and do.task.resubmitted
-                and do.task.key == ask.task.key
-                and do.request != ask.request
+                isinstance(action, SubmitTask)
+                and action.task.resubmitted
+                and action.task.key == submitted.task.key
+                and action.request != submitted.request
             )
-            ask, tries = do, tries + 1
-    assert tries > 5 and o.statistics.counts["given_up"] == 1 and o.idle
-
-
-@pytest.mark.parametrize(("sort", "least"), [("worker", SECOND), ("report", 3 * SECOND)])
-def test_what_may_run_is_waited_for(sort: str, least: int) -> None:
-    o = owner(sort)
-    ask = first_ask(o)
-    o.received(2 * SECOND, 0, ev.TaskFailed(ask.request, True))
-    assert least <= (o.next_due() or 0) - 2 * SECOND <= 3 * SECOND
-
-
-def test_a_task_that_is_found_is_not_asked_for_again() -> None:
-    o = owner("report")
-    ask = first_ask(o)
-    o.received(2 * SECOND, 0, ev.TaskFailed(ask.request, True))
-    assert o.received(3 * SECOND, 0, ev.TaskRecovered(0, ask.task.key, 4)) == []
-    assert o.advance(100 * SECOND) == [] and o.tasks[ask.task.key].state is RequestState.RUNNING
-    o.received(101 * SECOND, 0, ev.TaskEnded(0, ask.task.key, True, api.Reason.UNTOLD))
-    assert not o.tasks
-
-
-def test_a_copy_that_is_not_needed_is_withdrawn() -> None:
-    o = owner("worker")
-    ask = first_ask(o)
-    o.received(2 * SECOND, 0, ev.TaskPlaced(ask.request, 1, 0, 5))
-    assert o.received(3 * SECOND, 1, ev.TaskRecovered(0, ask.task.key, 4)) == [CancelTask(1, 0, ask.task.key)]
-    assert o.received(3 * SECOND, 1, ev.TaskRecovered(0, 999, 4)) == [CancelTask(1, 0, 999)]
-
-
-def test_a_planner_that_is_gone_leaves_its_tasks_unsure() -> None:
-    o = owner("report")
-    ask = first_ask(o)
-    o.received(2 * SECOND, 0, ev.TaskPlaced(ask.request, 1, 0, 5))
-    o.disconnected(3 * SECOND, 0)
-    assert o.advance(20 * SECOND) == []
-    o.connected(21 * SECOND, 0)
-    (again,) = o.advance(24 * SECOND) or o.advance(25 * SECOND)
+            submitted, attempts = action, attempts + 1
+    assert attempts > 5 and client.statistics.counts["given_up"] == 1 and client.idle
+
+
+@pytest.mark.parametrize(("task_class", "min_wait_us"), [("worker", SECOND), ("report", 3 * SECOND)])
+def test_an_at_most_once_task_that_may_run_is_retried_only_after_a_delay(
+    task_class: str, min_wait_us: int
+) -> None:
+    client = connected_client(task_class)
+    submitted = first_submission(client)
+    client.received(2 * SECOND, 0, ev.TaskFailed(submitted.request, True))
+    assert min_wait_us <= (client.next_due() or 0) - 2 * SECOND <= 3 * SECOND
+
+
+def test_a_recovered_task_is_not_submitted_again() -> None:
+    client = connected_client("report")
+    submitted = first_submission(client)
+    client.received(2 * SECOND, 0, ev.TaskFailed(submitted.request, True))
+    assert client.received(3 * SECOND, 0, ev.TaskRecovered(0, submitted.task.key, 4)) == []
+    assert (
+        client.advance(100 * SECOND) == [] and client.tasks[submitted.task.key].state is RequestState.RUNNING
+    )
+    client.received(101 * SECOND, 0, ev.TaskEnded(0, submitted.task.key, True, api.Reason.UNTOLD))
+    assert not client.tasks
+
+
+def test_a_recovered_duplicate_is_cancelled() -> None:
+    client = connected_client("worker")
+    submitted = first_submission(client)
+    client.received(2 * SECOND, 0, ev.TaskPlaced(submitted.request, 1, 0, 5))
+    assert client.received(3 * SECOND, 1, ev.TaskRecovered(0, submitted.task.key, 4)) == [
+        CancelTask(1, 0, submitted.task.key)
+    ]
+    assert client.received(3 * SECOND, 1, ev.TaskRecovered(0, 999, 4)) == [CancelTask(1, 0, 999)]
+
+
+def test_a_task_is_submitted_again_if_its_reconnected_planner_does_not_report_it() -> None:
+    client = connected_client("report")
+    submitted = first_submission(client)
+    client.received(2 * SECOND, 0, ev.TaskPlaced(submitted.request, 1, 0, 5))
+    client.disconnected(3 * SECOND, 0)
+    assert client.advance(20 * SECOND) == []
+    client.connected(21 * SECOND, 0)
+    (resubmission,) = client.advance(24 * SECOND) or client.advance(25 * SECOND)
     assert (
-        isinstance(again, SubmitTask)
-        and again.task.key == ask.task.key
-        and o.statistics.counts["vanished"] == 1
+        isinstance(resubmission, SubmitTask)
+        and resubmission.task.key == submitted.task.key
+        and client.statistics.counts["vanished"] == 1
     )
 
 
@@ -339,7 +358,7 @@
         "1s owners restart-services 30% 500ms",
     ],
 )
-def test_script_lines(line: str) -> None:
+def test_script_lines_are_parsed_and_formatted(line: str) -> None:
     fault = parse(line.split())
     assert fault.at_us >= SECOND
     if fault.target_ids or fault.target not in ("node", "planner"):
@@ -347,7 +366,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "says"),
+    ("line", "message"),
     [
         ("10s", "is needed"),
         ("soon node 1 drain", "not a time"),
@@ -361,6 +380,6 @@
         ("1s nodes 20% fail-starts 160% for 1s", "at most 100"),
     ],
 )
-def test_bad_script_lines(line: str, says: str) -> None:
-    with pytest.raises(ValueError, match=says):
+def test_invalid_script_lines_are_rejected(line: str, message: str) -> None:
+    with pytest.raises(ValueError, match=message):
         parse(line.split())
