--- a/tests/groups/test_constraints.py
+++ b/tests/groups/test_constraints.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "planner"))
-from world import SECOND, SETTINGS, World  # noqa: E402
+from grpc_core_harness import SECOND, SETTINGS, CoreHarness  # noqa: E402
 
 from stairplank import interface as api  # noqa: E402
 from stairplank.groups.capacity import NodeCapacity  # noqa: E402
@@ -171,11 +171,11 @@
 @pytest.mark.parametrize("constraint", ["distinct_racks", "distinct_nodes", "same_rack"])
 def test_a_feasible_constraint_is_met_at_the_first_attempt(constraint: str) -> None:
     """Guards against a fault: in an empty cluster, all four attempts bound the five members to one node."""
-    harness = World(nodes=10)
+    harness = CoreHarness(nodes=10)
     harness.actions.clear()
     members = tuple(harness.task_spec(100 + i, "report", service=50) for i in range(5))
     harness.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, **{constraint: True}))
-    offers = harness.actions_of(ev.SendOffer)
+    offers = harness.actions_of_type(ev.SendOffer)
     assert len(offers) == 5
     nodes = [offer.node for offer in offers]
     racks = [(node - 1) // 2 for node in nodes]
@@ -191,14 +191,14 @@
 
 
 def test_a_rejected_member_is_offered_to_another_node_that_meets_the_constraint() -> None:
-    harness = World(nodes=6)
+    harness = CoreHarness(nodes=6)
     harness.actions.clear()
     members = tuple(harness.task_spec(100 + i, "report", service=50 + i) for i in range(2))
     harness.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, distinct_racks=True))
-    first, second = harness.actions_of(ev.SendOffer)
+    first, second = harness.actions_of_type(ev.SendOffer)
     harness.feed(ev.NodeRejected(second.node, second.id, api.Reason.QUEUE_FULL))
-    harness.wait(200_000)
-    new_offers = harness.actions_of(ev.SendOffer)[2:]
+    harness.advance_time(200_000)
+    new_offers = harness.actions_of_type(ev.SendOffer)[2:]
     assert new_offers and all(
         (offer.node - 1) // 2 != (first.node - 1) // 2
         for offer in new_offers
@@ -207,13 +207,13 @@
 
 
 def test_an_infeasible_constraint_is_named_in_the_first_message() -> None:
-    harness = World(nodes=4)
+    harness = CoreHarness(nodes=4)
     harness.actions.clear()
     members = tuple(harness.task_spec(100 + i, "report", service=50 + i, cores=12.0) for i in range(3))
     harness.feed(ev.GroupRequested(1, 1, members, 9 * SECOND, same_rack=True))
     attempted = harness.client_messages(ev.GroupAttempted)
     if attempted:
         assert attempted[0].attempts == 0 and "can never be met" in attempted[0].reason
-        assert len(harness.actions_of(ev.SendOffer)) == 3  # the group is placed at once all the same
+        assert len(harness.actions_of_type(ev.SendOffer)) == 3  # the group is placed at once all the same
     else:
         assert harness.client_messages(ev.GroupShed)
--- a/tests/groups/test_core_groups.py
+++ b/tests/groups/test_core_groups.py
@@ -10,14 +10,14 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "planner"))
 
-from world import MS, SECOND, World  # noqa: E402
+from grpc_core_harness import MS, SECOND, CoreHarness  # noqa: E402
 
 from stairplank import interface as api  # noqa: E402
 from stairplank.groups.config import GroupConfig  # noqa: E402
 from stairplank.planner import events as ev  # noqa: E402
 
 
-class GroupHarness(World):
+class GroupHarness(CoreHarness):
     """A planner's core with nodes that acknowledge lease renewals, and helpers for groups."""
 
     acknowledges_renewals = True
@@ -44,7 +44,7 @@
         return self.feed(ev.GroupRequested(1, number, options.pop("members", members), wait, **options))
 
     def offers(self) -> list[ev.SendOffer]:
-        return self.actions_of(ev.SendOffer)
+        return self.actions_of_type(ev.SendOffer)
 
     def reserve(self, *offers: ev.SendOffer) -> None:
         for offer in offers:
@@ -63,11 +63,11 @@
         return offers
 
     def stopped_ids(self) -> set[Any]:
-        return {stop.id for stop in self.actions_of(ev.SendStop)}
+        return {stop.id for stop in self.actions_of_type(ev.SendStop)}
 
     def has_no_state(self) -> bool:
         core = self.core
-        return self.is_empty() and not core.groups.records and not core.groups.coordinator.groups
+        return self.has_no_tasks() and not core.groups.records and not core.groups.coordinator.groups
 
 
 def test_a_group_from_request_to_end() -> None:
@@ -80,9 +80,9 @@
         and harness.client_messages(ev.Offered) == []
     )
     harness.reserve(*offers[:2])
-    assert harness.actions_of(ev.SendCommit) == []
+    assert harness.actions_of_type(ev.SendCommit) == []
     harness.reserve(offers[2])
-    assert {i for c in harness.actions_of(ev.SendCommit) for i in c.ids} == {o.id for o in offers}
+    assert {i for c in harness.actions_of_type(ev.SendCommit) for i in c.ids} == {o.id for o in offers}
     harness.run(*offers)
     (placed,) = harness.client_messages()
     assert isinstance(placed, ev.GroupPlaced) and dict(placed.bindings) == {
@@ -100,7 +100,7 @@
     offers = harness.offers()
     harness.reserve(*offers[:2])
     harness.feed(ev.NodeRejected(offers[2].node, offers[2].id, api.Reason.NO_CORES))
-    harness.wait(
+    harness.advance_time(
         4 * SECOND
     )  # the decision module offers the member to other nodes until the attempt times out
     reserved_ids = {o.id for o in offers[:2]}
@@ -110,9 +110,9 @@
     for o in harness.offers():
         if o.id in harness.core.attempts.attempts:
             harness.feed(ev.NodeRejected(o.node, o.id, api.Reason.NOT_HERE))
-    harness.wait(4 * SECOND)
+    harness.advance_time(4 * SECOND)
     assert len([o for o in harness.offers() if o.id.attempt == 0]) >= 6
-    assert harness.client_messages(ev.GroupAttempted) and harness.actions_of(ev.SendCommit) == []
+    assert harness.client_messages(ev.GroupAttempted) and harness.actions_of_type(ev.SendCommit) == []
 
 
 @pytest.mark.parametrize("task_class", ["worker", "report", "ingest"])
@@ -122,16 +122,16 @@
     harness.request_group(task_class=task_class)
     offers = harness.offers()
     harness.reserve(*offers[:2])
-    harness.wait(4 * SECOND)
+    harness.advance_time(4 * SECOND)
     assert offers[2].id in harness.stopped_ids()
     for o in offers[:2]:
         harness.feed(ev.NodeRejected(o.node, o.id, api.Reason.NOT_HERE))
-    harness.wait(5 * SECOND)
+    harness.advance_time(5 * SECOND)
     assert harness.client_messages(ev.GroupFailed) == [] and len(harness.offers()) > 3
     harness.actions.clear()
     harness.feed(ev.NodeReady(offers[2].node, offers[2].id))
-    assert harness.actions_of(ev.SendCommit) == [] and (
-        harness.actions_of(ev.SendStop) or harness.actions_of(ev.RequestNodeTasks)
+    assert harness.actions_of_type(ev.SendCommit) == [] and (
+        harness.actions_of_type(ev.SendStop) or harness.actions_of_type(ev.RequestNodeTasks)
     )
 
 
@@ -142,7 +142,7 @@
     harness.reserve(*offers)
     harness.run(*offers[:2])
     harness.feed(ev.LinkDown(offers[1].node))
-    harness.wait(1100 * MS)
+    harness.advance_time(1100 * MS)
     assert {offers[0].id, offers[2].id} <= harness.stopped_ids() | {
         o.id for o in offers if o.node == offers[1].node
     }
@@ -202,7 +202,7 @@
     harness.request_group(wait=3 * SECOND)
     offers = harness.offers()
     harness.reserve(*offers[:2])
-    harness.wait(20 * SECOND)
+    harness.advance_time(20 * SECOND)
     assert [type(x) for x in harness.client_messages() if not isinstance(x, ev.GroupAttempted)] == [
         ev.GroupShed
     ]
@@ -217,8 +217,8 @@
     reserving = harness.offers()
     harness.feed(ev.ClientDisconnected(1))
     assert harness.stopped_ids() == {o.id for o in reserving}
-    harness.wait(5 * SECOND)
-    assert harness.actions_of(ev.SendLeaseRenewal) and {o.id for o in running} <= set(
+    harness.advance_time(5 * SECOND)
+    assert harness.actions_of_type(ev.SendLeaseRenewal) and {o.id for o in running} <= set(
         harness.core.attempts.attempts
     )
 
@@ -245,7 +245,7 @@
     harness.request_group(number=5, members=(harness.task_spec(1, client="else"),))
     fields = [x.rejection.field for x in harness.client_messages(ev.Rejected)]
     assert fields == ["members[1].key", "members[1].cores", "distinct_racks", "least", "members[0].owner"]
-    harness.request_running(6)
+    harness.request_and_run(6)
     harness.request_group(number=7, members=(harness.task_spec(6), harness.task_spec(7)))
     assert (
         harness.client_messages(ev.Rejected)[-1].rejection.code == "ALREADY_EXISTS"
@@ -298,18 +298,18 @@
     harness = GroupHarness(nodes=4, incarnation=8)
     for node, tasks in reported_tasks(earlier.offers(), running).items():
         harness.feed(ev.LinkDown(node))
-        harness.connect_node(node, held=tasks)
+        harness.connect_node(node, reported_tasks=tasks)
     ids = {task.id for tasks in reported_tasks(earlier.offers(), running).values() for task in tasks}
     if len(running) == 3:
-        harness.wait(30 * SECOND)
+        harness.advance_time(30 * SECOND)
         assert harness.stopped_ids() == set() and set(harness.core.attempts.attempts) == ids
         assert len(harness.client_messages(ev.TaskRecovered)) == 3
-        assert {i for k in harness.actions_of(ev.SendLeaseRenewal) for i in k.ids} == ids
+        assert {i for k in harness.actions_of_type(ev.SendLeaseRenewal) for i in k.ids} == ids
         lost = next(iter(harness.core.attempts.attempts.values()))
         harness.feed(ev.NodeEnded(lost.node, lost.id, api.Result.LOST, api.Reason.EVICTED))
         assert harness.stopped_ids() == ids - {lost.id}
     else:
-        harness.wait(1100 * MS)
+        harness.advance_time(1100 * MS)
         assert harness.stopped_ids() == ids and not harness.core.attempts.attempts
 
 
@@ -333,10 +333,10 @@
     for _ in range(200):
         for o in harness.offers():
             harness.feed(ev.NodeUsage(o.node, o.id, 0.5, 0.5, 0.0, 0.0))
-        harness.wait(100 * MS)
+        harness.advance_time(100 * MS)
     assert len(harness.core.context._timers) <= timers_before + 3
     # Each node gets one renewal per 0.4 s, however many messages it sends.
-    assert len(harness.actions_of(ev.SendLeaseRenewal)) < 200
+    assert len(harness.actions_of_type(ev.SendLeaseRenewal)) < 200
 
 
 @pytest.mark.parametrize("acknowledged", [True, False])
@@ -346,9 +346,9 @@
     harness.start_group()
     harness.acknowledges_renewals = acknowledged
     started_at = harness.now
-    harness.wait(900 * MS)
+    harness.advance_time(900 * MS)
     assert not harness.stopped_ids()
-    harness.wait(15 * SECOND)
+    harness.advance_time(15 * SECOND)
     assert (
         bool(harness.stopped_ids()) is not acknowledged
         and bool(harness.core.counts.get("leases_over")) is not acknowledged
@@ -362,8 +362,8 @@
     harness = GroupHarness()
     harness.start_group()
     harness.acknowledges_renewals = False
-    harness.wait(1100 * MS)
-    renewal = harness.actions_of(ev.SendLeaseRenewal)[0]
+    harness.advance_time(1100 * MS)
+    renewal = harness.actions_of_type(ev.SendLeaseRenewal)[0]
     attempts = [a for a in harness.core.attempts.attempts.values() if a.node == renewal.node]
     leased_until = attempts[0].leased_until
     harness.feed(ev.LeasesRenewed(renewal.node, renewal.renewal))  # the renewal was sent about a second ago
@@ -392,7 +392,7 @@
             finished = tuple(t for t in tasks if t.group is not None and t.group.member == 0 and is_reported)
             running = tuple(t for t in tasks if t.running)
             harness.feed(ev.NodeTasksReported(node, 0, running, True, harness.now, finished))
-        harness.wait(3 * SECOND)
+        harness.advance_time(3 * SECOND)
         assert bool(harness.stopped_ids()) is not is_reported
         if is_reported:
             assert harness.core.counts["groups_found"] == 1
--- a/tests/planner/test_attempts.py
+++ b/tests/planner/test_attempts.py
@@ -6,7 +6,7 @@
 
 import pytest
 from component_stubs import ComponentStub, core_context, make_placement, pass_time
-from world import SECOND
+from grpc_core_harness import SECOND
 
 from stairplank import interface as api
 from stairplank.planner import events as ev
--- a/tests/planner/test_node_links.py
+++ b/tests/planner/test_node_links.py
@@ -7,7 +7,7 @@
 
 import pytest
 from component_stubs import ComponentStub, core_context, pass_time
-from world import SECOND
+from grpc_core_harness import SECOND
 
 from stairplank.planner import events as ev
 from stairplank.planner.errors import IllegalTransitionError
--- a/tests/planner/test_node_list.py
+++ b/tests/planner/test_node_list.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from component_stubs import ComponentStub, core_context
-from world import SECOND
+from grpc_core_harness import SECOND
 
 from stairplank import interface as api
 from stairplank.planner import events as ev
--- a/tests/planner/test_received_messages.py
+++ b/tests/planner/test_received_messages.py
@@ -4,7 +4,7 @@
 
 import random
 
-from world import SECOND, World
+from grpc_core_harness import SECOND, CoreHarness
 
 from stairplank.planner import events as ev
 from stairplank.planner.received_messages import ReceivedMessages
@@ -69,19 +69,19 @@
 
 def test_a_complete_report_without_an_offered_task_proves_that_it_never_ran() -> None:
     for complete in (True, False):
-        harness = World()
+        harness = CoreHarness()
         offer = harness.request_offer(1, "report")
         harness.feed(ev.LinkDown(offer.node))
         harness.connect_link(offer.node, 0, False)
         harness.feed(ev.NodeTasksReported(offer.node, 0, (), complete))
-        harness.wait(SECOND)
-        retries = harness.actions_of(ev.SendOffer)[1:]
+        harness.advance_time(SECOND)
+        retries = harness.actions_of_type(ev.SendOffer)[1:]
         assert bool(retries) is complete  # an at-most-once task is sent again only if it cannot have run
         assert bool(harness.client_messages(ev.TaskFailed)) is not complete
 
 
 def test_an_accepted_task_missing_from_a_complete_report_may_have_run() -> None:
-    harness = World()
+    harness = CoreHarness()
     offer = harness.request_offer(1, "report")
     harness.feed(ev.NodeAccepted(offer.node, offer.id))
     harness.feed(ev.LinkDown(offer.node))
--- a/tests/planner/test_settings_changed.py
+++ b/tests/planner/test_settings_changed.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from world import MS, SECOND, SETTINGS, World, held
+from grpc_core_harness import MS, SECOND, SETTINGS, CoreHarness, node_task
 
 from stairplank import interface as api
 from stairplank.planner import events as ev
@@ -19,7 +19,9 @@
 FRESH = api.TaskClass("fresh", api.Effect.AT_MOST_ONCE, api.Scope.ALL, 0, SECOND, 6 * SECOND)
 
 
-def apply_change(harness: World, settings: dict[str, Any] | None = None, **config: Any) -> list[ev.Action]:
+def apply_change(
+    harness: CoreHarness, settings: dict[str, Any] | None = None, **config: Any
+) -> list[ev.Action]:
     """Have the core apply settings that differ from its own in these fields. Returns its actions."""
     return harness.feed(settings_change(harness.core, settings, **config))
 
@@ -34,15 +36,15 @@
     return tuple(replace(c, **fields) if c.name == name else c for c in settings.classes)
 
 
-def with_bounds(harness: World, **bounds: int) -> dict[str, Any]:
+def with_bounds(harness: CoreHarness, **bounds: int) -> dict[str, Any]:
     return {"bounds": replace(harness.core.context.config.bounds, **bounds)}
 
 
-def node_of_type(harness: World, node: int, node_type: str, zone: str = "z1") -> ev.ListedNode:
+def node_of_type(harness: CoreHarness, node: int, node_type: str, zone: str = "z1") -> ev.ListedNode:
     return replace(harness.node_entry(node), node_type=node_type, zone=zone)
 
 
-def send_full_list(harness: World, revision: int, *nodes: ev.ListedNode) -> list[ev.Action]:
+def send_full_list(harness: CoreHarness, revision: int, *nodes: ev.ListedNode) -> list[ev.Action]:
     return harness.feed(ev.NodeListReceived(revision, 0, True, nodes, 10**15))
 
 
@@ -50,7 +52,7 @@
     return [a for a in actions if isinstance(a, ev.SendOffer)]
 
 
-def rejections(harness: World) -> list[str]:
+def rejections(harness: CoreHarness) -> list[str]:
     return [message.rejection.code for message in harness.client_messages(ev.Rejected)]
 
 
@@ -63,7 +65,7 @@
 
 def test_a_task_in_flight_keeps_the_deadline_it_was_admitted_with() -> None:
     """With the longer class deadline, a request that waits six seconds is too late to start in time."""
-    harness = World()
+    harness = CoreHarness()
     large = 12.0  # more cores than a late task may use: nodes keep a reserve for tasks in time
     (first,) = offers(harness.request(1, cores=large))
     apply_change(harness, {"classes": with_class(SETTINGS, "worker", deadline_us=60 * SECOND)})
@@ -73,15 +75,15 @@
 
 
 def test_a_task_in_flight_is_answered_at_the_end_of_its_own_wait() -> None:
-    harness = World()
+    harness = CoreHarness()
     offer = harness.request_offer(1, "report")
     requested_at = harness.now
     apply_change(
         harness, {"classes": with_class(SETTINGS, "report", deadline_us=SECOND, latency_objective_us=SECOND)}
     )
-    harness.wait(5 * SECOND)
+    harness.advance_time(5 * SECOND)
     assert harness.client_messages() == []
-    harness.wait(SECOND)
+    harness.advance_time(SECOND)
     assert harness.client_messages() == [ev.TaskFailed(1, True)]
     assert harness.now == requested_at + 6 * SECOND
     assert offer.wait_us > 5 * SECOND
@@ -89,27 +91,27 @@
 
 @pytest.mark.parametrize("tick", [MS, 100 * MS])
 def test_a_task_in_flight_has_one_answer_in_time_after_a_change_of_the_tick(tick: int) -> None:
-    harness = World()
+    harness = CoreHarness()
     harness.request_offer(1, "report")
     apply_change(harness, {"tick_us": tick})
-    harness.wait(6 * SECOND + SETTINGS.answer_slack_us)
+    harness.advance_time(6 * SECOND + SETTINGS.answer_slack_us)
     assert harness.client_messages() == [ev.TaskFailed(1, True)]
 
 
 def test_a_new_class_is_used_from_the_next_turn_on() -> None:
-    harness = World()
+    harness = CoreHarness()
     harness.request(1, "fresh")
     assert rejections(harness) == ["INVALID_ARGUMENT"]
     apply_change(harness, {"classes": (*SETTINGS.classes, FRESH)})
     offer = harness.request_offer(2, "fresh")
     assert offer.class_index == len(SETTINGS.classes)
-    harness.wait(6 * SECOND)
+    harness.advance_time(6 * SECOND)
     # The new class is at most once, so the client learns that the task may run.
     assert harness.client_messages(ev.TaskFailed) == [ev.TaskFailed(2, True)]
 
 
 def test_a_new_tenant_is_used_from_the_next_turn_on() -> None:
-    harness = World()
+    harness = CoreHarness()
     harness.request(1, tenant="t3")
     assert rejections(harness) == ["INVALID_ARGUMENT"]
     apply_change(harness, tenants=("t1", "t2", "t3"))
@@ -119,15 +121,15 @@
 
 
 def test_a_group_of_a_new_class_is_admitted_from_the_next_turn_on() -> None:
-    harness = World()
+    harness = CoreHarness()
     apply_change(harness, {"classes": (*SETTINGS.classes, FRESH)})
     members = tuple(harness.task_spec(100 + i, "fresh") for i in range(2))
     harness.feed(ev.GroupRequested(1, 1, members, 9 * SECOND))
-    assert len(harness.actions_of(ev.SendOffer)) == 2
+    assert len(harness.actions_of_type(ev.SendOffer)) == 2
 
 
 def test_a_lower_bound_rejects_only_new_tasks() -> None:
-    harness = World()
+    harness = CoreHarness()
     first, second = harness.request_offer(1), harness.request_offer(2)
     apply_change(harness, **with_bounds(harness, open_tasks=1))
     assert harness.client_messages() == []
@@ -140,7 +142,7 @@
 
 
 def test_a_higher_bound_admits_new_tasks_at_once() -> None:
-    harness = World(bounds=replace(World().core.context.config.bounds, open_tasks_per_client=1))
+    harness = CoreHarness(bounds=replace(CoreHarness().core.context.config.bounds, open_tasks_per_client=1))
     harness.request_offer(1)
     harness.request(2)
     assert rejections(harness) == ["RESOURCE_EXHAUSTED"]
@@ -149,15 +151,15 @@
 
 
 def test_a_queued_task_is_offered_when_a_higher_limit_leaves_capacity() -> None:
-    harness = World(nodes=1)
-    harness.request_running(1, cores=10.0)
+    harness = CoreHarness(nodes=1)
+    harness.request_and_run(1, cores=10.0)
     assert offers(harness.request(2, cores=10.0)) == []
     apply_change(harness, {"cores_limit": 2.0})
-    assert offers(harness.wait(SECOND))
+    assert offers(harness.advance_time(SECOND))
 
 
 def test_a_lower_attempt_limit_applies_to_tasks_in_flight_too() -> None:
-    harness = World()
+    harness = CoreHarness()
     first = harness.request_offer(1)
     apply_change(harness, {"max_attempts": 1})
     harness.feed(ev.NodeRejected(first.node, first.id, api.Reason.QUEUE_FULL))
@@ -169,7 +171,7 @@
 
 def test_groups_are_placed_by_the_new_limits() -> None:
     """The core caches the capacity of nodes between lists, and a change of limits has to update it."""
-    harness = World(nodes=2)
+    harness = CoreHarness(nodes=2)
     on_distinct_nodes = {"distinct_nodes": True}
     large = tuple(harness.task_spec(100 + i, cores=20.0) for i in range(2))
     harness.core.node_list.ready_nodes()
@@ -177,14 +179,14 @@
     assert [p.cores for p in harness.core.node_list.ready_nodes()] == [32.0, 32.0]
     harness.feed(ev.GroupRequested(1, 1, large, 9 * SECOND, **on_distinct_nodes))
     assert harness.client_messages(ev.GroupAttempted) == []
-    assert len(harness.actions_of(ev.SendOffer)) >= 1
+    assert len(harness.actions_of_type(ev.SendOffer)) >= 1
 
 
 # The node list
 
 
 def test_nodes_of_a_type_that_is_added_later_are_used() -> None:
-    harness = World(nodes=1)
+    harness = CoreHarness(nodes=1)
     send_full_list(harness, 2, node_of_type(harness, 1, "std"), node_of_type(harness, 2, "huge"))
     assert sorted(harness.core.module.table.nodes) == [1]
     (watch,) = watches(apply_change(harness, {"node_types": (*SETTINGS.node_types, HUGE)}))
@@ -196,7 +198,7 @@
 @pytest.mark.parametrize("list_first", [True, False])
 @pytest.mark.parametrize("after_a_stall", [True, False])
 def test_a_type_and_a_list_that_names_it_arrive_together(list_first: bool, after_a_stall: bool) -> None:
-    harness = World(nodes=1)
+    harness = CoreHarness(nodes=1)
     full_list = ev.NodeListReceived(
         2, 0, True, (node_of_type(harness, 1, "std"), node_of_type(harness, 2, "huge")), 10**15
     )
@@ -218,7 +220,7 @@
 
 
 def test_a_list_change_in_transit_while_the_whole_list_is_fetched_does_no_harm() -> None:
-    harness = World(nodes=1)
+    harness = CoreHarness(nodes=1)
     send_full_list(harness, 2, node_of_type(harness, 1, "std"), node_of_type(harness, 2, "huge"))
     apply_change(harness, {"node_types": (*SETTINGS.node_types, HUGE)})
     late_actions = harness.feed(ev.NodeListReceived(3, 2, False, (node_of_type(harness, 3, "std"),), 10**15))
@@ -234,15 +236,15 @@
 
 
 def test_the_whole_list_is_requested_again_after_a_failed_fetch() -> None:
-    harness = World(nodes=1)
+    harness = CoreHarness(nodes=1)
     send_full_list(harness, 2, node_of_type(harness, 1, "std"), node_of_type(harness, 2, "huge"))
     apply_change(harness, {"node_types": (*SETTINGS.node_types, HUGE)})
     harness.feed(ev.NodeListFailed())
-    assert watches(harness.wait(5 * SECOND)) == [ev.WatchNodeList(True, 0)]
+    assert watches(harness.advance_time(5 * SECOND)) == [ev.WatchNodeList(True, 0)]
 
 
 def test_nodes_left_out_by_a_full_table_are_used_when_it_grows() -> None:
-    harness = World(nodes=1, max_nodes=1)
+    harness = CoreHarness(nodes=1, max_nodes=1)
     send_full_list(harness, 2, harness.node_entry(1), harness.node_entry(2))
     assert harness.core.links.nodes() == [1]
     assert watches(apply_change(harness, max_nodes=2)) == [ev.WatchNodeList(True, 0)]
@@ -254,22 +256,22 @@
     "changes", [{"settings": {"node_types": (*SETTINGS.node_types, HUGE)}}, {"max_nodes": 3}]
 )
 def test_the_whole_list_is_fetched_once_for_nodes_that_were_left_out(changes: dict[str, Any]) -> None:
-    harness = World(nodes=1, max_nodes=2)
+    harness = CoreHarness(nodes=1, max_nodes=2)
     send_full_list(harness, 2, harness.node_entry(1), node_of_type(harness, 2, "huge"), harness.node_entry(3))
     assert len(watches(apply_change(harness, **changes))) == 1
-    harness.wait(2 * REFETCH_INTERVAL_US)
+    harness.advance_time(2 * REFETCH_INTERVAL_US)
     assert watches(apply_change(harness, {"max_attempts": 5})) == []  # the whole list was requested already
 
 
 def test_the_list_is_not_fetched_for_the_type_of_an_unlisted_node() -> None:
-    harness = World(nodes=1)
+    harness = CoreHarness(nodes=1)
     send_full_list(harness, 2, harness.node_entry(1), node_of_type(harness, 2, "huge"))
     send_full_list(harness, 3, harness.node_entry(1))
     assert watches(apply_change(harness, {"node_types": (*SETTINGS.node_types, HUGE)})) == []
 
 
 def test_a_smaller_table_keeps_its_nodes() -> None:
-    harness = World(nodes=3)
+    harness = CoreHarness(nodes=3)
     assert watches(apply_change(harness, max_nodes=1)) == []
     harness.feed(ev.NodeListReceived(2, 1, False, (harness.node_entry(4),), 10**15))
     assert sorted(harness.core.links.nodes()) == [1, 2, 3]
@@ -277,7 +279,7 @@
 
 def test_a_zone_that_nodes_have_named_keeps_its_number() -> None:
     """The tasks in a zone are counted by zone number, so a new number would make the counts wrong."""
-    harness = World(nodes=1)
+    harness = CoreHarness(nodes=1)
     send_full_list(harness, 2, node_of_type(harness, 1, "std"), node_of_type(harness, 2, "std", zone="z9"))
     before = harness.core.module.table.nodes[2].entry.zone
     apply_change(harness, zones=("z1", "z2", "z3", "z9"))
@@ -297,7 +299,7 @@
 
 
 def test_a_higher_dial_limit_starts_dials_at_once() -> None:
-    harness = World(nodes=0, max_dials=1)
+    harness = CoreHarness(nodes=0, max_dials=1)
     listed = harness.send_node_list(1, 2, 3)
     assert [a.node for a in listed if isinstance(a, ev.Dial)] == [1]
     dials = [a.node for a in apply_change(harness, max_dials=2) if isinstance(a, ev.Dial)]
@@ -305,9 +307,9 @@
 
 
 def test_waits_between_dials_follow_the_settings() -> None:
-    harness = World(nodes=1)
+    harness = CoreHarness(nodes=1)
     harness.feed(ev.LinkDown(1))
-    harness.wait(SECOND)
+    harness.advance_time(SECOND)
     apply_change(harness, dial_retry_us=20 * SECOND, max_dial_retry_us=20 * SECOND)
     failed_at = harness.now
     harness.feed(ev.DialFailed(1))
@@ -315,35 +317,37 @@
 
 
 def test_tasks_of_a_class_that_is_added_later_are_adopted() -> None:
-    harness = World(nodes=1)
-    task = held(harness, 9)
+    harness = CoreHarness(nodes=1)
+    task = node_task(harness, 9)
     task = replace(task, task=replace(task.task, task_class="fresh"))
     harness.feed(ev.NodeTasksReported(1, 0, (task,)))
     assert harness.client_messages(ev.TaskRecovered) == []
     apply_change(harness, {"classes": (*SETTINGS.classes, FRESH)})
-    assert harness.actions_of(ev.RequestNodeTasks) == []  # the last request is less than the interval ago
-    harness.wait(TASK_REQUEST_INTERVAL_US)
-    assert harness.actions_of(ev.RequestNodeTasks) == [ev.RequestNodeTasks(1)]
+    assert (
+        harness.actions_of_type(ev.RequestNodeTasks) == []
+    )  # the last request is less than the interval ago
+    harness.advance_time(TASK_REQUEST_INTERVAL_US)
+    assert harness.actions_of_type(ev.RequestNodeTasks) == [ev.RequestNodeTasks(1)]
     harness.feed(ev.NodeTasksReported(1, 0, (task,)))
     assert harness.client_messages(ev.TaskRecovered) == [ev.TaskRecovered(0, 9, 1)]
     harness.actions.clear()
     apply_change(harness, {"max_attempts": 5})
-    harness.wait(2 * TASK_REQUEST_INTERVAL_US)
-    assert harness.actions_of(ev.RequestNodeTasks) == []
+    harness.advance_time(2 * TASK_REQUEST_INTERVAL_US)
+    assert harness.actions_of_type(ev.RequestNodeTasks) == []
 
 
 def test_no_tasks_are_requested_over_a_broken_link() -> None:
-    harness = World(nodes=1)
-    task = held(harness, 9)
+    harness = CoreHarness(nodes=1)
+    task = node_task(harness, 9)
     harness.feed(ev.NodeTasksReported(1, 0, (replace(task, task=replace(task.task, task_class="fresh")),)))
-    harness.wait(2 * TASK_REQUEST_INTERVAL_US)
+    harness.advance_time(2 * TASK_REQUEST_INTERVAL_US)
     harness.feed(ev.LinkDown(1))
     assert apply_change(harness, {"classes": (*SETTINGS.classes, FRESH)}) == []
 
 
 def test_an_unlisted_node_is_forgotten_as_one_with_tasks_of_unknown_classes() -> None:
-    harness = World(nodes=1)
-    task = held(harness, 9)
+    harness = CoreHarness(nodes=1)
+    task = node_task(harness, 9)
     harness.feed(ev.NodeTasksReported(1, 0, (replace(task, task=replace(task.task, task_class="fresh")),)))
     assert harness.core.links._unknown_class == {1}
     harness.send_node_list(2, revision=2)
@@ -355,8 +359,8 @@
 
 def test_hundreds_of_changes_in_a_row_leak_no_timers_or_requests() -> None:
     """Run with a node of an unknown type, a full table of links and a reported task of an unknown class."""
-    harness = World(nodes=2, max_nodes=3)
-    task = held(harness, 9)
+    harness = CoreHarness(nodes=2, max_nodes=3)
+    task = node_task(harness, 9)
     unknown = replace(task, task=replace(task.task, task_class="never"))
     harness.feed(ev.NodeTasksReported(1, 0, (unknown,)))
     send_full_list(
@@ -384,13 +388,13 @@
 
 
 def test_a_table_that_grows_repeatedly_fetches_the_list_at_a_bounded_rate() -> None:
-    harness = World(nodes=1, max_nodes=1)
+    harness = CoreHarness(nodes=1, max_nodes=1)
     nodes = [harness.node_entry(n) for n in range(1, 50)]
     send_full_list(harness, 2, *nodes)
     fetches = 0
     started_at = harness.now
     for n in range(2, 40):
-        new_watches = watches(apply_change(harness, max_nodes=n)) + watches(harness.wait(50 * MS))
+        new_watches = watches(apply_change(harness, max_nodes=n)) + watches(harness.advance_time(50 * MS))
         fetches += len(new_watches)
         if new_watches:
             send_full_list(harness, 2, *nodes)
@@ -402,7 +406,7 @@
     assert len(harness.core.context._timers) <= timers + 1
     apply_change(harness, max_nodes=39)
     for _ in range(3):
-        if watches(harness.wait(REFETCH_INTERVAL_US)):
+        if watches(harness.advance_time(REFETCH_INTERVAL_US)):
             send_full_list(harness, 2, *nodes)
     assert len(harness.core.links.nodes()) == 39
 
@@ -455,7 +459,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_a_changed_core_decides_like_one_started_with_the_new_settings(seed: int) -> None:
     start = 1000 * SECOND
-    old_config = CoreConfig(World().core.context.config.bounds, ("t1", "t2"), ("z1", "z2"))
+    old_config = CoreConfig(CoreHarness().core.context.config.bounds, ("t1", "t2"), ("z1", "z2"))
     new_config = replace(old_config, tenants=("t1", "t2", "t3"), zones=("z1", "z2", "z0"), max_dials=3)
     new = replace(
         SETTINGS,
--- a/tests/planner/test_transitions.py
+++ b/tests/planner/test_transitions.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import recorded_days
-from world import SECOND, World
+from grpc_core_harness import SECOND, CoreHarness
 
 from stairplank.planner import events as ev
 from stairplank.planner import trace
@@ -48,21 +48,21 @@
 
 def time_out_after_cancellation() -> Counter[tuple[str, Any, str]]:
     """Count the transitions of a cancelled task whose stop was lost: it runs, unbound, until its timeout."""
-    cluster = World()
-    offer = cluster.request_offer(1)
-    cluster.feed(ev.PlacementCancelled(1, 1))
-    cluster.feed(ev.NodeRunning(offer.node, offer.id))
-    cluster.wait(10 * SECOND)
-    return cluster.core.context.transition_counts
+    harness = CoreHarness()
+    offer = harness.request_offer(1)
+    harness.feed(ev.PlacementCancelled(1, 1))
+    harness.feed(ev.NodeRunning(offer.node, offer.id))
+    harness.advance_time(10 * SECOND)
+    return harness.core.context.transition_counts
 
 
 def adoption_of_running_task() -> Counter[tuple[str, Any, str]]:
     """Count the transitions of a failed task whose node reports after the timeout that it runs."""
-    cluster = World()
-    offer = cluster.request_offer(1, "report")
-    cluster.wait(offer.wait_us + 20_000)
-    cluster.feed(ev.NodeRunning(offer.node, offer.id))
-    return cluster.core.context.transition_counts
+    harness = CoreHarness()
+    offer = harness.request_offer(1, "report")
+    harness.advance_time(offer.wait_us + 20_000)
+    harness.feed(ev.NodeRunning(offer.node, offer.id))
+    return harness.core.context.transition_counts
 
 
 def test_replay_returns_the_first_step_whose_actions_differ() -> None:
