--- a/stairplank/rehearsal/__init__.py
+++ b/stairplank/rehearsal/__init__.py
@@ -1,5 +1,6 @@
-"""The rehearsal kit: a scenario run on real processes, recorded on the sockets, judged by the five rules.
+"""Runs a scenario on real processes, records the traffic on the sockets and checks it against the five rules.
 
-``scenario`` reads the script, ``run`` starts the processes, ``relay`` records every link into a ``capture``,
-``decode`` turns the capture into messages by HTTP/2 and the proto files alone, ``checker`` judges them.
+``scenario`` reads the scenario file, ``run`` starts the processes, ``relay`` records every link into a
+``capture``, ``decode`` turns the capture into messages with HTTP/2 and the proto files alone, and ``checker``
+checks the messages.
 """
--- a/stairplank/rehearsal/capture.py
+++ b/stairplank/rehearsal/capture.py
@@ -1,27 +1,27 @@
-"""The capture file: raw bytes of every link, with direction and the three times of a relay.
+"""The capture file: the raw bytes of every link, with the times of reading, forwarding and dropping.
 
 Layout, all numbers little-endian. The file begins with the eight bytes ``SPCAP002`` and a u32 length with so
-many bytes of JSON: the rules' figures and what ran. Then records: u8 kind, u64 time (microseconds on the
-machine's monotonic clock), u32 link, u32 length, and so many bytes.
+many bytes of JSON: the parameters of the rules and of the scenario. The rest is a sequence of records: u8
+kind, u64 time (microseconds on the machine's monotonic clock), u32 link, u32 length, and so many bytes.
 
 | kind | meaning | bytes |
 | --- | --- | --- |
-| 1 | a link was asked for | JSON: ``{"to": "planner 0"}`` |
+| 1 | the relay accepted a link | JSON: ``{"to": "planner 0"}`` |
 | 2 | read from the dialling end | as read from its socket |
 | 3 | read from the listening end | as read from its socket |
 | 4 | the dialling end closed | none |
 | 5 | the listening end closed | none |
-| 6 | the script did something; link 0 | text |
-| 7 | handed on to the listening end | u64: how many of the dialler's bytes in all by now |
-| 8 | handed on to the dialling end | u64: how many of the listener's bytes in all by now |
-| 9 | dropped on the way to the listening end | u64: so many bytes, those after the last ones handed on |
-| 10 | dropped on the way to the dialling end | u64: likewise |
+| 6 | the scenario took an action; link 0 | text |
+| 7 | forwarded to the listening end | u64: total of the dialler's bytes forwarded so far |
+| 8 | forwarded to the dialling end | u64: total of the listener's bytes forwarded so far |
+| 9 | dropped on the way to the listening end | u64: number of bytes, counted from the last one forwarded |
+| 10 | dropped on the way to the dialling end | u64: number of bytes, counted from the last one forwarded |
 
-What an end had said is known from the time of reading; what an end had heard, from the time of handing on.
-Between the two the bytes are on the way, for as long as the script holds them.
+An end had sent a byte by the time of its reading, and the other end had received it by the time of its
+forwarding. Between the two the relay holds the bytes for as long as the scenario says.
 
-Files of version 1 (``SPCAP001``) have kinds 1 to 6 alone and one time for both: they are read as if all had
-been handed on at once.
+Files of version 1 (``SPCAP001``) have only kinds 1 to 6, without forwarding times. They are read as if all
+bytes had been forwarded at once.
 """
 
 from __future__ import annotations
@@ -44,10 +44,12 @@
 
 
 class CaptureError(Exception):
-    """The file is no whole capture; the text says where it breaks."""
+    """The file is not a complete capture; the text says where reading failed."""
 
 
 class Record(NamedTuple):
+    """A record of a capture file."""
+
     kind: int
     at: int
     link: int
@@ -55,13 +57,15 @@
 
     @property
     def number(self) -> int:
-        """The number that a record of kinds 7 to 10 carries. Raises CaptureError."""
+        """Return the number in a record of kinds 7 to 10. Raises CaptureError for another length."""
         if len(self.data) != COUNT.size:
             raise CaptureError(f"a record of kind {self.kind} with {len(self.data)} bytes in place of 8")
         return int(COUNT.unpack(self.data)[0])
 
 
 class Writer:
+    """Writes a capture file."""
+
     def __init__(self, file: BinaryIO, facts: dict[str, Any]) -> None:
         self._file = file
         text = json.dumps(facts).encode()
@@ -71,7 +75,7 @@
         self._file.write(HEAD.pack(kind, at, link, len(data)) + data)
 
     def counted(self, kind: int, at: int, link: int, number: int) -> None:
-        """A record of kinds 7 to 10."""
+        """Write a record of kinds 7 to 10."""
         self.write(kind, at, link, COUNT.pack(number))
 
     def flush(self) -> None:
@@ -79,7 +83,7 @@
 
 
 class Reader:
-    """Reads a capture; ``facts`` are those of its head."""
+    """Reads a capture file; ``facts`` holds the JSON of its header."""
 
     def __init__(self, path: str | Path) -> None:
         self._file = Path(path).open("rb")  # noqa: SIM115
@@ -92,7 +96,7 @@
             (size,) = SIZE.unpack(self._exactly(SIZE.size))
             self.facts: dict[str, Any] = json.loads(self._exactly(size))
         except (ValueError, struct.error) as error:
-            raise CaptureError(f"{path}: its head cannot be read: {error}") from None
+            raise CaptureError(f"{path}: its header cannot be read: {error}") from None
 
     def _exactly(self, size: int) -> bytes:
         data = self._file.read(size)
@@ -104,7 +108,7 @@
         passed: dict[tuple[int, int], int] = {}
         while head := self._file.read(HEAD.size):
             if len(head) < HEAD.size:
-                raise CaptureError("cut off within the head of a record")
+                raise CaptureError("cut off within the header of a record")
             kind, at, link, size = HEAD.unpack(head)
             if not OPEN <= kind <= (SCRIPT if self.version == 1 else LOST_TO_DIALLER):
                 raise CaptureError(f"a record of unknown kind {kind}")
--- a/stairplank/rehearsal/decode.py
+++ b/stairplank/rehearsal/decode.py
@@ -1,7 +1,7 @@
-"""From a capture to messages, by HTTP/2 frames, HPACK and the proto files alone.
+"""Decodes a capture into messages with HTTP/2 frames, HPACK and the proto files alone.
 
-Nothing of the planner, the stand-ins or the rpc package's connections is used: what is judged is what passed
-on the sockets.
+No connection code of the planner, the stand-ins or the rpc package is used, so that the rules are checked on
+the bytes that passed on the sockets.
 """
 
 from __future__ import annotations
@@ -40,36 +40,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message, or an end of a link, in the order of the capture.
+    """A message, or the end of a stream or link, in the order of the capture.
 
-    It comes twice: when it was said, and, where it was handed on, when it was heard.
+    It appears once when it was sent and, if it was forwarded, once more when it was received.
     """
 
     at: int
     link: int
-    to: str  # who listened: "planner 0", "node 3", "list"
+    to: str  # the listening end: "planner 0", "node 3" or "list"
     stream: int
     path: str
     from_dialler: bool
     body: Any  # the message; None for the end of a stream or link
     end: str = ""  # "reset 8", "trailers 0", "closed", "goaway 1"
     frame: int = 0  # number of the record in the capture
-    heard: bool = False
-    said_at: int = 0  # where heard: when it was said
+    received: bool = False
+    sent_at: int = 0  # the time of sending, where this is the receipt
 
     def where(self) -> str:
+        """Return a line that locates the message in the capture and names its kind."""
         arrow = "->" if self.from_dialler else "<-"
         oneof = self.body is not None and "kind" in self.body.DESCRIPTOR.oneofs_by_name
         kind = self.body.WhichOneof("kind") if oneof else None
-        what = self.end if self.body is None else f"{type(self.body).__name__} {kind or ''}".strip()
-        if self.heard:
-            what += f" (said {(self.at - self.said_at) / 1e3:.1f} ms before)"
-        return f"record {self.frame} link {self.link} {arrow} {self.to} stream {self.stream}: {what}"
+        kind_text = self.end if self.body is None else f"{type(self.body).__name__} {kind or ''}".strip()
+        if self.received:
+            kind_text += f" (said {(self.at - self.sent_at) / 1e3:.1f} ms before)"
+        return f"record {self.frame} link {self.link} {arrow} {self.to} stream {self.stream}: {kind_text}"
 
 
 @dataclass
-class _Half:
-    """One direction of a connection."""
+class _Direction:
+    """The decoding state of one direction of a connection."""
 
     buffer: bytearray = field(default_factory=bytearray)
     hpack: Decoder = field(default_factory=Decoder)
@@ -78,35 +79,38 @@
     block_ends: bool = False
     parts: dict[int, bytearray] = field(default_factory=dict)
     preface: bool = False
-    read: int = 0  # bytes that came before the buffer
-    waiting: deque[tuple[int, Message]] = field(default_factory=deque)  # said, not handed on: its last byte
+    read: int = 0  # number of bytes consumed ahead of the buffer
+    # Messages that were not yet forwarded, each with the offset of its last byte.
+    waiting: deque[tuple[int, Message]] = field(default_factory=deque)
 
 
 class _Link:
+    """The decoding state of a connection."""
+
     def __init__(self, number: int, to: str) -> None:
         self.number = number
         self.to = to
-        self.halves = {True: _Half(), False: _Half()}
+        self.directions = {True: _Direction(), False: _Direction()}
         self.paths: dict[int, str] = {}
         self.broken = ""
 
 
 class CaptureDecoder:
-    """Turns records into messages; keeps what cannot be read as ``problems``."""
+    """Turns records into messages and lists undecodable records in ``problems``."""
 
     def __init__(self) -> None:
         self.links: dict[int, _Link] = {}
         self.problems: list[str] = []
         self.script: list[tuple[int, str]] = []
-        self.dropped = 0  # bytes that never came through
+        self.dropped = 0  # number of bytes that were never forwarded
 
     @staticmethod
-    def _handed(half: _Half, record: capture.Record, number: int) -> Iterator[Message]:
-        """What has come through with these bytes."""
+    def _received(direction: _Direction, record: capture.Record, number: int) -> Iterator[Message]:
+        """Yield the messages that this forwarding record completes, as received."""
         count = record.number
-        while half.waiting and half.waiting[0][0] <= count:
-            said = half.waiting.popleft()[1]
-            yield replace(said, at=record.at, heard=True, said_at=said.at, frame=number)
+        while direction.waiting and direction.waiting[0][0] <= count:
+            sent = direction.waiting.popleft()[1]
+            yield replace(sent, at=record.at, received=True, sent_at=sent.at, frame=number)
 
     def feed(self, number: int, record: capture.Record) -> Iterator[Message]:
         if record.kind == capture.SCRIPT:
@@ -120,7 +124,7 @@
             self.problems.append(f"record {number}: link {record.link} was never opened")
             return
         if record.kind in (capture.TO_LISTENER, capture.TO_DIALLER):
-            yield from self._handed(link.halves[record.kind == capture.TO_LISTENER], record, number)
+            yield from self._received(link.directions[record.kind == capture.TO_LISTENER], record, number)
             return
         if record.kind in (capture.LOST_TO_LISTENER, capture.LOST_TO_DIALLER):
             self.dropped += record.number
@@ -132,35 +136,37 @@
         if link.broken:
             return
         try:
-            yield from self._bytes(link, dialler, record, number)
+            yield from self._decode_bytes(link, dialler, record, number)
         except (HyperframeError, HPACKError, ValueError) as error:
             link.broken = f"record {number}: link {link.number} cannot be read: {error}"
             self.problems.append(link.broken)
 
-    def _bytes(self, link: _Link, dialler: bool, record: capture.Record, number: int) -> Iterator[Message]:
-        half = link.halves[dialler]
-        half.buffer += record.data
-        if dialler and not half.preface:
-            if len(half.buffer) < len(PREFACE):
+    def _decode_bytes(
+        self, link: _Link, dialler: bool, record: capture.Record, number: int
+    ) -> Iterator[Message]:
+        direction = link.directions[dialler]
+        direction.buffer += record.data
+        if dialler and not direction.preface:
+            if len(direction.buffer) < len(PREFACE):
                 return
-            if not half.buffer.startswith(PREFACE):
+            if not direction.buffer.startswith(PREFACE):
                 raise ValueError("no HTTP/2 preface")
-            del half.buffer[: len(PREFACE)]
-            half.read += len(PREFACE)
-            half.preface = True
-        while len(half.buffer) >= 9:
-            frame, length = Frame.parse_frame_header(memoryview(bytes(half.buffer[:9])))
-            if len(half.buffer) < 9 + length:
+            del direction.buffer[: len(PREFACE)]
+            direction.read += len(PREFACE)
+            direction.preface = True
+        while len(direction.buffer) >= 9:
+            frame, length = Frame.parse_frame_header(memoryview(bytes(direction.buffer[:9])))
+            if len(direction.buffer) < 9 + length:
                 return
-            frame.parse_body(memoryview(bytes(half.buffer[9 : 9 + length])))
-            del half.buffer[: 9 + length]
-            half.read += 9 + length
-            for message in self._frame(link, half, dialler, frame, record.at, number):
-                half.waiting.append((half.read, message))
+            frame.parse_body(memoryview(bytes(direction.buffer[9 : 9 + length])))
+            del direction.buffer[: 9 + length]
+            direction.read += 9 + length
+            for message in self._decode_frame(link, direction, dialler, frame, record.at, number):
+                direction.waiting.append((direction.read, message))
                 yield message
 
-    def _frame(
-        self, link: _Link, half: _Half, dialler: bool, frame: Frame, at: int, number: int
+    def _decode_frame(
+        self, link: _Link, direction: _Direction, dialler: bool, frame: Frame, at: int, number: int
     ) -> Iterator[Message]:
         stream = frame.stream_id
 
@@ -171,21 +177,22 @@
         match frame:
             case HeadersFrame() | ContinuationFrame():
                 if isinstance(frame, HeadersFrame):
-                    half.block.clear()
-                    half.block_stream = stream
-                    half.block_ends = "END_STREAM" in frame.flags
-                half.block += frame.data
+                    direction.block.clear()
+                    direction.block_stream = stream
+                    direction.block_ends = "END_STREAM" in frame.flags
+                direction.block += frame.data
                 if "END_HEADERS" in frame.flags:
                     headers = [
-                        (_text(k), _text(v)) for k, v in half.hpack.decode(bytes(half.block), raw=True)
+                        (_text(k), _text(v))
+                        for k, v in direction.hpack.decode(bytes(direction.block), raw=True)
                     ]
                     fields = dict(headers)
                     if ":path" in fields:
                         link.paths[stream] = fields[":path"]
-                    if half.block_ends:
+                    if direction.block_ends:
                         yield message(None, f"trailers {fields.get('grpc-status', '-')}")
             case DataFrame():
-                part = half.parts.setdefault(stream, bytearray())
+                part = direction.parts.setdefault(stream, bytearray())
                 part += frame.data
                 kinds = KINDS.get(link.paths.get(stream, ""))
                 while len(part) >= 5:
@@ -209,11 +216,14 @@
 
 
 def messages(reader: capture.Reader) -> tuple[CaptureDecoder, Iterator[Message]]:
-    """The decoder (for its problems and the script's notes) and the messages, to be read to the end."""
+    """Return the decoder and an iterator over the messages.
+
+    The decoder's ``problems`` and ``script`` are complete once the iterator is exhausted.
+    """
     decoder = CaptureDecoder()
 
-    def each() -> Iterator[Message]:
+    def decoded() -> Iterator[Message]:
         for number, record in enumerate(reader):
             yield from decoder.feed(number, record)
 
-    return decoder, each()
+    return decoder, decoded()
--- a/stairplank/rehearsal/relay.py
+++ b/stairplank/rehearsal/relay.py
@@ -1,12 +1,12 @@
-"""Relays that stand on every link and record what passes. By script they do what networks do.
+"""Relays on every link, which record the traffic and inject network faults as the scenario says.
 
-| fault | what the relay does to a path |
+| fault | effect on the links through the relay |
 | --- | --- |
-| hold | bytes of a direction wait and are delivered when it ends, the end of a link behind them |
-| hold-reset | the same, but when it ends every link is reset and what waited is lost |
-| delay | each byte of a direction comes so much later, in order |
-| rate | a direction passes so many bytes a second |
-| half-open | links are reset; new ones are accepted with nobody behind them, and reset when it ends |
+| hold | bytes of a direction, and the closing of a link, are delayed until the fault ends |
+| hold-reset | bytes of a direction are held; when the fault ends every link is reset and they are lost |
+| delay | each byte of a direction is delivered that much later, in order |
+| rate | a direction passes at most that many bytes a second |
+| half-open | links are reset; new ones are accepted but not connected onwards, and reset when it ends |
 | cut | every link is reset at once |
 """
 
@@ -25,12 +25,12 @@
 from . import capture
 from .relay_channel import PathConditions, RelayChannel
 
-THERE, BACK, BOTH = "there", "back", "both"  # from the dialling end; to it
+THERE, BACK, BOTH = "there", "back", "both"  # directions: from the dialling end, to it, and both
 DIAL_S = 5.0
 
 
 class Link:
-    """One accepted connection, and the one behind it once it stands."""
+    """An accepted connection, and the connection to the target once that is established."""
 
     def __init__(self, relay: Relay, near: Any) -> None:
         self.relay = relay
@@ -38,31 +38,31 @@
         self.far: Any = None
         writer = relay.recorder.writer
         self.number = relay.recorder.opened(relay.name)
-        self.there = RelayChannel(near, self.number, capture.FROM_DIALLER, relay.weather[THERE], writer)
+        self.there = RelayChannel(near, self.number, capture.FROM_DIALLER, relay.conditions[THERE], writer)
         self.back: RelayChannel | None = None
 
     def run(self) -> None:
-        """Dial the far end as the path allows; hand on until both ends have said their last."""
+        """Dial the target once the path passes traffic, then forward until both ends have closed."""
         relay = self.relay
-        while not (relay.weather[THERE].passing and relay.weather[BACK].passing) or relay.half_open:
-            relay.stirred.wait()
+        while not (relay.conditions[THERE].passing and relay.conditions[BACK].passing) or relay.half_open:
+            relay.conditions_changed.wait()
             if self.there.broken:
                 return
         if self.there.source_ended:
-            self.there.drop()  # who dialled has given up: a handshake never came about
+            self.there.drop()  # the dialling end has closed before its connection was established
             abort(self.near)
             return
         try:
             self.far = address.dial(relay.target, DIAL_S)
         except OSError:
             self.there.drop()
-            abort(self.near)  # nobody listens behind it: so it is for who dialled
+            abort(self.near)  # the target does not listen, so the dialling end sees a reset
             return
         if self.there.broken:
             abort(self.far)
             return
         writer = relay.recorder.writer
-        self.back = RelayChannel(self.far, self.number, capture.FROM_LISTENER, relay.weather[BACK], writer)
+        self.back = RelayChannel(self.far, self.number, capture.FROM_LISTENER, relay.conditions[BACK], writer)
         self.there.on_forward = self.back.on_forward = relay.on_piece
         self.back.join(self.near)
         self.there.join(self.far)
@@ -72,10 +72,10 @@
         self.far.close()
 
     def cut(self) -> None:
-        """Reset both ends; what is on the way is lost."""
-        for way in (self.there, self.back):
-            if way is not None:
-                way.drop()
+        """Reset both ends; bytes that were not yet forwarded are lost."""
+        for channel in (self.there, self.back):
+            if channel is not None:
+                channel.drop()
         writer = self.relay.recorder.writer
         for sock, closed in ((self.near, capture.DIALLER_CLOSED), (self.far, capture.LISTENER_CLOSED)):
             if sock is not None:
@@ -84,7 +84,7 @@
 
 
 class Relay:
-    """One listening address in front of one real one."""
+    """A listening address in front of the address of one process."""
 
     def __init__(self, recorder: Recorder, name: str, target: str) -> None:
         self.recorder = recorder
@@ -92,10 +92,12 @@
         self.target = target
         self.listener, self.address = address.listen("127.0.0.1:0")
         self.links: set[Link] = set()
-        self.weather = {THERE: PathConditions(), BACK: PathConditions()}
+        self.conditions = {THERE: PathConditions(), BACK: PathConditions()}
         self.half_open = 0
-        self.on_piece: Callable[[], None] | None = None  # told of each piece that passes, either way
-        self.stirred = gevent.event.Event()
+        self.on_piece: Callable[[], None] | None = (
+            None  # called for each piece that is forwarded in either direction
+        )
+        self.conditions_changed = gevent.event.Event()
         gevent.spawn(self._accept)
 
     def _accept(self) -> None:
@@ -115,45 +117,46 @@
         finally:
             self.links.discard(link)
 
-    def _stir(self) -> None:
-        for weather in self.weather.values():
-            weather.change()
+    def _conditions_change(self) -> None:
+        for conditions in self.conditions.values():
+            conditions.change()
         self._wake()
 
     def _wake(self) -> None:
-        old, self.stirred = self.stirred, gevent.event.Event()
+        old, self.conditions_changed = self.conditions_changed, gevent.event.Event()
         old.set()
 
-    def _ways(self, direction: str) -> list[PathConditions]:
-        return [w for name, w in self.weather.items() if direction in (BOTH, name)]
+    def _conditions_of(self, direction: str) -> list[PathConditions]:
+        return [conditions for name, conditions in self.conditions.items() if direction in (BOTH, name)]
 
     def begin(self, what: str, direction: str = BOTH, value: int = 0) -> None:
-        """Begin a fault of the table above; ``end`` takes the same words."""
-        for weather in self._ways(direction):
+        """Begin a fault of the table above; ``end`` takes the same arguments."""
+        for conditions in self._conditions_of(direction):
             if what in ("hold", "hold-reset"):
-                weather.holds += 1
+                conditions.holds += 1
             elif what == "delay":
-                weather.delays.append(value)
+                conditions.delays.append(value)
             elif what == "rate":
-                weather.rates.append(value)
+                conditions.rates.append(value)
         if what == "half-open":
             self.half_open += 1
             self.cut()
-        self._stir()
+        self._conditions_change()
 
     def end(self, what: str, direction: str = BOTH, value: int = 0) -> None:
+        """End a fault that ``begin`` began with the same arguments."""
         if what in ("hold-reset", "half-open"):
             self.cut()
         if what == "half-open":
             self.half_open -= 1
-        for weather in self._ways(direction):
+        for conditions in self._conditions_of(direction):
             if what in ("hold", "hold-reset"):
-                weather.holds -= 1
+                conditions.holds -= 1
             elif what == "delay":
-                weather.delays.remove(value)
+                conditions.delays.remove(value)
             elif what == "rate":
-                weather.rates.remove(value)
-        self._stir()
+                conditions.rates.remove(value)
+        self._conditions_change()
 
     def cut(self) -> None:
         """Reset every link through this relay."""
@@ -167,7 +170,7 @@
 
 
 class Recorder:
-    """All relays of a rehearsal, writing one capture."""
+    """All relays of a rehearsal, which write one capture."""
 
     def __init__(self, writer: capture.Writer) -> None:
         self.writer = writer
@@ -175,16 +178,21 @@
         self.links = 0
 
     def relay(self, name: str, target: str, key: str = "") -> str:
-        """Put a relay in front of an address; where to dial instead. ``key`` names it among several."""
-        made = self.relays[key or name] = Relay(self, name, target)
-        return made.address
+        """Put a relay in front of an address and return the relay's address.
+
+        ``key`` is the relay's key in ``relays``, where several relays have the same ``name``.
+        """
+        relay = self.relays[key or name] = Relay(self, name, target)
+        return relay.address
 
     def opened(self, name: str) -> int:
+        """Record a new link and return its number."""
         self.links += 1
         self.writer.write(capture.OPEN, now_us(), self.links, json.dumps({"to": name}).encode())
         return self.links
 
     def note(self, text: str) -> None:
+        """Record an action of the scenario."""
         self.writer.write(capture.SCRIPT, now_us(), 0, text.encode())
 
     def close(self) -> None:
--- a/stairplank/rehearsal/relay_channel.py
+++ b/stairplank/rehearsal/relay_channel.py
@@ -1,8 +1,8 @@
-"""One direction of one link through a relay: bytes are read, wait as the script says, go on or are dropped.
+"""One direction of one link through a relay: bytes are read, held as the scenario says, forwarded or dropped.
 
-A channel reads whatever its source sends, also while nothing may pass, and notes when; up to
-``MAX_HELD_BYTES`` bytes wait in it. At that bound it stops reading, which is to the source as a peer that
-does not read: its kernel's buffers fill, then its writes wait.
+A channel reads and records whatever its source sends, also while nothing may pass, and holds up to
+``MAX_HELD_BYTES`` bytes. At that bound it stops reading, so the source sees a peer that does not read: the
+kernel's buffers fill up, then the source's writes block.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 from ..rpc.address import abort
 from . import capture
 
-MAX_HELD_BYTES = 1 << 20  # bytes of one direction of one link
-SLICE_US = 20_000  # a slow path hands on what it may in so long, at a time
+MAX_HELD_BYTES = 1 << 20  # bound on the bytes held by one channel
+SLICE_US = 20_000  # under a rate limit, each piece holds the bytes of this much time
 
 
 @dataclass
 class PathConditions:
-    """What the script does to one direction of a path at the moment. Overlapping faults add up."""
+    """The faults now in force on one direction of a path. Overlapping faults add up."""
 
-    holds: int = 0  # while above 0 nothing passes
-    delays: list[int] = field(default_factory=list)  # microseconds; the sum counts
-    rates: list[int] = field(default_factory=list)  # bytes a second; the least counts
+    holds: int = 0  # number of holds in force; while it is above 0 nothing passes
+    delays: list[int] = field(default_factory=list)  # microseconds; their sum is in force
+    rates: list[int] = field(default_factory=list)  # bytes a second; the lowest is in force
     changed: Flag = field(default_factory=Flag)
 
     def change(self) -> None:
-        """Wake all that wait; who waits from now on waits for the next change."""
+        """Wake all greenlets that wait for a change; a later wait is for the next change."""
         old, self.changed = self.changed, Flag()
         old.set()
 
@@ -44,37 +44,37 @@
 
 
 class RelayChannel:
-    """Reads ``source`` and hands on to ``sink`` once there is one."""
+    """Reads from ``source`` and forwards to ``sink`` once that is connected."""
 
     def __init__(
-        self, source: Any, link: int, kind: int, weather: PathConditions, writer: capture.Writer
+        self, source: Any, link: int, kind: int, conditions: PathConditions, writer: capture.Writer
     ) -> None:
         self.source = source
         self.sink: Any = None
         self.link = link
         self.kind = kind
-        self.weather = weather
+        self.conditions = conditions
         self.writer = writer
-        self.queue: deque[tuple[int, bytes]] = deque()  # when read, and what
-        self.held_bytes = 0  # bytes in the queue
+        self.queue: deque[tuple[int, bytes]] = deque()  # time of reading, data
+        self.held_bytes = 0  # number of bytes in the queue
         self.forwarded_bytes = 0
-        self.source_ended = False  # the source has said its last
-        self.reset = False  # and that was a reset
-        self.broken = False  # the sink takes nothing any more
+        self.source_ended = False  # whether the source has closed
+        self.reset = False  # whether the source closed by a reset
+        self.broken = False  # whether the sink no longer accepts data
         self.finished = Flag()
-        self.on_forward: Callable[[], None] | None = None  # told of each piece as it is handed on
-        self._sender_wake = Flag()  # for the sender: there is more to look at
-        self._capacity = Flag()  # for the reader: there is room again
+        self.on_forward: Callable[[], None] | None = None  # called just before each piece is forwarded
+        self._sender_wake = Flag()  # set when the sender has something to do
+        self._capacity = Flag()  # set when the queue can hold more
         self._reader = gevent.spawn(self._read)
         self._sender = gevent.spawn(self._send)
 
     def join(self, sink: Any) -> None:
-        """The far end is connected: what waits may be forwarded."""
+        """Set the connected sink, so that held bytes may be forwarded."""
         self.sink = sink
         self._sender_wake.set()
 
     def drop(self) -> None:
-        """The link is broken by script: what waits in it is lost."""
+        """Break the link as the scenario says; held bytes are lost."""
         self.broken = self.source_ended = self.reset = True
         self._drop_held()
         gevent.killall([self._reader, self._sender], block=False)
@@ -111,9 +111,9 @@
                 continue
             if self._may_forward():
                 self._forward()
-        # The end travels as the bytes do: not before them, and not through a path that is held.
-        while not self.weather.passing and not self.broken:
-            self.weather.changed.wait()
+        # The closing of the source is forwarded after all bytes, and not while the path is held.
+        while not self.conditions.passing and not self.broken:
+            self.conditions.changed.wait()
         if self.sink is not None and not self.broken:
             try:
                 if self.reset:
@@ -125,28 +125,31 @@
         self.finished.set()
 
     def _may_forward(self) -> bool:
-        """Stand until the first piece may go; False where it must be looked at anew."""
-        weather = self.weather
-        if not weather.passing:
-            weather.changed.wait()
+        """Wait for the conditions to allow the first piece.
+
+        Returns False after a wait, so that the caller checks the channel's state anew.
+        """
+        conditions = self.conditions
+        if not conditions.passing:
+            conditions.changed.wait()
             return False
-        left = self.queue[0][0] + sum(weather.delays) - now_us()
-        if weather.delays and left > 0:
-            weather.changed.wait(left / 1e6)
+        remaining_us = self.queue[0][0] + sum(conditions.delays) - now_us()
+        if conditions.delays and remaining_us > 0:
+            conditions.changed.wait(remaining_us / 1e6)
             return False
         return True
 
     def _forward(self) -> None:
-        at, data = self.queue[0]
-        rates = self.weather.rates
-        most = max(1, min(rates) * SLICE_US // 1_000_000) if rates else len(data)
-        piece, rest = data[:most], data[most:]
+        read_at, data = self.queue[0]
+        rates = self.conditions.rates
+        piece_bytes = max(1, min(rates) * SLICE_US // 1_000_000) if rates else len(data)
+        piece, rest = data[:piece_bytes], data[piece_bytes:]
         if rest:
-            self.queue[0] = (at, rest)
+            self.queue[0] = (read_at, rest)
         else:
             self.queue.popleft()
         self.held_bytes -= len(piece)
-        # Noted before it is written: who is told may answer before this greenlet runs again.
+        # This is recorded before the write, as the receiver may answer before this greenlet runs again.
         self.forwarded_bytes += len(piece)
         self.writer.counted(capture.HANDED[self.kind], now_us(), self.link, self.forwarded_bytes)
         if self.on_forward is not None:
--- a/stairplank/rehearsal/rules/__init__.py
+++ b/stairplank/rehearsal/rules/__init__.py
@@ -1,1 +1,1 @@
-"""The clauses of the rules, by what they are about. ``seen`` is what they all rest on."""
+"""The clauses of the rules, one module per subject; ``observations`` holds the state that they share."""
--- a/stairplank/rehearsal/rules/clients.py
+++ b/stairplank/rehearsal/rules/clients.py
@@ -1,4 +1,4 @@
-"""Rule 1, and what a refusal promises: asks, outcomes, in time and once."""
+"""Rule 1 on requests and their outcomes (one each, in time), and rule 2 on refusals."""
 
 from __future__ import annotations
 
@@ -9,13 +9,15 @@
 from .groups import GroupRules
 from .observations import (
     DEADLINE_EXCEEDED,
-    PAUSE_OVER_US,
+    PAUSE_WAKE_US,
     TOLERANCE_US,
     ObservedPlacement,
 )
 
 
 class ClientRules(GroupRules):
+    """Rules on the messages between clients and planners."""
+
     def _place_request(self, m: Message) -> None:
         kind = m.body.WhichOneof("kind")
         if kind == "ask":
@@ -39,8 +41,8 @@
                 found.released_at = m.at
                 self.counts.withdrawn += 1
 
-    def _place_heard(self, m: Message) -> None:
-        """What reached the planner, and whether it was still of use then."""
+    def _place_request_received(self, m: Message) -> None:
+        """Note when a request reached its planner."""
         kind = m.body.WhichOneof("kind")
         if kind in ("ask", "ask_group"):
             record = self.requests.get((m.link, m.stream, getattr(m.body, kind).ask))
@@ -59,7 +61,7 @@
         if kind == "found":
             self.counts.found += 1
             if record is not None and record.admitted is None:
-                record.released_at = m.at  # not taken: it runs already
+                record.released_at = m.at  # not admitted, as its task is already running
             elif record is not None:
                 record.recovered = True
             return
@@ -90,84 +92,85 @@
                 self._breach(1, "one outcome", text, m, record.task, others=[record.admitted])
             del self.requests[m.link, m.stream, body.ask]
         elif kind == "taken":
-            self._taken(m, record, body.placing)
+            self._admitted(m, record, body.placing)
         elif kind in ("placed", "refused", "failed"):
             self._outcome(m, record, kind, body)
         elif kind in ("group_placed", "group_refused", "group_failed"):
             self._group_outcome(m, record, kind)
 
-    def _taken(self, m: Message, record: ObservedPlacement, placing: int) -> None:
+    def _admitted(self, m: Message, record: ObservedPlacement, placing: int) -> None:
         self.counts.taken += 1
         record.incarnation = self.planner_incarnation.get((m.link, m.stream), 0)
         record.placement, record.admitted = placing, m
         assert record.request is not None
-        over = record.request.at + record.wait_us
-        if record.has_age and record.received_at is not None and record.received_at > over + TOLERANCE_US:
-            late = (record.received_at - over) / 1e3
+        deadline = record.request.at + record.wait_us
+        if record.has_age and record.received_at is not None and record.received_at > deadline + TOLERANCE_US:
+            late = (record.received_at - deadline) / 1e3
             text = f"an ask that came {late:.1f} ms after its owner had given up was taken"
             self._breach(1, "stale", text, m, record.task, others=[record.request])
         early = self.records.get((record.incarnation, placing))
         if early is not None:
             if early.admitted is not None:
                 self._breach(1, "one outcome", "two asks were taken as one placing", m, record.task)
-            record.offers = early.offers  # offers that the relay read first
+            record.offers = early.offers  # the relay read these offers before the admission
         self.records[record.incarnation, placing] = record
 
     def _outcome(self, m: Message, record: ObservedPlacement, kind: str, body: Any) -> None:
-        if not self._once_and_in_time(m, record, kind, kind, record.task_class):
+        if not self._record_outcome(m, record, kind, kind, record.task_class):
             return
         if kind == "refused":
-            self._refusal(m, record)
+            self._check_refusal(m, record)
         if kind == "placed":
-            self._binding(m, record, body)
+            self._check_binding(m, record, body)
 
     def _group_outcome(self, m: Message, record: ObservedPlacement, kind: str) -> None:
-        """A group has one outcome as well, in time."""
-        self._once_and_in_time(m, record, kind, kind.replace("group_", "groups_"), "(group)")
+        """Check that a group has one outcome, in time."""
+        self._record_outcome(m, record, kind, kind.replace("group_", "groups_"), "(group)")
 
-    def _once_and_in_time(
-        self, m: Message, record: ObservedPlacement, kind: str, counted: str, sort: str
+    def _record_outcome(
+        self, m: Message, record: ObservedPlacement, kind: str, counted: str, class_label: str
     ) -> bool:
-        """False where the ask had an outcome before."""
+        """Record an outcome and check it. Returns False where the request already had one."""
         setattr(self.counts, counted, getattr(self.counts, counted) + 1)
-        self.timeline.append((m.at, kind.removeprefix("group_"), sort))
+        self.timeline.append((m.at, kind.removeprefix("group_"), class_label))
         assert record.request is not None
-        shown = [record.request, record.outcome]
+        evidence = [record.request, record.outcome]
         if record.admitted is None:
-            self._breach(1, "one outcome", f"{kind} before it was taken", m, record.task, others=shown)
+            self._breach(1, "one outcome", f"{kind} before it was taken", m, record.task, others=evidence)
         if record.outcome is not None:
             text = f"{kind} after it was {record.outcome_kind}: two outcomes"
-            self._breach(1, "one outcome", text, m, record.task, others=shown)
+            self._breach(1, "one outcome", text, m, record.task, others=evidence)
             return False
         record.outcome, record.outcome_kind = m, kind
-        late = m.at - self._due_by(record)
+        late = m.at - self._answer_due_at(record)
         if late > self.facts["answer_slack_us"] and record.released_at is None:
             text = f"{kind} {late / 1e3:.1f} ms after its owner gave up"
-            self._breach(1, "in time", text, m, record.task, others=shown)
+            self._breach(1, "in time", text, m, record.task, others=evidence)
         return True
 
-    def _due_by(self, record: ObservedPlacement) -> int:
-        """When an answer is due: the owner's deadline, or the end of a pause of the planner that covers it.
+    def _answer_due_at(self, record: ObservedPlacement) -> int:
+        """Return when an answer is due: at the owner's deadline, or after a planner pause that covers it.
 
-        A planner that the script stands still does not run; on waking it owes what fell due at once.
+        A planner that the scenario pauses cannot answer; answers that fell due meanwhile are due when it
+        resumes.
         """
         assert record.request is not None and record.deadline is not None
         due = record.deadline
-        for at, what in self.script:
-            words = what.split()
-            if len(words) < 5 or words[0] != "planner" or words[-2] != "for" or words[-3] != "pause":
+        for at, note in self.script:
+            fields = note.split()
+            if len(fields) < 5 or fields[0] != "planner" or fields[-2] != "for" or fields[-3] != "pause":
                 continue
-            end = at + duration(words[-1])
-            if record.request.to.split()[1] in words[1:-3] and at <= due <= end:
-                due = end + PAUSE_OVER_US
+            end = at + duration(fields[-1])
+            if record.request.to.split()[1] in fields[1:-3] and at <= due <= end:
+                due = end + PAUSE_WAKE_US
         return due
 
-    def _refusal(self, m: Message, record: ObservedPlacement) -> None:
-        """Rule 2: a refusal promises that asking again does no harm."""
-        sort = self.classes.get(record.task_class)
-        if sort is None or sort["effect"] == "repeatable":
+    def _check_refusal(self, m: Message, record: ObservedPlacement) -> None:
+        """Check rule 2: after a refusal, the client may safely send the same request again."""
+        task_class = self.classes.get(record.task_class)
+        if task_class is None or task_class["effect"] == "repeatable":
             return
-        if sort["effect"] == "keyed" and sort["scope"] == "all":
+        if task_class["effect"] == "keyed" and task_class["scope"] == "all":
             return
         for sent in record.offers:
             if not sent.known_not_run:
@@ -175,8 +178,8 @@
                 self._breach(2, "refusal", text, m, record.task, sent.node, [sent.message])
                 return
 
-    def _binding(self, m: Message, record: ObservedPlacement, body: Any) -> None:
-        """A binding must rest on an offer to that node that the node has not turned down."""
+    def _check_binding(self, m: Message, record: ObservedPlacement, body: Any) -> None:
+        """Check that a binding follows an offer to the same node that the node has not refused."""
         for sent in record.offers:
             if sent.id[2] == body.attempt and sent.node == body.node:
                 if sent.known_not_run:
@@ -186,8 +189,8 @@
         text = f"bound to node {body.node} though no such offer passed"
         self._breach(1, "binding", text, m, record.task, body.node)
 
-    def _owner_cut_near(self, at: int) -> bool:
-        """Whether an owner's stream ended about then: its 'taken' may have been lost with it."""
+    def _owner_stream_ended_near(self, at: int) -> bool:
+        """Return whether an owner's stream ended within 1 s of ``at``, so that its "taken" may be lost."""
         return any(
             r.released_at is not None and abs(r.released_at - at) < 1_000_000 for r in self.requests.values()
         )
--- a/stairplank/rehearsal/rules/node_messages.py
+++ b/stairplank/rehearsal/rules/node_messages.py
@@ -1,10 +1,10 @@
-"""Messages of nodes, as sent and as planners received them: runs, duplicates, final statuses, proofs."""
+"""Rules on the messages of nodes, as sent and as received: runs, duplicates, final statuses, held tasks."""
 
 from __future__ import annotations
 
 from ..decode import Message
 from .observations import (
-    ACROSS_US,
+    CROSS_LINK_US,
     FINISHED,
     TOLERANCE_US,
     TOO_LATE,
@@ -18,24 +18,24 @@
     """Rules on what nodes report."""
 
     def _offer_event(self, m: Message) -> None:
-        """A planner received a message of a node."""
+        """Handle the receipt of a node's message by a planner."""
         kind = m.body.WhichOneof("kind")
         node = int(m.to.split()[1])
-        planner, life = self.offer_incarnation.get((m.link, m.stream), (-1, 0))
+        planner, incarnation = self.offer_incarnation.get((m.link, m.stream), (-1, 0))
         if kind == "welcome":
             welcome = m.body.welcome
             if welcome.started_unix_us:
                 self.notified_of_start[node, welcome.started_unix_us].add(planner)
-            known = self.draining_since.get((life, node))
+            known = self.draining_since.get((incarnation, node))
             if welcome.draining and known is None:
-                self.draining_since[life, node] = (m.at, m)
+                self.draining_since[incarnation, node] = (m.at, m)
             elif not welcome.draining:
-                self.draining_since.pop((life, node), None)
+                self.draining_since.pop((incarnation, node), None)
             return
         if kind == "draining":
-            self.draining_since.setdefault((life, node), (m.at, m))
+            self.draining_since.setdefault((incarnation, node), (m.at, m))
             return
-        found = self._offer_of(m, kind, node, life, self.received_numbers)
+        found = self._offer_of(m, kind, node, incarnation, self.received_numbers)
         if found is None:
             return
         if kind in ("accepted", "ready"):
@@ -46,15 +46,15 @@
             self._final_status(m, found, kind)
 
     def _node_sent(self, m: Message) -> None:
-        """A node sent a message, whether or not its planner receives it."""
+        """Handle a message that a node sent, whether or not its planner receives it."""
         kind = m.body.WhichOneof("kind")
         node = int(m.to.split()[1])
-        _, life = self.offer_incarnation.get((m.link, m.stream), (-1, 0))
+        _, incarnation = self.offer_incarnation.get((m.link, m.stream), (-1, 0))
         if kind == "welcome":
             if m.body.welcome.started_unix_us:
-                self._new_life(m, node, m.body.welcome.started_unix_us)
+                self._node_welcomed(m, node, m.body.welcome.started_unix_us)
             return
-        found = self._offer_of(m, kind, node, life, self.sent_numbers)
+        found = self._offer_of(m, kind, node, incarnation, self.sent_numbers)
         if found is None:
             return
         if kind in ("accepted", "ready"):
@@ -67,24 +67,29 @@
         elif kind in ("refused", "error", "ended"):
             if kind == "refused" and m.body.refused.reason == TOO_LATE:
                 self.counts.stale_refused += 1
-                self.counts.fresh_refused += m.at < found.expires_at - ACROSS_US
+                self.counts.fresh_refused += m.at < found.expires_at - CROSS_LINK_US
             if found.id in self.member_of:
                 self._member_ended(m, found, kind == "ended" and m.body.ended.how == FINISHED)
             self.running[found.task].pop((node, found.id), None)
 
     def _offer_of(
-        self, m: Message, kind: str | None, node: int, life: int, said: set[tuple[int, int, int, int]]
+        self,
+        m: Message,
+        kind: str | None,
+        node: int,
+        incarnation: int,
+        seen_numbers: set[tuple[int, int, int, int]],
     ) -> ObservedOffer | None:
-        """The offer that a message is about; None for other messages and for repeated ones."""
+        """Return the offer that a message is about, or None for other messages and for redelivered ones."""
         if kind in (None, "usage", "sampled", "draining", "renewed", "kept"):
             return None
         if m.body.number:
-            number = (node, self.observed_incarnation.get(node, 0), life, m.body.number)
-            if number in said:
-                return None  # said again, as it was not acknowledged
-            said.add(number)
+            number = (node, self.observed_incarnation.get(node, 0), incarnation, m.body.number)
+            if number in seen_numbers:
+                return None  # redelivered, as it was not acknowledged
+            seen_numbers.add(number)
         sent = self.offers.get((node, attempt_key(getattr(m.body, kind).id)))
-        if sent is None and not m.heard:
+        if sent is None and not m.received:
             self._breach(0, "attempts", f"{kind} for an attempt that was never offered", m, node=node)
         return sent
 
@@ -101,11 +106,11 @@
         self._check_duplicate_runs(sent)
 
     def _check_duplicate_runs(self, sent: ObservedOffer) -> None:
-        """A task runs at a node: whether another node runs it as well."""
-        sort = self.classes.get(sent.task_class)
+        """Note that a task runs at a node, and count it where another copy of it runs at the same time."""
+        task_class = self.classes.get(sent.task_class)
         if (
-            sort is not None
-            and sort["effect"] != "repeatable"
+            task_class is not None
+            and task_class["effect"] != "repeatable"
             and (sent.node, sent.id) not in self.running[sent.task]
         ):
             others = list(self.running[sent.task].values())
@@ -117,7 +122,7 @@
         self.tasks_requested_at[m.link, m.stream] = m.at
 
     def _tasks_sent(self, m: Message) -> None:
-        """What runs at a node, said on a link that may be newer than the one by which it came."""
+        """Note the tasks that a node reports as running, perhaps on a newer link than the offer's."""
         node = int(m.to.split()[1])
         for task in m.body.tasks:
             sent = self.offers.get((node, attempt_key(task.id)))
@@ -125,7 +130,8 @@
                 self._check_duplicate_runs(sent)
 
     def _final_status(self, m: Message, sent: ObservedOffer, kind: str) -> None:
-        if sent.final_status in ("refused", "error", "ended"):  # not "stopped": that is the planner's
+        # The status "stopped" is not listed: it comes from the planner, and a node's status may follow it.
+        if sent.final_status in ("refused", "error", "ended"):
             text = f"{kind} after {sent.final_status}: two last words on one attempt"
             self._breach(0, "attempts", text, m, sent.task, sent.node, [sent.message])
         sent.final_status = kind
@@ -134,38 +140,42 @@
         self.counts.offers_errors += kind == "error"
         if kind == "refused" and not sent.running:
             sent.known_not_run = True
-        for counted in self.counted.values():
+        for counted in self.spread_tasks.values():
             counted.pop((sent.node, sent.id), None)
 
     def _tasks_received(self, m: Message) -> None:
-        """What a node holds of a planner's earlier lives counts for its present one."""
+        """Count the tasks that a node reports, also of earlier incarnations, for the current planner."""
         node = int(m.to.split()[1])
-        life = next((life for (link, _), (_, life) in self.offer_incarnation.items() if link == m.link), None)
-        if life is None:
+        incarnation = next(
+            (incarnation for (link, _), (_, incarnation) in self.offer_incarnation.items() if link == m.link),
+            None,
+        )
+        if incarnation is None:
             return
         if m.body.complete:
-            # Last words are kept until heard, and none was dropped: what came over a link that was cut and is
-            # neither held nor told as over was never seen by the node.
-            # The same holds for what is on no link that was cut, where its wait was over when this was asked:
-            # the node had turned it down by then, or will when it comes.
+            # A node redelivers final statuses until they are acknowledged, and it has dropped none. So an
+            # offer on a cut link that the node neither holds nor reported as ended never reached the node.
+            # An offer whose wait had ended when the planner sent this request has not run either, even if its
+            # link was not cut: the node has refused it as too late, or will refuse it on arrival.
             held = {attempt_key(task.id) for task in m.body.tasks}
-            asked = self.tasks_requested_at.get((m.link, m.stream), 0)
-            for (where, id), sent in self.offers.items():
-                unheard = (sent.final_status == "cut" or asked >= sent.expires_at) and not (
+            requested_at = self.tasks_requested_at.get((m.link, m.stream), 0)
+            for (offered_node, id), sent in self.offers.items():
+                unreported = (sent.final_status == "cut" or requested_at >= sent.expires_at) and not (
                     sent.accepted or sent.running
                 )
-                if where == node and id[0] == life and unheard and id not in held:
+                if offered_node == node and id[0] == incarnation and unreported and id not in held:
                     sent.known_not_run = True
-        self._ended_unheard(node, life, {attempt_key(task.id) for task in m.body.tasks})
+        self._members_ended_unobserved(node, incarnation, {attempt_key(task.id) for task in m.body.tasks})
         for task in m.body.tasks:
             id = attempt_key(task.id)
-            # Also what this life sent over a link that was cut: it is known to be there again.
-            self.counted[life].setdefault((node, id), (task.task.service, task.task.task_class))
+            # This includes offers that the current incarnation sent over a link that was cut: the planner
+            # now knows again that the node holds them.
+            self.spread_tasks[incarnation].setdefault((node, id), (task.task.service, task.task.task_class))
             if task.running and id in self.member_of:
                 key, member = self.member_of[id]
                 group = self.groups[key]
                 group.uncertain_since.pop(member, None)
                 if member not in group.finished and member not in group.failed:
                     group.attempt_of[member] = id
-                    group.running.setdefault(member, m.at)  # its own word of it may have been lost
-                    self._weigh(group, m.at)
+                    group.running.setdefault(member, m.at)  # its "running" message may have been lost
+                    self._update_partial_since(group, m.at)
--- a/stairplank/rehearsal/rules/observations.py
+++ b/stairplank/rehearsal/rules/observations.py
@@ -1,4 +1,4 @@
-"""What the checker keeps of a capture: offers, placings, groups, lives; and how a breach is noted."""
+"""The state that the rules share: observed offers, placements, groups and incarnations, and the breaches."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from ..decode import Message
 
 TOLERANCE_US = 250_000
-GROUP_PARTLY_US = 2_000_000
-PAUSE_OVER_US = 100_000  # a planner that was stood still is given so long to wake
-ACROSS_US = 100_000  # what a planner says at once on two links may be read so far apart
+MAX_PARTIAL_US = 2_000_000
+PAUSE_WAKE_US = 100_000  # time that a paused planner is allowed for resuming
+CROSS_LINK_US = 100_000  # most time between the relay's reads of messages sent at once on two links
 READY, DRAINING, GONE = "ready", "draining", "gone"
 STATES = {
     directory_pb2.NodeEntry.STATE_READY: READY,
@@ -21,17 +21,17 @@
     directory_pb2.NodeEntry.STATE_GONE: GONE,
 }
 
-DEADLINE_EXCEEDED = 4  # the status code of gRPC
+DEADLINE_EXCEEDED = 4  # gRPC status code
 TOO_LATE = common_pb2.REASON_TOO_LATE
 FINISHED = node_pb2.OfferEvent.Ended.HOW_FINISHED
-AttemptKey = tuple[int, int, int]  # life, placing, attempt
+AttemptKey = tuple[int, int, int]  # planner incarnation, placement, attempt
 
 
 @dataclass(frozen=True)
 class Breach:
-    """One broken clause with what shows it."""
+    """A clause that was broken, with the messages that show it."""
 
-    rule: int  # 1 to 5; 0: the record itself does not add up
+    rule: int  # number of the rule; 0 where the capture contradicts itself
     clause: str
     text: str
     at: int
@@ -42,28 +42,28 @@
 
 @dataclass
 class ObservedOffer:
-    """One offer as it passed the relays."""
+    """An offer as the relays recorded it."""
 
     id: AttemptKey
     message: Message
     node: int
     planner: int
     sent_at: int
-    expires_at: int  # by the time-out that it stated
+    expires_at: int  # from the wait that the offer stated
     service: int
     task_class: str
     task: tuple[str, int]
-    ended_at: int | None = None  # the node's last word, a stop, or the end of its link
-    known_not_run: bool = False  # the node said that it never ran
+    ended_at: int | None = None  # time of the final status, of a stop, or of the end of its link
+    known_not_run: bool = False  # whether the attempt is known never to have run
     accepted: bool = False
     running: bool = False
     final_status: str = ""
-    delivered_at: int | None = None  # when it was handed on to its node
+    delivered_at: int | None = None  # when it was forwarded to its node
 
 
 @dataclass
 class ObservedPlacement:
-    """One placement: from the request to its outcome."""
+    """A placement from its request to its outcome."""
 
     incarnation: int
     placement: int
@@ -74,14 +74,14 @@
     admitted: Message | None = None
     outcome: Message | None = None
     outcome_kind: str = ""
-    recovered: bool = False  # told as found after its outcome
-    released_at: int | None = None  # withdrawn, or its owner's stream ended
+    recovered: bool = False  # reported as found after it was admitted
+    released_at: int | None = None  # when it was withdrawn or its owner's stream ended
     received_at: int | None = None  # when it reached the planner
     offers: list[ObservedOffer] = field(default_factory=list)
 
     @property
     def has_age(self) -> bool:
-        """Whether the request carries its age; else its wait counts from its arrival."""
+        """Return whether the request carries its age; otherwise its wait counts from its arrival."""
         return self.request is not None and getattr(
             self.request.body, self.request.body.WhichOneof("kind")
         ).HasField("sent")
@@ -96,19 +96,18 @@
 
 @dataclass
 class ObservedGroup:
-    """One attempt to place a group, as nodes were notified of it."""
+    """An attempt to place a group, as seen in the messages to and from nodes."""
 
     key: tuple[int, int]
     size: int
     offered: set[int] = field(default_factory=set)
     committed: set[int] = field(default_factory=set)
-    running: dict[int, int] = field(default_factory=dict)  # member: since when
+    running: dict[int, int] = field(default_factory=dict)  # start time by member
     finished: set[int] = field(default_factory=set)
-    failed: set[int] = field(default_factory=set)  # ran, and ended otherwise
-    uncertain_since: dict[int, int] = field(
-        default_factory=dict
-    )  # ran when the link to its node was cut, then
-    attempt_of: dict[int, AttemptKey] = field(default_factory=dict)  # the one by which a member runs
+    failed: set[int] = field(default_factory=set)  # members that ran and ended without finishing
+    # By member: when the link to its node was cut while the member ran.
+    uncertain_since: dict[int, int] = field(default_factory=dict)
+    attempt_of: dict[int, AttemptKey] = field(default_factory=dict)  # the attempt by which each member runs
     last_running_at: int = 0  # when a member was last known to run
     partial_since: int | None = None
     evidence: Message | None = None
@@ -116,7 +115,7 @@
 
 @dataclass
 class Counts:
-    """What the capture shows, counted."""
+    """Totals over the messages of a capture."""
 
     asks: int = 0
     taken: int = 0
@@ -137,11 +136,11 @@
     groups_refused: int = 0
     groups_failed: int = 0
     groups_tried: int = 0
-    side_by_side: int = 0  # copies of a task that must not run twice, running at once
-    side_by_side_own: int = 0  # of those, by attempts of one placing: no owner asked twice
-    stale_refused: int = 0  # offers that came too late and were turned down for it
+    side_by_side: int = 0  # second copies, running at the same time, of tasks that must not run twice
+    side_by_side_own: int = 0  # such copies from attempts of one placement, without a second request
+    stale_refused: int = 0  # offers that nodes refused as too late
     stale_asks: int = 0
-    fresh_refused: int = 0  # offers turned down as too late while their wait was not over
+    fresh_refused: int = 0  # offers refused as too late before their wait had ended
     messages: int = 0
 
 
@@ -150,50 +149,58 @@
 
 
 class Observations:
-    """Tables that the rules share."""
+    """Tables that the rules share, filled as messages are read."""
 
     def __init__(self, facts: dict[str, Any]) -> None:
         self.facts = facts
         self.classes = {c["name"]: c for c in facts["classes"]}
-        self.script: list[tuple[int, str]] = []  # what the script did, as the capture tells it
+        self.script: list[tuple[int, str]] = []  # the scenario's actions and their times, from the capture
         self.breaches: list[Breach] = []
         self.counts = Counts()
         self.first_at = 0
         self.last_at = 0
         self.records: dict[tuple[int, int], ObservedPlacement] = {}
-        self.requests: dict[tuple[int, int, int], ObservedPlacement] = {}  # link, stream, ask
+        self.requests: dict[
+            tuple[int, int, int], ObservedPlacement
+        ] = {}  # by link, stream and request number
         self.planner_incarnation: dict[tuple[int, int], int] = {}
-        self.offer_incarnation: dict[tuple[int, int], tuple[int, int]] = {}  # planner and life
-        self.newest_link: dict[tuple[int, int], int] = {}  # life and node: the link of its newest stream
+        self.offer_incarnation: dict[tuple[int, int], tuple[int, int]] = {}  # planner and its incarnation
+        self.newest_link: dict[
+            tuple[int, int], int
+        ] = {}  # by incarnation and node: the link of the newest stream
         self.ended_links: set[int] = set()
-        self.closed_ends: set[tuple[int, bool]] = set()  # link, and whether it was the dialling end
-        self.tasks_requested_at: dict[tuple[int, int], int] = {}  # when, by link and stream
-        self.committed: dict[AttemptKey, tuple[int, Message]] = {}  # until when the last commit counts
+        self.closed_ends: set[tuple[int, bool]] = set()  # link, and whether the dialling end closed
+        self.tasks_requested_at: dict[
+            tuple[int, int], int
+        ] = {}  # request time of a task list, by link and stream
+        self.committed: dict[AttemptKey, tuple[int, Message]] = {}  # when the last commit expires
         self.offers: dict[tuple[int, AttemptKey], ObservedOffer] = {}  # by node
         self.by_link: dict[int, list[ObservedOffer]] = defaultdict(list)
         self.list_watcher: dict[tuple[int, int], int] = {}
         self.listed: dict[int, dict[int, tuple[str, int, Message]]] = defaultdict(dict)
-        self.draining_since: dict[tuple[int, int], tuple[int, Message]] = {}  # life, node: draining since
-        self.place_of: dict[int, tuple[str, str]] = {}  # zone and rack
-        self.node_incarnations: dict[int, tuple[int, int]] = {}  # node: its life, and when it began here
-        self.notified_of_start: dict[tuple[int, int], set[int]] = defaultdict(
-            set
-        )  # node, life: planners told
+        self.draining_since: dict[
+            tuple[int, int], tuple[int, Message]
+        ] = {}  # by incarnation and node: since when it drains
+        self.place_of: dict[int, tuple[str, str]] = {}  # zone and rack by node
+        self.node_incarnations: dict[
+            int, tuple[int, int]
+        ] = {}  # by node: its incarnation, and the capture time at which that started
+        # By node and its incarnation: the planners that have learned of the start.
+        self.notified_of_start: dict[tuple[int, int], set[int]] = defaultdict(set)
         self.slow_start_offers: dict[tuple[int, int], deque[tuple[int, int, Message]]] = defaultdict(deque)
         self.crashed: set[tuple[int, int]] = set()
-        self.counted: dict[int, dict[tuple[int, AttemptKey], tuple[int, str]]] = defaultdict(
-            dict
-        )  # life: what counts
+        # By planner incarnation: the tasks that count towards spread limits, each with its service and class.
+        self.spread_tasks: dict[int, dict[tuple[int, AttemptKey], tuple[int, str]]] = defaultdict(dict)
         self.running: dict[tuple[str, int], dict[tuple[int, AttemptKey], ObservedOffer]] = defaultdict(dict)
-        self.groups: dict[tuple[int, int], ObservedGroup] = {}  # life and number of a try
-        self.received_numbers: set[tuple[int, int, int, int]] = set()  # numbered words, as they were heard
-        self.sent_numbers: set[tuple[int, int, int, int]] = set()  # and as they were said
+        self.groups: dict[tuple[int, int], ObservedGroup] = {}  # by planner incarnation and group number
+        self.received_numbers: set[tuple[int, int, int, int]] = set()  # numbered messages that were received
+        self.sent_numbers: set[tuple[int, int, int, int]] = set()  # numbered messages that were sent
         self.possible_duplicates: list[tuple[Message, ObservedOffer, ObservedOffer]] = []
         self.observed_incarnation: dict[int, int] = {}
         self.partial_groups: dict[tuple[int, int], ObservedGroup] = {}
         self.member_of: dict[AttemptKey, tuple[tuple[int, int], int]] = {}
         self.members_in_flight: dict[tuple[str, int], ObservedOffer] = {}
-        self.timeline: list[tuple[int, str, str]] = []  # at, what, class
+        self.timeline: list[tuple[int, str, str]] = []  # time, outcome, class
 
     def _breach(
         self,
@@ -205,8 +212,8 @@
         node: int | None = None,
         others: Iterable[Message | None] = (),
     ) -> None:
-        shown = [m for m in others if m is not None] + [message]
-        evidence = tuple(f"{(m.at - self.first_at) / 1e6:.6f}s {m.where()}" for m in shown)
+        messages = [m for m in others if m is not None] + [message]
+        evidence = tuple(f"{(m.at - self.first_at) / 1e6:.6f}s {m.where()}" for m in messages)
         name = task_name(task) if task else ""
         self.breaches.append(Breach(rule, clause, text, message.at, name, node, evidence))
 
