--- a/stairplank/rehearsal/batch.py
+++ b/stairplank/rehearsal/batch.py
@@ -1,4 +1,4 @@
-"""Many rehearsals, several at a time, each in processes of its own; a failing one is cut down."""
+"""Runs a series of rehearsals, several at a time, each in a separate process, and shrinks failing ones."""
 
 from __future__ import annotations
 
@@ -21,29 +21,29 @@
 
 @dataclass
 class Run:
-    """One rehearsal of a series."""
+    """One rehearsal of a series, with its results."""
 
     name: str
     scenario: Path
     report: Path
-    code: int | None = None  # None: it was ended after ``RUN_LIMIT_S``
-    told: dict[str, Any] = field(default_factory=dict)
-    said: str = ""
+    code: int | None = None  # exit code; None where it was killed after ``RUN_LIMIT_S``
+    results: dict[str, Any] = field(default_factory=dict)
+    output: str = ""
 
     @property
     def clean(self) -> bool:
         return self.code == 0 and not self.count("side_by_side_own")
 
     def count(self, what: str) -> int:
-        return int(self.told.get("counts", {}).get(what, 0))
+        return int(self.results.get("counts", {}).get(what, 0))
 
     def row(self) -> tuple[str, ...]:
         lines = sum(line.startswith("at ") for line in self.scenario.read_text().splitlines())
-        verdict = self.told.get("verdict", "ended without a report")
+        verdict = self.results.get("verdict", "ended without a report")
         if self.code not in (0, 1):
-            verdict = f"exit {self.code}: {self.said.strip().splitlines()[-1:] or ['']}"
-        elif self.told.get("unclean"):
-            verdict += f"; ended uncleanly: {', '.join(self.told['unclean'])}"
+            verdict = f"exit {self.code}: {self.output.strip().splitlines()[-1:] or ['']}"
+        elif self.results.get("unclean"):
+            verdict += f"; ended uncleanly: {', '.join(self.results['unclean'])}"
         counts = (
             "asks",
             "placed",
@@ -82,7 +82,7 @@
 
 
 class Batch:
-    """Runs scenario files; ``jobs`` at a time."""
+    """Runs scenario files, ``jobs`` at a time."""
 
     def __init__(self, folder: Path, jobs: int, progress: Callable[[str], None]) -> None:
         self.folder = folder
@@ -90,17 +90,19 @@
         self.progress = progress
 
     def drawn(self, base: Path, count: int, seed: int) -> list[Run]:
-        """Scenarios drawn on a room, kept beside their reports."""
-        room = base.read_text()
+        """Run ``count`` scenarios with random faults added to ``base``; each is stored beside its report."""
+        base_lines = base.read_text()
         space = space_of(load_scenario(base))
         runs = []
         for number in range(seed, seed + count):
-            runs.append(self.made(f"drawn-{number}", self.with_lines(room, number, draw(space, number))))
+            runs.append(
+                self.made(f"drawn-{number}", self.with_lines(base_lines, number, draw(space, number)))
+            )
         return self.run(runs)
 
     @staticmethod
-    def with_lines(room: str, seed: int, lines: list[str]) -> str:
-        kept = [line for line in room.splitlines() if not line.startswith(("at ", "seed "))]
+    def with_lines(base_lines: str, seed: int, lines: list[str]) -> str:
+        kept = [line for line in base_lines.splitlines() if not line.startswith(("at ", "seed "))]
         return "\n".join([f"seed {seed}", *kept, *lines]) + "\n"
 
     def made(self, name: str, text: str) -> Run:
@@ -120,9 +122,10 @@
     def _one(self, run: Run) -> None:
         args = [sys.executable, "-m", "stairplank", "--end-with-stdin", "rehearse", str(run.scenario)]
         args += ["--report", str(run.report), "--work", str(run.report / "work")]
-        said = run.report / "said"
-        with said.open("wb") as out:
-            # Standard input stays open for as long as we live: it ends with us, also when we are killed.
+        output_file = run.report / "said"
+        with output_file.open("wb") as out:
+            # Standard input stays open while this process runs, so the child ends even if this process is
+            # killed.
             process = subprocess.Popen(args, stdin=subprocess.PIPE, stdout=out, stderr=subprocess.STDOUT)
         try:
             run.code = process.wait(timeout=RUN_LIMIT_S)
@@ -131,38 +134,38 @@
             process.wait()
         assert process.stdin is not None
         process.stdin.close()
-        run.said = said.read_text()
-        told = run.report / "report.json"
-        if told.exists():
-            run.told = json.loads(told.read_text())
+        run.output = output_file.read_text()
+        report_file = run.report / "report.json"
+        if report_file.exists():
+            run.results = json.loads(report_file.read_text())
         self.progress(f"{run.name}: {run.row()[-1]}")
 
     def shrink(self, failing: Run, most: int) -> Run:
-        """The smallest script found that still fails, by leaving lines out, with ``most`` further rehearsals.
+        """Return the smallest failing scenario found by leaving out lines, in at most ``most`` more runs.
 
-        Halves are left out first, then smaller parts, then single lines; the parts of one round are tried
-        side by side. Real processes do not fail each time that they could: what passes once is put aside.
+        Halves are left out first, then smaller parts, then single lines; the candidates of one round run in
+        parallel. A failure may be intermittent, but a candidate that passes once is not tried again.
         """
-        best, spent = failing, 0
+        smallest, spent = failing, 0
         text = failing.scenario.read_text()
-        room = [line for line in text.splitlines() if not line.startswith("at ")]
+        base_lines = [line for line in text.splitlines() if not line.startswith("at ")]
         lines = [line for line in text.splitlines() if line.startswith("at ")]
         parts = 2
         while len(lines) > 1 and spent < most:
             size = max(1, len(lines) // parts)
-            tries = [lines[:i] + lines[i + size :] for i in range(0, len(lines), size)]
+            candidates = [lines[:i] + lines[i + size :] for i in range(0, len(lines), size)]
             runs = [
-                self.made(f"{failing.name}-less-{spent + i}", "\n".join([*room, *rest]) + "\n")
-                for i, rest in enumerate(tries[: most - spent])
+                self.made(f"{failing.name}-less-{spent + i}", "\n".join([*base_lines, *candidate]) + "\n")
+                for i, candidate in enumerate(candidates[: most - spent])
             ]
             spent += len(runs)
             self.run(runs)
-            worse = [i for i, run in enumerate(runs) if not run.clean]
-            if worse:
-                best, lines = runs[worse[0]], tries[worse[0]]
+            failing_indexes = [i for i, run in enumerate(runs) if not run.clean]
+            if failing_indexes:
+                smallest, lines = runs[failing_indexes[0]], candidates[failing_indexes[0]]
                 parts = max(2, parts - 1)
             elif size == 1:
                 break
             else:
                 parts = min(len(lines), parts * 2)
-        return best
+        return smallest
--- a/stairplank/rehearsal/bench_day.py
+++ b/stairplank/rehearsal/bench_day.py
@@ -1,9 +1,9 @@
-"""Day files of the bench, turned into scenarios for real processes.
+"""Converts day files of the bench into scenarios for real processes.
 
-A day file is the JSON that the bench's ``draw`` prints: fleet, classes, demand and every trouble, with its
-figures. What can be carried over becomes lines of a scenario; what cannot is said, a line each. ``scale``
-takes a share of nodes, planners and demand; ``speed`` lets the day pass so many times faster, aims and
-deadlines apart.
+A day file is the JSON that the bench's ``draw`` prints: fleet, classes, demand and troubles (faults), with
+their parameters. What a scenario can express becomes lines of a scenario; for the rest, ``notes`` has a line
+each. ``scale`` keeps a share of nodes, planners and demand. ``speed`` makes the day pass that many times
+faster, but leaves latency objectives and deadlines unchanged.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 GROUPS = {"all": "all", "zone": "zone", "cell": "rack"}
 SPREADS = {"machine": "node", "cell": "rack", "zone": "zone"}
 SHAPE_STEPS = 12
-CAPACITY_LESS = 0.07
-TICK_US = 20_000  # real planners on a shared machine: answers are timed more coarsely than on the bench
+CAPACITY_MARGIN = 0.07
+TICK_US = 20_000  # planner tick; coarser than the bench's, as real planners share a machine
 SLACK_US = 500_000
 
 
 class DayError(Exception):
-    """The file is no day of the kind that tasks are placed on; the text names the key."""
+    """The file is not a day file of the family "place"; the text names the key."""
 
 
 @dataclass
 class Carried:
-    """A scenario's text, and what of the day it leaves out or takes as something else."""
+    """A scenario's text, and notes on what of the day it omits or replaces."""
 
     text: str
     notes: list[str] = field(default_factory=list)
 
 
-# Keys of a day that say nothing about what happens in a room.
+# Keys of a day file that have no effect on a scenario.
 BOOKKEEPING = (
     "v",
     "site",
@@ -65,13 +65,15 @@
 CARRIED += ("drain_grace", "fall_multiple", "fall_for", "discovery", "tick", "clients", "entry")
 LEFT_OUT = {
     "net": "loopback has no distances",
-    "front_notice": "owners find a dead planner by its broken stream",
-    "tenants": "tasks of all tenants are asked for as one owner's",
-    "allow": "probes and calls-off are always allowed here; the most attempts are carried",
+    "front_notice": "owners detect a failed planner by its broken stream",
+    "tenants": "the tasks of all tenants are requested as one owner's",
+    "allow": "probes and stops are always allowed here; max_attempts is carried over",
 }
 
 
-class _Day:
+class _DayConverter:
+    """The conversion of one day file."""
+
     def __init__(self, day: dict[str, Any], scale: float, speed: float, seed: int) -> None:
         if day.get("family") != "place":
             raise DayError(f"family: {day.get('family')!r} is not 'place'")
@@ -84,9 +86,9 @@
         servers = day["servers"]
         self.present = [i for i, s in enumerate(servers) if s.get("up", True)]
         self.later = [i for i, s in enumerate(servers) if not s.get("up", True)]
-        self.kept = self._some(self.present, 3) + self._some(self.later, 0)
+        self.kept = self._even_selection(self.present, 3) + self._even_selection(self.later, 0)
         self.planners = max(1, round(len(day["balancers"]) * scale))
-        # A fleet block has one zone, kind and rack: nodes are numbered in the order of the blocks.
+        # A fleet block has one zone, kind and rack, and nodes are numbered in the order of the blocks.
         groups: dict[tuple[int, int, int, bool], list[int]] = {}
         for i in self.kept:
             s = servers[i]
@@ -98,28 +100,28 @@
             for i in members:
                 self.number[i] = len(self.number) + 1
 
-    def _some(self, items: list[int], least: int) -> list[int]:
-        """An even share of zones, kinds and cells."""
+    def _even_selection(self, items: list[int], least: int) -> list[int]:
+        """Return the share ``scale`` of the items, at least ``least``, evenly over zones, kinds and cells."""
         servers = self.day["servers"]
         items = sorted(items, key=lambda i: (servers[i]["zone"], servers[i]["kind"], servers[i]["cell"], i))
         count = min(len(items), max(least, round(len(items) * self.scale)))
         return [items[int(k * len(items) / count)] for k in range(count)] if count else []
 
     def time(self, us: float) -> str:
-        """A time of the day, at the speed."""
+        """Return a time of the day as text, divided by the speed."""
         return format_duration(max(1, round(us / self.speed)))
 
     def nodes(self, on: list[int]) -> list[int]:
-        """Numbers of those nodes that are here; one at least, as a trouble without a node is none."""
+        """Return the numbers of the kept nodes among ``on``, at least one, so that the fault has a target."""
         here = [self.number[i] for i in on if i in self.number]
         if not here and on:
             here = [1 + on[0] % len(self.number)]
             self.notes.append(
-                f"a trouble's nodes {on} are not among the kept ones: node {here[0]} stands for them"
+                f"a trouble's nodes {on} are not among the kept ones: node {here[0]} is used in their place"
             )
         return sorted(here)
 
-    # The parts of a scenario
+    # Sections of the scenario
 
     def text(self) -> str:
         lines = [
@@ -132,7 +134,7 @@
         ]
         lines += [
             *self._classes(),
-            *self._room(),
+            *self._cluster(),
             *self._fleet(),
             *self._node_model(),
             *self._list(),
@@ -141,7 +143,7 @@
         lines += self._shape()
         for trouble in self.day["troubles"]:
             lines += self._trouble(trouble)
-        self._rest()
+        self._note_other_keys()
         return "\n".join(lines) + "\n"
 
     def _settle_us(self) -> int:
@@ -149,22 +151,25 @@
 
     def _classes(self) -> list[str]:
         out = []
-        for sort, use in zip(self.day["classes"], self.fam["uses"], strict=True):
-            effect = EFFECTS[sort["effect"]]
+        for task_class, use in zip(self.day["classes"], self.fam["uses"], strict=True):
+            effect = EFFECTS[task_class["effect"]]
             out += [
-                f"class {sort['name']}",
+                f"class {task_class['name']}",
                 f"  effect {effect}",
-                f"  aim {format_duration(sort['aim'])}",
-                f"  deadline {format_duration(sort['deadline'])}",
-                f"  worth {sort['worth']}",
-                f"  late-worth {sort.get('late_worth', 0.0)}",
+                f"  aim {format_duration(task_class['aim'])}",
+                f"  deadline {format_duration(task_class['deadline'])}",
+                f"  worth {task_class['worth']}",
+                f"  late-worth {task_class.get('late_worth', 0.0)}",
                 f"  start-worth {format_duration(round(use.get('start_s', 0.0) * 1e6))}",
                 f"  priority {use.get('priority', 0)}",
                 f"  calm-until {use.get('calm', 1.0)}",
                 f"  lost-over {use.get('fade', 1.0)}",
             ]
             if effect == "keyed":
-                out += [f"  group {GROUPS[sort['group']]}", f"  window {format_duration(sort['window'])}"]
+                out += [
+                    f"  group {GROUPS[task_class['group']]}",
+                    f"  window {format_duration(task_class['window'])}",
+                ]
             if use.get("spread") in SPREADS:
                 out.append(f"  spread {SPREADS[use['spread']]} {use['most']}")
             if use.get("on_kind", -1) >= 0:
@@ -172,9 +177,9 @@
             out.append("end")
         return out
 
-    def _room(self) -> list[str]:
+    def _cluster(self) -> list[str]:
         day, fam, tier = self.day, self.fam, self.day["tiers"][0]
-        cores, memory = self._mean_ask()
+        cores, memory = self._mean_request()
         allow = day.get("allow", {})
         kinds = [
             f"kind {k['name']} cores {k['cores']} memory {m}"
@@ -202,11 +207,11 @@
             *(f"price {name} {day.get('prices', {}).get(key, 0.0)}" for name, key in PRICES.items()),
         ]
 
-    def _mean_ask(self) -> tuple[float, float]:
+    def _mean_request(self) -> tuple[float, float]:
         cores = memory = total = 0.0
-        for sort, use in zip(self.day["classes"], self.fam["uses"], strict=True):
+        for task_class, use in zip(self.day["classes"], self.fam["uses"], strict=True):
             for c, m, share in use["shapes"]:
-                weight = sort["share"] * share
+                weight = task_class["share"] * share
                 cores, memory, total = cores + weight * c, memory + weight * m, total + weight
         return cores / total, memory / total
 
@@ -232,10 +237,10 @@
             c["share"] for c in self.day["classes"]
         )
         used = [u["used"] for u in fam["uses"]]
-        look = int(fam["admit_us"])
-        self.notes.append("speeds of single nodes: all nodes of a kind are alike here")
+        admission_us = int(fam["admit_us"])
+        self.notes.append("speeds of single nodes: all nodes of a kind are the same here")
         return [
-            f"look-time {format_duration(look)}..{format_duration(look)}",
+            f"look-time {format_duration(admission_us)}..{format_duration(admission_us)}",
             f"waiting-most {max(1, int(fam['admit_queue']))}",
             f"starts-at-once {max(1, int(fam['starts']))}",
             f"start-time {format_duration(max(1000, int(work)))}",
@@ -246,31 +251,31 @@
         ]
 
     def _list(self) -> list[str]:
-        told = self.day.get("discovery", {})
+        discovery = self.day.get("discovery", {})
         return [
-            f"list-notice {self.time(told.get('notice', 300_000))}",
-            f"list-silent {self.time(told.get('silent_notice', 3_000_000))}",
-            f"list-period {self.time(told.get('period', 200_000))}",
+            f"list-notice {self.time(discovery.get('notice', 300_000))}",
+            f"list-silent {self.time(discovery.get('silent_notice', 3_000_000))}",
+            f"list-period {self.time(discovery.get('period', 200_000))}",
         ]
 
     def _demand(self) -> list[str]:
         day, fam = self.day, self.fam
         shares = sum(c["share"] for c in day["classes"])
-        soon = fam.get("move_gap", 50_000)
+        move_gap = fam.get("move_gap", 50_000)
         out = [
             f"rate {self.rate():.3f}",
             f"owner-again {format_duration(int(fam['again']))}..{format_duration(int(fam['again'] * 1.5))}",
-            f"owner-soon {self.time(soon)}..{self.time(soon * 4)}",
+            f"owner-soon {self.time(move_gap)}..{self.time(move_gap * 4)}",
             f"owner-wanted {self.time(fam['life_s'] * 1e6 + 10e6)}",
         ]
-        for sort, use in zip(day["classes"], fam["uses"], strict=True):
+        for task_class, use in zip(day["classes"], fam["uses"], strict=True):
             life = fam["life_s"] * use["life"] * 1e6
             batch = max(1, round(use["batch"]))
-            live = self.rate() * sort["share"] / shares * life / self.speed / 1e6
+            live = self.rate() * task_class["share"] / shares * life / self.speed / 1e6
             most = max(batch, math.ceil(use["service"] * 2))
             out += [
-                f"demand {sort['name']}",
-                f"  share {sort['share'] / shares:.4f}",
+                f"demand {task_class['name']}",
+                f"  share {task_class['share'] / shares:.4f}",
                 *(f"  size {c} {m}" for c, m, _ in use["shapes"]),
                 f"  life {self.time(life * 0.4)}..{self.time(life * 1.6)}",
                 f"  batch {max(1, batch - 1)}..{batch + 1}",
@@ -279,32 +284,37 @@
                 "end",
             ]
         self.notes.append(
-            "the spread of lives and of uses: lives are drawn evenly from 0.4 to 1.6 of the mean"
+            "the distribution of lifetimes and of use: lifetimes are uniform from 0.4 to 1.6 of the mean"
         )
-        self.notes.append("tasks that run when the day begins: it begins empty here")
+        self.notes.append("tasks that run when the day begins: the scenario begins without tasks")
         return out
 
     def rate(self) -> float:
-        """Tasks a second: the day's share of what fills the tightest of cores and memory, asked or used."""
+        """Return the task rate per second, from the day's load and the scarcest resource of the kept nodes.
+
+        The resources are cores and memory, each as requested and as used.
+        """
         day, fam = self.day, self.fam
         shares = sum(c["share"] for c in day["classes"])
-        asked = [0.0, 0.0]
+        requested = [0.0, 0.0]
         used = [0.0, 0.0]
-        for sort, use in zip(day["classes"], fam["uses"], strict=True):
-            life = fam["life_s"] * use["life"] / self.speed * sort["share"] / shares
+        for task_class, use in zip(day["classes"], fam["uses"], strict=True):
+            life = fam["life_s"] * use["life"] / self.speed * task_class["share"] / shares
             weights = sum(x[2] for x in use["shapes"])
             for j in (0, 1):
                 mean = sum(x[j] * x[2] for x in use["shapes"]) / weights
-                asked[j] += mean * life
+                requested[j] += mean * life
                 used[j] += mean * life * use["used"][j]
         kinds = day["tiers"][0]["kinds"]
         here = [day["servers"][i] for i in self.kept if i not in set(self.later)]
-        room = (sum(kinds[s["kind"]]["cores"] for s in here), sum(fam["memory"][s["kind"]] for s in here))
-        rates = [room[j] * fam["over"][j] / asked[j] for j in (0, 1)] + [room[j] / used[j] for j in (0, 1)]
-        return float(min(rates) * (1 - CAPACITY_LESS) * day["traffic"]["load"])
+        capacity = (sum(kinds[s["kind"]]["cores"] for s in here), sum(fam["memory"][s["kind"]] for s in here))
+        rates = [capacity[j] * fam["over"][j] / requested[j] for j in (0, 1)] + [
+            capacity[j] / used[j] for j in (0, 1)
+        ]
+        return float(min(rates) * (1 - CAPACITY_MARGIN) * day["traffic"]["load"])
 
     def _shape(self) -> list[str]:
-        """The demand's curve as steps."""
+        """Return the demand curve as fault lines with a step for each part of the day."""
         shape = [(t * 1e6, f) for t, f in self.day["traffic"].get("shape", [])]
         if len(shape) < 2:
             return []
@@ -326,8 +336,8 @@
             return []
         return make(self, trouble)
 
-    def _rest(self) -> None:
-        """Say of every further key of the day what becomes of it."""
+    def _note_other_keys(self) -> None:
+        """Note for each remaining key of the day that it is not carried over."""
         for key in self.day:
             if key in LEFT_OUT:
                 self.notes.append(f"{key}: {LEFT_OUT[key]}")
@@ -337,22 +347,24 @@
             f"tick: {format_duration(TICK_US)} in place of the day's; "
             f"answer slack {format_duration(SLACK_US)}"
         )
-        self.notes.append("clients: only the wait before they ask again; retries within a try are not made")
+        self.notes.append(
+            "clients: only the wait before a new request; retries within a request are not made"
+        )
 
 
 PRICES = {"move": "moves", "waste": "waste", "probe": "probe", "list": "discovery", "fleet": "fleet"}
-Make = Callable[[_Day, dict[str, Any]], list[str]]
+Make = Callable[[_DayConverter, dict[str, Any]], list[str]]
 
 
 def _on_nodes(what: Callable[[dict[str, Any]], str]) -> Make:
-    def make(d: _Day, t: dict[str, Any]) -> list[str]:
+    def make(d: _DayConverter, t: dict[str, Any]) -> list[str]:
         nodes = " ".join(map(str, d.nodes(t["on"])))
         return [f"at {d.time(t['at'])} node {nodes} {what(t)} for {d.time(t['len'])}"] if nodes else []
 
     return make
 
 
-def _pauses(d: _Day, t: dict[str, Any]) -> list[str]:
+def _pauses(d: _DayConverter, t: dict[str, Any]) -> list[str]:
     nodes = " ".join(map(str, d.nodes(t["on"])))
     length, every = (
         format_duration(max(1000, int(t["size"] * 1000))),
@@ -361,30 +373,30 @@
     return [f"at {d.time(t['at'])} node {nodes} pauses {length} {every} for {d.time(t['len'])}"]
 
 
-def _steps(d: _Day, t: dict[str, Any]) -> list[str]:
-    """Nodes that drain and leave, and nodes that come up: a deploy, a shrink, waves, growth."""
+def _steps(d: _DayConverter, t: dict[str, Any]) -> list[str]:
+    """Return the lines of a rolling change: nodes that drain and leave, and nodes that start."""
     out = []
     notice = t["extra"] if t["kind"] != "preempt" else min(t["size"], t["extra"])
     for step in t["steps"]:
-        going = sorted(d.number[i] for i in step["stop"] if i in d.number)
-        coming = sorted(d.number[i] for i in step["start"] if i in d.number)
-        if going:
+        leaving = sorted(d.number[i] for i in step["stop"] if i in d.number)
+        starting = sorted(d.number[i] for i in step["start"] if i in d.number)
+        if leaving:
             out.append(
-                f"at {d.time(step['at'])} node {' '.join(map(str, going))} leave {d.time(notice * 1e6)}"
+                f"at {d.time(step['at'])} node {' '.join(map(str, leaving))} leave {d.time(notice * 1e6)}"
             )
-        if coming:
-            out.append(f"at {d.time(step['at'])} node {' '.join(map(str, coming))} grow")
+        if starting:
+            out.append(f"at {d.time(step['at'])} node {' '.join(map(str, starting))} grow")
     if not out:
         d.notes.append(f"trouble {t['kind']}: none of its nodes is among the kept ones at this scale")
     return out
 
 
-def _zone(d: _Day, t: dict[str, Any]) -> list[str]:
+def _zone(d: _DayConverter, t: dict[str, Any]) -> list[str]:
     zones = d.day["zones"]
     return [f"at {d.time(t['at'])} zone {zones[t['which'] % len(zones)]} cut for {d.time(t['len'])}"]
 
 
-def _throttle(d: _Day, t: dict[str, Any]) -> list[str]:
+def _throttle(d: _DayConverter, t: dict[str, Any]) -> list[str]:
     nodes = " ".join(map(str, d.nodes(t["on"])))
     name = d.day["classes"][t["which"] % len(d.day["classes"])]["name"]
     if t.get("how") not in (None, "class"):
@@ -394,8 +406,8 @@
     return [f"at {d.time(t['at'])} node {nodes} turn-away {name} {share:.4f} for {d.time(t['len'])}"]
 
 
-def _stall(d: _Day, t: dict[str, Any]) -> list[str]:
-    """Planners that stand still again and again, together or one after another."""
+def _stall(d: _DayConverter, t: dict[str, Any]) -> list[str]:
+    """Return the lines of repeated planner pauses, at the same time or staggered."""
     planners = sorted({i % d.planners for i in t["on"]})[: max(1, round(len(t["on"]) * d.scale))]
     length, every = max(1.0, t["size"]) * 1000, max(0.2, t["extra"]) * 1e6
     out = []
@@ -407,7 +419,7 @@
     return out
 
 
-def _simple(line: Callable[[_Day, dict[str, Any]], str]) -> Make:
+def _simple(line: Callable[[_DayConverter, dict[str, Any]], str]) -> Make:
     return lambda d, t: [f"at {d.time(t['at'])} {line(d, t)}"]
 
 
@@ -434,11 +446,11 @@
 
 
 def scenario_from_day(day: dict[str, Any], scale: float = 1.0, speed: float = 1.0, seed: int = 1) -> Carried:
-    """Raises DayError for what is no day, or lacks what a scenario needs."""
+    """Convert a day file. Raises DayError where it is not a day file or lacks what a scenario needs."""
     if not 0 < scale <= 1 or not 0.1 <= speed <= 20:
         raise DayError("scale must lie above 0 and at most at 1, speed within 0.1 to 20")
     try:
-        made = _Day(day, scale, speed, seed)
-        return Carried(made.text(), made.notes)
+        converter = _DayConverter(day, scale, speed, seed)
+        return Carried(converter.text(), converter.notes)
     except (KeyError, TypeError, IndexError, ValueError, AttributeError) as error:
         raise DayError(f"not a whole day file: {type(error).__name__} {error}") from None
--- a/stairplank/rehearsal/fault_generator.py
+++ b/stairplank/rehearsal/fault_generator.py
@@ -1,8 +1,8 @@
-"""Fault scripts drawn under a seed, over every kind of fault at once. No I/O.
+"""Generates random faults of every kind from a seed. No I/O.
 
-A draw takes a room without faults and gives lines to add to it: how many, which kinds, on whom, when and for
-how long. Kinds are drawn evenly, so that rare ones come as often as common ones; times fall anywhere in the
-part of the day in which tasks are asked for, so that faults overlap.
+``draw`` takes the size of a scenario without faults and returns fault lines to add to it, with random kinds,
+targets, times and durations. Kinds are uniformly distributed, so that rare ones come as often as common ones.
+Times are uniformly distributed over the time in which clients send requests, so that faults overlap.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from ..standin.script import FAULTS
 
 FIRST_US = 1_000_000
-LONGEST_US = 12_000_000  # of a fault
-MOST_GONE = 0.4  # share of the nodes that a day may drain, kill or take away, one after another
+LONGEST_US = 12_000_000  # longest duration of a fault
+MAX_REMOVED_SHARE = 0.4  # share of the nodes that a scenario may drain, kill or remove in total
 
 
 @dataclass(frozen=True)
 class Space:
-    """What faults can be drawn on."""
+    """What faults can act on, and until when."""
 
     nodes: int
     absent: int
     planners: int
     zones: tuple[str, ...]
     classes: tuple[str, ...]
-    until_us: int  # no fault begins later
+    until_us: int  # latest start of a fault
 
 
 def kinds() -> list[tuple[str, str]]:
-    """Every target and fault; the links' once for each end that they lead to."""
+    """Return all pairs of target and fault; a link fault appears once for each kind of listening end."""
     out = []
     for target, faults in FAULTS.items():
         for what in faults:
@@ -44,14 +44,16 @@
 
 
 class _Draw:
+    """The random generator of one script, with its counts of removed and added nodes."""
+
     def __init__(self, space: Space, seed: int) -> None:
         self.space = space
         self.rng = random.Random(seed)
-        self.gone = 0
-        self.grown = 0
+        self.removed = 0
+        self.added = 0
 
     def span(self, least_us: int, most_us: int) -> str:
-        # Short ones are as likely as long ones: what breaks at 200 ms and at 8 s are different things.
+        # Durations are log-uniform, as faults of 200 ms and of 8 s expose different errors.
         low, high = least_us, min(most_us, LONGEST_US)
         return format_duration(int(low * (high / low) ** self.rng.random()) // 1000 * 1000 or low)
 
@@ -67,18 +69,18 @@
         return f"nodes {self.share(0.1, 0.6)}"
 
     def other(self) -> str | None:
-        """A node that no earlier line took away; None where enough are gone."""
-        if self.gone + 1 > self.space.nodes * MOST_GONE:
+        """Return a target that no earlier line removes, or None where ``MAX_REMOVED_SHARE`` is reached."""
+        if self.removed + 1 > self.space.nodes * MAX_REMOVED_SHARE:
             return None
-        self.gone += 1
+        self.removed += 1
         return "nodes other 1"
 
     def planner(self) -> str:
         return f"planner {self.rng.randrange(self.space.planners)}"
 
     def line(self, target: str, what: str) -> str | None:
-        """One fault's words after its time, or None where the room has no place for one more of its kind."""
-        made: Callable[[], str | None] = {
+        """Return a fault line without its time, or None where no further fault of this kind fits."""
+        generator: Callable[[], str | None] = {
             "node": lambda: self.node(what),
             "planner": lambda: f"{self.planner()} {what}" + ("" if what == "cut" else self.lasting()),
             "farm": lambda: f"farm pause{self.lasting(5_000_000)}",
@@ -87,7 +89,7 @@
             "owners": lambda: f"owners {what}" + self.owners(what),
             "demand": lambda: f"demand {self.rng.uniform(0.5, 2.5):.1f}{self.lasting()}",
         }.get(target, lambda: self.links(target.split()[1], what))
-        return made()
+        return generator()
 
     def owners(self, what: str) -> str:
         return (
@@ -112,8 +114,8 @@
                 more = {"drain": "", "leave": f" {self.span(200_000, 3_000_000)}", "kill": self.lasting()}
                 return f"{other} {what}{more[what]}"
             case "grow":
-                self.grown += 1
-                return "nodes 1 grow" if self.grown <= self.space.absent else None
+                self.added += 1
+                return "nodes 1 grow" if self.added <= self.space.absent else None
             case "cut":
                 return f"{self.nodes()} cut"
             case "fail-starts" | "refuse":
@@ -129,32 +131,35 @@
             case "lose-answers":
                 how = self.rng.choice(("silence", "reset"))
                 return f"{self.nodes()} lose-answers {self.share(0.05, 0.6)} {how}{self.lasting()}"
-            case _:  # silent, hang
+            case _:  # "silent" and "hang" have only a duration
                 return f"{self.nodes()} {what}{self.lasting()}"
 
     def links(self, end: str, what: str) -> str:
-        who = {"node": self.nodes(), "planner": self.planner(), "list": "list"}[end]
+        target = {"node": self.nodes(), "planner": self.planner(), "list": "list"}[end]
         if what == "cut":
-            return f"links {who} cut"
+            return f"links {target} cut"
         if what == "half-open":
-            return f"links {who} half-open{self.lasting()}"
+            return f"links {target} half-open{self.lasting()}"
         direction = self.rng.choice(("there", "back", "both"))
         value = ""
         if what == "delay":
             value = f" {self.span(5_000, 2_000_000)}"
         elif what == "rate":
             value = f" {self.rng.choice((500, 2_000, 10_000, 50_000))}"
-        return f"links {who} {what} {direction}{value}{self.lasting()}"
+        return f"links {target} {what} {direction}{value}{self.lasting()}"
 
 
 def draw(space: Space, seed: int, least: int = 4, most: int = 12) -> list[str]:
-    """Lines of a script, in the order of their times."""
+    """Return at most ``most`` random fault lines, ordered by time.
+
+    Between ``least`` and ``most`` faults are generated; a fault that does not fit is left out.
+    """
     drawing = _Draw(space, seed)
     rng = drawing.rng
-    every = kinds()
+    fault_kinds = kinds()
     lines: list[tuple[int, str]] = []
     for _ in range(rng.randint(least, most)):
-        text = drawing.line(*rng.choice(every))
+        text = drawing.line(*rng.choice(fault_kinds))
         if text is not None:
             at = int(rng.uniform(FIRST_US, space.until_us)) // 1000 * 1000
             lines.append((at, f"at {format_duration(at)} {text}"))
--- a/stairplank/rehearsal/kill_sweep.py
+++ b/stairplank/rehearsal/kill_sweep.py
@@ -1,8 +1,8 @@
-"""A kill after each message: one group's life on real processes, again and again, cut at every point.
+"""Kill sweep: repeats a scenario of one group on real processes, with a kill after each message.
 
-A run without a kill counts the pieces that pass between planner and nodes; then, for each of them, a run in
-which the planner, or a node, is killed as that piece has passed, and comes back a second later. Each run is
-judged like any rehearsal.
+A run without a kill counts the pieces that pass between planner and nodes. For each piece, another run kills
+the planner or a node as that piece passes, and restarts it a second later. Each run is checked like any
+rehearsal.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from .run import Rehearsal
 from .scenario import Scenario
 
-BACK_S = 1.0
+RESTART_DELAY_S = 1.0
 PLANNER, NODE = "planner", "node"
 
 
 class KillSweepRun(Rehearsal):
-    """``after``: the piece after which ``target`` is killed; 0: none is."""
+    """A rehearsal that kills ``target`` at piece number ``after``; with 0, it kills nothing."""
 
     def __init__(
         self, scenario: Scenario, work: Path, progress: Callable[[str], None], after: int, target: str
@@ -37,11 +37,11 @@
         super()._prepare(recorder)
         for key, relay in recorder.relays.items():
             if key.startswith("node"):
-                relay.on_piece = self._piece
+                relay.on_piece = self._count_piece
 
-    def _piece(self) -> None:
+    def _count_piece(self) -> None:
         if not self.begin_us or self.ending:
-            return  # links come up before the day begins
+            return  # links are established before the scenario begins
         self.pieces += 1
         if self.pieces == self.after and not self.killed:
             self.killed = True
@@ -52,12 +52,12 @@
 
     def _kill_planner(self) -> None:
         child = self.children["planner 0"]
-        child.meant = True  # type: ignore[attr-defined]
+        child.ends_by_fault = True  # type: ignore[attr-defined]
         child.signal(signal.SIGKILL)
         child.process.wait(timeout=5)
         child.process.stdin.close()
-        gevent.sleep(BACK_S)
+        gevent.sleep(RESTART_DELAY_S)
         if not self.ending:
             child.start()
             gevent.sleep(1.0)
-            child.meant = False  # type: ignore[attr-defined]
+            child.ends_by_fault = False  # type: ignore[attr-defined]
--- a/stairplank/rehearsal/relay.py
+++ b/stairplank/rehearsal/relay.py
@@ -94,9 +94,8 @@
         self.links: set[Link] = set()
         self.conditions = {THERE: PathConditions(), BACK: PathConditions()}
         self.half_open = 0
-        self.on_piece: Callable[[], None] | None = (
-            None  # called for each piece that is forwarded in either direction
-        )
+        # Called for each piece that is forwarded in either direction.
+        self.on_piece: Callable[[], None] | None = None
         self.conditions_changed = gevent.event.Event()
         gevent.spawn(self._accept)
 
@@ -117,7 +116,7 @@
         finally:
             self.links.discard(link)
 
-    def _conditions_change(self) -> None:
+    def _notify_conditions_changed(self) -> None:
         for conditions in self.conditions.values():
             conditions.change()
         self._wake()
@@ -141,7 +140,7 @@
         if what == "half-open":
             self.half_open += 1
             self.cut()
-        self._conditions_change()
+        self._notify_conditions_changed()
 
     def end(self, what: str, direction: str = BOTH, value: int = 0) -> None:
         """End a fault that ``begin`` began with the same arguments."""
@@ -156,7 +155,7 @@
                 conditions.delays.remove(value)
             elif what == "rate":
                 conditions.rates.remove(value)
-        self._conditions_change()
+        self._notify_conditions_changed()
 
     def cut(self) -> None:
         """Reset every link through this relay."""
--- a/stairplank/rehearsal/report.py
+++ b/stairplank/rehearsal/report.py
@@ -1,4 +1,4 @@
-"""What a rehearsal gave, as text, JSON and a chart."""
+"""Reports the results of a rehearsal as text, JSON and a chart."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 
 def breach_text(breach: Breach, begin_us: int) -> str:
-    """A breach with rule, task, node, time and the messages that show it."""
+    """Return a breach as text, with its rule, task, node, time and the messages that show it."""
     head = (
         f"rule {breach.rule} ({RULES[breach.rule]}; {breach.clause}) at {(breach.at - begin_us) / 1e6:.3f} s"
     )
-    who = [f"task {breach.task}"] if breach.task else []
-    who += [f"node {breach.node}"] if breach.node is not None else []
-    lines = [f"{head}: {breach.text}" + (f" [{', '.join(who)}]" if who else "")]
+    subjects = [f"task {breach.task}"] if breach.task else []
+    subjects += [f"node {breach.node}"] if breach.node is not None else []
+    lines = [f"{head}: {breach.text}" + (f" [{', '.join(subjects)}]" if subjects else "")]
     lines += [f"    {line}" for line in breach.evidence]
     return "\n".join(lines)
 
 
 def begin_of(script: list[tuple[int, str]], first_at: int) -> int:
-    """The script's zero as the capture tells it, or its first message's time."""
+    """Return the scenario's start time from the capture, or the time of the first message."""
     for _, what in script:
         if what.startswith("begin "):
             return int(what.split()[1])
@@ -44,7 +44,7 @@
 
 
 def percentile(values: list[int], share: float) -> float:
-    """The value below which that share lies; 0 without values."""
+    """Return the value below which that share of the values lies, or 0 without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -56,7 +56,7 @@
         ("class", "wanted", "started", "in time", "finished", "refused", "failed", "lost", "p50 ms", "p99 ms")
     ]
     for name, counts in sorted(owners.get("classes", {}).items()):
-        took = owners.get("latencies_us", {}).get(name, [])
+        latencies = owners.get("latencies_us", {}).get(name, [])
         wanted = counts.get("wanted", 0)
         in_time = counts.get("in_time", 0)
         rows.append(
@@ -66,8 +66,8 @@
                 str(counts.get("started", 0)),
                 f"{100 * in_time / wanted:.1f}%" if wanted else "-",
                 *(str(counts.get(what, 0)) for what in ("finished", "refused", "failed", "lost")),
-                f"{percentile(took, 0.5) / 1e3:.0f}",
-                f"{percentile(took, 0.99) / 1e3:.0f}",
+                f"{percentile(latencies, 0.5) / 1e3:.0f}",
+                f"{percentile(latencies, 0.99) / 1e3:.0f}",
             )
         )
     return rows
@@ -105,15 +105,15 @@
 def verdict(checker: Checker, problems: list[str]) -> str:
     if not checker.breaches and not problems:
         return "no breach of the five rules"
-    by = Counter(b.rule for b in checker.breaches)
-    parts = [f"{n} of rule {rule}" if rule else f"{n} in the record" for rule, n in sorted(by.items())]
+    by_rule = Counter(b.rule for b in checker.breaches)
+    parts = [f"{n} of rule {rule}" if rule else f"{n} in the record" for rule, n in sorted(by_rule.items())]
     if problems:
         parts.append(f"{len(problems)} unreadable links")
     return "breaches: " + ", ".join(parts)
 
 
 def text(result: Result, title: str) -> str:
-    """The whole report as text."""
+    """Return the whole report as text."""
     checker = result.checker
     parts = [title, "", verdict(checker, result.problems), "", counts_text(checker)]
     if result.owners:
@@ -140,7 +140,7 @@
 
 
 def chart(result: Result, path: Path, title: str) -> None:
-    """Outcomes a second over the day, with the script's faults."""
+    """Plot the outcomes per second over the scenario's time, with its faults and breaches."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -175,7 +175,7 @@
 
 
 def write(result: Result, folder: Path, title: str) -> None:
-    """report.txt, report.json and chart.png in a folder."""
+    """Write report.txt, report.json and chart.png into a folder."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "report.txt").write_text(text(result, title))
     (folder / "report.json").write_text(json.dumps(as_json(result, title), indent=1))
--- a/stairplank/rehearsal/run.py
+++ b/stairplank/rehearsal/run.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: real planner processes, stand-ins, relays on every link, faults by script, a capture."""
+"""Runs a scenario with real planner processes, stand-ins, relays on every link and faults, into a capture."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from .relay import Recorder
 from .scenario import PLANNER_KEYS, Scenario, described, lines_for, names
 
-START_S = 15.0  # children must serve by then
-END_S = 20.0  # and have left by then
+START_S = 15.0  # time within which the processes must accept connections
+END_S = 20.0  # time within which an owner or planner process must end after SIGTERM
 
 
 class RehearsalError(Exception):
@@ -36,7 +36,7 @@
 
 
 class Child:
-    """A process of the rehearsal. It ends when its standard input does, so also when we are killed."""
+    """A process of the rehearsal. It ends when its standard input closes, also if the rehearsal is killed."""
 
     def __init__(self, name: str, command: str, file: Path, log: Path) -> None:
         self.name = name
@@ -61,7 +61,7 @@
             self.process.send_signal(number)
 
     def end(self, timeout_s: float) -> int | None:
-        """SIGTERM, then SIGKILL; the exit code, or None where it had to be killed."""
+        """Send SIGTERM, then SIGKILL after the timeout. Returns the exit code, or None after SIGKILL."""
         if self.process is None:
             return None
         self.signal(signal.SIGCONT)
@@ -80,25 +80,28 @@
 
 @dataclass
 class Result:
-    """What a rehearsal gave."""
+    """The results of a rehearsal."""
 
     capture: Path
     checker: Checker
-    problems: list[str]  # of the record
+    problems: list[str]  # records of the capture that could not be decoded
     owners: dict[str, Any]
     script: list[tuple[int, str]]
     begin_us: int
-    unclean: list[str]  # processes that ended otherwise than they should
+    unclean: list[str]  # processes that did not exit with code 0
 
 
 def judge(path: Path) -> tuple[Checker, list[str], list[tuple[int, str]]]:
-    """Check a capture. Raises CaptureError."""
+    """Check a capture; return the checker, the decoder's problems and the scenario's actions.
+
+    Raises CaptureError.
+    """
     reader = capture.Reader(path)
     try:
         checker = Checker(reader.facts)
-        decoder, each = messages(reader)
+        decoder, decoded = messages(reader)
         checker.script = decoder.script  # grows as the messages are read
-        checker.feed(each)
+        checker.feed(decoded)
         checker.end()
         return checker, decoder.problems, decoder.script
     finally:
@@ -106,6 +109,8 @@
 
 
 class Rehearsal:
+    """One run of a scenario, with its processes, relays and files."""
+
     def __init__(self, scenario: Scenario, work: Path, progress: Callable[[str], None]) -> None:
         self.scenario = scenario
         self.work = work
@@ -114,11 +119,12 @@
         self.children: dict[str, Child] = {}
         self.begin_us = 0
         self.ending = False
-        self.on_signal: tuple[str, ...] = ("node 2 kill for 1s",)  # what the nodes do at SIGUSR1
-        # Unix socket paths are short by nature; a working folder may not be.
+        # Faults that the nodes' process begins on SIGUSR1.
+        self.on_signal: tuple[str, ...] = ("node 2 kill for 1s",)
+        # The length of a Unix socket path is limited, and the path of the working folder may be too long.
         self.sockets = Path(tempfile.mkdtemp(prefix="sp"))
 
-    # Files of the children
+    # Settings files of the processes
 
     def _socket(self, name: str) -> str:
         return f"unix:{self.sockets}/{name}"
@@ -133,51 +139,51 @@
 
     def _prepare(self, recorder: Recorder) -> None:
         scenario = self.scenario
-        room = lines_for(scenario, names(CLUSTER_SCHEMA), {"class"})
+        cluster_lines = lines_for(scenario, names(CLUSTER_SCHEMA), {"class"})
         common = [f"begin {self.work}/begin", f"seed {scenario.seed}"]
         zones = scenario.cluster.zones
         lists: dict[str, str] = {}
-        # Each zone has a node list of its own, which gives its planners addresses of their own: so the links
-        # between two zones can be cut without touching the others.
+        # Each zone has its own node list, which gives that zone's planners separate relay addresses. So the
+        # links between two zones can be cut without affecting other links.
         directories: list[str] = []
         for zone in zones:
-            real = self._socket(f"list-{zone}")
-            lists[zone] = recorder.relay("list", real, key=f"list {zone}")
-            directories.append(f"directory {real} {zone}")
+            target = self._socket(f"list-{zone}")
+            lists[zone] = recorder.relay("list", target, key=f"list {zone}")
+            directories.append(f"directory {target} {zone}")
             lines = lines_for(scenario, names(LIST), set())
-            lines += [*common, f"listen {real}", *self._faults("list")]
+            lines += [*common, f"listen {target}", *self._faults("list")]
             self._child(f"list {zone}", "directory", lines)
 
-        lines = [*room, *lines_for(scenario, names(MODEL), set()), *common, *directories]
+        lines = [*cluster_lines, *lines_for(scenario, names(MODEL), set()), *common, *directories]
         for node in scenario.nodes:
             model = node.model
-            here = self._socket(f"n{model.id}")
+            target = self._socket(f"n{model.id}")
             lines += [
                 f"node {model.id} {model.name}",
                 f"  kind {model.node_type}",
                 f"  zone {model.zone}",
                 f"  rack {model.rack}",
-                f"  listen {here}",
+                f"  listen {target}",
                 *(["  absent yes"] if node.absent else []),
             ]
             for zone in zones:
-                there = recorder.relay(f"node {model.id}", here, key=f"node {model.id} {zone}")
-                lines.append(f"  advertise {there} {zone}")
+                relayed = recorder.relay(f"node {model.id}", target, key=f"node {model.id} {zone}")
+                lines.append(f"  advertise {relayed} {zone}")
             lines.append("end")
         lines += [f"on-signal {line}" for line in self.on_signal]
         self._child("nodes", "node", [*lines, *self._faults("node")])
 
-        owners = [*room, *lines_for(scenario, names(CLIENTS), {"demand"}), *common]
+        owners = [*cluster_lines, *lines_for(scenario, names(CLIENTS), {"demand"}), *common]
         if scenario.section.value("asks-end") is None:
             owners.append(f"asks-end {max(1, scenario.lasts_us - scenario.settles_us)}us")
         for i in range(scenario.planners):
-            here = self._socket(f"p{i}")
-            lines = [*room, *lines_for(scenario, set(PLANNER_KEYS), set())]
+            target = self._socket(f"p{i}")
+            lines = [*cluster_lines, *lines_for(scenario, set(PLANNER_KEYS), set())]
             zone = zones[i % len(zones)]
-            lines += [f"planner {i} of {scenario.planners}", f"listen {here}"]
+            lines += [f"planner {i} of {scenario.planners}", f"listen {target}"]
             lines += [f"home-zone {zone}", f"directory {lists[zone]}"]
             self._child(f"planner {i}", "planner", lines)
-            owners.append(f"planner {i} {recorder.relay(f'planner {i}', here)}")
+            owners.append(f"planner {i} {recorder.relay(f'planner {i}', target)}")
         owners += [f"owner owner-{i}" for i in range(scenario.owners)]
         owners += [f"report {self.work / 'owners.json'}", *self._faults("owners", "demand")]
         self._child("owners", "owners", owners)
@@ -189,7 +195,7 @@
     # Running
 
     def run(self) -> Result:
-        """Raises RehearsalError where a process does not come up or fails on its own."""
+        """Run the scenario and check its capture. Raises RehearsalError where a process fails."""
         scenario = self.scenario
         facts = described(scenario) | {"scenario": scenario.name, "seed": scenario.seed}
         begin_file = self.work / "begin"
@@ -207,19 +213,19 @@
                 for i in range(scenario.planners):
                     self.children[f"planner {i}"].start()
                 self._await_sockets([f"p{i}" for i in range(scenario.planners)])
-                gevent.sleep(0.5)  # planners and nodes find each other
-                # The script's zero is fixed only now, so that a slow start does not eat into the day.
+                gevent.sleep(0.5)  # time for planners and nodes to connect
+                # The start of the scenario is set only now, so that a slow process start does not shorten it.
                 self.begin_us = now_us() + 1_500_000
-                part = self.work / "begin.part"
-                part.write_text(str(self.begin_us))
-                part.rename(begin_file)
+                unfinished = self.work / "begin.part"
+                unfinished.write_text(str(self.begin_us))
+                unfinished.rename(begin_file)
                 recorder.note(f"begin {self.begin_us}")
                 self.children["owners"].start()
                 for fault in scenario.faults:
                     gevent.spawn(self._script, fault, recorder)
-                self._watch_over()
+                self._wait_until_end()
                 self.ending = True
-                self.progress("the day is over: owners leave, then planners")
+                self.progress("the scenario is over: ending the owners, then the planners")
                 if self.children["owners"].end(END_S) != 0:
                     unclean.append("owners")
                 for i in range(scenario.planners):
@@ -235,8 +241,8 @@
                     path.unlink()
                 self.sockets.rmdir()
         checker, problems, script = judge(self.capture_path)
-        told = self.work / "owners.json"
-        owners = json.loads(told.read_text()) if told.exists() else {}
+        owners_report = self.work / "owners.json"
+        owners = json.loads(owners_report.read_text()) if owners_report.exists() else {}
         return Result(self.capture_path, checker, problems, owners, script, self.begin_us, unclean)
 
     def _await_sockets(self, wanted: list[str]) -> None:
@@ -246,22 +252,22 @@
                 if child.process is not None and not child.alive:
                     raise RehearsalError(f"{child.name} did not start:\n{child.log.read_text()[-2000:]}")
             if now_us() > until:
-                raise RehearsalError(f"processes did not come up within {START_S:g} s")
+                raise RehearsalError(f"processes did not start within {START_S:g} s")
             gevent.sleep(0.02)
 
-    def _watch_over(self) -> None:
-        """Until the day is over; a process that ends on its own ends the rehearsal."""
+    def _wait_until_end(self) -> None:
+        """Wait for the end of the scenario. Raises RehearsalError where a process ends unexpectedly."""
         end = self.begin_us + self.scenario.lasts_us
-        shown = 0
+        shown_second = 0
         while now_us() < end:
             gevent.sleep(0.05)
             for child in self.children.values():
-                if not child.alive and not getattr(child, "meant", False):
-                    raise RehearsalError(f"{child.name} ended on its own:\n{child.log.read_text()[-2000:]}")
+                if not child.alive and not getattr(child, "ends_by_fault", False):
+                    raise RehearsalError(f"{child.name} ended unexpectedly:\n{child.log.read_text()[-2000:]}")
             second = int((now_us() - self.begin_us) / 5e6)
-            if second > shown:
-                shown = second
-                self.progress(f"{shown * 5:>4} s of {self.scenario.lasts_us / 1e6:g} s")
+            if second > shown_second:
+                shown_second = second
+                self.progress(f"{shown_second * 5:>4} s of {self.scenario.lasts_us / 1e6:g} s")
 
     def _script(self, fault: Fault, recorder: Recorder) -> None:
         gevent.sleep(max(0.0, (self.begin_us + fault.at_us - now_us()) / 1e6))
@@ -279,32 +285,32 @@
                     recorder.relays[f"node {i} {zone}"].cut()
         elif fault.target == "farm":
             gevent.spawn(self._pause, self.children["nodes"], fault.duration_us)
-        what, direction, value = self._weather(fault)
-        touched = [recorder.relays[key] for key in self._touched(fault)]
-        for relay in touched:
+        what, direction, value = self._relay_fault(fault)
+        affected = [recorder.relays[key] for key in self._affected_relays(fault)]
+        for relay in affected:
             if what == "cut":
                 relay.cut()
             else:
                 relay.begin(what, direction, value)
         if fault.duration_us:
             gevent.sleep(fault.duration_us / 1e6)
-            for relay in touched:
+            for relay in affected:
                 relay.end(what, direction, value)
             recorder.note(f"over: {text}")
 
     @staticmethod
-    def _weather(fault: Fault) -> tuple[str, str, int]:
-        """What the relays do: fault, direction, value."""
+    def _relay_fault(fault: Fault) -> tuple[str, str, int]:
+        """Return the relays' part of a fault: its kind, direction and value."""
         if fault.target == "zone":
             return "hold", "both", 0
         direction, value = (*fault.values, *("both", 0)[len(fault.values) :])[:2]
         return fault.what, str(direction), int(value)
 
-    def _touched(self, fault: Fault) -> list[str]:
-        """The relays that a fault is about."""
+    def _affected_relays(self, fault: Fault) -> list[str]:
+        """Return the keys of the relays that a fault affects."""
         zones = self.scenario.cluster.zones
         if fault.target == "zone":
-            return self._between(fault.name)
+            return self._relays_across(fault.name)
         if fault.target != "links":
             return []
         if fault.name == "list":
@@ -319,8 +325,8 @@
         gevent.sleep(for_us / 1e6)
         child.signal(signal.SIGCONT)
 
-    def _between(self, cut: str) -> list[str]:
-        """The relays between a zone and the others."""
+    def _relays_across(self, cut: str) -> list[str]:
+        """Return the keys of the relays between a zone and the other zones."""
         return [
             f"node {n.model.id} {zone}"
             for n in self.scenario.nodes
@@ -335,7 +341,7 @@
         elif fault.what == "pause":
             self._pause(child, fault.duration_us)
         elif fault.what == "kill":
-            child.meant = True  # type: ignore[attr-defined]
+            child.ends_by_fault = True  # type: ignore[attr-defined]
             child.signal(signal.SIGKILL)
             child.process.wait(timeout=5)
             child.process.stdin.close()
@@ -343,11 +349,11 @@
             if not self.ending:
                 child.start()
                 gevent.sleep(1.0)
-                child.meant = False  # type: ignore[attr-defined]
+                child.ends_by_fault = False  # type: ignore[attr-defined]
 
 
 def work_folder(path: str | None) -> Path:
-    """The folder given, made if need be, or a new one."""
+    """Return the given folder, created where it is missing, or a new temporary one."""
     if path is None:
         return Path(tempfile.mkdtemp(prefix="rehearsal-"))
     folder = Path(path)
--- a/stairplank/rehearsal/scenario.py
+++ b/stairplank/rehearsal/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario: room, fleet, planners, owners, what goes wrong and when, all under one seed."""
+"""A scenario: the cluster, its nodes, planners and owners, and the faults with their times, from one seed."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
         Key("kind", (parsers.name,), True),
         Key("zone", (parsers.name,), True),
         Key("racks", (parsers.integer(1, 10_000),), True),
-        Key("rack", (parsers.name,)),  # one rack's name, in place of names made from the fleet's
+        Key("rack", (parsers.name,)),  # name of a single rack, in place of names derived from the fleet's
         Key("nodes", (parsers.integer(0, 10_000),), True),
         Key("absent", (parsers.integer(0, 10_000),)),
     ),
     True,
 )
-# Keywords of a planner's file that a scenario may set for all its planners.
+# Keywords of a planner's settings file that a scenario may set for all its planners.
 PLANNER_KEYS = (
     "dial-timeout",
     "dial-retry",
@@ -58,13 +58,15 @@
 
 @dataclass(frozen=True)
 class FleetNode:
+    """A node of the scenario; an absent one starts only by a ``grow`` fault."""
+
     model: NodeModel
     absent: bool
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """Times in microseconds."""
+    """A scenario file as read and checked. Times are in microseconds."""
 
     path: str
     text: str
@@ -81,17 +83,17 @@
 
     @property
     def name(self) -> str:
-        """The file's, or, where that is only `scenario`, its folder's."""
+        """Return the file's name or, for a file that is named `scenario`, its folder's name."""
         path = Path(self.path)
         return path.resolve().parent.name if path.stem == "scenario" else path.stem
 
 
 def load_scenario(path: str | Path, seed: int | None = None) -> Scenario:
-    """Raises SettingsError."""
+    """Read and check a scenario file; ``seed`` overrides the file's seed. Raises SettingsError."""
     section = load_section(path, SCENARIO)
     cluster = cluster_from(section)
-    one = section.value
-    seed = seed if seed is not None else one("seed", 1)
+    value = section.value
+    seed = seed if seed is not None else value("seed", 1)
     problems: list[SettingsProblem] = []
     nodes: list[FleetNode] = []
     for block in section.blocks["fleet"]:
@@ -110,35 +112,41 @@
             model = model_from(cluster, section, id, f"{name}-{i}", kind, zone, rack)
             nodes.append(FleetNode(model, i >= count))
     if not any(not n.absent for n in nodes) and not problems:
-        problems.append(SettingsProblem(section.position, "fleet", "no node is there when the day begins"))
+        problems.append(
+            SettingsProblem(section.position, "fleet", "no node is present when the scenario begins")
+        )
     if problems:
         raise SettingsError(problems)
     demands_from(section, cluster)
-    faults = _drawn(section, faults_from(section), nodes, one("planners"), random.Random(seed ^ 0xFA17))
-    lasts = one("lasts")
+    faults = _choose_targets(
+        section, faults_from(section), nodes, value("planners"), random.Random(seed ^ 0xFA17)
+    )
+    lasts = value("lasts")
     return Scenario(
         str(path),
         Path(path).read_text(),
         " ".join(
-            section.value("about", ("",)) if isinstance(section.value("about"), tuple) else [one("about", "")]
+            section.value("about", ("",))
+            if isinstance(section.value("about"), tuple)
+            else [value("about", "")]
         ),
         cluster,
         tuple(nodes),
-        one("planners"),
-        one("owners", 1),
+        value("planners"),
+        value("owners", 1),
         seed,
         lasts,
-        one("settles", 8_000_000),
+        value("settles", 8_000_000),
         faults,
         section,
     )
 
 
-def _drawn(
+def _choose_targets(
     section: Section, faults: tuple[Fault, ...], nodes: list[FleetNode], planners: int, rng: random.Random
 ) -> tuple[Fault, ...]:
-    """Name what shares and counts leave open, under the seed."""
-    drawn: set[int] = set()
+    """Choose the nodes and planners of faults that state only a share or a count, under the seed."""
+    affected: set[int] = set()
     out: list[Fault] = []
     problems: list[SettingsProblem] = []
     for fault in faults:
@@ -147,62 +155,65 @@
         if fault.kind not in ("node", "planner"):
             out.append(fault)
             continue
-        here = [n.model.id for n in nodes if not n.absent] if fault.kind == "node" else list(range(planners))
-        every = [n.model.id for n in nodes] if fault.kind == "node" else here
+        present = (
+            [n.model.id for n in nodes if not n.absent] if fault.kind == "node" else list(range(planners))
+        )
+        known = [n.model.id for n in nodes] if fault.kind == "node" else present
         if fault.target_ids:
-            unknown = [n for n in fault.target_ids if n not in every]
+            unknown = [n for n in fault.target_ids if n not in known]
             if unknown:
-                text = f"no {fault.kind} {unknown[0]}; they run from {every[0]} to {every[-1]}"
+                text = f"no {fault.kind} {unknown[0]}; they run from {known[0]} to {known[-1]}"
                 problems.append(SettingsProblem(section.position_of("at"), "at", text))
             out.append(fault)
             continue
         if fault.what == "grow":
-            here = [n.model.id for n in nodes if n.absent]
-        pool = [n for n in here if not (fault.avoids_affected and n in drawn)]
-        count = fault.count or max(1, round(fault.share * len(here)))
+            present = [n.model.id for n in nodes if n.absent]
+        pool = [n for n in present if not (fault.avoids_affected and n in affected)]
+        count = fault.count or max(1, round(fault.share * len(present)))
         if count > len(pool):
-            text = f"{count} {fault.kind}s wanted, {len(pool)} are there to draw from"
+            text = f"{count} {fault.kind}s wanted, only {len(pool)} available"
             problems.append(SettingsProblem(section.position_of("at"), "at", text))
             continue
-        which = tuple(sorted(rng.sample(pool, count)))
+        target_ids = tuple(sorted(rng.sample(pool, count)))
         if fault.target == "node" and fault.what in ("drain", "leave", "kill"):
-            drawn.update(which)
-        out.append(replace(fault, target_ids=which, count=0, share=0.0))
+            affected.update(target_ids)
+        out.append(replace(fault, target_ids=target_ids, count=0, share=0.0))
     if problems:
         raise SettingsError(problems)
     return tuple(out)
 
 
 def lines_for(scenario: Scenario, keys: set[str], blocks: set[str]) -> list[str]:
-    """The scenario's own lines with these keywords, for a child's file."""
+    """Return the scenario's lines with these keywords and blocks, for a process's settings file."""
     out: list[str] = []
     inside = False
     taking = False
     for line in scenario.text.splitlines():
-        words: list[str] = line.split("#")[0].split()
-        if not words:
+        fields: list[str] = line.split("#")[0].split()
+        if not fields:
             continue
         if inside:
             if taking:
                 out.append(line)
-            if words == ["end"]:
+            if fields == ["end"]:
                 inside = False
             continue
-        if words[0] in ("class", "demand", "fleet"):
-            inside, taking = True, words[0] in blocks
+        if fields[0] in ("class", "demand", "fleet"):
+            inside, taking = True, fields[0] in blocks
             if taking:
                 out.append(line)
-        elif words[0] in keys:
+        elif fields[0] in keys:
             out.append(line)
     return out
 
 
 def names(schema: tuple[Key | Block, ...]) -> set[str]:
+    """Return the keywords of a schema."""
     return {item.name for item in schema}
 
 
 def described(scenario: Scenario) -> dict[str, Any]:
-    """What a rule checker needs to know beside the traffic: the figures of the rules."""
+    """Return the parameters of the rules that the checker needs beside the traffic."""
     cluster = scenario.cluster
     return {
         "classes": [
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -141,7 +141,7 @@
     [
         ("at 1s node 1 drain", "at 1s node 99 drain", "no node 99"),
         ("at 2s planner 1 kill", "at 2s planner 7 kill", "no planner 7"),
-        ("at 1500ms nodes 1 grow", "at 1500ms nodes 3 grow", "3 nodes wanted, 1 are there"),
+        ("at 1500ms nodes 1 grow", "at 1500ms nodes 3 grow", "3 nodes wanted, only 1 available"),
         ("    kind std\n", "    kind odd\n", "no kind odd"),
         ("demand report", "demand tea", "no class tea"),
         ("lasts 11s", "last 11s", "did you mean lasts"),
