--- a/stairplank/rehearsal/rules/clients.py
+++ b/stairplank/rehearsal/rules/clients.py
@@ -151,8 +151,7 @@
     def _answer_due_at(self, record: ObservedPlacement) -> int:
         """Return when an answer is due: at the owner's deadline, or after a planner pause that covers it.
 
-        A planner that the scenario pauses cannot answer; answers that fell due meanwhile are due when it
-        resumes.
+        A paused planner cannot answer, so answers that fall due during its pause are due when it resumes.
         """
         assert record.request is not None and record.deadline is not None
         due = record.deadline
--- a/tests/rehearsal/tape.py
+++ b/tests/rehearsal/capture_builder.py
@@ -1,4 +1,4 @@
-"""Writes captures by hand: real HTTP/2 bytes of calls that never were, to plant breaches in."""
+"""Builds captures for the checker's tests: real HTTP/2 bytes of invented calls, with or without a breach."""
 
 from __future__ import annotations
 
@@ -49,13 +49,15 @@
 }
 
 
-class Tape:
-    """A capture being written; ``at`` is the time of the next message."""
+class CaptureBuilder:
+    """Writes a capture; ``at`` is the time of the next message."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.at = 100 * SECOND
-        self.held: set[tuple[int, int]] = set()  # link and direction: what is read there is not handed on
+        self.held: set[tuple[int, int]] = (
+            set()
+        )  # link and direction in which bytes that are read are not forwarded
         self.file = path.open("wb")
         self.writer = capture.Writer(self.file, FACTS)
         self.links = 0
@@ -68,6 +70,7 @@
         self.at += us
 
     def judge(self) -> Checker:
+        """Close the capture, check it and return the checker."""
         self.file.close()
         checker, problems, _ = judge(self.path)
         assert not problems
@@ -77,18 +80,19 @@
         return [(b.rule, b.clause) for b in self.judge().breaches]
 
     def only(self) -> Breach:
+        """Check the capture and return its single breach."""
         (breach,) = self.judge().breaches
         assert breach.evidence
         return breach
 
 
 class Link:
-    """One connection with one call, both ends by h2."""
+    """A connection with one call; h2 implements both of its ends."""
 
-    def __init__(self, tape: Tape, number: int, to: str, path: str) -> None:
-        self.tape, self.number = tape, number
-        self.passed = {capture.FROM_DIALLER: 0, capture.FROM_LISTENER: 0}
-        tape.writer.write(capture.OPEN, tape.at, number, b'{"to": "%s"}' % to.encode())
+    def __init__(self, builder: CaptureBuilder, number: int, to: str, path: str) -> None:
+        self.builder, self.number = builder, number
+        self.read_bytes = {capture.FROM_DIALLER: 0, capture.FROM_LISTENER: 0}
+        builder.writer.write(capture.OPEN, builder.at, number, b'{"to": "%s"}' % to.encode())
         self.near = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
         self.far = h2.connection.H2Connection(h2.config.H2Configuration(client_side=False))
         self.near.initiate_connection()
@@ -107,106 +111,108 @@
             ):
                 data = end.data_to_send()
                 if data:
-                    self.tape.writer.write(kind, self.tape.at, self.number, data)
-                    self.passed[kind] += len(data)
-                    if (self.number, kind) not in self.tape.held:
-                        self.hand_on(kind)
+                    self.builder.writer.write(kind, self.builder.at, self.number, data)
+                    self.read_bytes[kind] += len(data)
+                    if (self.number, kind) not in self.builder.held:
+                        self.forward(kind)
                     other.receive_data(data)
 
-    def hand_on(self, kind: int) -> None:
-        self.tape.writer.counted(capture.HANDED[kind], self.tape.at, self.number, self.passed[kind])
+    def forward(self, kind: int) -> None:
+        self.builder.writer.counted(capture.HANDED[kind], self.builder.at, self.number, self.read_bytes[kind])
 
     def hold(self, kind: int) -> None:
-        """What is said from now on is on the way until ``release``."""
-        self.tape.held.add((self.number, kind))
+        """Do not forward what is sent in this direction until ``release``."""
+        self.builder.held.add((self.number, kind))
 
     def release(self, kind: int) -> None:
-        self.tape.held.discard((self.number, kind))
-        self.hand_on(kind)
+        self.builder.held.discard((self.number, kind))
+        self.forward(kind)
 
-    def there(self, message: Any) -> None:
+    def send_from_dialler(self, message: Any) -> None:
         self._send(self.near, message)
 
-    def back(self, message: Any) -> None:
+    def send_from_listener(self, message: Any) -> None:
         self._send(self.far, message)
 
     def _send(self, end: Any, message: Any) -> None:
         raw = message.SerializeToString()
         end.send_data(1, b"\0" + len(raw).to_bytes(4, "big") + raw)
         self.flush()
-        self.tape.wait(MS)
+        self.builder.wait(MS)
 
     def close(self) -> None:
-        self.tape.writer.write(capture.DIALLER_CLOSED, self.tape.at, self.number)
-        self.tape.writer.write(capture.LISTENER_CLOSED, self.tape.at, self.number)
+        self.builder.writer.write(capture.DIALLER_CLOSED, self.builder.at, self.number)
+        self.builder.writer.write(capture.LISTENER_CLOSED, self.builder.at, self.number)
 
 
-def task(key: int, sort: str, service: int = 5) -> Any:
-    return common_pb2.Task(owner="o", key=key, task_class=sort, service=service, cores=1, memory=1)
+def task(key: int, class_name: str, service: int = 5) -> Any:
+    return common_pb2.Task(owner="o", key=key, task_class=class_name, service=service, cores=1, memory=1)
 
 
-class Owner:
-    """An owner's stream to a planner."""
+class PlaceStream:
+    """An owner's Place stream to a planner."""
 
-    def __init__(self, tape: Tape, planner: int = 0, life: int = 70) -> None:
-        self.link = tape.link(f"planner {planner}", "/stairplank.v1.Placement/Place")
+    def __init__(self, builder: CaptureBuilder, planner: int = 0, life: int = 70) -> None:
+        self.link = builder.link(f"planner {planner}", "/stairplank.v1.Placement/Place")
         self.life = life
         self.event = placement_pb2.PlaceEvent
         self.request = placement_pb2.PlaceRequest
-        self.link.there(self.request(hello=self.request.Hello(owner="o")))
-        self.link.back(self.event(welcome=self.event.Welcome(planner=planner, life=life)))
+        self.link.send_from_dialler(self.request(hello=self.request.Hello(owner="o")))
+        self.link.send_from_listener(self.event(welcome=self.event.Welcome(planner=planner, life=life)))
 
     def ask(
         self,
         n: int,
-        sort: str = "worker",
+        class_name: str = "worker",
         wait: int = 6 * SECOND,
         key: int = 0,
         take: bool = True,
         stamped: bool = True,
     ) -> None:
         sent = common_pb2.Sent(grant=1) if stamped else None
-        ask = self.request.Ask(ask=n, task=task(key or n, sort), wait_us=wait, sent=sent)
-        self.link.there(self.request(ask=ask))
+        ask = self.request.Ask(ask=n, task=task(key or n, class_name), wait_us=wait, sent=sent)
+        self.link.send_from_dialler(self.request(ask=ask))
         if take:
-            self.tell("taken", n, placing=n)
+            self.send("taken", n, placing=n)
 
     def ask_group(self, n: int, count: int, wait: int = 6 * SECOND) -> None:
         members = [task(100 * n + i, "worker", 50 + i) for i in range(count)]
-        self.link.there(self.request(ask_group=self.request.AskGroup(ask=n, members=members, wait_us=wait)))
-        self.tell("taken", n, placing=n)
+        self.link.send_from_dialler(
+            self.request(ask_group=self.request.AskGroup(ask=n, members=members, wait_us=wait))
+        )
+        self.send("taken", n, placing=n)
 
-    def tell_group(self, kind: str, n: int, **fields: Any) -> None:
+    def send_group(self, kind: str, n: int, **fields: Any) -> None:
         name = "".join(part.capitalize() for part in kind.split("_"))
-        self.link.back(self.event(**{kind: getattr(self.event, name)(ask=n, **fields)}))
+        self.link.send_from_listener(self.event(**{kind: getattr(self.event, name)(ask=n, **fields)}))
 
-    def tell(self, kind: str, n: int, **fields: Any) -> None:
+    def send(self, kind: str, n: int, **fields: Any) -> None:
         part = getattr(self.event, kind[0].upper() + kind[1:])(ask=n, **fields)
-        self.link.back(self.event(**{kind: part}))
+        self.link.send_from_listener(self.event(**{kind: part}))
 
     def withdraw(self, n: int) -> None:
-        self.link.there(self.request(withdraw=self.request.Withdraw(ask=n)))
+        self.link.send_from_dialler(self.request(withdraw=self.request.Withdraw(ask=n)))
 
 
-class ToNode:
-    """A planner's link to a node."""
+class OfferStream:
+    """A planner's Offers stream to a node."""
 
     def __init__(
         self,
-        tape: Tape,
+        builder: CaptureBuilder,
         node: int,
         planner: int = 0,
         life: int = 70,
         started: int = 0,
         draining: bool = False,
     ) -> None:
-        self.node, self.life, self.tape = node, life, tape
-        self.link = tape.link(f"node {node}", "/stairplank.v1.Node/Offers")
+        self.node, self.life, self.builder = node, life, builder
+        self.link = builder.link(f"node {node}", "/stairplank.v1.Node/Offers")
         self.event = node_pb2.OfferEvent
         self.request = node_pb2.OfferRequest
-        self.link.there(self.request(hello=self.request.Hello(planner=planner, life=life)))
+        self.link.send_from_dialler(self.request(hello=self.request.Hello(planner=planner, life=life)))
         welcome = self.event.Welcome(node=node, started_unix_us=started, draining=draining)
-        self.link.back(self.event(welcome=welcome))
+        self.link.send_from_listener(self.event(welcome=welcome))
 
     def id(self, placing: int, attempt: int, life: int | None = None) -> Any:
         return common_pb2.AttemptId(life=life or self.life, placing=placing, attempt=attempt)
@@ -215,45 +221,53 @@
         self,
         placing: int,
         attempt: int = 0,
-        sort: str = "worker",
+        class_name: str = "worker",
         wait: int = 5 * SECOND,
         service: int = 5,
         key: int = 0,
         life: int | None = None,
     ) -> None:
         offer = self.request.Offer(
-            id=self.id(placing, attempt, life), task=task(key or placing, sort, service), wait_us=wait
+            id=self.id(placing, attempt, life), task=task(key or placing, class_name, service), wait_us=wait
         )
-        self.link.there(self.request(offer=offer))
+        self.link.send_from_dialler(self.request(offer=offer))
 
     def member(self, group: int, member: int, size: int, placing: int, wait: int = 2 * SECOND) -> None:
         tag = node_pb2.GroupMember(life=self.life, group=group, size=size, member=member, lease_us=SECOND)
         offer = self.request.Offer(
             id=self.id(placing, 0), task=task(100 + member, "worker", 50 + member), wait_us=wait, group=tag
         )
-        self.link.there(self.request(offer=offer))
+        self.link.send_from_dialler(self.request(offer=offer))
 
     def commit(self, *placings: int) -> None:
         ids = [self.id(p, 0) for p in placings]
-        self.link.there(self.request(commit=self.request.Commit(ids=ids, lease_us=SECOND)))
+        self.link.send_from_dialler(self.request(commit=self.request.Commit(ids=ids, lease_us=SECOND)))
 
     def stop(self, placing: int, attempt: int = 0) -> None:
-        self.link.there(self.request(stop=self.request.Stop(id=self.id(placing, attempt))))
+        self.link.send_from_dialler(self.request(stop=self.request.Stop(id=self.id(placing, attempt))))
 
-    def says(self, kind: str, placing: int, attempt: int = 0, life: int | None = None, **fields: Any) -> None:
+    def send(self, kind: str, placing: int, attempt: int = 0, life: int | None = None, **fields: Any) -> None:
         part = getattr(self.event, kind[0].upper() + kind[1:])
-        self.link.back(self.event(**{kind: part(id=self.id(placing, attempt, life), **fields)}))
+        self.link.send_from_listener(self.event(**{kind: part(id=self.id(placing, attempt, life), **fields)}))
 
-    def drains(self) -> None:
-        self.link.back(self.event(draining=self.event.Draining()))
+    def send_draining(self) -> None:
+        self.link.send_from_listener(self.event(draining=self.event.Draining()))
 
-    def holds(
-        self, placing: int, life: int, sort: str, service: int, complete: bool = False, nothing: bool = False
+    def report_tasks(
+        self,
+        placing: int,
+        life: int,
+        class_name: str,
+        service: int,
+        complete: bool = False,
+        nothing: bool = False,
     ) -> None:
-        """A Held call on the same connection, and its answer."""
+        """Write a Held call on the same connection and its response."""
         held = node_pb2.HeldResponse(node=self.node, complete=complete)
         if not nothing:
-            held.tasks.add(id=self.id(placing, 0, life), task=task(placing, sort, service), running=True)
+            held.tasks.add(
+                id=self.id(placing, 0, life), task=task(placing, class_name, service), running=True
+            )
         headers = [(":method", "POST"), (":scheme", "http"), (":path", "/stairplank.v1.Node/Held")]
         link = self.link
         link.near.send_headers(3, [*headers, (":authority", "x"), ("content-type", "application/grpc")])
@@ -264,28 +278,28 @@
         raw = held.SerializeToString()
         link.far.send_data(3, b"\0" + len(raw).to_bytes(4, "big") + raw)
         link.flush()
-        self.tape.wait(MS)
+        self.builder.wait(MS)
 
 
-class List:
+class NodeListStream:
     """A planner's subscription to the node list: nodes 1 to 4 in rack r1 of zone z1, 5 to 8 in r2 of z2."""
 
     STATES = {"gone": 1, "draining": 2, "ready": 3}
 
-    def __init__(self, tape: Tape, planner: int = 0) -> None:
-        self.tape = tape
-        self.link = tape.link("list", "/stairplank.v1.Directory/Watch")
-        self.link.there(directory_pb2.WatchRequest(planner=planner))
+    def __init__(self, builder: CaptureBuilder, planner: int = 0) -> None:
+        self.builder = builder
+        self.link = builder.link("list", "/stairplank.v1.Directory/Watch")
+        self.link.send_from_dialler(directory_pb2.WatchRequest(planner=planner))
 
-    def tells(self, *nodes: int, state: str = "ready", full: bool = False, started: int = 0) -> None:
-        message = directory_pb2.NodeList(revision=1, full=full, now_unix_us=self.tape.at + 5_000_000_000)
+    def send(self, *nodes: int, state: str = "ready", full: bool = False, started: int = 0) -> None:
+        message = directory_pb2.NodeList(revision=1, full=full, now_unix_us=self.builder.at + 5_000_000_000)
         for node in nodes:
-            half = 1 if node <= 4 else 2
+            zone = 1 if node <= 4 else 2
             message.nodes.add(
                 id=node,
-                zone=f"z{half}",
-                rack=f"r{half}",
+                zone=f"z{zone}",
+                rack=f"r{zone}",
                 state=self.STATES[state],
                 started_unix_us=started + 5_000_000_000 if started else 0,
             )
-        self.link.back(message)
+        self.link.send_from_listener(message)
--- a/tests/rehearsal/test_bench_day.py
+++ b/tests/rehearsal/test_bench_day.py
@@ -1,4 +1,4 @@
-"""Day files of the bench become scenarios: every kind of trouble, and a word for all that is left out."""
+"""Tests the conversion of bench day files to scenarios: every kind of trouble, and notes on omitted keys."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return base | more
 
 
-def sort(name: str, effect: str, group: str = "all") -> dict[str, Any]:
+def task_class(name: str, effect: str, group: str = "all") -> dict[str, Any]:
     return {
         "name": name, "share": 0.5, "work": 50_000.0, "aim": 1 * S, "deadline": 4 * S, "worth": 2.0,
         "late_worth": 0.1, "effect": effect, "group": group, "window": 6 * S,
@@ -38,7 +38,7 @@
     "traffic": {"load": 0.5, "shape": [[0.0, 0.8], [5.0, 1.2], [10.0, 1.0]]},
     "clients": {}, "discovery": {"notice": 500_000, "silent_notice": 2 * S, "period": 300_000},
     "allow": {"max_attempts": 4}, "drain_grace": 400_000, "fall_multiple": 3.0, "fall_for": 2 * S, "prices": {"probe": 0.002},
-    "classes": [sort("api", "safe"), sort("job", "keyed", "cell"), sort("audit", "unsafe")],
+    "classes": [task_class("api", "safe"), task_class("job", "keyed", "cell"), task_class("audit", "unsafe")],
     "tiers": [{"kinds": [{"name": "small", "cores": 8}, {"name": "big", "cores": 16}], "stated_cold_from": 0.3, "stated_cold": 8 * S}],
     "servers": [{"zone": i % 2, "kind": i % 2, "cell": i % 4, "speed": 1.0, "up": i < 8} for i in range(10)],
     "balancers": [{}] * 4,
@@ -85,8 +85,8 @@
 }  # fmt: skip
 
 
-def made(tmp_path: Path, day: dict[str, Any], **how: Any) -> Any:
-    carried = scenario_from_day(day, **how)
+def converted(tmp_path: Path, day: dict[str, Any], **options: Any) -> Any:
+    carried = scenario_from_day(day, **options)
     file = tmp_path / "scenario"
     file.write_text(carried.text)
     return load_scenario(file), carried.notes
@@ -94,17 +94,17 @@
 
 @pytest.mark.parametrize("kind", sorted(TROUBLES))
 def test_every_kind_of_trouble_is_carried_over(tmp_path: Path, kind: str) -> None:
-    what, line = TROUBLES[kind]
-    scenario, _ = made(tmp_path, DAY | {"troubles": [what]})
-    lines = [fault.line() for fault in scenario.faults]
+    fault, line = TROUBLES[kind]
+    scenario, _ = converted(tmp_path, DAY | {"troubles": [fault]})
+    lines = [f.line() for f in scenario.faults]
     found = [x for x in lines if line in x]
     assert found, lines
     at = {"deploy": "3s", "shrink": "3s", "preempt": "3s", "grow": "3s"}.get(kind, "2s")
     assert found[0].startswith(f"at {at} ")
 
 
-def test_the_room_is_carried_over(tmp_path: Path) -> None:
-    scenario, notes = made(tmp_path, DAY)
+def test_cluster_settings_are_carried_over(tmp_path: Path) -> None:
+    scenario, notes = converted(tmp_path, DAY)
     cluster = scenario.cluster
     assert [c.effect.value for c in cluster.classes] == ["repeatable", "keyed", "once"]
     assert [c.spread.value for c in cluster.classes] == ["node", "group", "none"]
@@ -121,25 +121,25 @@
         scenario.nodes[0].model.admission_time_us == (4000, 4000)
         and scenario.nodes[0].model.max_waiting_offers == 12
     )
-    # 4 small, 4 big nodes: 224 of memory, accepted 1.5 times over. A task asks for 1.5 for 5 s on average:
-    # 336 / 7.5 = 44.8 a second fill it, before memory in use (49.8) and cores; half of that less 7%.
+    # 4 small and 4 big nodes have 224 of memory, overcommitted 1.5 times. A task requests 1.5 for 5 s on
+    # average, so 336 / 7.5 = 44.8 tasks a second fill it. Memory in use (49.8) and cores allow more. The rate
+    # is half of 44.8, less 7%.
     assert abs(scenario.section.value("rate") - 44.8 * 0.93 * 0.5) < 0.1
     assert any(n.startswith("moon: not known") for n in notes) and any(n.startswith("net: ") for n in notes)
 
 
 def test_scale_and_speed(tmp_path: Path) -> None:
-    full, _ = made(tmp_path, DAY)
-    small, _ = made(tmp_path, DAY | {"troubles": [TROUBLES["crash"][0]]}, scale=0.5, speed=2.0)
+    full, _ = converted(tmp_path, DAY)
+    small, _ = converted(tmp_path, DAY | {"troubles": [TROUBLES["crash"][0]]}, scale=0.5, speed=2.0)
     assert len(small.nodes) == 5 and small.planners == 2
-    assert (
-        abs(small.section.value("rate") / full.section.value("rate") - 1.0) < 0.1
-    )  # half the room, twice as fast
+    # Half the capacity at twice the speed gives the same rate.
+    assert abs(small.section.value("rate") / full.section.value("rate") - 1.0) < 0.1
     crash = next(f for f in small.faults if f.what == "kill")
     assert crash.at_us == S and crash.duration_us == 1_500_000 and crash.target_ids
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "message"),
     [
         ({"family": "proxy"}, "family"),
         ({"servers": None}, "not a whole day"),
@@ -147,8 +147,8 @@
         ({"classes": [{"name": "x"}]}, "not a whole day"),
     ],
 )
-def test_what_is_no_day_is_refused(change: dict[str, Any], says: str) -> None:
-    with pytest.raises(DayError, match=says):
+def test_invalid_day_files_are_rejected(change: dict[str, Any], message: str) -> None:
+    with pytest.raises(DayError, match=message):
         scenario_from_day(DAY | change)
     missing = copy.deepcopy(DAY)
     del missing["traffic"]
@@ -158,12 +158,12 @@
         scenario_from_day(DAY, scale=0)
 
 
-def test_an_unknown_trouble_is_said(tmp_path: Path) -> None:
-    _, notes = made(tmp_path, DAY | {"troubles": [trouble("meteor")]})
+def test_unknown_trouble_is_noted(tmp_path: Path) -> None:
+    _, notes = converted(tmp_path, DAY | {"troubles": [trouble("meteor")]})
     assert "trouble meteor: not known here" in notes
 
 
-def test_a_day_runs_on_real_processes(tmp_path: Path) -> None:
+def test_converted_day_runs_on_real_processes(tmp_path: Path) -> None:
     day = DAY | {"length": 4 * S, "troubles": [TROUBLES["zone_cut"][0] | {"at": S, "len": S}]}
     for change in day["classes"]:
         assert change["deadline"] == 4 * S
--- a/tests/rehearsal/test_fault_generator.py
+++ b/tests/rehearsal/test_fault_generator.py
@@ -1,4 +1,4 @@
-"""Drawn fault scripts: the same under one seed, every kind, always readable; failing ones are cut down."""
+"""Tests random fault lines (repeatable, of every kind, valid) and the shrinking of failing scenarios."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from stairplank.rehearsal.scenario import load_scenario
 from stairplank.standin.script import FAULTS, parse
 
-ROOM = Path(str(resources.files("stairplank") / "scenarios" / "drawn-room"))
-SPACE = space_of(load_scenario(ROOM))
+BASE = Path(str(resources.files("stairplank") / "scenarios" / "drawn-room"))
+SPACE = space_of(load_scenario(BASE))
 
 
-def test_one_seed_gives_one_script() -> None:
+def test_faults_are_repeatable_from_a_seed() -> None:
     assert draw(SPACE, 7) == draw(SPACE, 7) != draw(SPACE, 8)
 
 
-def test_every_script_can_be_read_and_falls_into_the_day(tmp_path: Path) -> None:
-    room = ROOM.read_text()
+def test_all_faults_are_valid_and_within_the_scenario(tmp_path: Path) -> None:
+    base_text = BASE.read_text()
     file = tmp_path / "scenario"
     for seed in range(1, 120):
         lines = draw(SPACE, seed)
         assert 1 <= len(lines) <= 12
-        file.write_text(Batch.with_lines(room, seed, lines))
+        file.write_text(Batch.with_lines(base_text, seed, lines))
         scenario = load_scenario(file)
         assert scenario.seed == seed and len(scenario.faults) == len(lines)
         assert all(0 < f.at_us <= SPACE.until_us for f in scenario.faults)
 
 
-def test_every_kind_of_fault_comes() -> None:
+def test_every_kind_of_fault_is_generated() -> None:
     seen: Counter[tuple[str, str]] = Counter()
     for seed in range(400):
         for line in draw(SPACE, seed):
@@ -45,15 +45,15 @@
     assert len(seen) >= sum(map(len, FAULTS.values()))
 
 
-def test_a_small_room_is_not_drained_away() -> None:
+def test_small_cluster_keeps_most_of_its_nodes() -> None:
     space = Space(5, 1, 1, ("a",), ("worker",), 20_000_000)
     for seed in range(200):
-        gone = [x for x in draw(space, seed, 12, 12) if "other" in x]
-        assert len(gone) <= 2 and sum("grow" in x for x in draw(space, seed, 12, 12)) <= 1
+        removals = [x for x in draw(space, seed, 12, 12) if "other" in x]
+        assert len(removals) <= 2 and sum("grow" in x for x in draw(space, seed, 12, 12)) <= 1
 
 
-class Pretended(Batch):
-    """Runs nothing: a script fails where it has both of two lines."""
+class SimulatedBatch(Batch):
+    """Runs no process: a scenario fails if its text contains all the strings in ``bad``."""
 
     def __init__(self, folder: Path, bad: tuple[str, ...]) -> None:
         super().__init__(folder, 2, lambda line: None)
@@ -67,33 +67,33 @@
 
 
 @pytest.mark.parametrize("bad", [("list forget",), ("planner 1 cut", "list forget"), ("farm pause",)])
-def test_a_failing_script_is_cut_down_to_what_breaks_it(tmp_path: Path, bad: tuple[str, ...]) -> None:
+def test_failing_scenario_is_shrunk_to_the_lines_that_fail(tmp_path: Path, bad: tuple[str, ...]) -> None:
     lines = [f"at {n}s planner 0 cut" for n in range(1, 9)]
     lines[2:2] = ["at 2s list forget"]
     lines[6:6] = ["at 5s planner 1 cut"]
     lines.append("at 9s farm pause for 1s")
-    series = Pretended(tmp_path, bad)
-    failing = series.made("it", Batch.with_lines(ROOM.read_text(), 1, lines))
+    series = SimulatedBatch(tmp_path, bad)
+    failing = series.made("it", Batch.with_lines(BASE.read_text(), 1, lines))
     series.run([failing])
     assert not failing.clean
-    least = series.shrink(failing, 60)
-    left = [x for x in least.scenario.read_text().splitlines() if x.startswith("at ")]
-    assert len(left) == len(bad) and all(any(b in x for x in left) for b in bad)
-    assert load_scenario(least.scenario).faults and series.runs <= 61
+    smallest = series.shrink(failing, 60)
+    kept = [x for x in smallest.scenario.read_text().splitlines() if x.startswith("at ")]
+    assert len(kept) == len(bad) and all(any(b in x for x in kept) for b in bad)
+    assert load_scenario(smallest.scenario).faults and series.runs <= 61
 
 
-def test_cutting_down_ends_at_its_bound(tmp_path: Path) -> None:
-    series = Pretended(tmp_path, ("planner 0 cut",))
+def test_shrinking_stops_at_its_bound(tmp_path: Path) -> None:
+    series = SimulatedBatch(tmp_path, ("planner 0 cut",))
     failing = series.made(
-        "it", Batch.with_lines(ROOM.read_text(), 1, [f"at {n}s planner 0 cut" for n in range(1, 13)])
+        "it", Batch.with_lines(BASE.read_text(), 1, [f"at {n}s planner 0 cut" for n in range(1, 13)])
     )
     series.run([failing])
-    least = series.shrink(failing, 3)
-    assert not least.clean and series.runs == 4
+    smallest = series.shrink(failing, 3)
+    assert not smallest.clean and series.runs == 4
 
 
-def test_copies_of_one_placing_fail_a_run_that_has_no_breach(tmp_path: Path) -> None:
-    told: dict[str, Any] = {"verdict": "no breach of the five rules", "counts": {"side_by_side_own": 1}}
-    assert not Run("it", ROOM, tmp_path, 0, told).clean
-    assert Run("it", ROOM, tmp_path, 0, {"counts": {"side_by_side": 1}}).clean
-    assert not Run("it", ROOM, tmp_path, None).clean
+def test_copies_of_one_placement_fail_a_run_without_breach(tmp_path: Path) -> None:
+    results: dict[str, Any] = {"verdict": "no breach of the five rules", "counts": {"side_by_side_own": 1}}
+    assert not Run("it", BASE, tmp_path, 0, results).clean
+    assert Run("it", BASE, tmp_path, 0, {"counts": {"side_by_side": 1}}).clean
+    assert not Run("it", BASE, tmp_path, None).clean
--- a/tests/rehearsal/test_relay.py
+++ b/tests/rehearsal/test_relay.py
@@ -1,4 +1,4 @@
-"""What relays do to links by script, on real sockets, and that the capture tells the three times of it."""
+"""Tests the faults of relays on real sockets, and the reading, forwarding and dropping in the capture."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 WAIT_S = 10.0
 
 
-class Room:
-    """A far end that keeps what it reads, and a relay before it."""
+class RelaySetup:
+    """A target that keeps what it reads, with a relay in front of it."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.file = path.open("wb")
         self.recorder = Recorder(capture.Writer(self.file, {}))
-        self.listener, real = address.listen("127.0.0.1:0")
+        self.listener, target = address.listen("127.0.0.1:0")
         self.far: list[Any] = []
-        self.came: list[bytearray] = []
+        self.received: list[bytearray] = []
         self.ended: list[str] = []
         gevent.spawn(self._accept)
-        self.recorder.relay("node 1", real)
+        self.recorder.relay("node 1", target)
         self.relay: Relay = self.recorder.relays["node 1"]
 
     def _accept(self) -> None:
@@ -39,13 +39,13 @@
             except OSError:
                 return
             self.far.append(sock)
-            self.came.append(bytearray())
+            self.received.append(bytearray())
             gevent.spawn(self._read, sock, len(self.far) - 1)
 
     def _read(self, sock: Any, i: int) -> None:
         try:
             while data := sock.recv(65_536):
-                self.came[i] += data
+                self.received[i] += data
             self.ended.append("closed")
         except OSError:
             self.ended.append("reset")
@@ -55,9 +55,9 @@
         near.settimeout(WAIT_S)
         return near
 
-    def until(self, what: Any) -> None:
+    def until(self, condition: Any) -> None:
         with gevent.Timeout(WAIT_S):
-            while not what():
+            while not condition():
                 gevent.sleep(0.005)
 
     def records(self) -> list[capture.Record]:
@@ -73,140 +73,141 @@
 
 
 @pytest.fixture
-def room(tmp_path: Path) -> Iterator[Room]:
-    made = Room(tmp_path / "capture")
-    yield made
-    made.close()
+def setup(tmp_path: Path) -> Iterator[RelaySetup]:
+    setup = RelaySetup(tmp_path / "capture")
+    yield setup
+    setup.close()
 
 
 def first(records: list[capture.Record], kind: int) -> capture.Record:
     return next(r for r in records if r.kind == kind)
 
 
-def test_what_is_held_is_read_at_once_and_handed_on_later(room: Room) -> None:
-    near = room.dial()
+def test_held_bytes_are_read_at_once_and_forwarded_later(setup: RelaySetup) -> None:
+    near = setup.dial()
     near.sendall(b"one")
-    room.until(lambda: room.came and room.came[0] == b"one")
-    room.relay.begin("hold", "there")
+    setup.until(lambda: setup.received and setup.received[0] == b"one")
+    setup.relay.begin("hold", "there")
     near.sendall(b"two")
-    room.until(lambda: any(r.data == b"two" for r in room.records()))
+    setup.until(lambda: any(r.data == b"two" for r in setup.records()))
     gevent.sleep(0.15)
-    assert room.came[0] == b"one"
-    room.far[0].sendall(b"back")  # the other direction passes
+    assert setup.received[0] == b"one"
+    setup.far[0].sendall(b"back")  # the other direction is not held
     assert near.recv(10) == b"back"
-    room.relay.end("hold", "there")
-    room.until(lambda: room.came[0] == b"onetwo")
-    records = room.records()
+    setup.relay.end("hold", "there")
+    setup.until(lambda: setup.received[0] == b"onetwo")
+    records = setup.records()
     read = next(r for r in records if r.data == b"two")
-    handed = [r for r in records if r.kind == capture.TO_LISTENER]
-    assert [r.number for r in handed] == [3, 6]
-    assert handed[1].at - read.at >= 150_000 and handed[0].at < read.at
+    forwarded = [r for r in records if r.kind == capture.TO_LISTENER]
+    assert [r.number for r in forwarded] == [3, 6]
+    assert forwarded[1].at - read.at >= 150_000 and forwarded[0].at < read.at
 
 
-def test_two_holds_that_overlap_end_with_the_later(room: Room) -> None:
-    near = room.dial()
-    room.relay.begin("hold", "both")
-    room.relay.begin("hold", "there")
+def test_overlapping_holds_end_with_the_later_one(setup: RelaySetup) -> None:
+    near = setup.dial()
+    setup.relay.begin("hold", "both")
+    setup.relay.begin("hold", "there")
     near.sendall(b"x")
-    room.relay.end("hold", "both")
+    setup.relay.end("hold", "both")
     gevent.sleep(0.05)
-    assert not room.came or not room.came[0]
-    room.relay.end("hold", "there")
-    room.until(lambda: room.came and room.came[0] == b"x")
+    assert not setup.received or not setup.received[0]
+    setup.relay.end("hold", "there")
+    setup.until(lambda: setup.received and setup.received[0] == b"x")
 
 
-def test_what_was_held_may_be_lost_with_a_reset(room: Room) -> None:
-    near = room.dial()
+def test_hold_reset_loses_held_bytes(setup: RelaySetup) -> None:
+    near = setup.dial()
     near.sendall(b"one")
-    room.until(lambda: room.came and room.came[0] == b"one")
-    room.relay.begin("hold-reset", "there")
+    setup.until(lambda: setup.received and setup.received[0] == b"one")
+    setup.relay.begin("hold-reset", "there")
     near.sendall(b"gone")
-    room.until(lambda: any(r.data == b"gone" for r in room.records()))
-    room.relay.end("hold-reset", "there")
+    setup.until(lambda: any(r.data == b"gone" for r in setup.records()))
+    setup.relay.end("hold-reset", "there")
     with pytest.raises(ConnectionResetError):
         near.recv(10)
-    room.until(lambda: room.ended)
-    assert room.ended == ["reset"] and room.came[0] == b"one"
-    records = room.records()
+    setup.until(lambda: setup.ended)
+    assert setup.ended == ["reset"] and setup.received[0] == b"one"
+    records = setup.records()
     assert first(records, capture.LOST_TO_LISTENER).number == 4
     assert [r.number for r in records if r.kind == capture.TO_LISTENER] == [3]
 
 
-def test_the_end_of_a_link_comes_behind_what_is_held(room: Room) -> None:
-    near = room.dial()
+def test_closing_of_a_link_follows_held_bytes(setup: RelaySetup) -> None:
+    near = setup.dial()
     near.sendall(b"one")
-    room.until(lambda: room.came and room.came[0] == b"one")
-    room.relay.begin("hold", "both")
+    setup.until(lambda: setup.received and setup.received[0] == b"one")
+    setup.relay.begin("hold", "both")
     near.sendall(b"last")
     near.close()
-    room.until(lambda: any(r.kind == capture.DIALLER_CLOSED for r in room.records()))
+    setup.until(lambda: any(r.kind == capture.DIALLER_CLOSED for r in setup.records()))
     gevent.sleep(0.05)
-    assert room.came[0] == b"one" and not room.ended
-    room.relay.end("hold", "both")
-    room.until(lambda: room.ended)
-    assert room.came[0] == b"onelast" and room.ended == ["closed"]
+    assert setup.received[0] == b"one" and not setup.ended
+    setup.relay.end("hold", "both")
+    setup.until(lambda: setup.ended)
+    assert setup.received[0] == b"onelast" and setup.ended == ["closed"]
 
 
-def test_a_link_given_up_in_the_middle_of_its_handshake_never_was(room: Room) -> None:
-    room.relay.begin("hold", "both")
-    near = room.dial()  # the kernel takes it; nobody is behind
+def test_link_closed_before_its_connection_is_never_dialled(setup: RelaySetup) -> None:
+    setup.relay.begin("hold", "both")
+    near = setup.dial()  # the kernel accepts it; the relay has not connected to the target
     near.sendall(b"hello")
     near.close()
     gevent.sleep(0.05)
-    room.relay.end("hold", "both")
+    setup.relay.end("hold", "both")
     gevent.sleep(0.1)
-    assert not room.far
+    assert not setup.far
 
 
-def test_a_delay_keeps_order_and_ends(room: Room) -> None:
-    near = room.dial()
-    room.relay.begin("delay", "there", 120_000)
+def test_a_delay_keeps_order_and_ends(setup: RelaySetup) -> None:
+    near = setup.dial()
+    setup.relay.begin("delay", "there", 120_000)
     for i in range(5):
         near.sendall(bytes([i]))
-    room.until(lambda: room.came and len(room.came[0]) == 5)
-    records = room.records()
-    read, handed = first(records, capture.FROM_DIALLER), first(records, capture.TO_LISTENER)
-    assert handed.at - read.at >= 120_000 and room.came[0] == bytes(range(5))
-    room.relay.end("delay", "there", 120_000)
+    setup.until(lambda: setup.received and len(setup.received[0]) == 5)
+    records = setup.records()
+    read, forwarded = first(records, capture.FROM_DIALLER), first(records, capture.TO_LISTENER)
+    assert forwarded.at - read.at >= 120_000 and setup.received[0] == bytes(range(5))
+    setup.relay.end("delay", "there", 120_000)
     near.sendall(b"z")
-    room.until(lambda: len(room.came[0]) == 6)
+    setup.until(lambda: len(setup.received[0]) == 6)
 
 
-def test_a_slow_link_passes_so_many_bytes_a_second(room: Room) -> None:
-    near = room.dial()
-    room.relay.begin("rate", "there", 20_000)
+def test_rate_limits_the_bytes_per_second(setup: RelaySetup) -> None:
+    near = setup.dial()
+    setup.relay.begin("rate", "there", 20_000)
     near.sendall(b"x" * 6_000)
-    room.until(lambda: room.came and len(room.came[0]) == 6_000)
-    records = room.records()
-    handed = [r for r in records if r.kind == capture.TO_LISTENER]
-    assert handed[-1].at - handed[0].at >= 200_000  # 6,000 bytes at 20,000 a second, less the last piece
+    setup.until(lambda: setup.received and len(setup.received[0]) == 6_000)
+    records = setup.records()
+    forwarded = [r for r in records if r.kind == capture.TO_LISTENER]
+    # At 20,000 bytes a second, 6,000 bytes take 300 ms, of which the last piece's time is not measured.
+    assert forwarded[-1].at - forwarded[0].at >= 200_000
 
 
-def test_links_with_nobody_behind(room: Room) -> None:
-    old = room.dial()
+def test_half_open_links(setup: RelaySetup) -> None:
+    old = setup.dial()
     old.sendall(b"one")
-    room.until(lambda: room.came and room.came[0] == b"one")
-    room.relay.begin("half-open")
+    setup.until(lambda: setup.received and setup.received[0] == b"one")
+    setup.relay.begin("half-open")
     with pytest.raises(ConnectionResetError):
         old.recv(10)
-    near = room.dial()
+    near = setup.dial()
     near.sendall(b"hello?")
     gevent.sleep(0.05)
-    assert len(room.far) == 1
-    room.relay.end("half-open")
+    assert len(setup.far) == 1
+    setup.relay.end("half-open")
     with pytest.raises(ConnectionResetError):
         near.recv(10)
-    assert len(room.far) == 1
-    again = room.dial()
-    again.sendall(b"back")
-    room.until(lambda: len(room.came) == 2 and room.came[1] == b"back")
+    assert len(setup.far) == 1
+    new_link = setup.dial()
+    new_link.sendall(b"back")
+    setup.until(lambda: len(setup.received) == 2 and setup.received[1] == b"back")
 
 
-def test_the_bound_of_held_bytes_is_felt_by_the_sender(room: Room, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bound_of_held_bytes_blocks_the_sender(setup: RelaySetup, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(relay_channel, "MAX_HELD_BYTES", 100_000)
-    near = room.dial()
+    near = setup.dial()
     near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
-    room.relay.begin("hold", "there")
+    setup.relay.begin("hold", "there")
     sent = 0
     near.settimeout(0.3)
     try:
@@ -214,32 +215,32 @@
             sent += near.send(b"y" * 65_536)
     except TimeoutError:
         pass
-    link = next(iter(room.relay.links))
-    assert (
-        link.there.held_bytes == 100_000 and sent < 64 << 20
-    )  # it stands, as before a peer that does not read
-    room.relay.end("hold", "there")
-    room.until(lambda: room.came and len(room.came[0]) == sent)  # and nothing is lost
-    assert not [r for r in room.records() if r.kind == capture.LOST_TO_LISTENER]
+    link = next(iter(setup.relay.links))
+    # The sender is blocked, as with a peer that does not read.
+    assert link.there.held_bytes == 100_000 and sent < 64 << 20
+    setup.relay.end("hold", "there")
+    # All bytes are delivered after the hold.
+    setup.until(lambda: setup.received and len(setup.received[0]) == sent)
+    assert not [r for r in setup.records() if r.kind == capture.LOST_TO_LISTENER]
 
 
-def test_a_far_end_that_takes_nothing_any_more(room: Room) -> None:
-    near = room.dial()
+def test_target_that_was_reset(setup: RelaySetup) -> None:
+    near = setup.dial()
     near.sendall(b"one")
-    room.until(lambda: room.came and room.came[0] == b"one")
-    room.relay.begin("hold", "back")
-    address.abort(room.far[0])
+    setup.until(lambda: setup.received and setup.received[0] == b"one")
+    setup.relay.begin("hold", "back")
+    address.abort(setup.far[0])
     gevent.sleep(0.05)
-    near.sendall(b"two")  # nobody has told it yet
+    near.sendall(b"two")  # the reset of the target is still held
     gevent.sleep(0.05)
     near.sendall(b"three")
-    room.until(lambda: sum(len(r.data) for r in room.records() if r.kind == capture.FROM_DIALLER) == 11)
-    room.relay.end("hold", "back")
+    setup.until(lambda: sum(len(r.data) for r in setup.records() if r.kind == capture.FROM_DIALLER) == 11)
+    setup.relay.end("hold", "back")
     with pytest.raises(ConnectionResetError):
         near.recv(10)
 
 
-def test_captures_of_version_1_are_read_and_others_refused(tmp_path: Path) -> None:
+def test_captures_of_version_1_are_read_and_others_rejected(tmp_path: Path) -> None:
     old = tmp_path / "old"
     with old.open("wb") as file:
         writer = capture.Writer(file, {"a": 1})
@@ -250,9 +251,9 @@
     raw = old.read_bytes()
     old.write_bytes(capture.FIRST_MAGIC + raw[8:])
     records = list(capture.Reader(old))
-    passed = (capture.TO_LISTENER, capture.TO_DIALLER)
-    handed = [(r.kind, r.at, r.number) for r in records if r.kind in passed]
-    assert handed == [(capture.TO_LISTENER, 2, 3), (capture.TO_DIALLER, 3, 2), (capture.TO_LISTENER, 4, 4)]
+    forwarding_kinds = (capture.TO_LISTENER, capture.TO_DIALLER)
+    forwarded = [(r.kind, r.at, r.number) for r in records if r.kind in forwarding_kinds]
+    assert forwarded == [(capture.TO_LISTENER, 2, 3), (capture.TO_DIALLER, 3, 2), (capture.TO_LISTENER, 4, 4)]
     old.write_bytes(b"SPCAP003" + raw[8:])
     with pytest.raises(capture.CaptureError, match="version 003; captures of versions 001 and 002 are read"):
         capture.Reader(old)
--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -1,4 +1,4 @@
-"""Rehearsals on real processes: a short bad day without breach; guards taken out, which must be reported."""
+"""Runs rehearsals on real processes: without a breach, and with a guard removed, which must be reported."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     *args: str, env: dict[str, str] | None = None, **more: Any
 ) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "stairplank", *args]
-    whole = {**os.environ, **(env or {})}
-    return subprocess.run(command, capture_output=True, text=True, timeout=LIMIT_S, env=whole, **more)
+    environment = {**os.environ, **(env or {})}
+    return subprocess.run(command, capture_output=True, text=True, timeout=LIMIT_S, env=environment, **more)
 
 
 def test_a_short_bad_day_has_no_breach(tmp_path: Path) -> None:
@@ -35,21 +35,21 @@
     done = stairplank("rehearse", str(DAY), "--work", str(work), "--report", str(report))
     assert done.returncode == 0, done.stdout + done.stderr
     assert "no breach of the five rules" in done.stdout
-    told = json.loads((report / "report.json").read_text())
-    counts = told["counts"]
+    results = json.loads((report / "report.json").read_text())
+    counts = results["counts"]
     assert counts["asks"] > 50 and counts["offers"] > 50 and counts["placed"] > 40
     assert (
         counts["placed"] + counts["refused"] + counts["failed"] + counts["withdrawn"] >= counts["taken"] * 0.9
     )
-    assert len(told["script"]) > 10 and (report / "chart.png").stat().st_size > 5000
+    assert len(results["script"]) > 10 and (report / "chart.png").stat().st_size > 5000
     assert "report" in (report / "report.txt").read_text()
-    # The same capture judged again, by itself.
+    # The judge command gives the same verdict on the capture.
     again = stairplank("judge", str(work / "capture"))
     assert again.returncode == 0 and "no breach" in again.stdout
 
 
-# Each guard is taken out of the planner's processes by a line that Python runs at their start.
-PLANTED = {
+# Each patch removes a guard from the rehearsal's processes; Python runs it as sitecustomize at their start.
+REMOVED_GUARDS = {
     "spread": (
         "import stairplank.decisions.spread as s\n"
         "s.SpreadCounts.allows = lambda self, task, task_class, entry: True\n",
@@ -76,9 +76,9 @@
 }
 
 
-@pytest.mark.parametrize("guard", sorted(PLANTED))
-def test_a_guard_taken_out_is_reported(tmp_path: Path, guard: str) -> None:
-    code, rule = PLANTED[guard]
+@pytest.mark.parametrize("guard", sorted(REMOVED_GUARDS))
+def test_removed_guard_is_reported(tmp_path: Path, guard: str) -> None:
+    code, rule = REMOVED_GUARDS[guard]
     (tmp_path / "sitecustomize.py").write_text(
         "try:\n" + "".join(f"    {line}\n" for line in code.splitlines()) + "except ImportError:\n    pass\n"
     )
@@ -87,7 +87,7 @@
     if guard == "once":
         text += "at 0s nodes 50% fail-starts 70% for 5s\n"
     if guard == "fence":
-        # Nothing else happens: no link is broken, so that all that was held comes through.
+        # All other faults are left out, so that no link is reset and all held bytes are delivered.
         text = "\n".join(line for line in text.splitlines() if not line.startswith("at "))
         text = text.replace("deadline 4s", "deadline 2s") + "\nat 1s links nodes 100% hold there for 4s\n"
     if guard == "answers":
@@ -101,7 +101,7 @@
     assert f"rule {rule} (" in done.stdout and "record " in done.stdout
 
 
-def test_children_end_with_a_rehearsal_that_is_killed(tmp_path: Path) -> None:
+def test_processes_end_when_their_rehearsal_is_killed(tmp_path: Path) -> None:
     work = tmp_path / "work"
     command = [sys.executable, "-m", "stairplank", "rehearse", str(DAY), "--work", str(work)]
     process = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
@@ -128,7 +128,7 @@
         return "Z"
 
 
-def test_draws_are_the_same_under_one_seed() -> None:
+def test_random_targets_are_repeatable_from_a_seed() -> None:
     first, again = load_scenario(DAY), load_scenario(DAY)
     other = load_scenario(DAY, seed=99)
     assert first.faults == again.faults and first.faults != other.faults
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "message"),
     [
         ("at 1s node 1 drain", "at 1s node 99 drain", "no node 99"),
         ("at 2s planner 1 kill", "at 2s planner 7 kill", "no planner 7"),
@@ -147,19 +147,19 @@
         ("lasts 11s", "last 11s", "did you mean lasts"),
     ],
 )
-def test_scenario_errors_have_places(tmp_path: Path, old: str, new: str, says: str) -> None:
+def test_scenario_errors_name_their_position(tmp_path: Path, old: str, new: str, message: str) -> None:
     assert old in DAY.read_text()
     file = tmp_path / "day"
     file.write_text(DAY.read_text().replace(old, new, 1))
-    with pytest.raises(SettingsError, match=says):
+    with pytest.raises(SettingsError, match=message):
         load_scenario(file)
     done = stairplank("rehearse", str(file))
     assert done.returncode == 2 and "error: " in done.stderr and f"{file}:" in done.stderr
 
 
 @pytest.mark.parametrize("target", ["planner", "node"])
-def test_a_kill_in_the_middle_of_a_group_s_life(tmp_path: Path, target: str) -> None:
-    """One of the points that benchmarks/kills.py goes through."""
+def test_kill_while_a_group_runs(tmp_path: Path, target: str) -> None:
+    """A kill at one of the points that benchmarks/kills.py covers."""
     scenario = Path(str(resources.files("stairplank") / "scenarios" / "one-group"))
     code = (
         "import sys\nfrom pathlib import Path\nfrom stairplank.rehearsal.kill_sweep import KillSweepRun\n"
