--- a/stairplank/rehearsal/checker.py
+++ b/stairplank/rehearsal/checker.py
@@ -34,13 +34,13 @@
             self.counts.messages += 1
             if message.body is None and message.end == "closed":
                 self.closed_ends.add((message.link, message.from_dialler))
-            if message.received and (message.link, not message.from_dialler) in self.closed_ends:
+            if message.heard and (message.link, not message.from_dialler) in self.closed_ends:
                 continue  # forwarded to an end that had already closed, so it was not received
             if message.body is None:
                 self._stream_or_link_ended(message)
                 continue
             method = message.path.rpartition("/")[2]
-            for handler in _BY_METHOD.get((method, message.from_dialler, message.received), ()):
+            for handler in _BY_METHOD.get((method, message.from_dialler, message.heard), ()):
                 handler(self, message)
 
     def _watch_request(self, m: Message) -> None:
@@ -87,7 +87,7 @@
         if whole_link:
             self.ended_links.add(m.link)
         to_planner = not m.from_dialler and m.to.startswith("node")
-        if m.received != to_planner and not whole_link:
+        if m.heard != to_planner and not whole_link:
             return  # the end of a node's stream counts on receipt by the planner, any other when sent
         for key, record in self.requests.items():
             if key[0] == m.link and (whole_link or key[1] == m.stream) and record.released_at is None:
--- a/stairplank/rehearsal/decode.py
+++ b/stairplank/rehearsal/decode.py
@@ -54,8 +54,8 @@
     body: Any  # the message; None for the end of a stream or link
     end: str = ""  # "reset 8", "trailers 0", "closed", "goaway 1"
     frame: int = 0  # number of the record in the capture
-    received: bool = False
-    sent_at: int = 0  # the time of sending, where this is the receipt
+    heard: bool = False  # whether this is the receipt of the message
+    said_at: int = 0  # the time of sending, where this is the receipt
 
     def where(self) -> str:
         """Return a line that locates the message in the capture and names its kind."""
@@ -63,8 +63,8 @@
         oneof = self.body is not None and "kind" in self.body.DESCRIPTOR.oneofs_by_name
         kind = self.body.WhichOneof("kind") if oneof else None
         kind_text = self.end if self.body is None else f"{type(self.body).__name__} {kind or ''}".strip()
-        if self.received:
-            kind_text += f" (said {(self.at - self.sent_at) / 1e3:.1f} ms before)"
+        if self.heard:
+            kind_text += f" (said {(self.at - self.said_at) / 1e3:.1f} ms before)"
         return f"record {self.frame} link {self.link} {arrow} {self.to} stream {self.stream}: {kind_text}"
 
 
@@ -110,7 +110,7 @@
         count = record.number
         while direction.waiting and direction.waiting[0][0] <= count:
             sent = direction.waiting.popleft()[1]
-            yield replace(sent, at=record.at, received=True, sent_at=sent.at, frame=number)
+            yield replace(sent, at=record.at, heard=True, said_at=sent.at, frame=number)
 
     def feed(self, number: int, record: capture.Record) -> Iterator[Message]:
         if record.kind == capture.SCRIPT:
--- a/stairplank/rehearsal/rules/node_messages.py
+++ b/stairplank/rehearsal/rules/node_messages.py
@@ -89,7 +89,7 @@
                 return None  # redelivered, as it was not acknowledged
             seen_numbers.add(number)
         sent = self.offers.get((node, attempt_key(getattr(m.body, kind).id)))
-        if sent is None and not m.received:
+        if sent is None and not m.heard:
             self._breach(0, "attempts", f"{kind} for an attempt that was never offered", m, node=node)
         return sent
 
