--- a/tests/rehearsal/test_run.py
+++ b/tests/rehearsal/test_run.py
@@ -8,7 +8,8 @@
 import subprocess
 import sys
 import time
-from importlib import resources
+from dataclasses import dataclass
+from importlib import import_module, resources
 from pathlib import Path
 from typing import Any
 
@@ -48,29 +49,69 @@
     assert again.returncode == 0 and "no breach" in again.stdout
 
 
-# Each patch removes a guard from the rehearsal's processes; Python runs it as sitecustomize at their start.
+@dataclass(frozen=True)
+class Patch:
+    """A method that the rehearsal's processes replace at their start, and the source of its replacement."""
+
+    module: str
+    class_name: str
+    method: str
+    replacement: str
+
+    def assert_method_exists(self) -> None:
+        """Fail if the method was renamed: the patch would set an unused attribute and remove no guard."""
+        assert hasattr(getattr(import_module(self.module), self.class_name), self.method), self
+
+    @property
+    def source(self) -> str:
+        """The statement that replaces the method."""
+        return f"import {self.module} as m; m.{self.class_name}.{self.method} = {self.replacement}"
+
+
+# Each entry removes a guard, and names the rule whose breach must be reported then.
 REMOVED_GUARDS = {
     "spread": (
-        "import stairplank.decisions.spread as s\n"
-        "s.SpreadCounts.allows = lambda self, task, task_class, entry: True\n",
+        [
+            Patch(
+                "stairplank.decisions.spread",
+                "SpreadCounts",
+                "allows",
+                "lambda self, task, task_class, entry: True",
+            )
+        ],
         5,
     ),
     "once": (
-        "import stairplank.decisions.retry as r\n"
-        "r.PendingTask.may_retry = lambda self, now, tick_us: True\n"
-        "r.PendingTask.may_retry_at = lambda self, entry: True\n",
+        [
+            Patch(
+                "stairplank.decisions.retry", "PendingTask", "may_retry", "lambda self, now, tick_us: True"
+            ),
+            Patch("stairplank.decisions.retry", "PendingTask", "may_retry_at", "lambda self, entry: True"),
+        ],
         2,
     ),
     "answers": (
-        "import stairplank.planner.client_requests as r\n"
-        "r.ClientRequests.refuse = r.ClientRequests.fail = lambda self, action: None\n",
+        [
+            Patch("stairplank.planner.client_requests", "ClientRequests", method, "lambda self, action: None")
+            for method in ("shed", "fail")
+        ],
         1,
     ),
     "fence": (
-        "import stairplank.standin.planner_session as d\n"
-        "d.PlannerSession.earliest_sent_at = lambda self, now, stamp: now\n"
-        "import stairplank.planner.placement_service as p\n"
-        "p.PlacementService._message_age_us = lambda self, session, message: 0\n",
+        [
+            Patch(
+                "stairplank.standin.planner_session",
+                "PlannerSession",
+                "earliest_sent_at",
+                "lambda self, now, stamp: now",
+            ),
+            Patch(
+                "stairplank.planner.placement_service",
+                "PlacementService",
+                "_message_age_us",
+                "lambda self, session, message: 0",
+            ),
+        ],
         2,
     ),
 }
@@ -78,9 +119,12 @@
 
 @pytest.mark.parametrize("guard", sorted(REMOVED_GUARDS))
 def test_removed_guard_is_reported(tmp_path: Path, guard: str) -> None:
-    code, rule = REMOVED_GUARDS[guard]
+    patches, rule = REMOVED_GUARDS[guard]
+    for patch in patches:
+        patch.assert_method_exists()
+    # Python runs sitecustomize at the start of each of the rehearsal's processes.
     (tmp_path / "sitecustomize.py").write_text(
-        "try:\n" + "".join(f"    {line}\n" for line in code.splitlines()) + "except ImportError:\n    pass\n"
+        "try:\n" + "".join(f"    {patch.source}\n" for patch in patches) + "except ImportError:\n    pass\n"
     )
     day = tmp_path / "day"
     text = DAY.read_text()
