--- a/tests/golden/golden_platform_days.py
+++ b/tests/golden/golden_platform_days.py
@@ -32,10 +32,10 @@
         self.trace = trace
         super().__init__(seed, strange=strange)
 
-    def _take(self, actions: list[ev.Action]) -> None:
+    def _record_actions(self, actions: list[ev.Action]) -> None:
         for action in actions:
             self._trace_action(action)
-        super()._take(actions)
+        super()._record_actions(actions)
 
     def _trace_action(self, action: ev.Action) -> None:
         match action:
--- a/tests/platform/cold_fleet.py
+++ b/tests/platform/cold_fleet.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from desk import FIELDS, SECOND, notice, row, set_up
+from core_harness import FIELDS, SECOND, machine_row, node_list_message, placement_request
 from helpers import SETTINGS
 
 from stairplank.platform import events as ev
@@ -71,7 +71,9 @@
         return self.runs[-1]
 
     def row(self, health: str = "SERVING") -> dict[str, Any]:
-        return row(self.number, health, site=self.zone, born_ms=self.run.started_ms, block=self.number)
+        return machine_row(
+            self.number, health, site=self.zone, born_ms=self.run.started_ms, block=self.number
+        )
 
 
 class PlannerRun:
@@ -122,7 +124,7 @@
     def _update(self, rows: list[dict[str, Any]], whole: bool = False) -> Any:
         self.revision += 1
         self.starts |= {r["host"]: r["born_ms"] for r in rows}
-        return self.node_list.apply(notice(self.revision, *rows, whole=whole))[0]
+        return self.node_list.apply(node_list_message(self.revision, *rows, whole=whole))[0]
 
     def _carry_out(self, actions: list[ev.Action]) -> None:
         for action in actions:
@@ -231,7 +233,7 @@
     def _placement_request(self) -> Message:
         number = next(self._tasks)
         extras = f"cores:0.01;memory:0.02;service:{number % 7:016x}"
-        return set_up(number, left=str(TASK_DEADLINE_MS), extras=extras)
+        return placement_request(number, left=str(TASK_DEADLINE_MS), extras=extras)
 
     # Machines and the node list
 
--- a/tests/platform/drawn_days.py
+++ b/tests/platform/drawn_days.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from desk import SECOND, Desk, name, row
+from core_harness import SECOND, CoreHarness, machine_row, task_id
 
 from stairplank import interface as api
 from stairplank.platform import events as ev
@@ -162,7 +162,7 @@
     }
 
 
-class DrawnDay(Desk):
+class DrawnDay(CoreHarness):
     """A random sequence of events for a core; ``strange`` also makes the settings random."""
 
     def __init__(self, seed: int, machines: int = 9, strange: bool = False) -> None:
@@ -179,10 +179,10 @@
         self.pending_replies: list[tuple[int, int, str]] = []
         self.number = 0
         self.next_machine = machines + 1
-        self.conns = [self.owner() for _ in range(3)]
+        self.conns = [self.add_client() for _ in range(3)]
 
-    def _take(self, actions: list[ev.Action]) -> None:
-        super()._take(actions)
+    def _record_actions(self, actions: list[ev.Action]) -> None:
+        super()._record_actions(actions)
         checker = self.checker
         if checker is None:
             return
@@ -207,8 +207,12 @@
         longest = max(c.deadline_us // 1000 for c in self.settings.classes if c.name == task_class)
         waits = (900, 3000, 6000) if self.task_classes is TASK_CLASSES else (900, 3000, 6000, longest)
         wait_ms = min(longest, self.rng.choice(waits))
-        self.checker.requests[name(self.number)] = ClientRequest(task_class, conn, self.now + wait_ms * 1000)
-        self.ask(conn, self.number, task_class, left=str(wait_ms), extras=self.extras_of(name(self.number)))
+        self.checker.requests[task_id(self.number)] = ClientRequest(
+            task_class, conn, self.now + wait_ms * 1000
+        )
+        self.request_placement(
+            conn, self.number, task_class, left=str(wait_ms), extras=self.extras_of(task_id(self.number))
+        )
 
     def client_reconnects(self) -> None:
         """A client disconnects and sends its open requests again on a new connection, with the same ids."""
@@ -220,11 +224,11 @@
         disconnects_first = self.rng.random() < 0.5
         if disconnects_first:
             self.feed(ev.ClientDisconnected(conn))
-        self.conns.append(self.owner())
+        self.conns.append(self.add_client())
         for id, request in open_requests.items():
             request.conn = self.conns[-1]
             wait_ms = max(1, (request.deadline - self.now) // 1000)
-            self.ask(
+            self.request_placement(
                 self.conns[-1],
                 int(id, 16),
                 request.task_class,
@@ -251,31 +255,31 @@
             machine = self.rng.choice(serving)
             state = self.rng.choice(("DRAINING", "DELETED"))
             self.machines[machine] = state
-            self.list_update(row(machine, state))
+            self.list_update(machine_row(machine, state))
             assert self.checker is not None
             self.checker.draining.add(machine)
 
     def machine_joins(self) -> None:
         machine, self.next_machine = self.next_machine, self.next_machine + 1
         self.machines[machine] = "SERVING"
-        self.list_update(row(machine))
+        self.list_update(machine_row(machine))
 
     def machine_restarts(self) -> None:
         serving = [n for n, state in self.machines.items() if state == "SERVING"]
-        self.list_update(row(self.rng.choice(serving), born_ms=1_000_000 + self.now // 1000))
+        self.list_update(machine_row(self.rng.choice(serving), born_ms=1_000_000 + self.now // 1000))
 
     def link_breaks(self) -> None:
-        if not self.up:
+        if not self.links_up:
             return
         assert self.checker is not None
-        link = self.rng.choice(list(self.up))
+        link = self.rng.choice(list(self.links_up))
         in_flight = [
             id
             for id, request in self.checker.requests.items()
             if any(a.link == link and a.in_flight for a in request.attempts)
         ]
         unsent = frozenset(in_flight[-1:]) if self.rng.random() < 0.3 else frozenset()
-        self.up.pop(link)
+        self.links_up.pop(link)
         self.checker.link_closed(link, unsent)
         self.feed(ev.LinkLost(link, unsent))
 
@@ -285,7 +289,7 @@
         due = [r for r in self.pending_replies if r[0] <= self.now]
         self.pending_replies = [r for r in self.pending_replies if r[0] > self.now]
         for _, link, id in due:
-            if link not in self.up:
+            if link not in self.links_up:
                 continue
             reply = self.rng.choice(
                 ("answer", "answer", "full", "moot", "error", "reset", "ended", "nothing")
@@ -294,7 +298,7 @@
             if reply == "answer":
                 if attempt.in_flight:
                     attempt.in_flight, attempt.is_running = False, True
-                self.machine(link, Message(Kind.ANSWER, id, body="stands"))
+                self.receive_from_machine(link, Message(Kind.ANSWER, id, body="stands"))
                 self.pending_replies.append((self.now + self.rng.randrange(3 * SECOND), link, id))
             elif reply != "nothing":
                 cause = {"full": 34, "moot": 102, "error": 47, "reset": 41, "ended": 16}[reply]
@@ -303,7 +307,7 @@
                     attempt.is_running = False
                 else:
                     self.checker.attempt_ended(id, link, is_proven_not_run)
-                self.machine(link, Message(Kind.RELEASE, id, cause=cause))
+                self.receive_from_machine(link, Message(Kind.RELEASE, id, cause=cause))
 
     def play(self, steps: int = 1500) -> list[str]:
         """Run the sequence; return the faults that the checker found."""
@@ -321,7 +325,7 @@
             for link in list(self.dials):
                 chance = self.rng.random()
                 if chance < DIAL_SUCCESS_PROBABILITY:
-                    self.up[link] = self.dials.pop(link)
+                    self.links_up[link] = self.dials.pop(link)
                     self.feed(ev.LinkUp(link))
                 elif chance < 1.1 * DIAL_SUCCESS_PROBABILITY:
                     del self.dials[link]
@@ -334,7 +338,7 @@
         end = max(r.deadline for r in self.checker.requests.values()) + SECOND
         while self.now < end:
             self.feed(after=50_000)
-            self.connect()
+            self.bring_links_up()
             self.machines_reply()
         self.checker.finish(self.now)
         return self.checker.faults
--- a/tests/platform/test_platform_bounds.py
+++ b/tests/platform/test_platform_bounds.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from desk import Desk, name
+from core_harness import CoreHarness, task_id
 from gevent import socket as gsocket
 
 from stairplank.platform import attempt_table, attempts, logs, streams, task_table
@@ -31,23 +31,23 @@
 
 def test_abandoned_attempts_are_kept_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(attempt_table, "MAX_ABANDONED", 5)
-    desk = Desk(machines=4)
-    conn = desk.owner()
+    harness = CoreHarness(machines=4)
+    conn = harness.add_client()
     for number in range(1, 20):
-        desk.ask(conn, number, extras=f"cores:0.5;memory:1;service:{number:016x}")
-        desk.connect()
-        desk.feed(ev.ClientMessage(conn, Message(Kind.RELEASE, name(number), cause=16)))
-    assert len(desk.core.attempts.table.by_machine_and_id) == 5
+        harness.request_placement(conn, number, extras=f"cores:0.5;memory:1;service:{number:016x}")
+        harness.bring_links_up()
+        harness.feed(ev.ClientMessage(conn, Message(Kind.RELEASE, task_id(number), cause=16)))
+    assert len(harness.core.attempts.table.by_machine_and_id) == 5
 
 
 def test_attempts_in_flight_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(attempts, "MAX_IN_FLIGHT", 3)
-    desk = Desk(machines=4)
-    conn = desk.owner()
+    harness = CoreHarness(machines=4)
+    conn = harness.add_client()
     for number in range(1, 10):
-        desk.ask(conn, number, extras=f"cores:0.5;memory:1;service:{number:016x}")
-    assert desk.core.attempts.in_flight == 3
-    assert [m.cause for _, m in desk.to_clients] == [42] * 6
+        harness.request_placement(conn, number, extras=f"cores:0.5;memory:1;service:{number:016x}")
+    assert harness.core.attempts.in_flight == 3
+    assert [m.cause for _, m in harness.to_clients] == [42] * 6
 
 
 def test_a_log_that_is_not_read_does_not_block_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -72,12 +72,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(task_table, "MAX_UNPROVEN", 2)
-    desk = Desk(machines=4)
+    harness = CoreHarness(machines=4)
     for number in (1, 2, 3):
-        conn = desk.owner()
-        desk.ask(conn, number, "once", extras=f"cores:0.5;memory:1;service:{number:016x}")
-        desk.connect()
-        desk.feed(ev.ClientDisconnected(conn))
-    assert list(desk.core.tasks.unproven) == [name(2), name(3)]
-    desk.passes(task_table.UNPROVEN_US + 1_000_000)
-    assert not desk.core.tasks.unproven
+        conn = harness.add_client()
+        harness.request_placement(conn, number, "once", extras=f"cores:0.5;memory:1;service:{number:016x}")
+        harness.bring_links_up()
+        harness.feed(ev.ClientDisconnected(conn))
+    assert list(harness.core.tasks.unproven) == [task_id(2), task_id(3)]
+    harness.advance(task_table.UNPROVEN_US + 1_000_000)
+    assert not harness.core.tasks.unproven
--- a/tests/platform/test_platform_departed_clients.py
+++ b/tests/platform/test_platform_departed_clients.py
@@ -19,6 +19,7 @@
 
 import gevent
 import pytest
+from core_harness import CoreHarness, task_id
 from departures import (
     encoded_placement_request,
     fill_send_buffer,
@@ -27,7 +28,6 @@
     leave_and_notice,
     shrink_buffers,
 )
-from desk import Desk, name
 from gevent.event import Event as Flag
 from platform_standins import (
     ROOT,
@@ -176,22 +176,22 @@
 @pytest.mark.parametrize("event", [ev.ClientDisconnected(1), ev.ClientHungUp(1), "cancel"])
 def test_a_timer_that_is_due_with_a_departure_begins_no_attempt(event: Any) -> None:
     """A single turn of the core, without sockets: the link to the machine is up, so a retry would be sent."""
-    desk = Desk(machines=1)
-    conn = desk.owner()
-    link = desk.send(conn, 1)
-    desk.ends(link, 1, Cause.FULL, note="nq")
-    (task,) = desk.core.tasks.by_id.values()
-    (machine,) = desk.core.links.machines
+    harness = CoreHarness(machines=1)
+    conn = harness.add_client()
+    link = harness.request_and_send(conn, 1)
+    harness.receive_release(link, 1, Cause.FULL, note="nq")
+    (task,) = harness.core.tasks.by_id.values()
+    (machine,) = harness.core.links.machines
     retry = api.Bind(task.number, machine, 0)
-    desk.core.loop.call_at(desk.now + 1_000_000, desk.core.attempts.bind, retry)
-    desk.now += 1_100_000
-    desk.feed(ev.NodeListConfirmed(), _cancel(1) if event == "cancel" else event)
-    desk.connect()
-    assert len(desk.sent(1)) == 1
+    harness.core.loop.call_at(harness.now + 1_000_000, harness.core.attempts.bind, retry)
+    harness.now += 1_100_000
+    harness.feed(ev.NodeListConfirmed(), _cancel(1) if event == "cancel" else event)
+    harness.bring_links_up()
+    assert len(harness.placements_sent(1)) == 1
 
 
 def _cancel(number: int, conn: int = 1) -> ev.ClientMessage:
-    return ev.ClientMessage(conn, Message(Kind.RELEASE, name(number), cause=int(Cause.ENDED)))
+    return ev.ClientMessage(conn, Message(Kind.RELEASE, task_id(number), cause=int(Cause.ENDED)))
 
 
 @HOW
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from desk import Desk, name, set_up
+from core_harness import CoreHarness, placement_request, task_id
 from platform_config import CONFIG
 
 from stairplank.platform import config, validation
@@ -57,7 +57,9 @@
     actions = core.start(now, [update])
     actions += core.handle(now, [ev.ClientConnected(1, "c")])
     for number, task_class in enumerate(c.settings.classes, 1):
-        message = set_up(number, task_class.name, idem="5c0f6e1a2b3d4c59a8b7c6d5e4f30211", left="900")
+        message = placement_request(
+            number, task_class.name, idem="5c0f6e1a2b3d4c59a8b7c6d5e4f30211", left="900"
+        )
         actions += core.handle(now, [ev.ClientMessage(1, message)])
     answered = [a.message.id for a in actions if isinstance(a, ev.SendToClient)]
     for _ in range(12):
@@ -65,7 +67,7 @@
         actions = core.handle(now, [ev.TimerDue()])
         actions += core.handle(now, [ev.LinkUp(a.link) for a in actions if isinstance(a, ev.Dial)])
         answered += [a.message.id for a in actions if isinstance(a, ev.SendToClient)]
-    assert set(answered) == {name(n) for n in range(1, len(c.settings.classes) + 1)}
+    assert set(answered) == {task_id(n) for n in range(1, len(c.settings.classes) + 1)}
 
 
 @pytest.mark.parametrize("path", list(leaves(CONFIG)), ids=lambda path: ".".join(map(str, path)))
@@ -87,25 +89,28 @@
 
 
 def test_a_task_is_assigned_to_the_tenant_that_it_names() -> None:
-    desk = Desk(tenants=("casa", "rua"), tenant_share=(0.6, 0.4), tenant_quota_cores=(9.0, 6.0))
-    conn = desk.owner()
+    harness = CoreHarness(tenants=("casa", "rua"), tenant_share=(0.6, 0.4), tenant_quota_cores=(9.0, 6.0))
+    conn = harness.add_client()
     tenants_seen: list[int] = []
-    original_handle = desk.core.module.handle
+    original_handle = harness.core.module.handle
 
     def handle(now: int, event: Any) -> Any:
         if hasattr(event, "task") and hasattr(event.task, "tenant"):
             tenants_seen.append(event.task.tenant)
         return original_handle(now, event)
 
-    desk.core.module.handle = handle  # type: ignore[method-assign]
-    desk.ask(conn, 1, tenant="casa")
-    desk.ask(conn, 2, tenant="rua")
-    desk.ask(conn, 3)
-    desk.ask(conn, 4, at="s-00000001", tenant="rua")
-    desk.ask(conn, 5, tenant="nobody")
+    harness.core.module.handle = handle  # type: ignore[method-assign]
+    harness.request_placement(conn, 1, tenant="casa")
+    harness.request_placement(conn, 2, tenant="rua")
+    harness.request_placement(conn, 3)
+    harness.request_placement(conn, 4, at="s-00000001", tenant="rua")
+    harness.request_placement(conn, 5, tenant="nobody")
     assert tenants_seen == [0, 1, 0, 1]
-    assert [reply[1:] for reply in desk.replies(5)] == [(Kind.RELEASE, 100)]
+    assert [reply[1:] for reply in harness.replies(5)] == [(Kind.RELEASE, 100)]
 
 
 def test_without_tenants_in_the_settings_a_tenant_name_is_ignored() -> None:
-    assert validation.validate_request(set_up(1, tenant="casa"), "c", Desk().settings).tenant == 0
+    assert (
+        validation.validate_request(placement_request(1, tenant="casa"), "c", CoreHarness().settings).tenant
+        == 0
+    )
--- a/tests/platform/test_platform_settings_reload.py
+++ b/tests/platform/test_platform_settings_reload.py
@@ -14,7 +14,7 @@
 
 import gevent
 import pytest
-from desk import Desk, name, row, set_up
+from core_harness import CoreHarness, machine_row, placement_request, task_id
 from helpers import SECOND
 from platform_config import CONFIG
 from platform_standins import (
@@ -186,8 +186,10 @@
 # The core applies changed settings
 
 
-def settings_change(desk: Desk, tenants: tuple[str, ...] = (), **settings: Any) -> ev.SettingsChanged:
-    new = replace(desk.core.requests.settings, **settings)
+def settings_change(
+    harness: CoreHarness, tenants: tuple[str, ...] = (), **settings: Any
+) -> ev.SettingsChanged:
+    new = replace(harness.core.requests.settings, **settings)
     return ev.SettingsChanged("2", tuple(settings), new, tenants, ("east",), 250_000, False)
 
 
@@ -196,105 +198,110 @@
 
 
 def test_a_task_in_flight_keeps_its_wait() -> None:
-    desk = Desk()
-    conn = desk.owner()
-    desk.send(conn, 1, "once")
-    desk.feed(
+    harness = CoreHarness()
+    conn = harness.add_client()
+    harness.request_and_send(conn, 1, "once")
+    harness.feed(
         settings_change(
-            desk, classes=with_class(desk.settings, "once", deadline_us=SECOND, latency_objective_us=SECOND)
+            harness,
+            classes=with_class(harness.settings, "once", deadline_us=SECOND, latency_objective_us=SECOND),
         )
     )
-    desk.passes(4 * SECOND)
-    assert desk.replies(1) == []
-    desk.passes(3 * SECOND)
-    assert desk.replies(1) == [(conn, Kind.RELEASE, int(Cause.RESET))]
-    desk.send(conn, 2, "once")
-    desk.passes(SECOND)
-    assert desk.replies(2) == [(conn, Kind.RELEASE, int(Cause.RESET))]
+    harness.advance(4 * SECOND)
+    assert harness.replies(1) == []
+    harness.advance(3 * SECOND)
+    assert harness.replies(1) == [(conn, Kind.RELEASE, int(Cause.RESET))]
+    harness.request_and_send(conn, 2, "once")
+    harness.advance(SECOND)
+    assert harness.replies(2) == [(conn, Kind.RELEASE, int(Cause.RESET))]
 
 
 def test_a_new_class_and_a_new_tenant_are_used_in_the_same_turn() -> None:
-    desk = Desk()
-    conn = desk.owner()
-    desk.ask(conn, 1, "fresh")
-    assert desk.replies(1) == [(conn, Kind.RELEASE, int(Cause.INVALID))]
-    fresh = replace(desk.settings.classes[0], name="fresh")
+    harness = CoreHarness()
+    conn = harness.add_client()
+    harness.request_placement(conn, 1, "fresh")
+    assert harness.replies(1) == [(conn, Kind.RELEASE, int(Cause.INVALID))]
+    fresh = replace(harness.settings.classes[0], name="fresh")
     change = settings_change(
-        desk, ("a", "b"), classes=(*desk.settings.classes, fresh), tenant_share=(0.5, 0.5)
+        harness, ("a", "b"), classes=(*harness.settings.classes, fresh), tenant_share=(0.5, 0.5)
     )
-    desk.feed(change, ev.ClientMessage(conn, set_up(2, "fresh", tenant="b")))
-    desk.connect()
-    assert len(desk.sent(2)) == 1
-    (task,) = desk.core.tasks.by_id.values()
-    assert (task.request.class_index, task.request.tenant) == (len(desk.settings.classes), 1)
+    harness.feed(change, ev.ClientMessage(conn, placement_request(2, "fresh", tenant="b")))
+    harness.bring_links_up()
+    assert len(harness.placements_sent(2)) == 1
+    (task,) = harness.core.tasks.by_id.values()
+    assert (task.request.class_index, task.request.tenant) == (len(harness.settings.classes), 1)
 
 
 def test_the_dial_timeout_and_the_limit_of_requests_per_connection_are_applied() -> None:
-    desk = Desk()
-    desk.feed(replace(settings_change(desk), dial_timeout_us=900_000, priced=True))
-    links = desk.core.links
+    harness = CoreHarness()
+    harness.feed(replace(settings_change(harness), dial_timeout_us=900_000, priced=True))
+    links = harness.core.links
     assert (links.dial_timeout_us, links.max_outstanding) == (900_000, 4)
-    started = Desk(dial_timeout_us=900_000).core.link_checks
-    checks = desk.core.link_checks
+    started = CoreHarness(dial_timeout_us=900_000).core.link_checks
+    checks = harness.core.link_checks
     assert (checks.refresh_us, checks.renew_us) == (started.refresh_us, started.renew_us)
 
 
 def test_the_attempts_use_the_tick_in_force() -> None:
     """The tick is part of the check of a deduplication window before a message is written."""
-    desk = Desk()
-    desk.feed(settings_change(desk, tick_us=20_000))
-    assert desk.core.attempts.settings.tick_us == 20_000
+    harness = CoreHarness()
+    harness.feed(settings_change(harness, tick_us=20_000))
+    assert harness.core.attempts.settings.tick_us == 20_000
 
 
 def test_a_task_of_a_new_class_is_answered_during_the_shutdown() -> None:
-    desk = Desk()
-    conn = desk.owner()
-    fresh = replace(desk.settings.classes[0], name="fresh")
-    desk.feed(settings_change(desk, classes=(*desk.settings.classes, fresh)))
-    desk.send(conn, 1, "fresh")
-    desk.feed(ev.ShutdownRequested())
-    desk.passes(4 * SECOND)
-    assert desk.replies(1) == [(conn, Kind.RELEASE, int(Cause.BUSY))]
+    harness = CoreHarness()
+    conn = harness.add_client()
+    fresh = replace(harness.settings.classes[0], name="fresh")
+    harness.feed(settings_change(harness, classes=(*harness.settings.classes, fresh)))
+    harness.request_and_send(conn, 1, "fresh")
+    harness.feed(ev.ShutdownRequested())
+    harness.advance(4 * SECOND)
+    assert harness.replies(1) == [(conn, Kind.RELEASE, int(Cause.BUSY))]
 
 
 def test_the_time_of_sigkill_follows_from_the_deadlines_in_force() -> None:
-    desk = Desk()
-    short = tuple(replace(c, latency_objective_us=SECOND, deadline_us=SECOND) for c in desk.settings.classes)
-    desk.feed(settings_change(desk, classes=short), ev.ShutdownRequested())
-    started = Desk(deadline_us=SECOND)
+    harness = CoreHarness()
+    short = tuple(
+        replace(c, latency_objective_us=SECOND, deadline_us=SECOND) for c in harness.settings.classes
+    )
+    harness.feed(settings_change(harness, classes=short), ev.ShutdownRequested())
+    started = CoreHarness(deadline_us=SECOND)
     started.feed(ev.ShutdownRequested())
-    assert desk.core.shutdown.killed_at == started.core.shutdown.killed_at
+    assert harness.core.shutdown.killed_at == started.core.shutdown.killed_at
 
 
 def test_changed_settings_are_handled_before_queued_messages() -> None:
-    desk = Desk()
+    harness = CoreHarness()
     queue = EventQueue()
-    queue.add(ev.ClientMessage(1, set_up(1)))
+    queue.add(ev.ClientMessage(1, placement_request(1)))
     queue.add(ev.LinkLost(1, frozenset()))
-    change = settings_change(desk)
+    change = settings_change(harness)
     queue.add(change)
     assert queue.take() == [change]
 
 
 def test_after_a_stall_changed_settings_are_handled_before_client_messages() -> None:
-    desk = Desk()
-    conn = desk.owner()
-    fresh = replace(desk.settings.classes[0], name="fresh")
-    change = settings_change(desk, classes=(*desk.settings.classes, fresh))
-    message = set_up(1, "fresh", at="s-00000001")  # an adoption, not a new placement request
-    desk._take(desk.core.handle_after_stall(desk.now, [ev.ClientMessage(conn, message), change]))
-    assert desk.core.tasks.by_id[name(1)].request.spec.task_class == "fresh"
+    harness = CoreHarness()
+    conn = harness.add_client()
+    fresh = replace(harness.settings.classes[0], name="fresh")
+    change = settings_change(harness, classes=(*harness.settings.classes, fresh))
+    message = placement_request(1, "fresh", at="s-00000001")  # an adoption, not a new placement request
+    harness._record_actions(
+        harness.core.handle_after_stall(harness.now, [ev.ClientMessage(conn, message), change])
+    )
+    assert harness.core.tasks.by_id[task_id(1)].request.spec.task_class == "fresh"
 
 
 def test_hundreds_of_changes_leave_no_timers_behind() -> None:
-    desk = Desk()
-    conn = desk.owner()
-    desk.send(conn, 1)
-    timers = len(desk.core.loop._timers)
+    harness = CoreHarness()
+    conn = harness.add_client()
+    harness.request_and_send(conn, 1)
+    timers = len(harness.core.loop._timers)
     for n in range(400):
-        desk.feed(settings_change(desk, max_attempts=1 + n % 5, cores_limit=1.0 + n % 3))
-    assert len(desk.core.loop._timers) == timers
-    assert desk.core.counts["settings_changed"] == 400
+        harness.feed(settings_change(harness, max_attempts=1 + n % 5, cores_limit=1.0 + n % 3))
+    assert len(harness.core.loop._timers) == timers
+    assert harness.core.counts["settings_changed"] == 400
 
 
 def actions_for_random_requests(core: Core, now: int, seed: int) -> list[Any]:
@@ -313,7 +320,7 @@
         now += rng.randrange(100_000)
         task_class = rng.choice(["repeat", "once", "fresh"])
         tenant = rng.choice(["", "a", "b"])
-        feed(ev.ClientMessage(1, set_up(number, task_class, left="2000", tenant=tenant)))
+        feed(ev.ClientMessage(1, placement_request(number, task_class, left="2000", tenant=tenant)))
         while links:
             feed(ev.LinkUp(links.pop()))
     return all_actions
@@ -321,8 +328,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_core_with_changed_settings_decides_like_one_started_with_them(seed: int) -> None:
-    desk = Desk()
-    old = desk.settings
+    harness = CoreHarness()
+    old = harness.settings
     new = replace(
         old,
         classes=(
@@ -333,18 +340,20 @@
         cores_limit=0.5,
         tenant_share=(0.5, 0.5),
     )
-    rows = [row(n) for n in range(1, 6)]
+    rows = [machine_row(n) for n in range(1, 6)]
     runs = []
     for settings, change in ((new, False), (old, True), (old, False)):
-        node_list = NodeList(("east",), ("std",), lambda: (1_000 * SECOND, desk.now))
+        node_list = NodeList(("east",), ("std",), lambda: (1_000 * SECOND, harness.now))
         initial_update, _ = node_list.apply({"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": rows}})
         assert initial_update is not None
         tenants = () if settings is old else ("a", "b")
         core = Core(settings, ("x0", "x1", "utilization"), seed, 256, tenants=tenants)
-        core.start(desk.now, [initial_update])
+        core.start(harness.now, [initial_update])
         if change:
-            core.handle(desk.now, [ev.SettingsChanged("2", (), new, ("a", "b"), ("east",), 250_000, False)])
-        runs.append(actions_for_random_requests(core, desk.now, seed))
+            core.handle(
+                harness.now, [ev.SettingsChanged("2", (), new, ("a", "b"), ("east",), 250_000, False)]
+            )
+        runs.append(actions_for_random_requests(core, harness.now, seed))
     assert runs[0] == runs[1] != runs[2]
     assert any(isinstance(a, ev.SendToMachine) for a in runs[0])
 
@@ -372,7 +381,7 @@
 
 
 def test_machines_are_listed_once_their_node_type_is_configured() -> None:
-    node_list = node_list_with(row(1), row(2, **HUGE), row(3, **{"class": "other"}))
+    node_list = node_list_with(machine_row(1), machine_row(2, **HUGE), machine_row(3, **{"class": "other"}))
     assert machines_with_new_type(node_list) == [("s-00000002", 1)]
     assert machines_with_new_type(node_list) == []
     assert len(node_list._unknown) == 1
@@ -381,42 +390,42 @@
 @pytest.mark.parametrize(
     "change",
     [
-        lambda node_list: apply_update(node_list, row(2, "DELETED", **HUGE)),
+        lambda node_list: apply_update(node_list, machine_row(2, "DELETED", **HUGE)),
         # Only the state of this entry can be used.
-        lambda node_list: apply_update(node_list, row(2, "DRAINING", **HUGE, spare=[1])),
-        lambda node_list: apply_update(node_list, row(1), whole=True),
-        lambda node_list: apply_update(node_list, row(2)),
-        lambda node_list: apply_update(node_list, row(2, dial="127.8.1.77:2905")),
+        lambda node_list: apply_update(node_list, machine_row(2, "DRAINING", **HUGE, spare=[1])),
+        lambda node_list: apply_update(node_list, machine_row(1), whole=True),
+        lambda node_list: apply_update(node_list, machine_row(2)),
+        lambda node_list: apply_update(node_list, machine_row(2, dial="127.8.1.77:2905")),
         # Another machine takes over the address.
-        lambda node_list: apply_update(node_list, row(9, dial="127.8.1.2:2905")),
+        lambda node_list: apply_update(node_list, machine_row(9, dial="127.8.1.2:2905")),
     ],
 )
 def test_an_outdated_entry_of_a_deleted_or_changed_machine_is_not_listed(change: Any) -> None:
-    node_list = node_list_with(row(1), row(2, **HUGE))
+    node_list = node_list_with(machine_row(1), machine_row(2, **HUGE))
     change(node_list)
     assert machines_with_new_type(node_list) == []
     assert (len(node_list._unknown), node_list._unknown._by_address) == (0, {})
 
 
 def test_a_machine_with_a_changed_address_is_listed_with_the_new_one() -> None:
-    node_list = node_list_with(row(2, **HUGE))
-    apply_update(node_list, row(2, **HUGE, dial="127.8.1.77:2905"))
+    node_list = node_list_with(machine_row(2, **HUGE))
+    apply_update(node_list, machine_row(2, **HUGE, dial="127.8.1.77:2905"))
     assert list(node_list._unknown._by_address) == ["127.8.1.77:2905"]
     update = node_list.set_names(("east",), ("std", "huge"))
     assert update is not None and [m.address for m in update.machines] == ["127.8.1.77:2905"]
 
 
 def test_a_draining_machine_is_listed_as_draining() -> None:
-    node_list = node_list_with(row(2, **HUGE))
-    apply_update(node_list, row(2, "DRAINING", **HUGE))
+    node_list = node_list_with(machine_row(2, **HUGE))
+    apply_update(node_list, machine_row(2, "DRAINING", **HUGE))
     update = node_list.set_names(("east",), ("std", "huge"))
     assert update is not None and update.machines[0].entry.status is api.NodeStatus.DRAINING
 
 
 def test_a_zone_that_an_update_has_named_keeps_its_number() -> None:
-    node_list = node_list_with(row(1, site="north"))
+    node_list = node_list_with(machine_row(1, site="north"))
     node_list.set_names(("east", "west", "north"), ("std",))
-    rows = [row(n, site=site) for n, site in enumerate(("east", "west", "north"), 1)]
+    rows = [machine_row(n, site=site) for n, site in enumerate(("east", "west", "north"), 1)]
     update, _ = node_list.apply({"rev": 2, "pool": {"seq": 2, "whole": True, "hosts": rows}})
     assert update is not None and [m.entry.zone for m in update.machines] == [0, 2, 1]
 
