--- a/tests/golden/golden_platform_days.py
+++ b/tests/golden/golden_platform_days.py
@@ -7,8 +7,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "platform"))
 
-from drawn_days import DrawnDay  # noqa: E402
 from golden_records import Trace  # noqa: E402
+from random_days import RandomDay  # noqa: E402
 
 from stairplank.platform import binary, jsonlines  # noqa: E402
 from stairplank.platform import events as ev  # noqa: E402
@@ -25,12 +25,12 @@
 STEPS = 1500  # steps of ten simulated milliseconds, each with random events
 
 
-class TracedDay(DrawnDay):
+class TracedDay(RandomDay):
     """A simulated run that adds every action of the planner to a trace."""
 
-    def __init__(self, seed: int, strange: bool, trace: Trace) -> None:
+    def __init__(self, seed: int, uses_random_settings: bool, trace: Trace) -> None:
         self.trace = trace
-        super().__init__(seed, strange=strange)
+        super().__init__(seed, uses_random_settings=uses_random_settings)
 
     def _record_actions(self, actions: list[ev.Action]) -> None:
         for action in actions:
--- a/tests/platform/drawn_days.py
+++ b/tests/platform/random_days.py
@@ -162,16 +162,16 @@
     }
 
 
-class DrawnDay(CoreHarness):
-    """A random sequence of events for a core; ``strange`` also makes the settings random."""
+class RandomDay(CoreHarness):
+    """A random sequence of events for a core; with ``uses_random_settings``, its settings are random too."""
 
-    def __init__(self, seed: int, machines: int = 9, strange: bool = False) -> None:
+    def __init__(self, seed: int, machines: int = 9, uses_random_settings: bool = False) -> None:
         self.rng = random.Random(seed)
         self.checker: Checker | None = None
         self.task_classes: tuple[str, ...] = TASK_CLASSES
-        changes = random_settings(self.rng) if strange else {}
+        changes = random_settings(self.rng) if uses_random_settings else {}
         super().__init__(machines=machines, sockets=240, **changes)
-        if strange:
+        if uses_random_settings:
             self.task_classes = tuple(c.name for c in self.settings.classes)
         self.checker = Checker(self.settings.classes)
         self.machines = dict.fromkeys(range(1, machines + 1), "SERVING")
--- a/tests/platform/test_platform_random_events.py
+++ b/tests/platform/test_platform_random_events.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 import pytest
-from drawn_days import DrawnDay
+from random_days import RandomDay
 
 from stairplank import interface as api
 from stairplank.platform import attempts, client_requests, links, tables, task_table
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_rule_is_broken_in_a_random_sequence(seed: int) -> None:
-    day = DrawnDay(seed)
+    day = RandomDay(seed)
     assert day.play() == []
     assert day.checker is not None
     answers = [task.answer for task in day.checker.requests.values()]
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_no_rule_is_broken_with_random_settings(seed: int) -> None:
     """Classes, tenants, limits and times are random, over a wide range of what the settings allow."""
-    day = DrawnDay(1000 + seed, strange=True)
+    day = RandomDay(1000 + seed, uses_random_settings=True)
     assert day.play(steps=600) == []
 
 
@@ -88,6 +88,6 @@
 ) -> None:
     inject_fault(monkeypatch)
     for seed in SEEDS:
-        if any(found.startswith(fault) for found in DrawnDay(seed).play()):
+        if any(found.startswith(fault) for found in RandomDay(seed).play()):
             return
     pytest.fail("the checker found no such fault with any seed")
