--- a/stairplank/platform/adoption.py
+++ b/stairplank/platform/adoption.py
@@ -120,7 +120,7 @@
 
         If clients were notified before the list is complete, their tasks might still be running. If every
         task waited for ``LISTING_WAIT_US``, the end of a task while no planner was running would be reported
-        more than 8 s late.
+        more than 8 s after the task's end.
         """
         before = self.loop.now - CONFIRMATION_GRACE_US
         waiting = [entry for entries in self.waiting.values() for entry in entries.values()]
