--- a/tests/platform/departures.py
+++ b/tests/platform/departures.py
@@ -33,7 +33,7 @@
     return binary.encode(small_placement_request(number, body))
 
 
-def leave(client: FakeClient, id: str, how: str) -> None:
+def disconnect_or_cancel(client: FakeClient, id: str, how: str) -> None:
     """Cancel the task, or close or reset the client's connection. ``how`` selects which."""
     if how == "cancel":
         client.send(Message(Kind.RELEASE, id, cause=int(Cause.ENDED)))
@@ -51,11 +51,11 @@
     return isinstance(event, hang_up)
 
 
-def leave_and_notice(
+def disconnect_and_wait(
     service: LiveService, client: FakeClient, id: str, how: str, hang_up: tuple[type, ...] = HANG_UP
 ) -> None:
     """Have the client cancel or disconnect, and wait until the service has read that."""
-    service.run_in_thread(leave, client, id, how)
+    service.run_in_thread(disconnect_or_cancel, client, id, how)
     service.wait_until(lambda: any(is_departure_of(event, id, how, hang_up) for event in service.events_read))
 
 
@@ -66,8 +66,8 @@
     """
     dial = service_module.address.dial
 
-    def dial_with_small_buffer(where: str, wait: float) -> Any:
-        sock = dial(where, wait)
+    def dial_with_small_buffer(target: str, timeout_s: float) -> Any:
+        sock = dial(target, timeout_s)
         sock.setsockopt(gsocket.SOL_SOCKET, gsocket.SO_SNDBUF, 4096)
         return sock
 
@@ -81,7 +81,7 @@
 
     Returns the ids of the requests. The last two wait in the service's send buffer.
     """
-    machine.reads.clear()
+    machine.may_read.clear()
     ids: list[str] = []
     for number in range(10, 400):
         request = small_placement_request(number, f"{number} " + "x" * LARGE_BODY_BYTES)
--- a/tests/platform/platform_standins.py
+++ b/tests/platform/platform_standins.py
@@ -38,9 +38,9 @@
     sock.close()
 
 
-def wait_until(condition: Callable[[], Any], wait: float = WAIT_S) -> Any:
-    """Poll the condition; return its first true value. Raises AssertionError after ``wait`` seconds."""
-    end = time.monotonic() + wait
+def wait_until(condition: Callable[[], Any], timeout_s: float = WAIT_S) -> Any:
+    """Poll the condition; return its first true value. Raises AssertionError after ``timeout_s`` seconds."""
+    end = time.monotonic() + timeout_s
     while not (value := condition()):
         assert time.monotonic() < end, "condition not met in time"
         time.sleep(0.01)
@@ -95,7 +95,7 @@
     """A machine that answers placement requests with ``running``.
 
     ``fault`` is called for each placement request and returns True if it has replaced the answer. While
-    ``reads`` is not set, the machine reads nothing. Once the planner has half-closed a connection, the
+    ``may_read`` is not set, the machine reads nothing. Once the planner has half-closed a connection, the
     machine sends ``final_messages`` on it.
     """
 
@@ -104,8 +104,8 @@
         self.fault = fault
         self.received: list[tuple[float, Message]] = []
         self._connection_by_id: dict[str, socket.socket] = {}
-        self.reads = threading.Event()
-        self.reads.set()
+        self.may_read = threading.Event()
+        self.may_read.set()
         self.final_messages: list[Message] = []
         super().__init__()
 
@@ -137,7 +137,7 @@
     def serve(self, sock: socket.socket) -> None:
         lines = jsonlines.LineReader()
         while True:
-            self.reads.wait(WAIT_S)
+            self.may_read.wait(WAIT_S)
             if not (data := sock.recv(65_536)):
                 break
             for line in lines.feed(data):
@@ -254,8 +254,8 @@
 class FakeClient:
     """A client with one connection to the planner."""
 
-    def __init__(self, where: str, source: str = "127.0.0.1") -> None:
-        host, port = where.rsplit(":", 1)
+    def __init__(self, address: str, source: str = "127.0.0.1") -> None:
+        host, port = address.rsplit(":", 1)
         self.sock = socket.create_connection((host, int(port)), WAIT_S, source_address=(source, 0))
         self.reader = binary.MessageReader()
         self.received: list[Message] = []
@@ -264,17 +264,17 @@
     def send(self, message: Message) -> None:
         self.sock.sendall(binary.encode(message))
 
-    def request_placement(self, number: int, sort: str = "worker", **changes: str) -> str:
+    def request_placement(self, number: int, task_class: str = "worker", **changes: str) -> str:
         id = f"{number:016x}"
-        fields = {"class": sort, "left": "6000", "key": f"{number + 4096:016x}"}
+        fields = {"class": task_class, "left": "6000", "key": f"{number + 4096:016x}"}
         fields["extras"] = f"cores:1;memory:2;service:{number:016x}"
-        if sort == "ingest":
+        if task_class == "ingest":
             fields["idem"] = f"{number:032x}"
         self.send(Message(Kind.PLACE, id, fields | changes, body=f"body {number}"))
         return id
 
-    def read(self, wait: float) -> None:
-        self.sock.settimeout(wait)
+    def read(self, timeout_s: float) -> None:
+        self.sock.settimeout(timeout_s)
         try:
             data = self.sock.recv(65_536)
         except TimeoutError:
@@ -285,9 +285,9 @@
             self.is_closed = True
         self.received += self.reader.feed(data)
 
-    def replies(self, id: str, count: int = 1, wait: float = WAIT_S) -> list[Message]:
-        """Return the messages about a task, once there are ``count`` of them or the wait is over."""
-        end = time.monotonic() + wait
+    def replies(self, id: str, count: int = 1, timeout_s: float = WAIT_S) -> list[Message]:
+        """Return the messages about a task, once there are ``count`` of them or the timeout is over."""
+        end = time.monotonic() + timeout_s
         while not self.is_closed and time.monotonic() < end:
             replies = [m for m in self.received if m.id == id]
             if len(replies) >= count:
@@ -295,8 +295,8 @@
             self.read(min(0.2, max(0.01, end - time.monotonic())))
         return [m for m in self.received if m.id == id]
 
-    def closed_within(self, wait: float) -> bool:
-        end = time.monotonic() + wait
+    def closed_within(self, timeout_s: float) -> bool:
+        end = time.monotonic() + timeout_s
         while not self.is_closed and time.monotonic() < end:
             self.read(max(0.01, end - time.monotonic()))
         return self.is_closed
@@ -338,9 +338,9 @@
         threading.Thread(target=self._read, daemon=True).start()
         self.address = self.wait_for_address() if waits else ""
 
-    def wait_for_address(self, wait: float = WAIT_S) -> str:
+    def wait_for_address(self, timeout_s: float = WAIT_S) -> str:
         """Wait until the process accepts clients; return the address for them."""
-        line = wait_until(lambda: next((e for e in self.log if e["event"] == "serves"), None), wait)
+        line = wait_until(lambda: next((e for e in self.log if e["event"] == "serves"), None), timeout_s)
         return str(line["listen"])
 
     def write(self, node_list_address: str) -> None:
@@ -404,8 +404,8 @@
         self.greenlet = gevent.spawn(self.service.run)
         self.wait_until(lambda: self.service.listen_address and self.service.core.requests.ready)
 
-    def wait_until(self, condition: Callable[[], Any], wait: float = WAIT_S) -> Any:
-        with gevent.Timeout(wait, AssertionError("condition not met in time")):
+    def wait_until(self, condition: Callable[[], Any], timeout_s: float = WAIT_S) -> Any:
+        with gevent.Timeout(timeout_s, AssertionError("condition not met in time")):
             while not (value := condition()):
                 gevent.sleep(0.005)
         return value
@@ -417,9 +417,9 @@
     def connect_client(self, source: str = "127.0.0.1") -> FakeClient:
         return self.run_in_thread(FakeClient, self.service.listen_address, source)
 
-    def place(self, client: FakeClient, number: int, sort: str = "worker") -> str:
+    def place(self, client: FakeClient, number: int, task_class: str = "worker") -> str:
         """Place a task and wait for the answer; return the task's id."""
-        id = self.run_in_thread(client.request_placement, number, sort)
+        id = self.run_in_thread(client.request_placement, number, task_class)
         assert [m.kind for m in self.run_in_thread(client.replies, id)] == [Kind.ANSWER]
         return id
 
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -14,7 +14,7 @@
 
 import gevent
 import pytest
-from departures import fill_send_buffer, leave_and_notice, shrink_buffers
+from departures import disconnect_and_wait, fill_send_buffer, shrink_buffers
 from gevent import socket as gsocket
 from platform_standins import (
     FakeClient,
@@ -56,7 +56,7 @@
     service.pause()
     id = service.run_in_thread(departing.request_placement, 2)
     service.wait_until(lambda: service.has_read(ev.ClientMessage, id))
-    leave_and_notice(service, departing, id, how, (ev.ClientDisconnected,))
+    disconnect_and_wait(service, departing, id, how, (ev.ClientDisconnected,))
     service.resume()
     last = service.place(remaining, 3)
     assert [m.id for m in service.machines[0].placement_requests()] == [f"{1:016x}", last]
@@ -76,7 +76,7 @@
     ids = [service.run_in_thread(client.request_placement, number) for number in range(2, 7)]
     service.wait_until(lambda: service.has_read(ev.ClientMessage, ids[-1]))
     for id in ids[:2]:
-        leave_and_notice(service, client, id, "cancel")
+        disconnect_and_wait(service, client, id, "cancel")
     service.resume()
     answers = {id: [m.kind for m in service.run_in_thread(client.replies, id, 1, 2.0)] for id in ids[2:]}
     assert answers == {ids[2]: [Kind.ANSWER], ids[3]: [Kind.RELEASE], ids[4]: [Kind.RELEASE]}
@@ -100,7 +100,7 @@
     full = Message(Kind.RELEASE, id, {"note": "nc"}, int(Cause.FULL))
     service.run_in_thread(first.send, first.connection_of(id), full)
     service.wait_until(lambda: service.has_read(ev.MachineMessage, id))
-    leave_and_notice(service, client, id, "cancel")
+    disconnect_and_wait(service, client, id, "cancel")
     service.resume()
     service.wait_until(
         lambda: id not in service.service.core.tasks.by_id and not service.service.driver.queue
@@ -123,9 +123,9 @@
         service.node_list_service.publish(machine.row("DRAINING"))
         service.wait_until(lambda: service.service.node_list.revision == 2)
     else:
-        leave_and_notice(service, client, last, "cancel")
+        disconnect_and_wait(service, client, last, "cancel")
     service.wait_until(lambda: not service.service.driver.queue)
-    machine.reads.set()
+    machine.may_read.set()
     service.wait_until(lambda: not any(s._buffer for s in service.service.machines.streams.values()))
     if why == "drain":
         service.wait_until(lambda: service.service.core.counts.get("withdrawn_unsent"))
@@ -399,7 +399,7 @@
     machine.fault = delayed(gate, Kind.ANSWER)
     id = service.run_in_thread(client.request_placement, 1, task_class)
     service.wait_until(machine.placement_requests)
-    leave_and_notice(service, client, id, "cancel")
+    disconnect_and_wait(service, client, id, "cancel")
     abandoned = service.wait_until(lambda: [m for _, m in machine.received if m.kind is Kind.RELEASE])
     gate.set()
     service.wait_until(lambda: service.has_read(ev.MachineMessage, id) and not service.service.driver.queue)
--- a/tests/platform/test_platform_departed_clients.py
+++ b/tests/platform/test_platform_departed_clients.py
@@ -21,11 +21,11 @@
 import pytest
 from core_harness import CoreHarness, task_id
 from departures import (
+    disconnect_and_wait,
+    disconnect_or_cancel,
     encoded_placement_request,
     fill_send_buffer,
     is_departure_of,
-    leave,
-    leave_and_notice,
     shrink_buffers,
 )
 from gevent.event import Event as Flag
@@ -53,7 +53,7 @@
 
 
 @pytest.fixture
-def live(tmp_path: Path) -> Iterator[MakeService]:
+def make_service(tmp_path: Path) -> Iterator[MakeService]:
     yield from live_services(tmp_path)
 
 
@@ -71,9 +71,9 @@
 
 @HOW
 def test_a_task_that_waits_for_a_dial_is_not_sent(
-    live: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
+    make_service: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    one = live()
+    one = make_service()
     may_dial, dial = Flag(), address.dial
 
     def delayed_dial(target: str, timeout_s: float) -> Any:
@@ -85,15 +85,15 @@
     client, other = one.connect_client(), one.connect_client("127.0.0.9")
     id = one.run_in_thread(client.request_placement, 1)
     one.wait_until(lambda: one.service.machines.dials)
-    leave_and_notice(one, client, id, how)
+    disconnect_and_wait(one, client, id, how)
     may_dial.set()
     one.place(other, 2)  # sent on the connection that was being dialled
     assert attempts(one, id) == 0
 
 
 @HOW
-def test_a_task_that_waits_for_a_free_link_is_not_sent(live: MakeService, how: str) -> None:
-    one = live(machines=2)
+def test_a_task_that_waits_for_a_free_link_is_not_sent(make_service: MakeService, how: str) -> None:
+    one = make_service(machines=2)
     for machine in one.machines:
         machine.fault = answers_nothing
     one.service.core.links.pool.max_links = 1
@@ -106,7 +106,7 @@
     one.service.core.links.dial_timeout_us = 60_000_000  # the dial must not time out during the test
     id = one.run_in_thread(client.request_placement, 2)
     one.wait_until(lambda: one.service.core.links.pool.dial_queue)
-    leave_and_notice(one, client, id, how)
+    disconnect_and_wait(one, client, id, how)
     free.fault = None
     one.run_in_thread(
         used.send, used.connection_of(first), Message(Kind.RELEASE, first, cause=int(Cause.ERROR))
@@ -119,14 +119,14 @@
 
 
 @HOW
-def test_a_task_that_no_machine_fits_is_not_sent(live: MakeService, how: str) -> None:
-    one = live()
+def test_a_task_that_no_machine_fits_is_not_sent(make_service: MakeService, how: str) -> None:
+    one = make_service()
     one.node_list_service.publish(one.machines[0].row("DRAINING"))
     one.wait_until(lambda: one.service.node_list.revision == 2)
     client, other = one.connect_client(), one.connect_client("127.0.0.9")
     id = one.run_in_thread(client.request_placement, 1)
     one.wait_until(lambda: id in one.service.core.tasks.by_id)
-    leave_and_notice(one, client, id, how)
+    disconnect_and_wait(one, client, id, how)
     one.node_list_service.publish(one.machines[0].row())
     one.place(other, 2)
     assert attempts(one, id) == 0
@@ -157,13 +157,13 @@
 
 @pytest.mark.parametrize("when", ["before the timer", "as the timer is due"])
 @HOW
-def test_a_task_that_waits_for_its_retry_is_not_sent(live: MakeService, how: str, when: str) -> None:
+def test_a_task_that_waits_for_its_retry_is_not_sent(make_service: MakeService, how: str, when: str) -> None:
     """When due timers ran before a turn's events, a retry was sent although its client had left."""
-    one = live(machines=3)
+    one = make_service(machines=3)
     client, other = one.connect_client(), one.connect_client("127.0.0.9")
     id = waits_for_retry(one, client)
     one.pause()
-    leave_and_notice(one, client, id, how)
+    disconnect_and_wait(one, client, id, how)
     if when == "as the timer is due":
         gevent.sleep(0.4)  # the module's timer is set for 0.25 s
     one.resume()
@@ -196,17 +196,17 @@
 
 @HOW
 def test_a_task_in_the_send_buffer_of_a_machine_that_does_not_read_is_not_sent(
-    live: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
+    make_service: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     shrink_buffers(monkeypatch)
-    one = live()
+    one = make_service()
     machine, client = one.machines[0], one.connect_client()
     machine.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     one.place(client, 1)
     id = fill_send_buffer(one, machine, client)[-1]
-    leave_and_notice(one, client, id, how)
+    disconnect_and_wait(one, client, id, how)
     one.wait_until(lambda: is_withdrawn(one, id))
-    machine.reads.set()
+    machine.may_read.set()
     one.wait_until(lambda: not any(s._buffer for s in one.service.machines.streams.values()))
     one.wait_until(lambda: any(m.id == id and m.kind is Kind.RELEASE for _, m in machine.received))
     assert attempts(one, id) == 0
@@ -225,11 +225,11 @@
 
 @HOW
 def test_a_departure_is_read_while_others_fill_the_event_queue(
-    live: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
+    make_service: MakeService, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     """When an overloaded queue stopped the reading of all clients, a departure went unnoticed."""
     monkeypatch.setattr(event_queue, "MAX_EVENTS", 200)
-    one = live(machines=3)
+    one = make_service(machines=3)
     client, other = one.connect_client(), one.connect_client("127.0.0.9")
     id = waits_for_retry(one, client)
     one.pause()
@@ -240,7 +240,7 @@
     )  # this message is read; later messages wait until the next read
     one.wait_until(lambda: one.has_read(ev.ClientMessage, f"{7:016x}"))
     gevent.sleep(3 * client_connections.QUEUE_FULL_PAUSE_S)
-    leave_and_notice(one, client, id, how)
+    disconnect_and_wait(one, client, id, how)
     assert one.service.driver.queue.is_overloaded()
     one.resume()
     one.wait_until(lambda: is_withdrawn(one, id))
@@ -248,15 +248,17 @@
 
 
 @HOW
-def test_a_departure_is_handled_before_thousands_of_other_messages(live: MakeService, how: str) -> None:
+def test_a_departure_is_handled_before_thousands_of_other_messages(
+    make_service: MakeService, how: str
+) -> None:
     """When events were handled in the order of reading, the departure came after all of these messages."""
-    one = live(machines=3)
+    one = make_service(machines=3)
     client, other = one.connect_client(), one.connect_client("127.0.0.9")
     id = waits_for_retry(one, client)
     one.pause()
     flood(one, other, 2000)
     one.wait_until(lambda: len(one.service.driver.queue) >= 2000)
-    leave_and_notice(one, client, id, how)
+    disconnect_and_wait(one, client, id, how)
     handled: list[ev.Event] = []
     handle = one.service.core.handle
 
@@ -275,12 +277,12 @@
 
 
 def test_a_close_is_noticed_behind_all_that_was_sent_before_it(
-    live: MakeService, monkeypatch: pytest.MonkeyPatch
+    make_service: MakeService, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A close is read only after all data before it; without a check, hundreds of requests were placed."""
     monkeypatch.setattr(event_queue, "MAX_PLACEMENTS", 100)
     monkeypatch.setattr(event_queue, "MAX_EVENTS", 200)
-    one = live(machines=3)
+    one = make_service(machines=3)
     client = one.connect_client()
     id = waits_for_retry(one, client)
     one.pause()
@@ -302,10 +304,10 @@
 
 
 def test_a_round_of_reading_ends_in_time_however_many_clients_flood(
-    live: MakeService, monkeypatch: pytest.MonkeyPatch
+    make_service: MakeService, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """When four reads of a connection were decoded in a row, other connections had to wait too long."""
-    one = live()
+    one = make_service()
     one.machines[0].fault = answers_nothing
     feed = binary.MessageReader.feed
 
@@ -362,13 +364,13 @@
             self.clients.append((client, [client.request_placement(100 * number + n) for n in range(TASKS)]))
         wait_until(lambda: sum(len(m.placement_requests()) for m in fleet) == CLIENTS * TASKS)
 
-    def leave(self, how: str) -> None:
+    def disconnect_or_cancel(self, how: str) -> None:
         for client, ids in self.clients:
             if how == "cancel":
                 for id in ids:
-                    leave(client, id, how)
+                    disconnect_or_cancel(client, id, how)
             else:
-                leave(client, ids[0], how)
+                disconnect_or_cancel(client, ids[0], how)
             self.left_at_ms |= dict.fromkeys(ids, processor_time_ms(str(self.process.child.pid)))
             threading.Timer(0.15, self._reject, (ids,)).start()
             time.sleep(0.02)
@@ -413,7 +415,7 @@
             process.child.send_signal(signal.SIGSTOP)
             time.sleep(0.4)
             process.child.send_signal(signal.SIGCONT)
-        clients.leave(how)
+        clients.disconnect_or_cancel(how)
         wait_until(lambda: len(clients.sent(Kind.RELEASE)) == CLIENTS * TASKS)
         time.sleep(0.3)
         most = HANDLED_WITHIN_S * 1e3
