--- a/tests/planner/component_stubs.py
+++ b/tests/planner/component_stubs.py
@@ -22,14 +22,14 @@
 class ComponentStub:
     """A stub of any component: it records calls and returns the values that the test sets for a method."""
 
-    def __init__(self, **answers: Any) -> None:
+    def __init__(self, **return_values: Any) -> None:
         self.calls: list[tuple[Any, ...]] = []
-        self.answers = answers
+        self.return_values = return_values
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
         def method(*args: Any) -> Any:
             self.calls.append((name, *args))
-            value = self.answers.get(name)
+            value = self.return_values.get(name)
             return value(*args) if callable(value) else value
 
         return method
--- a/tests/planner/test_attempts.py
+++ b/tests/planner/test_attempts.py
@@ -101,7 +101,7 @@
 def test_an_adopted_duplicate_replaces_its_abandoned_attempt() -> None:
     fixture = Fixture(task_class="report")
     adopted_placement = Placement(fixture.context, 1, 0, fixture.placement.task)
-    fixture.requests.answers["adopt"] = adopted_placement
+    fixture.requests.return_values["adopt"] = adopted_placement
     fixture.bind(timeout=SECOND)
     abandoned = fixture.attempt
     pass_time(fixture.context, 2 * SECOND)
--- a/tests/planner/test_node_links.py
+++ b/tests/planner/test_node_links.py
@@ -98,7 +98,7 @@
 def test_a_link_is_kept_while_an_attempt_is_at_its_node() -> None:
     harness = NodeLinksHarness()
     harness.bring_up()
-    harness.attempts.answers["any_at_node"] = True
+    harness.attempts.return_values["any_at_node"] = True
     harness.links.node_unlisted(1)
     assert harness.links.is_linked(1)
     harness.links.node_idle(1)
--- a/tests/planner/test_node_list.py
+++ b/tests/planner/test_node_list.py
@@ -81,7 +81,7 @@
     harness.receive(1, 2)
     harness.list.node_draining(1)
     assert harness.notified()[-1].nodes[0].status is api.NodeStatus.DRAINING
-    harness.links.answers["is_draining"] = lambda node, started: node == 1
+    harness.links.return_values["is_draining"] = lambda node, started: node == 1
     harness.receive(1, 2, revision=2)
     assert [e.status for e in harness.notified()[-1].nodes] == [api.NodeStatus.DRAINING, api.NodeStatus.READY]
 
