--- a/stairplank/groups/coordinator.py
+++ b/stairplank/groups/coordinator.py
@@ -150,7 +150,7 @@
         """Handle the shutdown of the planner: groups without an outcome are shed and released."""
         self.context.begin(now)
         for group in [group for group in self.groups.values() if not group.is_answered]:
-            self.context.actions.append(Shed(group.number, "this planner is leaving", False, 0))
+            self.context.actions.append(Shed(group.number, "this planner is shutting down", False, 0))
             self._abandon(group)
         return self.context.actions
 
--- a/tests/planner/component_stubs.py
+++ b/tests/planner/component_stubs.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from world import BOUNDS, SECOND, SETTINGS
+from grpc_core_harness import BOUNDS, SECOND, SETTINGS
 
 from stairplank.planner import events as ev
 from stairplank.planner.context import CoreContext
--- a/tests/scale/counted_site.py
+++ b/tests/scale/counted_site.py
@@ -14,7 +14,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "platform"))
 
-from desk import SECOND, Desk, name, row  # noqa: E402
+from core_harness import SECOND, CoreHarness, machine_row, task_id  # noqa: E402
 
 from stairplank.platform import events as ev  # noqa: E402
 from stairplank.platform.messages import Cause, Kind, Message  # noqa: E402
@@ -56,7 +56,7 @@
     events: float
 
 
-class CountedSite(Desk):
+class CountedSite(CoreHarness):
     """A planner, its workers and one client."""
 
     def __init__(self, workers: int, **settings: Any) -> None:
@@ -87,19 +87,19 @@
         while (due := self.core.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
             self.turns += 1
-            self._take(self.core.handle(self.now, [ev.TimerDue()]))
+            self._record_actions(self.core.handle(self.now, [ev.TimerDue()]))
             self.settle()
         self.now = end
 
     def settle(self) -> None:
         """Connections under way come up, and those that were closed are closed by the worker too."""
-        while self.dials or self.ending:
+        while self.dials or self.closing_links:
             if self.dials:
                 link, address = self.dials.popitem()
-                self.up[link] = address
+                self.links_up[link] = address
                 self.feed(ev.LinkUp(link))
             else:
-                self.feed(ev.LinkLost(self.ending.pop(), frozenset()))
+                self.feed(ev.LinkLost(self.closing_links.pop(), frozenset()))
 
     def feed(self, *events: ev.Event, after: int = 0) -> None:
         self.events += len(events)
@@ -126,10 +126,10 @@
 
     def connect_client(self) -> None:
         """Anew for each piece of work: the planner closes a connection on which nothing is said."""
-        if self.client_link in self.closed:
+        if self.client_link in self.closed_clients:
             self.feed(ev.ClientDisconnected(self.client_link))
             self.client_link = 0
-        self.client_link = self.client_link or self.owner()
+        self.client_link = self.client_link or self.add_client()
 
     def run_tasks_at(self, workers: int, each: int = 1) -> None:
         """So many tasks run at each of so many workers, as their client hands them over."""
@@ -137,7 +137,7 @@
         for worker in range(1, workers + 1):
             for _ in range(each):
                 self.last_task += 1
-                self.ask(self.client_link, self.last_task, at=row(worker)["host"])
+                self.request_placement(self.client_link, self.last_task, at=machine_row(worker)["host"])
         self.settle()
 
     def start_tasks(self, count: int) -> list[Started]:
@@ -145,25 +145,25 @@
         self.connect_client()
         started: list[Started] = []
         for number in range(FIRST_LATER_TASK, FIRST_LATER_TASK + count):
-            self.ask(self.client_link, number, extras=f"cores:1;memory:2;service:{number:016x}")
+            self.request_placement(self.client_link, number, extras=f"cores:1;memory:2;service:{number:016x}")
             self.settle()
-            link = self.sent(number)[-1][0]
+            link = self.placements_sent(number)[-1][0]
             started.append(Started(number, self.core.links.links[link].machine))
-            self.machine(link, Message(ANSWERED, name(number), body="runs"))
+            self.receive_from_machine(link, Message(ANSWERED, task_id(number), body="runs"))
         return started
 
     def end_tasks(self, started: list[Started]) -> None:
         """The workers end them, each on a connection that is open now."""
         for task in started:
             link = next(k.number for k in self.core.links.links.values() if k.machine == task.worker)
-            self.machine(link, Message(ENDED, name(task.number), cause=int(Cause.ENDED)))
+            self.receive_from_machine(link, Message(ENDED, task_id(task.number), cause=int(Cause.ENDED)))
         self.settle()
 
     def end_adopted(self) -> None:
         """The client ends everything that it handed over."""
         for number in range(1, self.last_task + 1):
             self.feed(
-                ev.ClientMessage(self.client_link, Message(ENDED, name(number), cause=int(Cause.ENDED)))
+                ev.ClientMessage(self.client_link, Message(ENDED, task_id(number), cause=int(Cause.ENDED)))
             )
         self.settle()
 
--- a/tests/scale/test_scaling_counts.py
+++ b/tests/scale/test_scaling_counts.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import pytest
-from counted_site import SECOND, CountedSite, Rates, row
+from counted_site import SECOND, CountedSite, Rates, machine_row
 
 from stairplank.platform import link_checks
 from stairplank.platform.messages import Kind, Message
@@ -82,7 +82,7 @@
     for _ in range(round(SPAN_S)):
         latest = {link.machine: link for link in site.core.links.links.values()}
         for link in latest.values():
-            site.machine(link.number, Message(Kind.STATUS_UPDATE, f"{link.machine:016x}"))
+            site.receive_from_machine(link.number, Message(Kind.STATUS_UPDATE, f"{link.machine:016x}"))
         site.run(1.0)
     dials = (site.counts().dials - before) / SPAN_S
     assert dials == pytest.approx(busy / HEARD_PERIOD_S, rel=TOLERANCE)
@@ -145,7 +145,7 @@
     site = standing(workers, 25)
     before = site.counts()
     for number in range(1, 11):
-        site.list_update(row(30 + number, spare=[8.0, 16.0]))
+        site.list_update(machine_row(30 + number, spare=[8.0, 16.0]))
     after = site.counts()
     assert after.events - before.events == 10
     assert (after.to_workers, after.to_clients) == (before.to_workers, before.to_clients)
@@ -157,7 +157,7 @@
     gone, each = 5, 4
     site = standing(workers, 25, each=each)
     before = site.counts()
-    site.list_update(*(row(number, "DELETED") for number in range(1, gone + 1)))
+    site.list_update(*(machine_row(number, "DELETED") for number in range(1, gone + 1)))
     site.run(link_checks.REMOVAL_GRACE_US / SECOND + 1.0)
     after = site.counts()
     assert after.to_clients - before.to_clients == gone * each  # a release of each task
