--- a/stairplank/scale/__init__.py
+++ b/stairplank/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Measures what a site of a given size costs: real planner processes beside hollow workers and planners."""
+"""Measures the costs of a site of a given size: real planners run among hollow workers and planners."""
--- a/stairplank/scale/bounds.py
+++ b/stairplank/scale/bounds.py
@@ -1,4 +1,4 @@
-"""What a scale run may take of the machine, estimated before anything is started."""
+"""Estimates the resources of a scale run and rejects a run that exceeds the limits before it starts."""
 
 from __future__ import annotations
 
@@ -12,43 +12,44 @@
 from .plan import GRPC, Plan, SampleSpec, load_plan
 
 MEGABYTE = 2**20
-MEMORY_SHARE = 0.5  # of the machine's
-# Estimates of resident memory, above what trials showed.
-PROCESS_MB = 40.0  # a hollow process without peers
+MEMORY_SHARE = 0.5  # largest part of the machine's memory that a run may use
+# The memory figures below estimate resident memory and lie above the values seen in trial runs.
+PROCESS_MB = 40.0  # a hollow process that simulates no peers yet
 REAL_PLANNER_MB = 90.0
 HOLLOW_PLANNER_MB = 12.0
 WORKER_MB = 0.05
-CONNECTION_MB = 0.05  # both ends
-GRPC_LINK_MB = 0.2  # the same
-TASK_MB = 0.02  # at worker, planner and client together
-CONNECTIONS_PER_MACHINE = 3  # of one planner to one worker, while they are renewed; gRPC keeps one to each
+CONNECTION_MB = 0.05  # both ends of a connection of the platform form
+GRPC_LINK_MB = 0.2  # both ends of a gRPC connection
+TASK_MB = 0.02  # one running task, summed over its worker, planner and client
+# Connections of one planner to one worker while connections are renewed; the gRPC form keeps one.
+CONNECTIONS_PER_MACHINE = 3
 WORKERS_PER_PROCESS = 250
 PLANNERS_PER_PROCESS = 8
-SERVICE_PROCESSES = 2  # node list and clients
+SERVICE_PROCESSES = 2  # the node list service and the process of all clients
 DESCRIPTORS_SPARE = 200
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """What one site takes."""
+    """The resources that one site needs."""
 
     processes: int
     memory_mb: float
-    descriptors: int  # of the process that needs most
+    descriptors: int  # file descriptors of the process that needs the most
 
 
 def parts(count: int, most: int) -> int:
-    """Into how many processes so many peers are divided."""
+    """Returns the number of processes for ``count`` peers, with at most ``most`` peers in each."""
     return -(-count // most)
 
 
 def _per_part(total: int, count: int, most: int) -> int:
-    """Of a total over so many peers, what falls to one of their processes."""
+    """Returns one process's share of ``total``, where ``count`` peers run ``most`` to a process."""
     return total // max(1, parts(count, most))
 
 
 def estimate(spec: SampleSpec, real_planners: int) -> Estimate:
-    """Of the site at which this sample is taken."""
+    """Estimates the resources of the site at which this sample is taken."""
     size = spec.size
     hollow = max(0, size.planners - real_planners)
     hollow_processes = parts(size.workers, WORKERS_PER_PROCESS) + parts(hollow, PLANNERS_PER_PROCESS)
@@ -70,7 +71,7 @@
 
 
 def _connections(spec: SampleSpec) -> int:
-    """Between planners and workers, at most."""
+    """Returns the largest number of connections between planners and workers."""
     size = spec.size
     if spec.form == GRPC:
         return size.planners * size.workers
@@ -80,29 +81,29 @@
 
 
 def load_checked(path: str | Path) -> Plan:
-    """The plan of a file that this machine can carry out. Raises SettingsError."""
+    """Loads a plan file. Raises SettingsError if it is invalid or exceeds the limits of this machine."""
     plan = load_plan(path)
     check(plan)
     return plan
 
 
 def check(plan: Plan) -> None:
-    """Raises SettingsError for each sample that asks for more than the machine or the file allows."""
+    """Raises a SettingsError that lists each sample beyond the limits of the machine or of the plan file."""
     problems: dict[str, SettingsProblem] = {}
     for spec in plan.samples:
         needed = estimate(spec, real_planners_of(plan, spec))
-        for text in _faults(plan, spec, needed):
+        for text in _exceeded_limits(plan, spec, needed):
             problems.setdefault(f"{spec.at}: {text}", SettingsProblem(spec.at, "", text))
     if problems:
         raise SettingsError(list(problems.values()))
 
 
 def real_planners_of(plan: Plan, spec: SampleSpec) -> int:
-    """Events restart planners, so all are real there."""
+    """Returns the number of real planners in a sample: all for an event, because events restart planners."""
     return spec.size.planners if spec.is_event else min(plan.layout.real_planners, spec.size.planners)
 
 
-def _faults(plan: Plan, spec: SampleSpec, needed: Estimate) -> list[str]:
+def _exceeded_limits(plan: Plan, spec: SampleSpec, needed: Estimate) -> list[str]:
     machine_mb = psutil.virtual_memory().total / MEGABYTE
     memory_mb = machine_mb * MEMORY_SHARE
     if plan.memory_most is not None:
--- a/stairplank/scale/capacity.py
+++ b/stairplank/scale/capacity.py
@@ -1,4 +1,4 @@
-"""The capacity table: every line of the target against what was measured. No I/O."""
+"""Builds the capacity table, which compares every line of the target with the measured figures. No I/O."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def capacity(site: Site, slopes: Slopes) -> list[Row]:
-    """The rows of one form of the planner."""
+    """Returns the rows of one form of the planner."""
     found = RowList(site.form)
     _sizes(site, found)
     _policies(site, found)
@@ -35,13 +35,13 @@
 
 
 def by_need(rows: list[Row]) -> list[Row]:
-    """What is missing: first what nothing carries, then by the factor that is short."""
+    """Returns the rows that miss the target: first those without a mechanism, then the largest shortfall."""
     missing = [r for r in rows if r.verdict in (Verdict.NOTHING_CARRIES_IT, Verdict.SHORT)]
     return sorted(missing, key=lambda r: (r.verdict is Verdict.SHORT, -(r.ratio or 0.0)))
 
 
 def _sizes(site: Site, found: RowList) -> None:
-    """The largest size of any sample stands against the target's."""
+    """Adds rows that compare the largest size of any sample with the target's size."""
     target, carriers = site.target, CARRIERS[site.form]
     workers = site.most(lambda s: s.size.workers)
     starts = site.most(lambda s: s.size.starts_per_s)
@@ -62,7 +62,7 @@
 
 
 def _policies(site: Site, found: RowList) -> None:
-    """What the decisions know of accelerators, gangs, teams, urgency and places."""
+    """Adds rows on placement by accelerators, gangs, teams, urgency, zones and regions."""
     target, carriers = site.target, CARRIERS[site.form]
     found.missing(TargetLine.WORKERS, "accelerators", target.accelerators, car.ACCELERATORS_GAP)
     if carriers.gangs is None:
@@ -93,9 +93,10 @@
 
 
 def _configuration(site: Site, found: RowList) -> None:
+    """Adds rows on the time until a changed configuration is in force everywhere."""
     target, carriers = site.target, CARRIERS[site.form]
 
-    def in_force(figure: str, mechanism: Mechanism | None, gap: str, load: str) -> None:
+    def add_time_in_force(figure: str, mechanism: Mechanism | None, gap: str, load: str) -> None:
         line, allowance = TargetLine.CONFIGURATION, target.configuration_in_force_s
         if mechanism is None:
             found.missing_within(line, figure, allowance, gap)
@@ -103,8 +104,10 @@
         measured = site.slowest(load, lambda e: e.in_force_s)
         found.stay(line, figure, Unit.SECONDS, allowance, mechanism, measured, site.wanted(load))
 
-    in_force("settings in force everywhere", carriers.settings, car.SETTINGS_GAP, events.SETTINGS_CHANGE)
-    in_force(
+    add_time_in_force(
+        "settings in force everywhere", carriers.settings, car.SETTINGS_GAP, events.SETTINGS_CHANGE
+    )
+    add_time_in_force(
         "address of the list in force everywhere",
         carriers.list_address,
         car.LIST_ADDRESS_GAP,
@@ -113,17 +116,19 @@
 
 
 def _control(site: Site, slopes: Slopes, planners: int, found: RowList) -> None:
-    """What one planner spends where there are so many. What was not measured at the peak with as many is
-    computed from the slopes."""
+    """Adds rows on the control costs of one planner at a site with ``planners`` planners.
+
+    A cost that was not measured at this size is computed from the slopes.
+    """
     target, carriers = site.target, CARRIERS[site.form]
 
-    def spend(what: str, figure: Figure, allowance: float, starts_per_s: float) -> None:
+    def add_cost(cost: str, figure: Figure, allowance: float, starts_per_s: float) -> None:
         size = site.size(planners, starts_per_s)
         measured = site.worst(figure, size)
         value = slopes.predict(figure, size).value if measured is None else measured
         found.stay(
             TargetLine.CONTROL,
-            f"{what}, one of {planners} planners",
+            f"{cost}, one of {planners} planners",
             figure.unit,
             allowance,
             carriers.control,
@@ -133,17 +138,17 @@
         )
 
     peak = target.starts_per_s
-    spend("processor time, tasks standing", fig.CPU, target.control_cpu_share, 0.0)
-    spend("processor time, at the peak of starts", fig.CPU, target.control_cpu_share, peak)
-    spend("memory", fig.MEMORY, target.control_memory_mb, peak)
-    spend("bytes without the tasks' own messages", fig.CONTROL_BYTES, target.control_bytes_per_s, peak)
-    spend(
+    add_cost("processor time, tasks standing", fig.CPU, target.control_cpu_share, 0.0)
+    add_cost("processor time, at the peak of starts", fig.CPU, target.control_cpu_share, peak)
+    add_cost("memory", fig.MEMORY, target.control_memory_mb, peak)
+    add_cost("bytes without the tasks' own messages", fig.CONTROL_BYTES, target.control_bytes_per_s, peak)
+    add_cost(
         "the same with headers of IP and TCP, estimated",
         fig.CONTROL_BYTES_WITH_HEADERS,
         target.control_bytes_per_s,
         peak,
     )
-    spend(
+    add_cost(
         "bytes with the tasks' own messages, the other reading",
         fig.ALL_BYTES,
         target.control_bytes_per_s,
@@ -152,8 +157,10 @@
 
 
 def _planner_machines(site: Site, best: PlannerCount | None, found: RowList) -> None:
-    """Whether the machines for planners do: with the number of planners that suits best, each within its
-    allowances."""
+    """Adds a row on whether the machines reserved for planners suffice.
+
+    It uses the best number of planners, at which each planner should stay within its allowances.
+    """
     among = "" if best is None else f", with {best.planners} planners"
     found.stay(
         TargetLine.PLANNER_MACHINES,
@@ -167,11 +174,14 @@
 
 
 def _lost_and_restarted(site: Site, found: RowList) -> None:
-    """The target names no time in which a loss has to be known; that of an urgent start is taken, as what
-    stood there may be urgent."""
+    """Adds rows on lost and restarted machines.
+
+    The target sets no limit for detecting a loss. The limit for an urgent start is used, because the lost
+    tasks may be urgent.
+    """
     target, carriers = site.target, CARRIERS[site.form]
 
-    def known(line: TargetLine, figure: str, load: str) -> None:
+    def add_detection_time(line: TargetLine, figure: str, load: str) -> None:
         found.stay(
             line,
             figure,
@@ -182,7 +192,7 @@
             site.wanted(load),
         )
 
-    known(TargetLine.MACHINE_EVENTS, "a failed machine is known", events.MACHINE_FAILS)
+    add_detection_time(TargetLine.MACHINE_EVENTS, "a failed machine is known", events.MACHINE_FAILS)
     found.stay(
         TargetLine.MACHINE_EVENTS,
         "work has caught up after restarts at once, before the next of an even day",
@@ -192,8 +202,8 @@
         site.slowest(events.RESTARTS, lambda e: e.caught_up_s),
         site.wanted(events.RESTARTS),
     )
-    known(TargetLine.RACK_AND_ZONE, "a failed rack is known", events.RACK_FAILS)
-    known(TargetLine.RACK_AND_ZONE, "a zone that returns cold is known", events.ZONE_RETURNS)
+    add_detection_time(TargetLine.RACK_AND_ZONE, "a failed rack is known", events.RACK_FAILS)
+    add_detection_time(TargetLine.RACK_AND_ZONE, "a zone that returns cold is known", events.ZONE_RETURNS)
     found.missing(
         TargetLine.REGION_CUT,
         "seconds that a cut region runs on by itself",
--- a/stairplank/scale/carriers.py
+++ b/stairplank/scale/carriers.py
@@ -1,7 +1,7 @@
-"""Which part of the program carries which line of the target, by form of the planner. Data; no I/O.
+"""Names the class or function that implements each line of the target, by form of the planner. No I/O.
 
-Where nothing carries a line, ``GAPS`` says what is there instead, as the code has it. The tests of the page
-look each named part up, and look whether what a gap says is missing is missing still.
+Where nothing implements a line, a ``*_GAP`` text describes what the code does instead. The tests of the
+capacity page check that each named part exists and that each feature a gap calls missing is still missing.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Carriers:
-    """The parts of one form. None: nothing in the program carries it."""
+    """The implementing parts of one planner form; None where nothing in the program implements the line."""
 
     workers: Mechanism
     starts: Mechanism
@@ -28,17 +28,17 @@
     control: Mechanism
 
 
-_DECIDES = Mechanism("stairplank.decisions", "Planner")
+_PLACEMENT = Mechanism("stairplank.decisions", "Planner")
 _COLD_NODES = Mechanism("stairplank.decisions.slow_start", "slow_start_turn")
 
 CARRIERS = {
     Form.PLATFORM: Carriers(
         workers=Mechanism("stairplank.platform.machines", "Machines"),
-        starts=_DECIDES,
+        starts=_PLACEMENT,
         running=Mechanism("stairplank.platform.client_requests", "ClientRequests"),
         gangs=None,
-        urgent_with_room=_DECIDES,
-        zones=_DECIDES,
+        urgent_with_room=_PLACEMENT,
+        zones=_PLACEMENT,
         settings=Mechanism("stairplank.platform.reload", "ConfigInForce"),
         list_address=Mechanism("stairplank.platform.service", "Service"),
         machine_lost=Mechanism("stairplank.platform.links", "Links"),
@@ -47,11 +47,11 @@
     ),
     Form.GRPC: Carriers(
         workers=Mechanism("stairplank.planner.node_list", "NodeList"),
-        starts=_DECIDES,
+        starts=_PLACEMENT,
         running=Mechanism("stairplank.planner.client_requests", "ClientRequests"),
         gangs=Mechanism("stairplank.groups.coordinator", "Coordinator"),
-        urgent_with_room=_DECIDES,
-        zones=_DECIDES,
+        urgent_with_room=_PLACEMENT,
+        zones=_PLACEMENT,
         settings=Mechanism("stairplank.configuration.watch", "ConfigurationWatch"),
         list_address=None,
         machine_lost=Mechanism("stairplank.planner.node_links", "NodeLinks"),
--- a/stairplank/scale/cells.py
+++ b/stairplank/scale/cells.py
@@ -1,4 +1,4 @@
-"""The cells of the rows of the capacity page's tables. No I/O."""
+"""Formats the cells of the capacity page's tables. No I/O."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from .verdicts import Row, Verdict
 
 NO_EVENT = "with so many restarts spread over time"
-COMPARED = (CPU, MEMORY, CONTROL_BYTES)  # of each sample, between two runs
+COMPARED = (CPU, MEMORY, CONTROL_BYTES)  # figures of each sample that are compared between two runs
 
 
 def capacity_cells(rows: Sequence[Row]) -> list[list[str]]:
-    """The cells of rows; those that differ in nothing but the form of the planner are one."""
+    """Returns the cells of each row; rows that differ only in the form of the planner are merged into one."""
     forms: dict[tuple[str, ...], list[str]] = {}
     for row in rows:
         forms.setdefault(_cells_of_row(row), []).append(row.form.value)
@@ -27,7 +27,7 @@
 
 
 def _cells_of_row(row: Row) -> tuple[str, ...]:
-    """All but the form of the planner."""
+    """Returns the cells of one row without the form of the planner."""
     carried = str(row.mechanism) if row.mechanism else row.gap
     measured = "" if row.mechanism is None else amount(row.measured, row.unit)
     if row.computed and row.measured is not None:
@@ -38,7 +38,7 @@
 
 
 def verdict_cell(row: Row) -> str:
-    """The verdict, with its factor, or with what would measure the figure."""
+    """Returns the verdict with its factor, or with the samples that would measure the figure."""
     if row.verdict is Verdict.SHORT:
         return f"short by a factor of {factor(row.ratio)}"
     if row.verdict is Verdict.NOT_MEASURED:
@@ -47,13 +47,13 @@
 
 
 def cost_cells(cost: Cost) -> tuple[str, str]:
-    """A cost as it was measured, and by the slopes."""
+    """Returns the measured cost and the cost predicted from the slopes."""
     unit = cost.figure.unit
     return amount(cost.measured, unit), predicted_cell(cost.predicted, unit)
 
 
 def predicted_cell(prediction: Prediction, unit: Unit) -> str:
-    """A figure by the slopes, or which slopes it lacks."""
+    """Returns a figure predicted from the slopes, or names the slopes that are missing."""
     if prediction.value is not None:
         return amount(prediction.value, unit)
     missing = ", ".join(axis.title for axis in prediction.missing)
@@ -61,12 +61,12 @@
 
 
 def fewest_cell(planners: int | None) -> str:
-    """A number of planners, or that none that was looked at does."""
+    """Returns the lowest sufficient number of planners, or a text if no examined number suffices."""
     return "no number looked at" if planners is None else f"{planners} planners"
 
 
 def role_cells(cost: RoleCost) -> tuple[str, ...]:
-    """The figures of a role."""
+    """Returns the cells of one role's costs."""
     return (
         cost.role,
         cost.state,
@@ -79,7 +79,7 @@
 
 
 def event_cells(site: Site, event: DayEvent) -> tuple[str, ...]:
-    """An event of a day at one form of the planner."""
+    """Returns the cells of one event of a day, for one form of the planner."""
     unknown = f"{NOT_MEASURED}: the target names no size"
     tasks = unknown if event.tasks is None else computed_cell(event.tasks)
     sent = unknown if event.tasks is None else messages_cell(event.messages)
@@ -88,25 +88,25 @@
 
 
 def messages_cell(prediction: Prediction) -> str:
-    """Messages by the slopes, or which slopes they lack."""
+    """Returns the number of messages predicted from the slopes, or names the slopes that are missing."""
     text = predicted_cell(prediction, Unit.COUNT)
     return text if prediction.value is None else f"{text}, computed"
 
 
 def added_starts_cell(event: DayEvent) -> str:
-    """The starts a second that an event adds, where it is spread over time."""
+    """Returns the starts per second that an event adds; "at once" unless the event is spread over time."""
     if event.tasks is None or not event.over_s:
         return "at once"
     return computed_cell(event.tasks / event.over_s)
 
 
 def computed_cell(value: float) -> str:
-    """A number that was worked out."""
+    """Returns a number marked as computed, not measured."""
     return f"{number(value)}, computed"
 
 
 def time_cell(time: Time, load: str) -> str:
-    """A time after an event, and where it comes from."""
+    """Returns a time after an event, marked with its source."""
     match time.source:
         case Source.NO_SUCH:
             return ""
@@ -119,7 +119,7 @@
 
 
 def pair_cells(of_sample: Mapping[Figure, Pair]) -> list[str]:
-    """A sample of two runs, figure by figure."""
+    """Returns the cells of one sample that is in both runs, figure by figure."""
     first = next(iter(of_sample.values()))
     size = first.size
     cells = [first.form, first.load, str(size.workers), str(size.planners)]
@@ -130,7 +130,7 @@
 
 
 def compared_cells(pair: Pair | None) -> tuple[str, str, str]:
-    """A figure of two runs, and their difference."""
+    """Returns a figure of both runs and the difference between the two values."""
     if pair is None:
         return NOT_MEASURED, NOT_MEASURED, ""
     unit = pair.figure.unit
@@ -138,5 +138,5 @@
 
 
 def yes_or_no(value: bool) -> str:
-    """A truth as a word."""
+    """Formats a boolean as yes or no."""
     return "yes" if value else "no"
--- a/stairplank/scale/change_tables.py
+++ b/stairplank/scale/change_tables.py
@@ -1,4 +1,4 @@
-"""What the configuration service changed, and what an earlier state of the program cost. No I/O."""
+"""Tables that compare costs before and after the configuration service was introduced. No I/O."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeCost:
-    """What one change of the configuration costs one of so many planners, in one run."""
+    """The cost of one configuration change to one planner, as measured in one run."""
 
     in_force_s: float | None
     cpu_s: float | None
@@ -28,7 +28,7 @@
 
 
 def configuration_table(target: Target, runs: Sequence[Results]) -> str:
-    """Both ways of taking a change, at each number of planners, a run beside the other."""
+    """Returns a table of both ways to apply a change, per number of planners, with two runs side by side."""
     heads = ["planners", "a change is taken", "in force everywhere", "run 2", "allowance", "ratio"]
     heads += ["processor time a change", "run 2", "bytes a change", "run 2"]
     changes = f"{target.configuration_changes_per_day:,} a day"
@@ -57,7 +57,7 @@
 
 
 def _per_change(sample: Sample, rate: float | None, idle_rate: float | None) -> float | None:
-    """A rate of the span, less that without changes, for each change."""
+    """Returns the cost per change: the rate above the rate without changes, times the span, per change."""
     if rate is None or not sample.changes:
         return None
     return max(0.0, rate - (idle_rate or 0.0)) * sample.span_s / sample.changes
@@ -92,21 +92,21 @@
 
 
 def before_after_table(before: Sequence[Results], after: Sequence[Results]) -> str:
-    """Samples of the platform form that both states have: processor time and bytes, each run."""
+    """Returns a table of processor time and bytes per run, for platform samples measured before and after."""
     heads = ["load", "workers", "planners", "starts/s", "running"]
     for figure in ("processor time", "bytes with headers"):
         heads += [f"{figure} before", "run 2", "after", "run 2"]
-    rows = [_before_after_cells(key, before, after) for key in _common(before, after)]
+    rows = [_before_after_cells(key, before, after) for key in _common_samples(before, after)]
     return table(heads, rows)
 
 
-def _common(before: Sequence[Results], after: Sequence[Results]) -> list[tuple[str, Size]]:
+def _common_samples(before: Sequence[Results], after: Sequence[Results]) -> list[tuple[str, Size]]:
     def keys(runs: Sequence[Results]) -> dict[tuple[str, Size], None]:
         samples = (s for run in runs for s in run.samples if s.form == Form.PLATFORM.value)
         return {(s.load, s.size): None for s in samples if s.planner.cpu_share is not None}
 
-    ours = keys(after)
-    return [key for key in keys(before) if key in ours]
+    after_keys = keys(after)
+    return [key for key in keys(before) if key in after_keys]
 
 
 def _before_after_cells(
@@ -124,11 +124,11 @@
         for runs in (before, after):
             for position in (0, 1):
                 run = runs[position] if position < len(runs) else None
-                cells.append(amount(_of(run, key, figure), figure.unit))
+                cells.append(amount(_mean_figure(run, key, figure), figure.unit))
     return cells
 
 
-def _of(run: Results | None, key: tuple[str, Size], figure: Figure) -> float | None:
+def _mean_figure(run: Results | None, key: tuple[str, Size], figure: Figure) -> float | None:
     if run is None:
         return None
     load, size = key
--- a/stairplank/scale/child.py
+++ b/stairplank/scale/child.py
@@ -1,4 +1,4 @@
-"""The child's side of a hollow process: commands come as JSON lines on standard input, one answer each."""
+"""The command loop of a hollow process: reads JSON lines on standard input and answers each with one."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 Handler = Callable[..., Any]
 STANDARD_INPUT, STANDARD_OUTPUT, STANDARD_ERROR = 0, 1, 2
 READ_BYTES = 65_536
-STARTER_GONE = 3  # exit code
+PARENT_GONE = 3  # exit code of a child whose parent process has ended
 
 
 def serve(handlers: Mapping[str, Handler]) -> None:
-    """Answer commands until standard input ends, as it does when the starter ends; never returns."""
+    """Answers commands until standard input closes, as it does when the parent ends. Never returns."""
     answers = os.dup(STANDARD_OUTPUT)
-    os.dup2(STANDARD_ERROR, STANDARD_OUTPUT)  # what anything prints here is no answer
+    os.dup2(STANDARD_ERROR, STANDARD_OUTPUT)  # keeps printed output out of the stream of answers
     make_nonblocking(STANDARD_INPUT)
     make_nonblocking(answers)
     commands: Queue[bytes] = Queue()
@@ -33,12 +33,15 @@
         for line in lines:
             commands.put(line)
     sys.stderr.flush()
-    os._exit(STARTER_GONE)
+    os._exit(PARENT_GONE)
 
 
 def _answer_all(handlers: Mapping[str, Handler], commands: Queue[bytes], answers: int) -> None:
-    """In their order. Danger: answered where they are read, one that waits for a peer which has died with the
-    starter would hide the end of standard input for ever."""
+    """Answers commands in order, in a greenlet other than the reader of standard input.
+
+    If the reader itself answered, a command waiting for a peer that died with the parent process would block
+    it for ever, and it would never see standard input close.
+    """
     while True:
         _answer(handlers, json.loads(commands.get()), answers)
 
--- a/stairplank/scale/children.py
+++ b/stairplank/scale/children.py
@@ -1,7 +1,7 @@
-"""The starter's side of child processes: hollow ones that are commanded, and planners of a real kind.
+"""Starts, commands and ends child processes: hollow processes and real planners.
 
-Every child ends when its starter does: a hollow one as its standard input closes, a planner by the kernel's
-signal at its parent's death. ``end_all`` ends those that were started here, by their ids.
+Every child ends when its parent process does: a hollow process when its standard input closes, a planner by
+the signal that the kernel sends at its parent's death. ``end_all`` ends only the processes started here.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 END_TIMEOUT_S = 5.0
 READ_BYTES = 1_048_576
 NANOSECONDS = 1e9
-PR_SET_PDEATHSIG = 1  # of prctl(2)
+PR_SET_PDEATHSIG = 1  # option of prctl(2): the signal to send when the parent dies
 _LIBC = ctypes.CDLL(None, use_errno=True)
 
 
 class ChildError(Exception):
-    """A child has failed or does not answer; the text says which."""
+    """Raised when a child process has failed or does not answer; the message names the child."""
 
 
-def _die_with_parent() -> None:
+def _kill_on_parent_death() -> None:
     _LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Child:
-    """A process that was started here."""
+    """A child process, with its log and its resource usage."""
 
     def __init__(self, name: str, process: subprocess.Popen[bytes], log: Path) -> None:
         self.name = name
@@ -48,8 +48,11 @@
         self.usage = psutil.Process(process.pid)
 
     def cpu_seconds(self) -> float:
-        """Processor time so far. Where the kernel tells it in nanoseconds, a span of seconds is enough for a
-        small share; its ticks are of 10 ms."""
+        """Returns the processor time used so far.
+
+        The kernel's nanosecond counters are preferred: with them a span of seconds is long enough to measure
+        a small share. The fallback counts in ticks of 10 ms.
+        """
         try:
             tasks = Path(f"/proc/{self.process.pid}/task").glob("*/schedstat")
             return sum(int(task.read_text().split()[0]) for task in tasks) / NANOSECONDS
@@ -68,12 +71,12 @@
             if pipe is not None:
                 pipe.close()
 
-    def failure(self, what: str) -> ChildError:
-        return ChildError(f"{self.name}: {what}; its log: {self.log}")
+    def failure(self, problem: str) -> ChildError:
+        return ChildError(f"{self.name}: {problem}; its log: {self.log}")
 
 
 class Commanded(Child):
-    """A hollow process: commands as JSON lines on its standard input, one answer each."""
+    """A hollow process that takes commands as JSON lines on standard input and writes one answer to each."""
 
     _pending = b""
 
@@ -84,10 +87,10 @@
             self.process.stdin.write(line)
             self.process.stdin.flush()
         except OSError:
-            raise self.failure("has ended") from None
+            raise self.failure("the process has ended") from None
 
     def receive(self, timeout_s: float = COMMAND_TIMEOUT_S) -> Any:
-        """The answer to the oldest command. Raises ChildError."""
+        """Returns the answer to the oldest unanswered command. Raises ChildError."""
         answer = json.loads(self._line(time.monotonic() + timeout_s))
         if "error" in answer:
             raise self.failure(answer["error"])
@@ -103,17 +106,17 @@
         while b"\n" not in self._pending:
             left = deadline - time.monotonic()
             if left <= 0 or not select.select([descriptor], [], [], left)[0]:
-                raise self.failure("does not answer")
+                raise self.failure("the process does not answer")
             data = os.read(descriptor, READ_BYTES)
             if not data:
-                raise self.failure("has ended")
+                raise self.failure("the process has ended")
             self._pending += data
         line, _, self._pending = self._pending.partition(b"\n")
         return line
 
 
 class Children:
-    """All processes of one site."""
+    """The child processes of one site."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -132,7 +135,7 @@
         return child
 
     def plain(self, name: str, arguments: Sequence[str], environment: Mapping[str, str]) -> Child:
-        """A process that is not commanded; its standard error goes to its log."""
+        """Starts a process that takes no commands; its standard error goes to its log."""
         log = self.folder / f"{name}.log"
         with deferred(), log.open("wb") as errors:
             process = subprocess.Popen(
@@ -141,7 +144,7 @@
                 stdout=subprocess.DEVNULL,
                 stderr=errors,
                 env=os.environ | environment,
-                preexec_fn=_die_with_parent,
+                preexec_fn=_kill_on_parent_death,
             )
             child = Child(name, process, log)
             self._children.append(child)
@@ -161,7 +164,7 @@
 
 
 def ask_all(children: Sequence[Commanded], call: str, **arguments: Any) -> list[Any]:
-    """The same command to several at once; their answers in order."""
+    """Sends the same command to several children at once and returns their answers in the same order."""
     for child in children:
         child.send(call, **arguments)
     return [child.receive() for child in children]
--- a/stairplank/scale/clients.py
+++ b/stairplank/scale/clients.py
@@ -21,7 +21,7 @@
 
 
 class PlatformClient(LoadClient):
-    """One client connection to one planner. Tasks that the planner does not place are asked for again."""
+    """A client with one connection to one planner; it repeats every request that was not placed."""
 
     _ids = itertools.count(1)
 
@@ -29,7 +29,7 @@
         super().__init__(where, seed)
         self.counts = Counts()
         self._sock: Any = None
-        self._set_ups: dict[str, Message] = {}  # of running tasks
+        self._requests: dict[str, Message] = {}  # the request of each running task, by its id
         gevent.spawn(self._run)
 
     # Tasks
@@ -71,7 +71,7 @@
         self._sock = sock
         self.counts.dials += 1
         for id, worker in list(self.running.items()):
-            self._send(_handed_over(self._set_ups[id], worker))
+            self._send(_handover_request(self._requests[id], worker))
         for message in list(self.waiting.values()):
             self._send(message)
 
@@ -81,50 +81,50 @@
             self.counts.task_bytes += len(data)
             for message in reader.feed(data):
                 self.counts.task_messages += 1
-                self._take(message)
+                self._handle(message)
 
     def _send(self, message: Message) -> None:
         if self._sock is None:
-            return  # said once it is connected
+            return  # _connect sends every waiting message once the connection is open
         data = binary.encode(message)
         self.counts.count(False, len(data))
         try:
             self._sock.sendall(data)
         except OSError:
-            pass  # the reader connects anew
+            pass  # _run reconnects when its read fails
 
     # Messages
 
-    def _take(self, message: Message) -> None:
+    def _handle(self, message: Message) -> None:
         match message.kind:
             case Kind.ANSWER if message.id in self.waiting:
-                self._set_ups[message.id] = self.waiting.pop(message.id)
+                self._requests[message.id] = self.waiting.pop(message.id)
                 self.running[message.id] = message.body or ""
                 self.placed += 1
             case Kind.RELEASE | Kind.MIGRATE if message.id in self.running:
                 self._send(Message(Kind.ACKNOWLEDGEMENT, message.id))
-                self._ended(message)
+                self._remove_released(message)
             case Kind.RELEASE if message.id in self.waiting:
                 self.refused += 1
                 again = self.waiting[message.id]
                 gevent.spawn_later(RETRY_S, self._retry, again)
 
-    def _ended(self, message: Message) -> None:
-        """A task is over. One that was lost, not ended, is asked for again under a new id."""
+    def _remove_released(self, message: Message) -> None:
+        """Removes a released task. A task that was lost before it ended is requested again under a new id."""
         del self.running[message.id]
-        set_up = self._set_ups.pop(message.id)
+        request = self._requests.pop(message.id)
         if message.kind is Kind.RELEASE and message.cause == Cause.ENDED:
             return
         self.lost += 1
         id = f"{next(self._ids):016x}"
-        self._ask(Message(Kind.PLACE, id, set_up.fields | {"key": id}, body=set_up.body))
+        self._ask(Message(Kind.PLACE, id, request.fields | {"key": id}, body=request.body))
 
     def _retry(self, message: Message) -> None:
         if message.id in self.waiting:
             self._send(message)
 
 
-def _handed_over(set_up: Message, worker: str) -> Message:
-    """The set-up of a task that runs already, for a planner that has started anew."""
-    extras = f"{set_up.fields['extras']};at:{worker}"
-    return Message(Kind.PLACE, set_up.id, set_up.fields | {"extras": extras}, body=set_up.body)
+def _handover_request(request: Message, worker: str) -> Message:
+    """Returns the request of a running task with its worker added, for a planner that may have restarted."""
+    extras = f"{request.fields['extras']};at:{worker}"
+    return Message(Kind.PLACE, request.id, request.fields | {"extras": extras}, body=request.body)
--- a/stairplank/scale/compare.py
+++ b/stairplank/scale/compare.py
@@ -1,4 +1,4 @@
-"""Two scale runs side by side, figure by figure: noise is known so before a gain is claimed."""
+"""Compares two scale runs figure by figure, so that noise between runs is known before a gain is claimed."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def compare(first: Results, second: Results) -> str:
-    """One line for each figure that both have, how far figures differ, and what only one run has."""
+    """Returns a line per figure in both runs, a summary of differences, and the samples in only one run."""
     found = pairs(first, second, FIGURES)
     if not found:
-        return "no sample is in both runs\n" + _limits(first, second)
+        return "no sample is in both runs\n" + _other_lines(first, second)
     heads = (*SIZE_HEADS, "figure", "first", "second", "difference")
-    return aligned([heads, *map(_cells, found)]) + "\n" + _summary(found) + _limits(first, second)
+    return aligned([heads, *map(_cells, found)]) + "\n" + _summary(found) + _other_lines(first, second)
 
 
 def _cells(pair: Pair) -> Sequence[str]:
@@ -33,11 +33,11 @@
     return aligned([("figure", "pairs", "median difference", "largest"), *rows])
 
 
-def _limits(first: Results, second: Results) -> str:
-    """Samples of one run alone, and runs that are partial."""
-    ours, theirs = _samples(first), _samples(second)
-    lines = [f"only in the first run: {key}" for key in ours if key not in theirs]
-    lines += [f"only in the second run: {key}" for key in theirs if key not in ours]
+def _other_lines(first: Results, second: Results) -> str:
+    """Returns lines that name the samples in only one run and the runs that are partial."""
+    in_first, in_second = _samples(first), _samples(second)
+    lines = [f"only in the first run: {key}" for key in in_first if key not in in_second]
+    lines += [f"only in the second run: {key}" for key in in_second if key not in in_first]
     lines += [f"partial: {run.label}" for run in (first, second) if run.partial]
     return "".join(f"{line}\n" for line in lines)
 
--- a/stairplank/scale/counts.py
+++ b/stairplank/scale/counts.py
@@ -1,4 +1,4 @@
-"""What is counted at a socket, and the sums of it. No I/O."""
+"""Counters of messages, bytes and connections at a socket, and their sums. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def is_control(kind: Kind) -> bool:
-    """Whether a message belongs to no task: checks and their answers."""
+    """Returns whether a message is a health check or its result, which belong to no task."""
     return kind in CONTROL_KINDS
 
 
@@ -27,7 +27,7 @@
     connection_seconds: float = 0.0
 
     def count(self, control: bool, size: int) -> None:
-        """One message of so many bytes."""
+        """Counts one message of ``size`` bytes."""
         if control:
             self.control_messages += 1
             self.control_bytes += size
@@ -54,7 +54,7 @@
 
 
 class OpenConnections:
-    """How many are open, and the integral of that over time."""
+    """Tracks the number of open connections and its integral over time."""
 
     def __init__(self, now: float) -> None:
         self.open = 0
@@ -66,7 +66,7 @@
         self.open += by
 
     def seconds(self, now: float) -> float:
-        """Connection-seconds so far."""
+        """Returns the connection-seconds accumulated so far."""
         self._seconds += self.open * (now - self._since)
         self._since = now
         return self._seconds
--- a/stairplank/scale/days.py
+++ b/stairplank/scale/days.py
@@ -1,4 +1,4 @@
-"""Ordinary days and bad ones: what falls, how soon it is known, how soon the work has caught up. No I/O."""
+"""Events of a day at the target's size: tasks lost, time to detection and time to recovery. No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Source(Enum):
-    """Where a time on the page comes from."""
+    """The source of a time on the capacity page."""
 
     MEASURED = "measured"
     COMPUTED = "computed"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Time:
-    """A time after an event, in seconds, and where it comes from."""
+    """A time after an event in seconds, with its source."""
 
     source: Source
     seconds: float | None = None
@@ -39,10 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DayEvent:
-    """An event at the target's size. ``tasks`` is computed: those that start anew where work is spread
-    evenly; None where the target does not say how many machines fall. ``over_s``: the time over which they
-    do, 0 at once. ``messages`` are those of
-    their new starts at one planner, by the slopes."""
+    """An event at the target's size.
+
+    ``tasks`` is the computed number of tasks that start again, assuming that work is spread evenly. It is
+    None where the target does not state how many machines fail. ``over_s`` is the time over which the
+    machines fail, 0 if all fail at once. ``messages`` is the number of messages that these starts cause at
+    one planner, predicted from the slopes.
+    """
 
     title: str
     load: str
@@ -55,19 +58,19 @@
 
 
 def day_events(site: Site, slopes: Slopes, planners: int) -> list[DayEvent]:
-    """The events of the target, the ordinary ones first."""
+    """Returns the events that the target names, ordinary ones first."""
     target = site.target
     tasks_of_worker = target.running / target.workers
     restarts = target.machine_restarts_per_day
     build = _Builder(site, slopes, planners)
-    fallen = restarts * tasks_of_worker
+    restarted_tasks = restarts * tasks_of_worker
     return [
         build.event("a planner restarts", events.PLANNER_RESTARTS, 0.0),
         build.event("all planners restart", events.ALL_PLANNERS_RESTART, 0.0),
         build.event("one machine fails", events.MACHINE_FAILS, tasks_of_worker),
-        build.event(f"{restarts:g} machines restart over a day", "", fallen, SECONDS_OF_DAY),
-        build.event("the same within an hour", "", fallen, SECONDS_OF_HOUR),
-        build.event("the same at once", events.RESTARTS, fallen),
+        build.event(f"{restarts:g} machines restart over a day", "", restarted_tasks, SECONDS_OF_DAY),
+        build.event("the same within an hour", "", restarted_tasks, SECONDS_OF_HOUR),
+        build.event("the same at once", events.RESTARTS, restarted_tasks),
         build.event("a rack or a switch fails", events.RACK_FAILS, None),
         build.event("a zone returns cold", events.ZONE_RETURNS, target.running / target.zones),
         build.event("a region is cut off and comes back", events.REGION_CUT, target.running / target.regions),
@@ -79,7 +82,7 @@
         self.site, self.slopes, self.planners = site, slopes, planners
 
     def event(self, title: str, load: str, tasks: float | None, over_s: float = 0.0) -> DayEvent:
-        """``over_s``: the time over which what falls is spread; else it falls at once."""
+        """Builds one event. ``over_s`` is the time over which the failures are spread; 0 means at once."""
         caught_up = self._time(load, lambda e: e.caught_up_s)
         if caught_up.source is Source.NOT_MEASURED and tasks and not over_s:
             caught_up = Time(Source.COMPUTED, tasks / self.site.target.starts_per_s)
@@ -103,8 +106,8 @@
         return Time(Source.NOT_SEEN if self.site.ran(load) else Source.NOT_MEASURED)
 
     def _messages(self, tasks: float | None) -> Prediction:
-        """One start's messages at a planner, times the starts that fall to it."""
-        along = self.slopes.of(fig.STARTS, fig.ALL_MESSAGES)
-        if tasks is None or along.line is None:
+        """Predicts the messages at one planner: the messages per start times the starts of that planner."""
+        slope_by_starts = self.slopes.of(fig.STARTS, fig.ALL_MESSAGES)
+        if tasks is None or slope_by_starts.line is None:
             return Prediction(None, () if tasks is None else (fig.STARTS,))
-        return Prediction(along.line.slope * tasks / self.planners)
+        return Prediction(slope_by_starts.line.slope * tasks / self.planners)
--- a/stairplank/scale/events.py
+++ b/stairplank/scale/events.py
@@ -1,4 +1,4 @@
-"""Events at a site of the platform form, and what is timed after each. Every planner is a real one there."""
+"""Triggers events at a site of the platform form and times the recovery. All planners there are real."""
 
 from __future__ import annotations
 
@@ -13,65 +13,71 @@
 
 TIMEOUT_S = 40.0
 POLL_S = 0.05
-LEVEL_POLLS = 20  # of the waiting work, before the event
-CHANCE = 3  # tasks that may wait at any moment as they have just come
-RESTART_S = 2.0  # a worker that restarts is away for so long
-ZONE_AWAY_S = 5.0
-CUT_S = 15.0
-DISTURBED_S = 10.0  # for which waiting work is watched after a return
+BASELINE_POLLS = 20  # polls of the number of waiting tasks, before an event
+WAITING_MARGIN = 3  # tasks that may wait at any moment because they have only just arrived
+WORKER_DOWNTIME_S = 2.0  # how long a restarting worker is down
+ZONE_DOWNTIME_S = 5.0
+REGION_CUT_S = 15.0
+RETURN_WATCH_S = 10.0  # how long waiting tasks are observed after workers return
 REGIONS = 3
-READY_SHARE = 0.9  # of the restarted processes
+READY_SHARE = 0.9  # part of the restarted planners that must be ready
 
 
 @dataclass(frozen=True, slots=True)
 class Observed:
-    """What an event took, and what its sample has to say of it."""
+    """The times measured after an event, and the note for its sample."""
 
     times: EventTimes
     note: str = ""
 
 
 def run(event: str, site: Site) -> Observed:
-    """Have it happen and wait until it is over, ``TIMEOUT_S`` at most for each time."""
+    """Triggers an event and waits for the site to recover, at most ``TIMEOUT_S`` for each measured time."""
     return _EVENTS[event](site)
 
 
-class _Watch:
-    """Times after an event. Made before it: the level of waiting work is taken then, and the tasks that run
-    at the workers concerned are remembered."""
+class _RecoveryTimer:
+    """Measures times after an event.
+
+    It is created before the event, to take the baseline of waiting tasks and to mark the tasks that run on
+    the affected workers.
+    """
 
     def __init__(self, site: Site, workers: list[str]) -> None:
         self._site = site
-        self.level = self._level()
+        self.baseline = self._measure_baseline()
         self.marked: int = site.clients.ask("mark", workers=workers)
         self.began = time.monotonic()
 
     def known(self) -> float | None:
-        """Until the last of the remembered tasks is released to its client."""
+        """Returns the time until the last marked task is released to its client; None after ``TIMEOUT_S``."""
         return self._until(lambda progress: progress["marked"] == 0)
 
     def caught_up(self) -> float | None:
-        """Until no more work waits than before."""
-        return self._until(lambda progress: progress["waiting"] <= self.level)
-
-    def _level(self) -> int:
-        """The most work that waits at any of some moments, and what may wait by chance."""
-        level = CHANCE
-        for _ in range(LEVEL_POLLS):
-            level = max(level, self._progress()["waiting"])
+        """Returns the time until the waiting tasks are back at the baseline; None after ``TIMEOUT_S``."""
+        return self._until(lambda progress: progress["waiting"] <= self.baseline)
+
+    def _measure_baseline(self) -> int:
+        """Returns the largest number of waiting tasks in several polls, but at least ``WAITING_MARGIN``."""
+        baseline = WAITING_MARGIN
+        for _ in range(BASELINE_POLLS):
+            baseline = max(baseline, self._progress()["waiting"])
             time.sleep(POLL_S)
-        return level
+        return baseline
 
     def sleep_until(self, seconds: float) -> float:
-        """Sleep until so long after the event, and say how long after it is then."""
+        """Sleeps until ``seconds`` after the event. Returns the time since the event on waking."""
         time.sleep(max(0.0, self.began + seconds - time.monotonic()))
         return time.monotonic() - self.began
 
-    def disturbed_s(self) -> float:
-        """Watch for ``DISTURBED_S`` from now on; the last time at which more work waited than before."""
+    def settled_s(self) -> float:
+        """Watches the waiting tasks for ``RETURN_WATCH_S``.
+
+        Returns the seconds from the start of the watch until they last exceeded the baseline.
+        """
         began = last = time.monotonic()
-        while (now := time.monotonic()) < began + DISTURBED_S:
-            if self._progress()["waiting"] > self.level:
+        while (now := time.monotonic()) < began + RETURN_WATCH_S:
+            if self._progress()["waiting"] > self.baseline:
                 last = now
             time.sleep(POLL_S)
         return last - began
@@ -90,12 +96,12 @@
 
 
 def _planners_restart(site: Site, positions: list[int]) -> Observed:
-    watch = _Watch(site, [])
+    timer = _RecoveryTimer(site, [])
     ready = sorted(site.restart_planners(positions))
     index = math.ceil(READY_SHARE * len(positions)) - 1
     ready_s = ready[index] if index < len(ready) else None
     note = f"{len(positions)} of {site.planners} planners killed and started again"
-    return Observed(EventTimes(ready_s=ready_s, caught_up_s=watch.caught_up()), note)
+    return Observed(EventTimes(ready_s=ready_s, caught_up_s=timer.caught_up()), note)
 
 
 def _planner_restarts(site: Site) -> Observed:
@@ -106,60 +112,60 @@
     return _planners_restart(site, list(range(site.planners)))
 
 
-def _vanish(site: Site, workers: list[str]) -> Observed:
-    watch = _Watch(site, workers)
+def _silence_workers(site: Site, workers: list[str]) -> Observed:
+    timer = _RecoveryTimer(site, workers)
     site.fall_silent(workers)
-    times = EventTimes(known_s=watch.known(), caught_up_s=watch.caught_up())
-    return Observed(times, f"{len(workers)} workers fell silent; {watch.marked} tasks ran there")
+    times = EventTimes(known_s=timer.known(), caught_up_s=timer.caught_up())
+    return Observed(times, f"{len(workers)} workers fell silent; {timer.marked} tasks ran there")
 
 
 def _machine_fails(site: Site) -> Observed:
-    return _vanish(site, [site.clients.ask("busiest")])
+    return _silence_workers(site, [site.clients.ask("busiest")])
 
 
 def _rack_fails(site: Site) -> Observed:
     first = next(iter(site.rows.values()))["block"]
-    return _vanish(site, [name for name, row in site.rows.items() if row["block"] == first])
+    return _silence_workers(site, [name for name, row in site.rows.items() if row["block"] == first])
 
 
 def _restarts(site: Site) -> Observed:
     workers = list(site.rows)[: site.layout.restarted]
-    watch = _Watch(site, workers)
+    timer = _RecoveryTimer(site, workers)
     site.crash(workers)
-    times = EventTimes(known_s=watch.known(), caught_up_s=watch.caught_up())
-    away_s = watch.sleep_until(RESTART_S)
+    times = EventTimes(known_s=timer.known(), caught_up_s=timer.caught_up())
+    away_s = timer.sleep_until(WORKER_DOWNTIME_S)
     site.start_again(workers)
-    note = f"{len(workers)} workers away for {away_s:.1f} s at once; {watch.marked} tasks ran there; "
-    return Observed(times, note + f"after the return work waited for {watch.disturbed_s():.1f} s")
+    note = f"{len(workers)} workers away for {away_s:.1f} s at once; {timer.marked} tasks ran there; "
+    return Observed(times, note + f"after the return work waited for {timer.settled_s():.1f} s")
 
 
 def _zone_returns(site: Site) -> Observed:
-    """``caught_up_s`` is from the return on."""
+    """Crashes and delists a zone, then starts it again. ``caught_up_s`` counts from the restart."""
     zone = next(iter(site.rows.values()))["site"]
     workers = [name for name, row in site.rows.items() if row["site"] == zone]
-    watch = _Watch(site, workers)
+    timer = _RecoveryTimer(site, workers)
     site.crash(workers)
     site.delist(workers)
-    known_s = watch.known()
-    away_s = watch.sleep_until(ZONE_AWAY_S)
+    known_s = timer.known()
+    away_s = timer.sleep_until(ZONE_DOWNTIME_S)
     site.start_again(workers)
-    times = EventTimes(known_s=known_s, caught_up_s=watch.disturbed_s())
-    note = f"{len(workers)} workers delisted, back cold after {away_s:.1f} s; {watch.marked} tasks ran there"
+    times = EventTimes(known_s=known_s, caught_up_s=timer.settled_s())
+    note = f"{len(workers)} workers delisted, back cold after {away_s:.1f} s; {timer.marked} tasks ran there"
     return Observed(times, note)
 
 
 def _region_cut(site: Site) -> Observed:
-    """``caught_up_s`` is from the return on."""
+    """Silences the workers of a region for a while. ``caught_up_s`` counts from the end of the cut."""
     workers = list(site.rows)[: len(site.rows) // REGIONS]
-    watch = _Watch(site, workers)
+    timer = _RecoveryTimer(site, workers)
     site.fall_silent(workers)
-    known_s = watch.known()
-    away_s = watch.sleep_until(CUT_S)
+    known_s = timer.known()
+    away_s = timer.sleep_until(REGION_CUT_S)
     site.speak_again(workers)
-    times = EventTimes(known_s=known_s, caught_up_s=watch.disturbed_s())
+    times = EventTimes(known_s=known_s, caught_up_s=timer.settled_s())
     after = site.snapshot()
-    note = f"{len(workers)} workers cut off for {away_s:.0f} s, not an hour; {watch.marked} tasks ran there; "
-    note += f"{DISTURBED_S:g} s after the return workers held {after.held} tasks, clients {after.running}"
+    note = f"{len(workers)} workers cut off for {away_s:.0f} s, not an hour; {timer.marked} tasks ran there; "
+    note += f"{RETURN_WATCH_S:g} s after the return workers held {after.held} tasks, clients {after.running}"
     return Observed(times, note)
 
 
--- a/stairplank/scale/figures.py
+++ b/stairplank/scale/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a sample and the sizes that they may depend on, by name. No I/O."""
+"""Defines the figures of a sample and the sizes by which they are fitted. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Unit(Enum):
-    """How a figure is written on the page."""
+    """The unit with which a figure is written on the capacity page."""
 
     SHARE = "% of a core"
     MEGABYTES = "MB"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One figure of a sample; ``read`` gives None where it was not measured."""
+    """A figure of a sample; ``read`` returns None if the sample does not contain it."""
 
     title: str
     unit: Unit
@@ -89,61 +89,64 @@
 
 @dataclass(frozen=True, slots=True)
 class Axis:
-    """A size by which figures are fitted; ``size`` gives None for a sample that has no place on the axis.
-    Samples of one series agree in what ``held`` reads."""
+    """A size by which figures are fitted.
+
+    ``size`` returns None for a sample that does not belong on the axis. Samples of one series agree in their
+    ``fixed_sizes``.
+    """
 
     title: str
     size: Callable[[Sample], float | None]
-    held: Callable[[Sample], tuple[float, ...]]
-    wanted: str  # the samples that would measure it
+    fixed_sizes: Callable[[Sample], tuple[float, ...]]
+    wanted: str  # the samples needed to fit a line along this axis
 
 
 def running_per_planner(sample: Sample) -> float:
-    """Running tasks that one planner looks after, as the planners share them evenly."""
+    """Returns the running tasks per planner, assuming that the planners share them evenly."""
     return sample.size.running / sample.size.planners
 
 
 def starts_per_planner(sample: Sample) -> float:
-    """Task starts a second of one planner, as the planners share them evenly."""
+    """Returns the task starts per second of one planner, assuming that the planners share them evenly."""
     return sample.size.starts_per_s / sample.size.planners
 
 
 def list_changes(sample: Sample) -> float | None:
-    """Changes of the node list a second; None for an event."""
+    """Returns the changes of the node list per second; None for any other event."""
     return 0.0 if is_plain(sample) else list_changes_per_s(sample.load)
 
 
 def is_plain(sample: Sample) -> bool:
-    """Whether nothing but work happens."""
+    """Returns whether the sample has a plain load, without an event."""
     return sample.load in PLAIN_LOADS
 
 
 def stands(sample: Sample) -> bool:
-    """Whether nothing starts: what a planner spends then, beside its running tasks, is control alone."""
+    """Returns whether no task starts. A planner's cost is then all control, apart from its running tasks."""
     return is_plain(sample) and sample.size.starts_per_s == 0
 
 
 def is_idle(sample: Sample) -> bool:
-    """Whether nothing runs either."""
+    """Returns whether no task starts and none runs."""
     return stands(sample) and sample.size.running == 0
 
 
-def _only(
+def _size_if(
     chosen: Callable[[Sample], bool], size: Callable[[Sample], float]
 ) -> Callable[[Sample], float | None]:
-    """The size of the chosen samples; the others have no place on the axis."""
+    """Returns a reader that gives the size of the chosen samples and None for all others."""
     return lambda sample: size(sample) if chosen(sample) else None
 
 
 WORKERS = Axis(
     "workers",
-    _only(is_idle, lambda s: s.size.workers),
+    _size_if(is_idle, lambda s: s.size.workers),
     lambda s: (s.size.planners, s.size.running, s.size.starts_per_s),
     "idle samples at four numbers of workers",
 )
 WHOLE_SITE = Axis(
     "workers, tasks and starts growing with them",
-    _only(is_plain, lambda s: s.size.workers),
+    _size_if(is_plain, lambda s: s.size.workers),
     lambda s: (
         s.size.starts_per_s / s.size.workers,
         s.size.running / s.size.workers,
@@ -153,7 +156,7 @@
 )
 RUNNING = Axis(
     "running tasks of a planner",
-    _only(stands, running_per_planner),
+    _size_if(stands, running_per_planner),
     lambda s: (s.size.workers, s.size.planners, s.size.starts_per_s),
     "samples without starts at four numbers of running tasks",
 )
@@ -165,13 +168,13 @@
 )
 STARTS = Axis(
     "starts a second of a planner",
-    _only(is_plain, starts_per_planner),
+    _size_if(is_plain, starts_per_planner),
     lambda s: (s.size.workers, s.size.planners, s.size.running),
     "samples with as many running tasks at four rates of starts",
 )
 PLANNERS = Axis(
     "planners",
-    _only(is_plain, lambda s: s.size.planners),
+    _size_if(is_plain, lambda s: s.size.planners),
     lambda s: (s.size.workers, s.size.running, s.size.starts_per_s),
     "samples of one site at four numbers of planners",
 )
--- a/stairplank/scale/fits.py
+++ b/stairplank/scale/fits.py
@@ -1,8 +1,8 @@
-"""How a figure grows with a size: a constant and a slope, with what the line leaves unexplained. No I/O.
+"""Fits how a figure grows with a size: a constant, a slope and the residuals. No I/O.
 
-A series is a figure at several sizes of one axis, everything else held. It has a line only from
-``LEAST_SIZES`` sizes on, and counts as straight only where the line leaves less than ``BENT_SHARE`` of the
-mean figure unexplained; else its points are its shape.
+A series is a figure at several sizes of one axis, with all other sizes fixed. It gets a line only with at
+least ``LEAST_SIZES`` sizes, and counts as straight only if the root mean square residual is at most
+``BENT_SHARE`` of the mean figure; otherwise values are interpolated between its points.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from .results import Sample
 
 LEAST_SIZES = 4
-BENT_SHARE = 0.10  # of the mean figure: a larger root mean square residual is no straight line
-HELD_SHARE = 0.05  # by which what is held may differ between the samples of a series
+BENT_SHARE = 0.10  # largest root mean square residual of a straight line, as a share of the mean figure
+FIXED_SIZE_TOLERANCE = 0.05  # relative difference allowed in the fixed sizes of one series
 
 
 class Shape(Enum):
-    """What is known of the way in which a figure grows."""
+    """Whether a figure grows in a straight line along an axis."""
 
     STRAIGHT = "straight"
     BENT = "not straight"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """Least squares; the residuals are shares of the mean figure."""
+    """A least-squares line; ``rms`` and ``worst`` are residuals as shares of the mean figure."""
 
     constant: float
     slope: float
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """A figure along an axis. ``line`` is None below ``LEAST_SIZES`` sizes."""
+    """A figure at several sizes along an axis. ``line`` is None with fewer than ``LEAST_SIZES`` sizes."""
 
     axis: Axis
     figure: Figure
@@ -66,7 +66,11 @@
         return Shape.BENT if self.line.rms > BENT_SHARE else Shape.STRAIGHT
 
     def at(self, size: float) -> float | None:
-        """By the line where it is straight, else between the points; None beyond points that are bent."""
+        """Returns the figure at a size, or None if it is unknown.
+
+        A straight line gives any size. A series that is not straight is interpolated, and gives None outside
+        its points. A series without a line gives None.
+        """
         if self.line is None:
             return None
         if self.shape is Shape.STRAIGHT:
@@ -75,7 +79,7 @@
 
 
 def fit(points: Sequence[Point]) -> Line | None:
-    """The line of least squares through the points; None with fewer than ``LEAST_SIZES`` sizes."""
+    """Returns the least-squares line through the points; None with fewer than ``LEAST_SIZES`` sizes."""
     sizes = [point.size for point in points]
     if len(set(sizes)) < LEAST_SIZES:
         return None
@@ -90,7 +94,7 @@
 
 
 def between(points: Sequence[Point], size: float) -> float | None:
-    """On the straight piece between the neighbouring points, which are ordered by size; None outside."""
+    """Interpolates linearly between points ordered by size. Returns None outside their range."""
     for low, high in zip(points, points[1:], strict=False):
         if low.size <= size <= high.size:
             part = (size - low.size) / (high.size - low.size)
@@ -99,11 +103,14 @@
 
 
 def series(samples: Iterable[Sample], axis: Axis, figure: Figure) -> Series:
-    """The series with the most sizes, of those the one at the largest site. All samples are of one form."""
+    """Returns the series with the most sizes, and among equals the one at the largest site.
+
+    All samples must be of one form of the planner.
+    """
     measured = [s for s in samples if _is_measured(s, axis, figure)]
     chosen: tuple[Point, ...] = ()
-    for held in sorted({axis.held(sample) for sample in measured}, reverse=True):
-        points = _points((s for s in measured if _agree(axis.held(s), held)), axis, figure)
+    for fixed in sorted({axis.fixed_sizes(sample) for sample in measured}, reverse=True):
+        points = _points((s for s in measured if _agree(axis.fixed_sizes(s), fixed)), axis, figure)
         if len(points) > len(chosen):
             chosen = points
     return Series(axis, figure, chosen, fit(chosen))
@@ -113,13 +120,13 @@
     return axis.size(sample) is not None and figure.read(sample) is not None
 
 
-def _agree(held: Sequence[float], others: Sequence[float]) -> bool:
-    pairs = zip(held, others, strict=True)
-    return all(math.isclose(a, b, rel_tol=HELD_SHARE) for a, b in pairs)
+def _agree(sizes: Sequence[float], others: Sequence[float]) -> bool:
+    pairs = zip(sizes, others, strict=True)
+    return all(math.isclose(a, b, rel_tol=FIXED_SIZE_TOLERANCE) for a, b in pairs)
 
 
 def _points(group: Iterable[Sample], axis: Axis, figure: Figure) -> tuple[Point, ...]:
-    """One for each size, in order of size."""
+    """Returns one point for each size, in ascending order of size."""
     values: dict[float, list[float]] = {}
     for sample in group:
         size, value = axis.size(sample), figure.read(sample)
--- a/stairplank/scale/forms.py
+++ b/stairplank/scale/forms.py
@@ -1,4 +1,4 @@
-"""What a real planner of each form is started with, and where it says that it serves."""
+"""The configuration and command of a real planner of each form, and the address it logs when it serves."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     """One form of the planner."""
 
     name: str
-    keeps_links: bool  # each planner keeps a connection to each worker
+    keeps_links: bool  # whether each planner keeps a connection to each worker
 
     def write_planner_file(
         self, folder: Path, position: int, planners: int, list_port: int, layout: Layout
     ) -> Path: ...
 
     def command(self, file: Path) -> tuple[Sequence[str], Mapping[str, str]]:
-        """Arguments of Python, and the environment beside one's own."""
+        """Returns the arguments for Python and the extra environment variables."""
         ...
 
     def address_in(self, entry: Mapping[str, Any]) -> str:
-        """Where it serves, if this line of its log says so."""
+        """Returns the address at which the planner serves, or an empty text if this log entry has none."""
         ...
 
 
@@ -70,12 +70,12 @@
 
 
 def served_at(form: Form, log: Path) -> str:
-    """The address at which the planner with this log serves, or nothing yet."""
+    """Returns the address at which the planner with this log serves; empty if it does not serve yet."""
     for line in log.read_bytes().splitlines():
         try:
             entry = json.loads(line)
         except ValueError:
-            continue  # not written whole yet
+            continue  # the planner has not finished writing this line
         address = form.address_in(entry)
         if address:
             return address
