--- a/stairplank/scale/bounds.py
+++ b/stairplank/scale/bounds.py
@@ -14,14 +14,14 @@
 MEGABYTE = 2**20
 MEMORY_SHARE = 0.5  # largest part of the machine's memory that a run may use
 # The memory figures below estimate resident memory and lie above the values seen in trial runs.
-PROCESS_MB = 40.0  # a hollow process that simulates no peers yet
+PROCESS_MB = 40.0  # memory of a hollow process without the peers that it simulates
 REAL_PLANNER_MB = 90.0
 HOLLOW_PLANNER_MB = 12.0
 WORKER_MB = 0.05
-CONNECTION_MB = 0.05  # both ends of a connection of the platform form
-GRPC_LINK_MB = 0.2  # both ends of a gRPC connection
-TASK_MB = 0.02  # one running task, summed over its worker, planner and client
-# Connections of one planner to one worker while connections are renewed; the gRPC form keeps one.
+CONNECTION_MB = 0.05  # memory of both ends of a connection in the platform form
+GRPC_LINK_MB = 0.2  # memory of both ends of a connection in the gRPC form
+TASK_MB = 0.02  # memory that a running task takes at its worker, planner and client together
+# A planner may have this many connections to one worker while it renews them; the gRPC form keeps one.
 CONNECTIONS_PER_MACHINE = 3
 WORKERS_PER_PROCESS = 250
 PLANNERS_PER_PROCESS = 8
--- a/stairplank/scale/clients.py
+++ b/stairplank/scale/clients.py
@@ -32,8 +32,6 @@
         self._requests: dict[str, Message] = {}  # the request of each running task, by its id
         gevent.spawn(self._run)
 
-    # Tasks
-
     def ask(self, life_s: float) -> None:
         number = next(self._ids)
         fields = {
@@ -51,8 +49,6 @@
     def traffic(self) -> dict[str, Any]:
         return asdict(self.counts)
 
-    # Connection
-
     def _run(self) -> None:
         while True:
             try:
@@ -93,8 +89,6 @@
         except OSError:
             pass  # _run reconnects when its read fails
 
-    # Messages
-
     def _handle(self, message: Message) -> None:
         match message.kind:
             case Kind.ANSWER if message.id in self.waiting:
--- a/stairplank/scale/days.py
+++ b/stairplank/scale/days.py
@@ -21,9 +21,9 @@
 
     MEASURED = "measured"
     COMPUTED = "computed"
-    NOT_SEEN = "not seen"  # the event ran, and the time was not reached while it was watched
+    NOT_SEEN = "not seen"  # the event ran, but its end was not reached while it was watched
     NOT_MEASURED = "not measured"
-    NO_SUCH = "no such"  # the event has no such time
+    NO_SUCH = "no such"  # this kind of event has no such time
 
 
 @dataclass(frozen=True, slots=True)
