--- a/stairplank/cli/checks.py
+++ b/stairplank/cli/checks.py
@@ -1,4 +1,4 @@
-"""``stairplank check``: what is wrong with a settings file."""
+"""The command ``stairplank check``, which prints the errors of a settings file."""
 
 from __future__ import annotations
 
--- a/stairplank/cli/configuration.py
+++ b/stairplank/cli/configuration.py
@@ -1,4 +1,4 @@
-"""``stairplank configuration``: a replica of the service, a publication, and what is in force where."""
+"""The command group ``stairplank configuration``: runs a replica, publishes a revision, shows the status."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from ..configuration.client import PlannerSummary, SiteStatus
 
-POLL_INTERVAL_S = 0.2  # between looks at the status while waiting
+POLL_INTERVAL_S = 0.2  # pause between two status queries while waiting
 
 replicas_option = click.option(
     "--replica", "replicas", multiple=True, required=True, help="Address of a replica; name all of them."
@@ -46,9 +46,9 @@
     from ..configuration.validation import text_problems
     from ..rpc.address import is_loopback
 
-    outside = [address for address in listen if not is_loopback(address)]
-    if outside and not beyond_loopback:
-        raise click.UsageError(f"--listen: {outside[0]} is not loopback; --beyond-loopback allows it")
+    non_loopback = [address for address in listen if not is_loopback(address)]
+    if non_loopback and not beyond_loopback:
+        raise click.UsageError(f"--listen: {non_loopback[0]} is not loopback; --beyond-loopback allows it")
     try:
         replica = ReplicaServer(listen, Path(state), text_problems)
     except StateFileError as error:
@@ -71,7 +71,7 @@
     from ..settings.site import load_site
 
     _check_replica_count(replicas)
-    load_site(file)  # its faults are printed with file, line and column
+    load_site(file)  # raises a SettingsError, which is printed with file, line and column
     text = Path(file).read_text(encoding="utf-8")
     result = client.publish(replicas, text, base=base)
     for problem in result.problems:
@@ -97,43 +97,47 @@
     if wait_s:
         _wait_until_in_force(replicas, planners, wait_s)
         return
-    found = client.site_status(replicas)
-    _print_status(found)
-    if len(found.unreachable) == len(replicas):
+    site_status = client.site_status(replicas)
+    _print_status(site_status)
+    if len(site_status.unreachable) == len(replicas):
         raise click.ClickException("no replica can be reached")
-    sys.exit(0 if found.in_force_everywhere(planners) else 1)
+    sys.exit(0 if site_status.in_force_everywhere(planners) else 1)
 
 
 def _check_replica_count(replicas: tuple[str, ...]) -> None:
+    """Raise a usage error if more replicas are given than a planner accepts."""
     if len(replicas) > MAX_REPLICAS:
         raise click.UsageError(f"--replica: {len(replicas)} are given, at most {MAX_REPLICAS} are allowed")
 
 
 def _wait_until_in_force(replicas: tuple[str, ...], planners: int, wait_s: float) -> None:
+    """Poll the replicas until the committed revision is in force everywhere, or fail after ``wait_s``."""
     from ..configuration import client
 
-    began = time.monotonic()
+    started_at = time.monotonic()
     while True:
-        found = client.site_status(replicas)
-        took = time.monotonic() - began
-        if found.in_force_everywhere(planners):
-            click.echo(f"in force at {len(found.planners)} planners after {took:.1f} s")
+        site_status = client.site_status(replicas)
+        elapsed_s = time.monotonic() - started_at
+        if site_status.in_force_everywhere(planners):
+            click.echo(f"in force at {len(site_status.planners)} planners after {elapsed_s:.1f} s")
             return
-        if took >= wait_s:
-            _print_status(found)
-            raise click.ClickException(f"not in force everywhere after {took:.1f} s")
+        if elapsed_s >= wait_s:
+            _print_status(site_status)
+            raise click.ClickException(f"not in force everywhere after {elapsed_s:.1f} s")
         time.sleep(POLL_INTERVAL_S)
 
 
-def _print_status(found: SiteStatus) -> None:
-    click.echo(f"committed: {found.committed}")
-    for address in found.unreachable:
+def _print_status(site_status: SiteStatus) -> None:
+    """Print the committed revision, the unreachable replicas and a line for each planner."""
+    click.echo(f"committed: {site_status.committed}")
+    for address in site_status.unreachable:
         click.echo(f"replica {address}: out of reach")
-    for planner in found.planners:
+    for planner in site_status.planners:
         click.echo(_planner_line(planner))
 
 
 def _planner_line(planner: PlannerSummary) -> str:
+    """Return the status line of one planner."""
     parts = [f"planner {planner.planner}: {planner.in_force}"]
     if planner.delay_us is not None:
         parts.append(f"in force {planner.delay_us / 1e6:.2f} s after the commit")
--- a/stairplank/cli/experiments.py
+++ b/stairplank/cli/experiments.py
@@ -1,4 +1,4 @@
-"""``stairplank experiment``: a grid of simulated clusters."""
+"""The command ``stairplank experiment``, which runs a grid of simulated clusters."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-EXPERIMENTS = ("groups",)
+EXPERIMENTS = ("groups",)  # names of the experiment files in the package
 
 
 @click.command()
@@ -22,7 +22,7 @@
 
     path = str(resources.files("stairplank") / "experiments" / file) if file in EXPERIMENTS else file
     rows = grid.run_experiment(
-        path, processes, lambda done, of: click.echo(f"\r{done} of {of}", err=True, nl=False)
+        path, processes, lambda done, total: click.echo(f"\r{done} of {total}", err=True, nl=False)
     )
     click.echo("", err=True)
     grid.write_results(rows, path, Path(out))
--- a/stairplank/cli/logs.py
+++ b/stairplank/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event a line, on standard error."""
+"""Configures structured logging: one event per line, on standard error."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def set_up(form: str, level: str) -> None:
-    """Configure the logs of this process: ``form`` is text or json, ``level`` one of LEVELS."""
+    """Configure logging for this process. ``form`` is "text" or "json"; ``level`` is one of LEVELS."""
     renderer = (
         structlog.processors.JSONRenderer()
         if form == "json"
--- a/stairplank/cli/main.py
+++ b/stairplank/cli/main.py
@@ -1,6 +1,6 @@
-"""The command line and its sub-commands.
+"""The command ``stairplank`` and its subcommands.
 
-Exit codes: 0 for success, 1 for failure (a breach, an unclean end), 2 for bad input.
+Exit codes: 0 for success, 1 for failure (a breach, an unclean shutdown), 2 for invalid input.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class Group(click.Group):
-    """Takes settings errors for bad input: each problem on a line of its own, exit code 2."""
+    """Command group that reports a settings error as invalid input: one line per problem, exit code 2."""
 
     def invoke(self, ctx: click.Context) -> Any:
-        """Run the command; print the problems of its settings files."""
+        """Run the command and print the problems of an invalid settings file."""
         try:
             return super().invoke(ctx)
         except SettingsError as error:
--- a/stairplank/cli/parameters.py
+++ b/stairplank/cli/parameters.py
@@ -1,7 +1,8 @@
-"""Types of arguments that several commands take."""
+"""Argument types that several commands share."""
 
 from __future__ import annotations
 
 import click
 
-FILE = click.Path(exists=False, dir_okay=False)  # read by the settings, which name what is wrong with it
+# click does not check that the file exists: the settings loader reports a missing file among its own errors.
+FILE = click.Path(exists=False, dir_okay=False)
--- a/stairplank/cli/placement.py
+++ b/stairplank/cli/placement.py
@@ -1,4 +1,4 @@
-"""``stairplank place``: the command; ``submission`` does what it asks for."""
+"""The command ``stairplank place``, which parses its options and calls ``submission.submit``."""
 
 from __future__ import annotations
 
--- a/stairplank/cli/processes.py
+++ b/stairplank/cli/processes.py
@@ -1,4 +1,4 @@
-"""How a command runs as a long-lived process: until a signal, or until its starter ends."""
+"""Runs a command as a long-lived process, until a signal arrives or its parent process ends."""
 
 from __future__ import annotations
 
@@ -6,33 +6,37 @@
 import signal
 from collections.abc import Callable
 
-EXIT_STARTER_ENDED = 3
+EXIT_PARENT_ENDED = 3
 
 
 def end_with_stdin() -> None:
-    """End this process when standard input ends, as it does with its starter, also one that was killed."""
+    """Start a greenlet that exits this process when standard input reaches its end.
+
+    Standard input is a pipe from the parent process. It is closed when the parent ends, even if the parent
+    was killed.
+    """
     import gevent
     from gevent.os import nb_read
 
-    def watch() -> None:
+    def watch_stdin() -> None:
         from gevent.os import make_nonblocking
 
         make_nonblocking(0)
         while nb_read(0, 100):
             pass
-        os._exit(EXIT_STARTER_ENDED)
+        os._exit(EXIT_PARENT_ENDED)
 
-    gevent.spawn(watch)
+    gevent.spawn(watch_stdin)
 
 
-def serve_until_signal(start: Callable[[], None], end: Callable[[], None]) -> None:
-    """Start, wait for SIGTERM or SIGINT, end."""
+def serve_until_signal(start: Callable[[], None], stop: Callable[[], None]) -> None:
+    """Call ``start``, wait for SIGTERM or SIGINT, then call ``stop``."""
     import gevent
     from gevent.event import Event
 
-    done = Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, done.set)
+    stop_requested = Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        gevent.signal_handler(signal_number, stop_requested.set)
     start()
-    done.wait()
-    end()
+    stop_requested.wait()
+    stop()
--- a/stairplank/cli/rehearsals.py
+++ b/stairplank/cli/rehearsals.py
@@ -1,4 +1,4 @@
-"""``stairplank rehearse`` and ``stairplank judge``: scenarios on real processes, and verdicts on captures."""
+"""The commands ``stairplank rehearse`` (runs scenarios on real processes) and ``judge`` (checks captures)."""
 
 from __future__ import annotations
 
@@ -15,12 +15,15 @@
 from .parameters import FILE
 
 DEFAULT_SCENARIO = "first-bad-day"
-DRAWN_BASE = "drawn-room"  # the scenario that faults are drawn on, where none is named
+RANDOM_FAULTS_BASE = "drawn-room"  # default scenario to which --drawn adds random faults
+# Names of the scenarios in the package.
 SHIPPED = ("first-bad-day", "groups-bad-day", "held-bytes", "drawn-room", "one-group")
 
 
-def _drawn_series(scenario: str, count: int, seed: int, jobs: int, shrink: int, report: str | None) -> None:
-    """Draw scenarios, rehearse them and print the results; exit 1 where one failed."""
+def _rehearse_random_scenarios(
+    scenario: str, count: int, seed: int, jobs: int, shrink: int, report: str | None
+) -> None:
+    """Generate random scenarios, rehearse them and print the results. Exits with code 1 if one failed."""
     from pathlib import Path
 
     from ..rehearsal import report as reports
@@ -28,22 +31,22 @@
     from ..rehearsal.run import work_folder
 
     folder = work_folder(report)
-    series = Batch(folder, jobs, lambda line: click.echo(line, err=True))
+    batch = Batch(folder, jobs, lambda line: click.echo(line, err=True))
     click.echo(f"{count} drawn scenarios, seeds {seed} to {seed + count - 1}; kept in {folder}", err=True)
-    runs = series.drawn(Path(_shipped(scenario)), count, seed)
+    runs = batch.drawn(Path(_scenario_path(scenario)), count, seed)
     table = reports.table([HEAD, *(run.row() for run in runs)])
     (folder / "table.txt").write_text(table + "\n")
     click.echo(table)
     failing = [run for run in runs if not run.clean]
     click.echo(f"{count - len(failing)} of {count} without breach")
     if failing and shrink:
-        least = series.shrink(failing[0], shrink)
-        click.echo(f"{failing[0].name}, cut down, fails in {least.scenario}")
+        shrunk = batch.shrink(failing[0], shrink)
+        click.echo(f"{failing[0].name}, cut down, fails in {shrunk.scenario}")
     sys.exit(1 if failing else 0)
 
 
-def _shipped(name: str) -> str:
-    """Return the path of a shipped scenario by its name, or the path as it is."""
+def _scenario_path(name: str) -> str:
+    """Return the path of the packaged scenario called ``name``. Another ``name`` is returned as a path."""
     from importlib import resources
 
     if name in SHIPPED:
@@ -51,20 +54,23 @@
     return name
 
 
-def _day_scenario(day: str, scale: float, speed: float, seed: int, target: str) -> str:
-    """Turn a day file into a scenario file at ``target`` and return that; exit 2 where it is none."""
+def _convert_day(day: str, scale: float, speed: float, seed: int, target: str) -> str:
+    """Convert a day file of the bench into a scenario file and return its path, ``target``.
+
+    Exits with code 2 if the day file cannot be read or converted.
+    """
     import json
     from pathlib import Path
 
     from ..rehearsal.bench_day import DayError, scenario_from_day
 
     try:
-        made = scenario_from_day(json.loads(Path(day).read_text()), scale, speed, seed)
+        converted = scenario_from_day(json.loads(Path(day).read_text()), scale, speed, seed)
     except (OSError, ValueError, DayError) as error:
         click.echo(f"error: {day}: {error}", err=True)
         sys.exit(2)
-    Path(target).write_text(made.text)
-    for note in made.notes:
+    Path(target).write_text(converted.text)
+    for note in converted.notes:
         click.echo(f"not carried over: {note}", err=True)
     return target
 
@@ -109,8 +115,8 @@
     scenarios are drawn under --seed and those after it, and a failing one is cut down.
     """
     if drawn is not None:
-        base = DRAWN_BASE if scenario == DEFAULT_SCENARIO else scenario
-        _drawn_series(base, drawn, seed or 1, jobs, shrink, report)
+        base = RANDOM_FAULTS_BASE if scenario == DEFAULT_SCENARIO else scenario
+        _rehearse_random_scenarios(base, drawn, seed or 1, jobs, shrink, report)
         return
     from pathlib import Path
 
@@ -119,14 +125,14 @@
 
     folder = work_folder(work)
     if day is not None:
-        scenario = _day_scenario(day, scale, speed, seed or 1, str(folder / "scenario"))
-    loaded = load_scenario(_shipped(scenario), seed)
+        scenario = _convert_day(day, scale, speed, seed or 1, str(folder / "scenario"))
+    loaded = load_scenario(_scenario_path(scenario), seed)
     name = Path(day).stem if day is not None else loaded.name
-    _rehearse_one(loaded, f"{name} (seed {loaded.seed})", folder, report)
+    _rehearse_scenario(loaded, f"{name} (seed {loaded.seed})", folder, report)
 
 
-def _rehearse_one(loaded: Scenario, title: str, folder: Path, report: str | None) -> NoReturn:
-    """Rehearse one scenario and print its report; exit 1 where it failed."""
+def _rehearse_scenario(loaded: Scenario, title: str, folder: Path, report: str | None) -> NoReturn:
+    """Rehearse one scenario and print its report. Exits with code 1 if it failed and with 0 otherwise."""
     from pathlib import Path
 
     from ..rehearsal import report as reports
--- a/stairplank/cli/scale.py
+++ b/stairplank/cli/scale.py
@@ -1,4 +1,4 @@
-"""``stairplank scale`` and ``stairplank scale-compare``."""
+"""The commands ``stairplank scale`` and ``stairplank scale-compare``, which measure and compare costs."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 import click
 
-SHIPPED = ("site", "small")
+SHIPPED = ("site", "small")  # names of the scale files in the package
 RESULTS_FILE = "results.json"
 CHART_FILE = "chart.png"
 
 
-def shipped_path(name: str) -> str:
-    """Return the path of a shipped file by its name, or the path as it is."""
+def scale_file_path(name: str) -> str:
+    """Return the path of the packaged scale file called ``name``. Another ``name`` is returned as a path."""
     if name in SHIPPED:
         return str(resources.files("stairplank") / "scales" / f"{name}.conf")
     return name
@@ -39,7 +39,7 @@
     from ..scale.bounds import load_checked
     from ..scale.run import Run
 
-    plan = load_checked(shipped_path(file))
+    plan = load_checked(scale_file_path(file))
     folder = Path(out)
     folder.mkdir(parents=True, exist_ok=True)
     label = label or f"stairplank {version('stairplank')}, {plan.name}"
--- a/stairplank/cli/services.py
+++ b/stairplank/cli/services.py
@@ -1,4 +1,4 @@
-"""``stairplank platform``, ``planner``, ``node``, ``directory`` and ``owners``: processes that run on."""
+"""Commands that run a long-lived process: ``platform``, ``planner``, ``node``, ``directory``, ``owners``."""
 
 from __future__ import annotations
 
@@ -47,13 +47,13 @@
     config = load_node_pool(file)
     from ..standin.node_pool import NodePool
 
-    farm = NodePool(config)
+    node_pool = NodePool(config)
 
     def start() -> None:
         import gevent
 
-        gevent.signal_handler(signal.SIGUSR1, farm.run_signal_faults)
-        farm.start()
+        gevent.signal_handler(signal.SIGUSR1, node_pool.run_signal_faults)
+        node_pool.start()
 
     serve_until_signal(start, lambda: None)
 
@@ -79,5 +79,5 @@
     config = load_client_pool(file)
     from ..standin.client_pool import ClientPool
 
-    crowd = ClientPool(config)
-    serve_until_signal(crowd.start, crowd.write_report)
+    client_pool = ClientPool(config)
+    serve_until_signal(client_pool.start, client_pool.write_report)
--- a/stairplank/cli/submission.py
+++ b/stairplank/cli/submission.py
@@ -22,16 +22,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Submission:
-    """What is submitted, and how long its events are awaited.
+    """Tasks to submit to a planner, and how long to wait for their events.
 
     Attributes:
-        address: Of the planner.
-        client: Name that the tasks are submitted under.
-        task: Fields of the task, without its key.
-        count: How many such tasks.
+        address: Address of the planner.
+        client: Client name under which the tasks are submitted.
+        task: Fields of the task message, without the key.
+        count: Number of tasks, all with the same fields.
         wait_s: Seconds to wait for each outcome.
-        until_ended: Whether to go on until the tasks have ended.
-        dial_s: Seconds to wait for the planner.
+        until_ended: Whether to wait until the placed tasks have ended.
+        dial_s: Timeout in seconds for connecting to the planner.
     """
 
     address: str
@@ -44,7 +44,7 @@
 
 
 def describe(event: Any) -> tuple[str, str]:
-    """Return an event's kind, and its fields as one line."""
+    """Return the kind of an event and its fields as one line of text."""
     kind = event.WhichOneof("kind") or "unknown"
     body = getattr(event, kind, None)
     if body is None:
@@ -62,19 +62,19 @@
 
 
 def submit(submission: Submission) -> int:
-    """Submit the tasks and print the stream until each has its outcome, or has ended.
+    """Submit the tasks and print the events until each task has its outcome, or has ended.
 
     Returns:
-        The exit code: 0 where all were placed, 1 where not.
+        The exit code: 0 if all tasks were placed, 1 otherwise.
 
     Raises:
-        click.ClickException: The planner cannot be reached, or its stream has ended too early.
+        click.ClickException: The planner cannot be reached, or it closed the stream before the last event.
     """
     try:
         call, stamper = _open_stream(submission)
-        began = time.monotonic()
+        started_at = time.monotonic()
         _send_requests(call, stamper, submission)
-        placed = _print_events(call, submission, began)
+        placed = _print_events(call, submission, started_at)
         call.close_send()
     except RpcError as error:
         raise click.ClickException(str(error)) from None
@@ -82,6 +82,7 @@
 
 
 def _open_stream(submission: Submission) -> tuple[Call, MessageStamper]:
+    """Open a stream to the planner. Returns it with a stamper that holds the planner's first grant."""
     call = open_call(
         Channel(submission.address, dial_timeout_s=submission.dial_s), PLACEMENT_SERVICE, "Place"
     )
@@ -95,6 +96,7 @@
 
 
 def _send_requests(call: Call, stamper: MessageStamper, submission: Submission) -> None:
+    """Send one request per task. Keys start at the current time, so that two runs use different keys."""
     first_key = int(time.time() * 1e6)
     for number in range(1, submission.count + 1):
         task = common_pb2.Task(key=first_key + number, **submission.task)
@@ -103,8 +105,8 @@
         call.send(_REQUEST(ask=request))
 
 
-def _print_events(call: Call, submission: Submission, began: float) -> int:
-    """Print events until nothing is awaited any more; return how many requests were placed."""
+def _print_events(call: Call, submission: Submission, started_at: float) -> int:
+    """Print events until no further event is expected. Returns the number of requests that were placed."""
     pending = set(range(1, submission.count + 1))
     running: set[int] = set()
     placed = 0
@@ -115,8 +117,8 @@
             raise RpcError(Code.UNAVAILABLE, "the stream ended before every answer")
         kind, fields = describe(event)
         if kind == "renewed":
-            continue  # a grant, which concerns no request
-        click.echo(f"{time.monotonic() - began:9.3f} s  {kind:<9} {fields}")
+            continue  # a renewed grant belongs to no request
+        click.echo(f"{time.monotonic() - started_at:9.3f} s  {kind:<9} {fields}")
         request = getattr(getattr(event, kind, None), "ask", 0)
         if kind in _PLACED:
             placed += request in pending
