--- a/stairplank/cli/__init__.py
+++ b/stairplank/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: ``stairplank --help``."""
+"""The command line interface of stairplank; ``main`` is its entry point."""
 
 from .main import main
 
--- a/stairplank/cli/rehearsals.py
+++ b/stairplank/cli/rehearsals.py
@@ -15,7 +15,7 @@
 from .parameters import FILE
 
 DEFAULT_SCENARIO = "first-bad-day"
-RANDOM_FAULTS_BASE = "drawn-room"  # default scenario to which --drawn adds random faults
+RANDOM_FAULTS_BASE = "drawn-room"  # scenario that --drawn uses by default
 # Names of the scenarios in the package.
 SHIPPED = ("first-bad-day", "groups-bad-day", "held-bytes", "drawn-room", "one-group")
 
--- a/stairplank/cli/scale.py
+++ b/stairplank/cli/scale.py
@@ -1,4 +1,4 @@
-"""The commands ``stairplank scale`` and ``stairplank scale-compare``, which measure and compare costs."""
+"""The commands ``stairplank scale`` and ``stairplank scale-compare``, which measure a planner's costs."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command as people use it: help, exit codes, logs, a cluster of its own processes."""
+"""Tests of the command line: help, exit codes, logs, and a cluster whose parts run as processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 import pytest
 
-LIMIT_S = 60
+TIMEOUT_S = 60
 CLUSTER = """
 class worker
     effect repeatable
@@ -29,8 +29,9 @@
 
 
 def run(*args: str) -> subprocess.CompletedProcess[str]:
+    """Run ``stairplank`` with the given arguments and return its exit code and output."""
     command = [sys.executable, "-m", "stairplank", *args]
-    return subprocess.run(command, capture_output=True, text=True, timeout=LIMIT_S)
+    return subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT_S)
 
 
 @pytest.mark.parametrize(
@@ -38,52 +39,55 @@
     ["planner", "node", "directory", "owners", "place", "rehearse", "judge", "check", "experiment", "scale"],
 )
 def test_every_command_has_help(command: str) -> None:
-    done = run(command, "--help")
-    assert done.returncode == 0 and "Usage:" in done.stdout
+    result = run(command, "--help")
+    assert result.returncode == 0 and "Usage:" in result.stdout
 
 
-def test_bad_input_is_exit_code_2(tmp_path: Path) -> None:
-    bad = tmp_path / "bad.conf"
-    bad.write_text("planner 0 of 1\nlisten nowhere\n")
+def test_invalid_input_is_exit_code_2(tmp_path: Path) -> None:
+    invalid = tmp_path / "invalid.conf"
+    invalid.write_text("planner 0 of 1\nlisten nowhere\n")
     for args in (
-        ("check", str(bad)),
-        ("check", "--as", "scenario", str(bad)),
-        ("planner", str(bad)),
+        ("check", str(invalid)),
+        ("check", "--as", "scenario", str(invalid)),
+        ("planner", str(invalid)),
         ("node", str(tmp_path / "none")),
-        ("rehearse", str(bad)),
-        ("rehearse", "--day", str(bad)),
-        ("judge", str(bad)),
-        ("experiment", str(bad)),
+        ("rehearse", str(invalid)),
+        ("rehearse", "--day", str(invalid)),
+        ("judge", str(invalid)),
+        ("experiment", str(invalid)),
         ("place", "no-address", "--class", "worker"),
         ("rehearse", "--no-such-option"),
     ):
-        done = run(*args)
-        assert done.returncode == 2, (args, done.stdout, done.stderr)
-        assert "rror" in done.stderr
+        result = run(*args)
+        assert result.returncode == 2, (args, result.stdout, result.stderr)
+        assert "rror" in result.stderr
 
 
 def test_errors_name_file_line_and_column(tmp_path: Path) -> None:
-    bad = tmp_path / "bad.conf"
-    bad.write_text("planner 0 of 1\nlisten nowhere\nfrobnicate 7\n")
-    lines = run("check", str(bad)).stderr.splitlines()
-    assert any(line.startswith(f"error: {bad}:2:8: listen: ") for line in lines)
-    assert any(line.startswith(f"error: {bad}:3:1: frobnicate: unknown keyword") for line in lines)
-    good = tmp_path / "good.conf"
-    good.write_text(CLUSTER + "planner 0 of 1\nlisten 127.0.0.1:0\ndirectory 127.0.0.1:1\n")
-    done = run("check", str(good))
-    assert done.returncode == 0 and done.stdout.endswith("good, a file for `planner`\n")
+    invalid = tmp_path / "invalid.conf"
+    invalid.write_text("planner 0 of 1\nlisten nowhere\nfrobnicate 7\n")
+    lines = run("check", str(invalid)).stderr.splitlines()
+    assert any(line.startswith(f"error: {invalid}:2:8: listen: ") for line in lines)
+    assert any(line.startswith(f"error: {invalid}:3:1: frobnicate: unknown keyword") for line in lines)
+    valid = tmp_path / "good.conf"
+    valid.write_text(CLUSTER + "planner 0 of 1\nlisten 127.0.0.1:0\ndirectory 127.0.0.1:1\n")
+    result = run("check", str(valid))
+    assert result.returncode == 0 and result.stdout.endswith("good, a file for `planner`\n")
 
 
 @pytest.fixture
 def cluster_folder() -> Iterator[Path]:
-    """Directory, node and planner as processes; sockets in a folder with a short name."""
+    """Start a node list, a node and a planner as processes and return the folder with their files.
+
+    The folder has a short name because the path of a Unix socket is limited to about 100 bytes.
+    """
     folder = Path(tempfile.mkdtemp(prefix="spt"))
     (folder / "list.conf").write_text(f"listen unix:{folder}/list\nlist-notice 50ms\nlist-period 50ms\n")
     node = f"node 1 n1\n  kind std\n  zone a\n  rack r\n  listen unix:{folder}/n1\nend\n"
     (folder / "node.conf").write_text(CLUSTER + f"directory unix:{folder}/list\n" + node)
     planner = f"planner 0 of 1\nlisten unix:{folder}/p\ndirectory unix:{folder}/list\n"
     (folder / "planner.conf").write_text(CLUSTER + planner)
-    started = []
+    processes = []
     for command, file, socket in (
         ("directory", "list", "list"),
         ("node", "node", "n1"),
@@ -91,18 +95,18 @@
     ):
         args = [sys.executable, "-m", "stairplank", "--log-format", "json", "--log-level", "debug"]
         log = (folder / f"{file}.log").open("wb")
-        started.append(
+        processes.append(
             subprocess.Popen(
                 [*args, "--end-with-stdin", command, str(folder / f"{file}.conf")],
                 stdin=subprocess.PIPE, stderr=log,
             )
         )  # fmt: skip
-        until = time.monotonic() + LIMIT_S
+        give_up_at = time.monotonic() + TIMEOUT_S
         while not (folder / socket).exists():
-            assert started[-1].poll() is None and time.monotonic() < until
+            assert processes[-1].poll() is None and time.monotonic() < give_up_at
             time.sleep(0.02)
     yield folder
-    for process in started:
+    for process in processes:
         if process.poll() is None:
             process.kill()
         process.wait(timeout=10)
@@ -113,18 +117,18 @@
 def test_place_prints_the_stream(cluster_folder: Path) -> None:
     address = f"unix:{cluster_folder}/p"
     common = ("--class", "worker", "--cores", "0.5", "--memory", "1", "--life", "0.2")
-    done = run("place", address, *common, "--count", "3", "--follow")
-    assert done.returncode == 0, done.stdout + done.stderr
-    kinds = [line.split()[2] for line in done.stdout.splitlines()]
+    result = run("place", address, *common, "--count", "3", "--follow")
+    assert result.returncode == 0, result.stdout + result.stderr
+    kinds = [line.split()[2] for line in result.stdout.splitlines()]
     assert sorted(kinds) == sorted(["taken", "offered", "placed", "ended"] * 3)
-    refused = run("place", address, "--class", "nothing")
-    assert refused.returncode == 1 and "field=task.task_class" in refused.stdout
-    big = run("place", address, *common[:2], "--cores", "100")
-    assert big.returncode == 1 and "field=task.cores" in big.stdout
+    unknown_class = run("place", address, "--class", "nothing")
+    assert unknown_class.returncode == 1 and "field=task.task_class" in unknown_class.stdout
+    oversized = run("place", address, *common[:2], "--cores", "100")
+    assert oversized.returncode == 1 and "field=task.cores" in oversized.stdout
     lines = [json.loads(line) for line in (cluster_folder / "planner.log").read_text().splitlines()]
-    offered = [x for x in lines if x["event"] == "offered"]
-    assert len(offered) == 3 and all(x["task"].startswith("operator/") for x in offered)
-    assert {x["attempt"] for x in offered} == {"1.0", "2.0", "3.0"} and offered[0]["level"] == "debug"
+    offered = [entry for entry in lines if entry["event"] == "offered"]
+    assert len(offered) == 3 and all(entry["task"].startswith("operator/") for entry in offered)
+    assert {entry["attempt"] for entry in offered} == {"1.0", "2.0", "3.0"} and offered[0]["level"] == "debug"
 
 
 def test_sigterm_ends_a_planner_gracefully(cluster_folder: Path) -> None:
@@ -135,14 +139,14 @@
         ):
             os.kill(int(entry.name), signal.SIGTERM)
     log = cluster_folder / "planner.log"
-    until = time.monotonic() + LIMIT_S
-    while "planner has left" not in log.read_text() and time.monotonic() < until:
+    give_up_at = time.monotonic() + TIMEOUT_S
+    while "planner has left" not in log.read_text() and time.monotonic() < give_up_at:
         time.sleep(0.05)
     assert "planner has left" in log.read_text()
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "expected"),
     [
         (
             "planner 0 of 1\nlisten 127.0.0.1:0\ndirectory 127.0.0.1:9\n" + CLUSTER,
@@ -156,20 +160,20 @@
         ("listen 127.0.0.1:0\nlist-notice 1s\n", "good, a file for `directory`"),
     ],
 )
-def test_check_detects_the_kind_of_a_file_by_its_content(tmp_path: Path, text: str, says: str) -> None:
-    file = tmp_path / "it.conf"
+def test_check_detects_the_kind_of_a_file_by_its_content(tmp_path: Path, text: str, expected: str) -> None:
+    file = tmp_path / "settings.conf"
     file.write_text(text)
-    done = run("check", str(file))
-    assert says in done.stdout + done.stderr, done.stdout + done.stderr
+    result = run("check", str(file))
+    assert expected in result.stdout + result.stderr, result.stdout + result.stderr
 
 
 def test_a_file_of_another_kind_is_one_error(tmp_path: Path) -> None:
-    day = Path(__file__).parents[1] / "rehearsal" / "small-day"
-    done = run("check", "--as", "planner", str(day))
-    assert done.returncode == 2
-    errors = [line for line in done.stderr.splitlines() if line.startswith("error")]
+    scenario = Path(__file__).parents[1] / "rehearsal" / "small-day"
+    result = run("check", "--as", "planner", str(scenario))
+    assert result.returncode == 2
+    errors = [line for line in result.stderr.splitlines() if line.startswith("error")]
     assert len(errors) == 1 and "is a file for `scenario`, not for `planner`" in errors[0]
-    assert run("check", str(day)).stdout.strip().endswith("a file for `scenario`")
+    assert run("check", str(scenario)).stdout.strip().endswith("a file for `scenario`")
 
 
 def test_a_file_that_could_be_of_two_kinds_is_reported() -> None:
@@ -187,13 +191,13 @@
     assert likely_kinds(read_lines("port x\nspeed 4", "f"), schemas) == ["one"]
 
 
-def test_the_platforms_planner_names_what_is_wrong_with_its_file(tmp_path: Path) -> None:
+def test_the_platform_planner_reports_missing_settings(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     file.write_text("{}")
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "stairplank", "platform", "--config", str(file)],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert done.returncode == 2 and "settings" in done.stderr
+    assert result.returncode == 2 and "settings" in result.stderr
--- a/tests/cli/test_configuration_command.py
+++ b/tests/cli/test_configuration_command.py
@@ -1,4 +1,4 @@
-"""``stairplank configuration`` as an operator uses it: replicas as processes, a publication, the status."""
+"""Tests of ``stairplank configuration`` with replicas as processes: publishing and showing the status."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-LIMIT_S = 60
+TIMEOUT_S = 60
 SITE = """
 class worker
     effect repeatable
@@ -25,12 +25,13 @@
 
 
 def run(*args: str) -> subprocess.CompletedProcess[str]:
+    """Run ``stairplank configuration`` with the given arguments and return its exit code and output."""
     command = [sys.executable, "-m", "stairplank", "configuration", *args]
-    return subprocess.run(command, capture_output=True, text=True, timeout=LIMIT_S)
+    return subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT_S)
 
 
 class ReplicaProcess:
-    """One replica on a Unix socket; ends with its standard input."""
+    """A replica that serves on a Unix socket and exits when its standard input is closed."""
 
     def __init__(self, folder: Path, name: str) -> None:
         self.socket = folder / f"{name}.sock"
@@ -39,12 +40,13 @@
         command += ["configuration", "serve", "--listen", self.address]
         command += ["--state", str(folder / f"{name}.json")]
         self.process = subprocess.Popen(command, stdin=subprocess.PIPE)
-        end = time.monotonic() + LIMIT_S
+        give_up_at = time.monotonic() + TIMEOUT_S
         while not self.socket.exists():
-            assert time.monotonic() < end and self.process.poll() is None
+            assert time.monotonic() < give_up_at and self.process.poll() is None
             time.sleep(0.02)
 
     def close(self) -> None:
+        """Close standard input and wait for the exit; kill the process if it does not exit within 10 s."""
         assert self.process.stdin is not None
         self.process.stdin.close()
         try:
@@ -56,8 +58,9 @@
 
 @pytest.fixture
 def replicas(tmp_path: Path) -> Iterator[list[str]]:
+    """Run three replicas and return the options that name them on the command line."""
     processes = [ReplicaProcess(tmp_path, name) for name in "abc"]
-    yield [word for process in processes for word in ("--replica", process.address)]
+    yield [argument for process in processes for argument in ("--replica", process.address)]
     for process in processes:
         process.close()
 
@@ -65,30 +68,30 @@
 def test_publish_and_status(tmp_path: Path, replicas: list[str]) -> None:
     file = tmp_path / "site.conf"
     file.write_text(SITE)
-    done = run("publish", str(file), *replicas)
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.startswith("revision 1 (") and "published" in done.stdout
+    result = run("publish", str(file), *replicas)
+    assert result.returncode == 0, result.stderr
+    assert result.stdout.startswith("revision 1 (") and "published" in result.stdout
     assert run("publish", str(file), *replicas, "--base", "0").returncode == 1
-    done = run("publish", str(file), *replicas, "--base", "1", "--wait", "0.5", "--planners", "1")
-    assert done.returncode == 1 and "not in force everywhere" in done.stderr
-    done = run("status", *replicas)
-    assert done.returncode == 0 and done.stdout.startswith("committed: 2 (")
+    result = run("publish", str(file), *replicas, "--base", "1", "--wait", "0.5", "--planners", "1")
+    assert result.returncode == 1 and "not in force everywhere" in result.stderr
+    result = run("status", *replicas)
+    assert result.returncode == 0 and result.stdout.startswith("committed: 2 (")
     assert run("status", *replicas, "--planners", "1").returncode == 1
 
 
-def test_bad_input(tmp_path: Path) -> None:
+def test_invalid_input(tmp_path: Path) -> None:
     file = tmp_path / "site.conf"
     file.write_text(SITE + "plannr 0 of 1\n")
-    done = run("publish", str(file), "--replica", "127.0.0.1:1")
-    assert done.returncode == 2 and f"{file}:11:1: plannr" in done.stderr
+    result = run("publish", str(file), "--replica", "127.0.0.1:1")
+    assert result.returncode == 2 and f"{file}:11:1: plannr" in result.stderr
     file.write_text(SITE)
-    done = run("publish", str(file), "--replica", "127.0.0.1:1")
-    assert done.returncode == 1 and "no quorum" in done.stderr and "out of reach" in done.stderr
-    six = [word for n in range(6) for word in ("--replica", f"127.0.0.1:{n + 1}")]
-    assert "at most 5" in run("status", *six).stderr
+    result = run("publish", str(file), "--replica", "127.0.0.1:1")
+    assert result.returncode == 1 and "no quorum" in result.stderr and "out of reach" in result.stderr
+    six_replicas = [argument for n in range(6) for argument in ("--replica", f"127.0.0.1:{n + 1}")]
+    assert "at most 5" in run("status", *six_replicas).stderr
     state = str(tmp_path / "state.json")
-    done = run("serve", "--listen", "192.0.2.1:7500", "--state", state)
-    assert done.returncode == 2 and "not loopback" in done.stderr
+    result = run("serve", "--listen", "192.0.2.1:7500", "--state", state)
+    assert result.returncode == 2 and "not loopback" in result.stderr
     Path(state).write_text("{")
-    done = run("serve", "--listen", "127.0.0.1:0", "--state", state)
-    assert done.returncode == 1 and state in done.stderr
+    result = run("serve", "--listen", "127.0.0.1:0", "--state", state)
+    assert result.returncode == 1 and state in result.stderr
--- a/tests/docs/test_architecture.py
+++ b/tests/docs/test_architecture.py
@@ -1,4 +1,4 @@
-"""Every path and every name on docs/architecture.md exists."""
+"""Tests that every path and every name in docs/architecture.md exists in the repository."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def names_of(body: list[ast.stmt]) -> dict[str, ast.stmt]:
-    """The names that a module or class body binds, each with its statement."""
+    """Return the names that a module or class body binds, each with its statement."""
     names: dict[str, ast.stmt] = {}
     for statement in body:
         match statement:
@@ -40,6 +40,6 @@
         body = getattr(names[part], "body", [])
 
 
-def test_the_page_names_enough_to_be_of_use() -> None:
+def test_the_page_has_enough_names_and_paths() -> None:
     assert len(NAMES) > 40
     assert len(PATHS) > 15
--- a/tests/stored/conftest.py
+++ b/tests/stored/conftest.py
@@ -1,4 +1,4 @@
-"""The command sets up logging for its process; here it is as before after each test."""
+"""Restores the logging configuration after each test, because the command changes it for its process."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 @pytest.fixture(autouse=True)
-def logging_as_before() -> Iterator[None]:
-    was_set_up, before = structlog.is_configured(), structlog.get_config()
+def restore_logging() -> Iterator[None]:
+    """Restore the structlog configuration that was in place before the test."""
+    was_configured, previous = structlog.is_configured(), structlog.get_config()
     yield
-    if was_set_up:
-        structlog.configure(**before)
+    if was_configured:
+        structlog.configure(**previous)
     else:
         structlog.reset_defaults()
--- a/tests/stored/test_stored_data.py
+++ b/tests/stored/test_stored_data.py
@@ -1,10 +1,10 @@
-"""What the landed version has stored is read with the same values, and written back with the same bytes.
+"""Tests that files stored by an earlier version are read as the same values and written with the same bytes.
 
-The files under ``data/`` are as that version wrote them: the state of a replica of the configuration service,
-a planner's copy of the configuration, a rehearsal's captures of both versions and results of scale runs. They
-are never made anew; a test that fails here says that a site or a user would lose what is stored. Values of a
-file that are too many to stand here are beside it, in a file whose name ends in ``.expected.json``. ``pytest
--vv`` shows the whole difference.
+The files under ``data/`` were written by that version: the state of a replica of the configuration service, a
+planner's copy of the configuration, a rehearsal's captures in both format versions, and results of scale
+runs. They are never regenerated: a failure means that a site or a user would lose stored data. Longer lists
+of expected values are in a file beside the data whose name ends in ``.expected.json``. ``pytest -vv`` shows
+the whole difference.
 """
 
 from __future__ import annotations
@@ -32,17 +32,17 @@
 
 
 def expected(name: str) -> Any:
-    """The values that belong to a file."""
+    """Return the expected values of a data file."""
     return json.loads((DATA / f"{name}.expected.json").read_text(encoding="utf-8"))
 
 
 def revision_and_text(stored: Any) -> tuple[int, bytes, str]:
-    """Number, digest and text of a stored revision."""
+    """Return the number, digest and text of a stored revision."""
     return stored.revision.number, stored.revision.digest, stored.text
 
 
-def numbered(number: int, text: str) -> tuple[int, bytes, str]:
-    """What a text has to be read as under its number."""
+def expected_revision(number: int, text: str) -> tuple[int, bytes, str]:
+    """Return the number, digest and text that a stored revision with this text must have."""
     return number, sha256(text.encode()).digest(), text
 
 
@@ -51,8 +51,8 @@
 
 def test_a_replica_s_state_is_read() -> None:
     state = configuration_files.read_state(DATA / "replica-state.json")
-    assert revision_and_text(state.committed) == numbered(6, COMMITTED_TEXT)
-    assert revision_and_text(state.prepared) == numbered(7, PREPARED_TEXT)
+    assert revision_and_text(state.committed) == expected_revision(6, COMMITTED_TEXT)
+    assert revision_and_text(state.prepared) == expected_revision(7, PREPARED_TEXT)
 
 
 def test_a_new_replica_s_state_is_read() -> None:
@@ -68,12 +68,12 @@
     assert written.read_bytes() == (DATA / name).read_bytes()
 
 
-def test_a_planner_s_copy_is_read_and_is_what_it_starts_with() -> None:
+def test_a_planner_s_copy_is_read_and_is_its_startup_candidate() -> None:
     copy = configuration_files.read_cached_revision(DATA / "planner-copy.json")
     assert copy is not None
-    assert revision_and_text(copy) == numbered(6, COMMITTED_TEXT)
+    assert revision_and_text(copy) == expected_revision(6, COMMITTED_TEXT)
     (candidate,) = startup.startup_candidates((), DATA / "planner-copy.json")
-    assert revision_and_text(candidate) == numbered(6, COMMITTED_TEXT)
+    assert revision_and_text(candidate) == expected_revision(6, COMMITTED_TEXT)
 
 
 def test_a_planner_s_copy_is_written_back_with_the_same_bytes(tmp_path: Path) -> None:
@@ -87,7 +87,7 @@
 
 
 def records_of(name: str) -> list[list[Any]]:
-    """Each record of a capture: kind, time, link, bytes in hexadecimal."""
+    """Return the kind, time, link and bytes (in hexadecimal) of each record of a capture."""
     reader = capture.Reader(DATA / name)
     try:
         return [[record.kind, record.at, record.link, record.data.hex()] for record in reader]
@@ -96,11 +96,11 @@
 
 
 def messages_of(name: str) -> dict[str, Any]:
-    """What is decoded from a capture."""
+    """Return the messages, script and problems decoded from a capture, and the number of dropped bytes."""
     reader = capture.Reader(DATA / name)
     try:
-        decoder, each = decode.messages(reader)
-        messages = [message_values(message) for message in each]
+        decoder, decoded = decode.messages(reader)
+        messages = [message_values(message) for message in decoded]
     finally:
         reader.close()
     script = [list(note) for note in decoder.script]
@@ -108,7 +108,7 @@
 
 
 def message_values(message: Any) -> dict[str, Any]:
-    """A decoded message by plain values."""
+    """Return a decoded message as plain values for the comparison with JSON."""
     body = None
     if message.body is not None:
         body = [message.body.DESCRIPTOR.full_name, MessageToDict(message.body)]
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize(("name", "version"), [(V1, 1), (V2, 2)])
-def test_a_capture_s_head_is_read(name: str, version: int) -> None:
+def test_a_capture_s_header_is_read(name: str, version: int) -> None:
     reader = capture.Reader(DATA / name)
     reader.close()
     assert reader.version == version
@@ -142,26 +142,27 @@
 
 @pytest.mark.parametrize("name", [V1, V2])
 def test_a_capture_s_messages_are_decoded(name: str) -> None:
-    wanted = expected(name)
-    found = messages_of(name)
-    assert found["messages"] == wanted["messages"]
-    assert found == {key: wanted[key] for key in ("messages", "script", "problems", "dropped")}
+    expected_values = expected(name)
+    actual = messages_of(name)
+    assert actual["messages"] == expected_values["messages"]
+    assert actual == {key: expected_values[key] for key in ("messages", "script", "problems", "dropped")}
 
 
-def test_the_captures_hold_every_kind_of_record() -> None:
-    assert {record[0] for record in records_of(V1)} == set(range(1, 9))  # 7 and 8 are made by the reader
+def test_the_captures_contain_every_kind_of_record() -> None:
+    # Version 1 stores no records of kinds 7 and 8: the reader generates them.
+    assert {record[0] for record in records_of(V1)} == set(range(1, 9))
     assert {record[0] for record in records_of(V2)} == set(range(1, 11))
 
 
 @pytest.mark.parametrize("name", [V1, V2])
-def test_a_capture_is_judged_alike(name: str) -> None:
-    outcome = CliRunner().invoke(main, ["judge", str(DATA / name)])
-    assert outcome.output == (DATA / f"{name}.judged.txt").read_text(encoding="utf-8")
-    assert outcome.exit_code == 1
+def test_a_capture_gets_the_same_verdict(name: str) -> None:
+    result = CliRunner().invoke(main, ["judge", str(DATA / name)])
+    assert result.output == (DATA / f"{name}.judged.txt").read_text(encoding="utf-8")
+    assert result.exit_code == 1
 
 
 def test_a_capture_is_written_back_with_the_same_bytes(tmp_path: Path) -> None:
-    """Of version 2, which alone is written."""
+    """Only format version 2 is written, so version 1 is not tested here."""
     reader = capture.Reader(DATA / V2)
     with (tmp_path / "capture").open("wb") as file:
         writer = capture.Writer(file, reader.facts)
@@ -201,7 +202,7 @@
 
 
 def assert_steady_planner(planner: Any) -> None:
-    """What one planner costs, figure by figure."""
+    """Check each figure of the cost of one planner."""
     assert planner.cpu_share == 0.04493851398687224
     assert planner.memory_mb == 33.57421875
     assert planner.connections == 207.4491666217702
@@ -215,7 +216,7 @@
 
 
 def assert_steady_peers(peers: Any) -> None:
-    """What the other side costs, figure by figure."""
+    """Check each figure of the cost of the workers and of the node list."""
     assert peers.worker_connections == 1.8436861721902118
     assert peers.worker_dials_per_s == 0.3890216279090877
     assert peers.worker_bytes_per_s == 7.908076049872176
@@ -231,15 +232,15 @@
 
 
 def test_results_without_the_number_of_changes_are_read() -> None:
-    """As the first state of the format had them."""
+    """The first form of the format had no number of configuration changes."""
     steady, restart = results.read(DATA / "results-first-form.json").samples
     assert (steady.changes, restart.changes) == (0, 0)
     assert_steady_planner(steady.planner)
     assert restart.event.ready_s == 0.37054503499985003
 
 
-def test_results_are_shown_side_by_side_alike() -> None:
+def test_the_comparison_of_results_prints_the_same() -> None:
     first, second = DATA / "results-first-form.json", DATA / "results.json"
-    outcome = CliRunner().invoke(main, ["scale-compare", str(first), str(second)])
-    assert outcome.output == (DATA / "results.compared.txt").read_text(encoding="utf-8")
-    assert outcome.exit_code == 0
+    result = CliRunner().invoke(main, ["scale-compare", str(first), str(second)])
+    assert result.output == (DATA / "results.compared.txt").read_text(encoding="utf-8")
+    assert result.exit_code == 0
--- a/tests/stored/test_stored_settings.py
+++ b/tests/stored/test_stored_settings.py
@@ -1,7 +1,7 @@
-"""Settings files of every kind are read with the same values as by the landed version.
+"""Tests that settings files of every kind are read as the same values as by an earlier version.
 
-``data/settings.expected.json`` has, for each file, every keyword with the values that are read from its
-words: times in microseconds, sizes in bytes. The tests below say what they mean once they are typed.
+``data/settings.expected.json`` lists, for each file, every keyword with its parsed values: times in
+microseconds, sizes in bytes. The tests below check the typed objects that are built from these values.
 ``pytest -vv`` shows the whole difference.
 """
 
@@ -41,7 +41,7 @@
     "experiment.conf": EXPERIMENT,
     "scale.conf": SCALE,
 }
-ROOM_FIGURES = {
+CLUSTER_SETTINGS = {
     "mean_cores": 1.25,
     "mean_memory": 2.5,
     "cores_limit": 1.5,
@@ -61,7 +61,7 @@
     "poll_within_us": 12_000_000,
     "tick_us": 15_000,
 }
-SITE_FIGURES = {
+SITE_SETTINGS = {
     "dial_timeout_us": 240_000,
     "reconnect_delay_us": 110_000,
     "max_reconnect_delay_us": 2_200_000,
@@ -80,7 +80,7 @@
     "max_message_bytes": 512 << 10,
     "keepalive_us": (4_000_000, 1_500_000),
 }
-DECISION_FIGURES = {
+DECISION_SETTINGS = {
     "planners": 3,
     "position": 1,
     "zone": 1,
@@ -100,7 +100,7 @@
     "price_list": 0.5,
     "price_rejection": 0.6,
 }
-PLATFORM_FIGURES = {
+PLATFORM_SETTINGS = {
     "planners": 5,
     "position": 2,
     "zone": 1,
@@ -138,7 +138,7 @@
     "price_list": 0.05,
     "price_rejection": 0.06,
 }
-MODEL_FIGURES = {
+NODE_MODEL_SETTINGS = {
     "id": 3,
     "name": "n3",
     "node_type": "std",
@@ -163,7 +163,7 @@
     "cores_use": 0.8,
     "memory_use": 0.9,
 }
-OWNER_FIGURES = {
+CLIENT_SETTINGS = {
     "name": "anna",
     "rate": 10.0,
     "planners": 2,
@@ -176,7 +176,7 @@
     "max_tasks": 4,
 }
 
-DRAWN = [
+FAULTS_WITH_SEED_5 = [
     "at 10s node 3 5 fail-starts 0.6 for 12s",
     "at 12s node 3 drain",
     "at 14s list behind 4s for 10s",
@@ -186,7 +186,7 @@
     "at 30s zone west cut for 5s",
     "at 35s owners restart-services 0.3 1s",
 ]
-DRAWN_UNDER_SEED_6 = [
+FAULTS_WITH_SEED_6 = [
     "at 10s node 2 5 fail-starts 0.6 for 12s",
     "at 12s node 2 drain",
     "at 14s list behind 4s for 10s",
@@ -198,16 +198,16 @@
 ]
 
 
-def figures(of: Any, names: dict[str, Any]) -> dict[str, Any]:
-    """The named fields of a value."""
-    return {name: getattr(of, name) for name in names}
+def field_values(settings: Any, names: dict[str, Any]) -> dict[str, Any]:
+    """Return the values of the named fields of a settings object."""
+    return {name: getattr(settings, name) for name in names}
 
 
 def keywords(section: Any) -> dict[str, Any]:
-    """A section's values by keyword, as JSON has them; of blocks one section each."""
+    """Return the values of a section by keyword, as JSON stores them. Each block is a nested section."""
     out: dict[str, Any] = {"values": list(section.values)} if section.values else {}
-    for name, given in section.keys.items():
-        out[name] = [list(values) for _, values in given]
+    for name, occurrences in section.keys.items():
+        out[name] = [list(values) for _, values in occurrences]
     for name, blocks in section.blocks.items():
         out[name] = [keywords(block) for block in blocks]
     return dict(json.loads(json.dumps(out)))
@@ -215,21 +215,21 @@
 
 @pytest.mark.parametrize("name", SCHEMAS)
 def test_every_keyword_is_read(name: str) -> None:
-    wanted = json.loads((DATA / "settings.expected.json").read_text(encoding="utf-8"))
-    assert keywords(load_section(DATA / name, SCHEMAS[name])) == wanted[name]
+    expected = json.loads((DATA / "settings.expected.json").read_text(encoding="utf-8"))
+    assert keywords(load_section(DATA / name, SCHEMAS[name])) == expected[name]
 
 
 @pytest.mark.parametrize("name", SCHEMAS)
 def test_the_file_has_every_keyword_of_its_kind(name: str) -> None:
-    given = keywords(load_section(DATA / name, SCHEMAS[name]))
-    assert {item.name for item in SCHEMAS[name]} == set(given)
+    used_keywords = keywords(load_section(DATA / name, SCHEMAS[name]))
+    assert {item.name for item in SCHEMAS[name]} == set(used_keywords)
 
 
 # Planner and site
 
 
 def assert_classes(classes: tuple[Any, ...]) -> None:
-    """The three classes that every file with a room has."""
+    """Check the three task classes that every file with a cluster defines."""
     worker, ingest, report = classes
     assert [c.name for c in classes] == ["worker", "ingest", "report"]
     assert [c.effect for c in classes] == [Effect.IDEMPOTENT, Effect.IDEMPOTENT_BY_KEY, Effect.AT_MOST_ONCE]
@@ -245,96 +245,103 @@
     assert (report.priority, report.full_service_utilization, report.service_loss_range) == (0, 1.0, 1.0)
 
 
-def assert_room(room: Any) -> None:
-    """The room that every file with one has."""
-    assert_classes(room.classes)
-    assert [(k.name, k.cores, k.memory) for k in room.node_types] == [
+def assert_cluster(cluster: Any) -> None:
+    """Check the cluster that every file with a cluster defines."""
+    assert_classes(cluster.classes)
+    assert [(k.name, k.cores, k.memory) for k in cluster.node_types] == [
         ("std", 16.0, 32.5),
         ("big", 64.0, 256.0),
     ]
-    assert room.zones == ("west", "east")
-    assert room.tenants == (("red", 2.0), ("blue", 0.5))
-    assert room.prices == {"fleet": 0.1, "move": 0.2, "waste": 0.3, "probe": 0.4, "list": 0.5, "refusal": 0.6}
-    assert figures(room, ROOM_FIGURES) == ROOM_FIGURES
+    assert cluster.zones == ("west", "east")
+    assert cluster.tenants == (("red", 2.0), ("blue", 0.5))
+    assert cluster.prices == {
+        "fleet": 0.1,
+        "move": 0.2,
+        "waste": 0.3,
+        "probe": 0.4,
+        "list": 0.5,
+        "refusal": 0.6,
+    }
+    assert field_values(cluster, CLUSTER_SETTINGS) == CLUSTER_SETTINGS
 
 
 def test_a_site_file_is_typed() -> None:
     site = load_site(DATA / "site.conf")
-    assert_room(site.cluster)
-    assert figures(site, SITE_FIGURES) == SITE_FIGURES
+    assert_cluster(site.cluster)
+    assert field_values(site, SITE_SETTINGS) == SITE_SETTINGS
 
 
 def test_a_planner_file_is_typed() -> None:
     config = load_planner(DATA / "planner.conf")
-    assert_room(config.cluster)
-    assert figures(config, SITE_FIGURES) == SITE_FIGURES
+    assert_cluster(config.cluster)
+    assert field_values(config, SITE_SETTINGS) == SITE_SETTINGS
     assert config.listen == ("127.0.0.1:7301", "unix:planner.sock")
     assert (config.directory, config.seed) == ("[::1]:7300", 2**64 - 1)
     assert config.configuration == ("127.0.0.1:7401", "127.0.0.1:7402")
     assert config.configuration_copy == "kept copy.json"
 
 
-def test_the_decision_module_is_told_what_a_planner_file_says() -> None:
+def test_the_decision_module_gets_the_settings_of_a_planner_file() -> None:
     settings = load_planner(DATA / "planner.conf").settings
     assert_classes(settings.classes)
     assert [(k.name, k.cores, k.memory) for k in settings.node_types] == [
         ("std", 16.0, 32.5),
         ("big", 64.0, 256.0),
     ]
-    assert figures(settings, ROOM_FIGURES) == ROOM_FIGURES
-    assert figures(settings, DECISION_FIGURES) == DECISION_FIGURES
+    assert field_values(settings, CLUSTER_SETTINGS) == CLUSTER_SETTINGS
+    assert field_values(settings, DECISION_SETTINGS) == DECISION_SETTINGS
 
 
 # Stand-ins
 
 
 def test_a_node_file_is_typed() -> None:
-    farm = load_node_pool(DATA / "node.conf")
-    first, second = farm.nodes
-    assert figures(first.model, MODEL_FIGURES) == MODEL_FIGURES
+    pool = load_node_pool(DATA / "node.conf")
+    first, second = pool.nodes
+    assert field_values(first.model, NODE_MODEL_SETTINGS) == NODE_MODEL_SETTINGS
     assert first.listen == ("127.0.0.1:7503", "[::1]:7503")
     assert first.advertise == {"inner": ("127.0.0.1:7603",)}
     assert (first.absent, first.cold, second.absent, second.cold) == (False, True, True, False)
     assert (second.model.id, second.model.cores, second.model.memory) == (4, 64.0, 256.0)
-    assert farm.directories == (("127.0.0.1:7300", "inner"), ("127.0.0.1:7310", ""))
-    assert (farm.seed, farm.begin) == (12, "begin.txt")
-    assert_classes(farm.classes)
-    assert [fault.line() for fault in farm.faults] == [
+    assert pool.directories == (("127.0.0.1:7300", "inner"), ("127.0.0.1:7310", ""))
+    assert (pool.seed, pool.begin) == (12, "begin.txt")
+    assert_classes(pool.classes)
+    assert [fault.line() for fault in pool.faults] == [
         "at 500ms node 3 fail-starts 0.6 for 2s",
         "at 1s node 4 drain",
     ]
-    assert [fault.line() for fault in farm.on_signal] == ["at 0us node 4 leave 3s"]
+    assert [fault.line() for fault in pool.on_signal] == ["at 0us node 4 leave 3s"]
 
 
 def test_a_directory_file_is_typed() -> None:
-    listing = load_node_list(DATA / "directory.conf")
-    assert listing.listen == ("127.0.0.1:7300", "127.0.0.1:7310")
-    model = listing.model
+    node_list = load_node_list(DATA / "directory.conf")
+    assert node_list.listen == ("127.0.0.1:7300", "127.0.0.1:7310")
+    model = node_list.model
     assert (model.update_delay_us, model.silence_timeout_us, model.period_us) == (110_000, 1_100_000, 90_000)
-    assert listing.begin == "begin.txt"
-    assert [fault.line() for fault in listing.faults] == [
+    assert node_list.begin == "begin.txt"
+    assert [fault.line() for fault in node_list.faults] == [
         "at 1500ms list forget",
         "at 2s list behind 4s for 10s",
     ]
 
 
 def test_an_owners_file_is_typed() -> None:
-    crowd = load_client_pool(DATA / "owners.conf")
-    assert_room(crowd.cluster)
-    anna, ben = crowd.clients
-    assert figures(anna, OWNER_FIGURES) == OWNER_FIGURES
+    pool = load_client_pool(DATA / "owners.conf")
+    assert_cluster(pool.cluster)
+    anna, ben = pool.clients
+    assert field_values(anna, CLIENT_SETTINGS) == CLIENT_SETTINGS
     assert (ben.name, ben.tenant) == ("ben", "blue")
     assert_demands(anna.demands)
-    assert crowd.planners == {0: "127.0.0.1:7301", 2: "127.0.0.1:7303"}
-    assert (crowd.seed, crowd.begin, crowd.report) == (14, "begin.txt", "report.json")
-    assert [fault.line() for fault in crowd.faults] == [
+    assert pool.planners == {0: "127.0.0.1:7301", 2: "127.0.0.1:7303"}
+    assert (pool.seed, pool.begin, pool.report) == (14, "begin.txt", "report.json")
+    assert [fault.line() for fault in pool.faults] == [
         "at 25s demand 2.0 for 6s",
         "at 35s owners restart-services 0.3 1s",
     ]
 
 
 def assert_demands(demands: tuple[Any, ...]) -> None:
-    """The two demands that every file with owners has."""
+    """Check the two demands that every file with clients defines."""
     worker, report = demands
     assert (worker.task_class, worker.share) == ("worker", 0.6)
     assert worker.sizes == ((1.0, 2.0), (2.0, 4.5))
@@ -350,8 +357,9 @@
 
 def test_a_scenario_file_is_typed() -> None:
     scenario = load_scenario(DATA / "scenario.conf")
-    assert_room(scenario.cluster)
-    assert (scenario.name, scenario.about) == ("data", "a room for the test")  # named by its folder
+    assert_cluster(scenario.cluster)
+    # A scenario is named after the folder of its file.
+    assert (scenario.name, scenario.about) == ("data", "a room for the test")
     assert (scenario.planners, scenario.owners, scenario.seed) == (2, 3, 5)
     assert (scenario.lasts_us, scenario.settles_us) == (8_000_000, 6_000_000)
     assert [(n.model.id, n.model.name, n.model.rack, n.absent) for n in scenario.nodes] == [
@@ -364,11 +372,11 @@
     ]
 
 
-def test_a_scenario_s_faults_are_drawn_alike() -> None:
+def test_a_scenario_s_random_faults_are_the_same() -> None:
     scenario = load_scenario(DATA / "scenario.conf")
-    assert [fault.line() for fault in scenario.faults] == DRAWN
-    again = load_scenario(DATA / "scenario.conf", seed=6)
-    assert [fault.line() for fault in again.faults] == DRAWN_UNDER_SEED_6
+    assert [fault.line() for fault in scenario.faults] == FAULTS_WITH_SEED_5
+    with_seed_6 = load_scenario(DATA / "scenario.conf", seed=6)
+    assert [fault.line() for fault in with_seed_6.faults] == FAULTS_WITH_SEED_6
 
 
 def test_an_experiment_file_is_typed() -> None:
@@ -393,13 +401,13 @@
     assert (plan.processes_most, plan.memory_most) == (40, 1 << 30)
 
 
-def test_a_scale_file_s_samples_are_those_it_asks_for() -> None:
-    wanted = json.loads((DATA / "scale.samples.expected.json").read_text(encoding="utf-8"))
-    assert [sample_values(sample) for sample in load_plan(DATA / "scale.conf").samples] == wanted
+def test_a_scale_file_gives_the_expected_samples() -> None:
+    expected = json.loads((DATA / "scale.samples.expected.json").read_text(encoding="utf-8"))
+    assert [sample_values(sample) for sample in load_plan(DATA / "scale.conf").samples] == expected
 
 
 def sample_values(sample: Any) -> list[Any]:
-    """A sample of a scale run by plain values."""
+    """Return a sample of a scale run as plain values for the comparison with JSON."""
     size = sample.size
     site = [size.workers, size.planners, size.starts_per_s, size.running]
     return [sample.form, sample.load, site, sample.list_changes_per_s, sample.span_s, sample.repeat]
@@ -422,9 +430,9 @@
     assert config.known_updates == ({"id": 4}, {"id": 5})
 
 
-def test_the_decision_module_is_told_what_a_platform_file_says() -> None:
+def test_the_decision_module_gets_the_settings_of_a_platform_file() -> None:
     settings = platform_config.load(str(DATA / "platform.json")).settings
-    assert figures(settings, PLATFORM_FIGURES) == PLATFORM_FIGURES
+    assert field_values(settings, PLATFORM_SETTINGS) == PLATFORM_SETTINGS
     assert [(k.name, k.cores, k.memory) for k in settings.node_types] == [
         ("node 32", 37.0, 107.0),
         ("node-64", 56.0, 171.0),
--- a/tests/surface/test_surface.py
+++ b/tests/surface/test_surface.py
@@ -1,11 +1,12 @@
-"""The outer surface as the landed version has it: what users, sites, peers and the simulator rely on.
+"""Tests that the public interfaces used by users, sites, peers and the simulator are unchanged.
 
-``surface.json`` has the commands with their options and help, the outcome of representative invocations, the
-keywords of settings files, the messages of ``proto/``, the deployment's keys and the keys that the platform's
-file is asked for. It names nothing that is internal. A test compares its part exactly; ``pytest -vv`` shows
-the whole difference. A part that is meant to change is edited by hand, with the reason in the commit.
+``surface.json`` contains the commands with their options and help, the results of representative invocations,
+the keywords of settings files, the messages of ``proto/``, the keys of the deployment file and the keys that
+are read from the platform's file. It contains no internal names. Each test compares its part exactly;
+``pytest -vv`` shows the whole difference. To change an interface on purpose, edit ``surface.json`` manually
+and give the reason in the commit.
 
-Help is laid out by click, so another version of click may differ in blanks alone.
+click formats the help texts, so another version of click may change their whitespace.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 SURFACE = json.loads((HERE / "surface.json").read_text(encoding="utf-8"))
 PLATFORM_FILE = json.loads((HERE.parent / "stored/data/platform.json").read_text(encoding="utf-8"))
 WIDTH = 100
-PROCESSES = 4  # stands for the machine's processors where they are a default
+PROCESSORS = 4  # replaces the machine's number of processors where that is a default value
 NAME = "stairplank"
 SCHEMAS = {
     "planner": PLANNER_SCHEMA,
@@ -54,7 +55,7 @@
     "experiment": EXPERIMENT,
     "scale": SCALE,
 }
-# Words that tell the kinds of values apart; the last is no value of any kind but a free text.
+# Sample texts by whose results the value parsers are distinguished. The last text is valid only as free text.
 PROBES = ["0", "1", "-1", "7", "70000", "2.5", "30%", "250ms", "0s", "3s..7s", "4k", "yes", "a-b", "a b"]
 PROBES += ["127.0.0.1:80", "unix:a", "99999999999999999999", "?"]
 
@@ -62,162 +63,167 @@
 # Commands
 
 
-def commands(command: click.Command, words: tuple[str, ...] = ()) -> Iterator[tuple[str, click.Command]]:
-    """Every command of the tree with the words that call it."""
-    yield " ".join(words), command
+def commands(command: click.Command, arguments: tuple[str, ...] = ()) -> Iterator[tuple[str, click.Command]]:
+    """Yield every command of the tree with the arguments that invoke it."""
+    yield " ".join(arguments), command
     if isinstance(command, click.Group):
         for name in sorted(command.commands):
-            yield from commands(command.commands[name], (*words, name))
+            yield from commands(command.commands[name], (*arguments, name))
 
 
-def invoke(words: list[str]) -> Any:
-    """Run the command in this process, without the platform's variable."""
-    return CliRunner(env={"GW_CONFIG": None}).invoke(main, words, prog_name=NAME, terminal_width=WIDTH)
+def invoke(arguments: list[str]) -> Any:
+    """Run the command in this process, without the environment variable GW_CONFIG."""
+    return CliRunner(env={"GW_CONFIG": None}).invoke(main, arguments, prog_name=NAME, terminal_width=WIDTH)
 
 
 def options(command: click.Command) -> list[dict[str, Any]]:
-    """What a command takes, as its user sees it."""
-    return [parameter(one) for one in command.params]
+    """Return a description of each option and argument of a command."""
+    return [parameter_description(item) for item in command.params]
 
 
-def parameter(one: click.Parameter) -> dict[str, Any]:
-    """An argument by its place, an option by its spellings."""
-    is_option = isinstance(one, click.Option)
-    default = one.default if isinstance(one.default, (str, int, float, bool)) else None
+def parameter_description(item: click.Parameter) -> dict[str, Any]:
+    """Return a description of a parameter. An option has its spellings, an argument has none."""
+    is_option = isinstance(item, click.Option)
+    default = item.default if isinstance(item.default, (str, int, float, bool)) else None
     return {
-        "spelled": [*one.opts, *one.secondary_opts] if is_option else [],
-        "takes": kind_of(one.type),
-        "required": one.required,
-        "many": one.multiple,
-        "flag": is_option and one.is_flag,
-        "environment": one.envvar,
+        "spelled": [*item.opts, *item.secondary_opts] if is_option else [],
+        "takes": type_description(item.type),
+        "required": item.required,
+        "many": item.multiple,
+        "flag": is_option and item.is_flag,
+        "environment": item.envvar,
         "default": default,
     }
 
 
-def kind_of(kind: click.ParamType) -> list[Any]:
-    """A type of values with its bounds or choices."""
-    if isinstance(kind, click.Choice):
-        return [kind.name, *kind.choices]
-    if isinstance(kind, (click.IntRange, click.FloatRange)):
-        return [kind.name, kind.min, kind.max]
-    if isinstance(kind, click.Path):
-        return [kind.name, kind.exists, kind.file_okay, kind.dir_okay]
-    return [kind.name]
+def type_description(param_type: click.ParamType) -> list[Any]:
+    """Return the name of a parameter type with its bounds, choices or path flags."""
+    if isinstance(param_type, click.Choice):
+        return [param_type.name, *param_type.choices]
+    if isinstance(param_type, (click.IntRange, click.FloatRange)):
+        return [param_type.name, param_type.min, param_type.max]
+    if isinstance(param_type, click.Path):
+        return [param_type.name, param_type.exists, param_type.file_okay, param_type.dir_okay]
+    return [param_type.name]
 
 
 @pytest.fixture
-def same_processors(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Help shows the machine's processors as a default; here they are always as many."""
+def fixed_processor_count(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Set the default of ``--processes`` to a constant: help shows the machine's number of processors."""
     for _, command in commands(main):
-        for one in command.params:
-            if "--processes" in one.opts:
-                monkeypatch.setattr(one, "default", PROCESSES)
+        for item in command.params:
+            if "--processes" in item.opts:
+                monkeypatch.setattr(item, "default", PROCESSORS)
 
 
-@pytest.mark.usefixtures("same_processors")
+@pytest.mark.usefixtures("fixed_processor_count")
 def test_every_command_takes_the_same_options() -> None:
-    assert {words: options(command) for words, command in commands(main)} == SURFACE["options"]
+    assert {arguments: options(command) for arguments, command in commands(main)} == SURFACE["options"]
 
 
-@pytest.mark.usefixtures("same_processors")
+@pytest.mark.usefixtures("fixed_processor_count")
 def test_every_command_s_help_reads_the_same() -> None:
-    assert {words: help_of(words) for words, _ in commands(main)} == SURFACE["help"]
+    assert {arguments: help_of(arguments) for arguments, _ in commands(main)} == SURFACE["help"]
 
 
-def help_of(words: str) -> list[str]:
-    """The lines of a command's help."""
-    outcome = invoke([*words.split(), "--help"])
-    assert outcome.exit_code == 0, outcome.output
-    return str(outcome.output).splitlines()
+def help_of(arguments: str) -> list[str]:
+    """Return the lines of a command's help."""
+    result = invoke([*arguments.split(), "--help"])
+    assert result.exit_code == 0, result.output
+    return str(result.output).splitlines()
 
 
-@pytest.mark.parametrize("words", SURFACE["invocations"])
-def test_an_invocation_ends_and_prints_the_same(words: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("arguments", SURFACE["invocations"])
+def test_an_invocation_has_the_same_exit_code_and_output(
+    arguments: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.chdir(HERE)
-    assert outcome_of(words) == SURFACE["invocations"][words]
+    assert invocation_result(arguments) == SURFACE["invocations"][arguments]
 
 
-def outcome_of(words: str) -> dict[str, Any]:
-    """Exit code and what is printed."""
-    outcome = invoke(words.split())
-    lines = {"output": outcome.stdout.splitlines(), "errors": outcome.stderr.splitlines()}
-    return {"exit code": outcome.exit_code} | lines
+def invocation_result(arguments: str) -> dict[str, Any]:
+    """Return the exit code and the printed lines of an invocation."""
+    result = invoke(arguments.split())
+    lines = {"output": result.stdout.splitlines(), "errors": result.stderr.splitlines()}
+    return {"exit code": result.exit_code} | lines
 
 
 def test_the_version_is_that_of_the_package() -> None:
-    assert outcome_of("--version")["output"] == [f"{NAME}, version {version(NAME)}"]
+    assert invocation_result("--version")["output"] == [f"{NAME}, version {version(NAME)}"]
 
 
 # Settings files
 
 
-def reading(value: Any, word: str) -> Any:
-    """What a kind of value makes of a word, or its objection."""
+def parse_result(parser: Any, text: str) -> Any:
+    """Return what a value parser makes of a text, or its error message."""
     try:
-        return json.loads(json.dumps(value(word)))
+        return json.loads(json.dumps(parser(text)))
     except ValueError as error:
         return {"not": str(error)}
 
 
-def described(item: Key | Block, kinds: list[Any]) -> dict[str, Any]:
-    """A keyword with its values, each by its place among the kinds of values."""
-    out: dict[str, Any] = {"values": [kind_number(value, kinds) for value in item.value_parsers]}
+def keyword_description(item: Key | Block, parsers: list[Any]) -> dict[str, Any]:
+    """Return a description of a keyword. Each value is the index of its parser in ``parsers``."""
+    out: dict[str, Any] = {"values": [parser_index(value, parsers) for value in item.value_parsers]}
     if isinstance(item, Block):
-        out["keywords"] = {key.name: described(key, kinds) for key in item.keys}
+        out["keywords"] = {key.name: keyword_description(key, parsers) for key in item.keys}
     else:
         out["repeat"], out["least rest"], out["words"] = item.repeat, item.min_rest, list(item.separators)
-        out["rest"] = None if item.rest_parser is None else kind_number(item.rest_parser, kinds)
+        out["rest"] = None if item.rest_parser is None else parser_index(item.rest_parser, parsers)
     return out | {"required": item.required}
 
 
-def kind_number(value: Any, kinds: list[Any]) -> int:
-    """The place of a kind of values, told by what it makes of the probes."""
-    made = [reading(value, word) for word in PROBES]
-    if made not in kinds:
-        kinds.append(made)
-    return kinds.index(made)
+def parser_index(parser: Any, parsers: list[Any]) -> int:
+    """Return the index of a parser. Parsers with the same results for all of PROBES share an index."""
+    results = [parse_result(parser, text) for text in PROBES]
+    if results not in parsers:
+        parsers.append(results)
+    return parsers.index(results)
 
 
 def keywords_of_all() -> dict[str, Any]:
-    """Every file's keywords, with what each kind of value makes of the probes."""
-    kinds: list[Any] = []
-    files = {name: {item.name: described(item, kinds) for item in schema} for name, schema in SCHEMAS.items()}
-    return {"probes": PROBES, "kinds of values": kinds, "files": files}
+    """Return the keywords of every settings file and the results of each value parser for PROBES."""
+    parsers: list[Any] = []
+    files = {
+        name: {item.name: keyword_description(item, parsers) for item in schema}
+        for name, schema in SCHEMAS.items()
+    }
+    return {"probes": PROBES, "kinds of values": parsers, "files": files}
 
 
 def test_settings_files_take_the_same_keywords() -> None:
-    found, wanted = keywords_of_all(), SURFACE["settings"]
-    for name in wanted["files"]:
-        assert found["files"][name] == wanted["files"][name], name
-    assert found == wanted
+    actual, expected = keywords_of_all(), SURFACE["settings"]
+    for name in expected["files"]:
+        assert actual["files"][name] == expected["files"][name], name
+    assert actual == expected
 
 
 # Messages
 
 
-def generated() -> list[Any]:
-    """The descriptors of all files of ``proto/``."""
+def file_descriptors() -> list[Any]:
+    """Return the descriptors of all files in ``proto/``."""
     modules = [value for value in vars(proto).values() if isinstance(value, ModuleType)]
     return [module.DESCRIPTOR for module in modules if hasattr(module, "DESCRIPTOR")]
 
 
 def message_description(message: Any) -> Iterator[tuple[str, Any]]:
-    """A message and those within it: fields by name with number, type, whether repeated, and choice."""
+    """Yield a message and its nested messages, each by name with a description of its fields."""
     yield message.full_name, {field.name: field_description(field) for field in message.fields}
     for inner in message.nested_types:
         yield from message_description(inner)
 
 
 def field_description(field: Any) -> list[Any]:
-    """Number, type by its number or name, whether repeated, and the choice that it is part of."""
-    named = field.message_type or field.enum_type
-    choice = field.containing_oneof.name if field.containing_oneof else None
-    return [field.number, named.full_name if named else field.type, field.is_repeated, choice]
+    """Return the number, type (number or name), repeated flag and oneof name of a field."""
+    named_type = field.message_type or field.enum_type
+    oneof = field.containing_oneof.name if field.containing_oneof else None
+    return [field.number, named_type.full_name if named_type else field.type, field.is_repeated, oneof]
 
 
 def enums_of(scope: Any) -> Iterator[tuple[str, Any]]:
-    """The enums of a file or message and of all messages within it."""
+    """Yield the enums of a file or message and of all messages nested in it."""
     for enum in scope.enum_types_by_name.values():
         yield enum.full_name, {value.name: value.number for value in enum.values}
     inner = getattr(scope, "message_types_by_name", None) or getattr(scope, "nested_types_by_name", {})
@@ -226,7 +232,7 @@
 
 
 def service_description(service: Any) -> dict[str, Any]:
-    """Methods with their messages and whether those are streams."""
+    """Return the methods of a service with their message types and whether these are streamed."""
     return {
         method.name: [
             method.input_type.full_name,
@@ -239,9 +245,9 @@
 
 
 def proto_surface() -> dict[str, Any]:
-    """Messages, enums and services of all files."""
+    """Return the messages, enums and services of all files in ``proto/``."""
     out: dict[str, Any] = {"messages": {}, "enums": {}, "services": {}}
-    for file in generated():
+    for file in file_descriptors():
         for message in file.message_types_by_name.values():
             out["messages"].update(message_description(message))
         out["enums"].update(enums_of(file))
@@ -251,10 +257,10 @@
 
 
 def test_messages_have_the_same_fields_and_numbers() -> None:
-    found, wanted = proto_surface(), SURFACE["proto"]
-    assert found["messages"] == wanted["messages"]
-    assert found["enums"] == wanted["enums"]
-    assert found["services"] == wanted["services"]
+    actual, expected = proto_surface(), SURFACE["proto"]
+    assert actual["messages"] == expected["messages"]
+    assert actual["enums"] == expected["enums"]
+    assert actual["services"] == expected["services"]
 
 
 def test_proto_files_are_the_same() -> None:
@@ -262,7 +268,7 @@
 
 
 def proto_digests() -> dict[str, str]:
-    """SHA-256 of each file."""
+    """Return the SHA-256 digest of each file in ``proto/``."""
     files = sorted((ROOT / "proto").rglob("*.proto"))
     return {str(path.relative_to(ROOT)): sha256(path.read_bytes()).hexdigest() for path in files}
 
@@ -275,63 +281,65 @@
 
 
 def deployment() -> dict[str, Any]:
-    """The deployment file; of the lists of the program's own files the keys alone."""
-    read = tomllib.loads((ROOT / "deploy/balancer.toml").read_text(encoding="utf-8"))
-    return {key: "paths" if key in ("policy", "node") else value for key, value in read.items()}
+    """Return the deployment file, with a placeholder for the lists of the program's own files."""
+    values = tomllib.loads((ROOT / "deploy/balancer.toml").read_text(encoding="utf-8"))
+    return {key: "paths" if key in ("policy", "node") else value for key, value in values.items()}
 
 
-class Asked(dict[str, Any]):
-    """A mapping that notes the keys it is asked for, those of mappings within it by their path."""
+class KeyRecorder(dict[str, Any]):
+    """A mapping that records each key that is read. A key of a nested mapping is recorded with its path."""
 
-    def __init__(self, values: dict[str, Any], asked: set[str], path: str = "") -> None:
-        super().__init__({key: self._within(value, asked, f"{path}{key}") for key, value in values.items()})
-        self._asked, self._path = asked, path
+    def __init__(self, values: dict[str, Any], keys_read: set[str], path: str = "") -> None:
+        super().__init__({key: self._wrap(value, keys_read, f"{path}{key}") for key, value in values.items()})
+        self._keys_read, self._path = keys_read, path
 
     @classmethod
-    def _within(cls, value: Any, asked: set[str], path: str) -> Any:
+    def _wrap(cls, value: Any, keys_read: set[str], path: str) -> Any:
         if isinstance(value, dict):
-            return cls(value, asked, f"{path}.")
+            return cls(value, keys_read, f"{path}.")
         if isinstance(value, list):
-            return [cls._within(item, asked, f"{path}.*") for item in value]
+            return [cls._wrap(item, keys_read, f"{path}.*") for item in value]
         return value
 
     def __getitem__(self, key: str) -> Any:
-        self._asked.add(self._path + key)
+        self._keys_read.add(self._path + key)
         return super().__getitem__(key)
 
     def get(self, key: str, default: Any = None) -> Any:
-        self._asked.add(self._path + key)
+        self._keys_read.add(self._path + key)
         return super().get(key, default)
 
 
-def test_the_platform_s_file_is_asked_for_the_same_keys(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_same_keys_are_read_from_the_platform_s_file(monkeypatch: pytest.MonkeyPatch) -> None:
     assert file_keys(monkeypatch) == SURFACE["keys of the platform's file"]
 
 
 def file_keys(monkeypatch: pytest.MonkeyPatch) -> dict[str, list[str]]:
-    """The keys of the file's object and those of its settings as a text has them."""
-    of_object: set[str] = set()
-    of_text: set[str] = set()
+    """Return the keys that are read from the platform's file and from its flattened settings."""
+    object_keys: set[str] = set()
+    settings_keys_read: set[str] = set()
     flatten = settings_text.flatten
-    monkeypatch.setattr(settings_text, "flatten", lambda nested: Asked(flatten(nested), of_text))
-    platform_config.parse(platform_config.ConfigFile("", Asked(PLATFORM_FILE, of_object), ""))
-    return {"object": sorted(of_object), "settings": sorted(of_text)}
+    monkeypatch.setattr(
+        settings_text, "flatten", lambda nested: KeyRecorder(flatten(nested), settings_keys_read)
+    )
+    platform_config.parse(platform_config.ConfigFile("", KeyRecorder(PLATFORM_FILE, object_keys), ""))
+    return {"object": sorted(object_keys), "settings": sorted(settings_keys_read)}
 
 
-def test_the_simulator_s_settings_have_the_same_keys_and_needs() -> None:
+def test_the_simulator_s_settings_have_the_same_required_keys() -> None:
     assert settings_keys() == SURFACE["keys of the simulator's settings"]
 
 
 def settings_keys() -> dict[str, str]:
-    """Each key that is looked up, and whether settings without it are refused."""
+    """Return each key that is looked up, with the error for settings without it or that it is optional."""
     text = settings_text.flatten(PLATFORM_FILE["settings"])
-    asked: set[str] = set()
-    settings_text.settings_from(settings_text.SettingsReader(Asked(text, asked)))
-    return {key: need_of(key, text) for key in sorted(asked)}
+    keys_read: set[str] = set()
+    settings_text.settings_from(settings_text.SettingsReader(KeyRecorder(text, keys_read)))
+    return {key: requirement(key, text) for key in sorted(keys_read)}
 
 
-def need_of(key: str, text: dict[str, str]) -> str:
-    """Whether settings without the key are read."""
+def requirement(key: str, text: dict[str, str]) -> str:
+    """Return the error for settings without the key, or that the key may be left out."""
     try:
         settings_text.settings_from(
             settings_text.SettingsReader({name: value for name, value in text.items() if name != key})
@@ -341,44 +349,44 @@
     return "may be left out"
 
 
-def test_the_settings_text_is_flattened_alike() -> None:
+def test_the_settings_are_flattened_to_the_same_text() -> None:
     assert settings_text.flatten(PLATFORM_FILE["settings"]) == SURFACE["settings as a text"]
 
 
-WATCH_THE_ENVIRONMENT = """
+RECORD_ENVIRONMENT_READS = """
 import os, runpy, sys
-asked = set()
-class Watched(dict):
-    def note(self, key):
+keys_read = set()
+class RecordingEnvironment(dict):
+    def record(self, key):
         if sys._getframe(2).f_globals.get("__name__", "").partition(".")[0] in ("stairplank", "__main__"):
-            asked.add(key)
+            keys_read.add(key)
     def __getitem__(self, key):
-        self.note(key)
+        self.record(key)
         return super().__getitem__(key)
     def get(self, key, default=None):
-        self.note(key)
+        self.record(key)
         return super().get(key, default)
     def __contains__(self, key):
-        self.note(key)
+        self.record(key)
         return super().__contains__(key)
-os.environ = Watched(os.environ)
+os.environ = RecordingEnvironment(os.environ)
 os.getenv = os.environ.get
 try:
     runpy.run_module("stairplank.platform", run_name="__main__")
-except SystemExit as end:
-    print(end.code, *sorted(asked))
+except SystemExit as error:
+    print(error.code, *sorted(keys_read))
 """
 
 
 def test_the_platform_s_planner_reads_the_same_variables() -> None:
     environment = {key: value for key, value in os.environ.items() if key != "GW_CONFIG"}
-    outcome = subprocess.run(
-        [sys.executable, "-c", WATCH_THE_ENVIRONMENT],
+    result = subprocess.run(
+        [sys.executable, "-c", RECORD_ENVIRONMENT_READS],
         capture_output=True,
         text=True,
         timeout=60,
         cwd=ROOT,
         env=environment | {"GW_CONFIG": "no-such-file.json"},
     )
-    assert outcome.stdout.split() == SURFACE["variables of the platform's planner"]
-    assert "no-such-file.json" in outcome.stderr
+    assert result.stdout.split() == SURFACE["variables of the platform's planner"]
+    assert "no-such-file.json" in result.stderr
