--- a/stairplank/scale/planner_counts.py
+++ b/stairplank/scale/planner_counts.py
@@ -1,4 +1,8 @@
-"""How many planners a site should run: what one costs at each number, measured and by the slopes. No I/O."""
+"""Estimates how many planners a site should run.
+
+For each number of planners it gives the control cost of one planner, as measured and as predicted by the
+fitted slopes. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +14,13 @@
 from .results import Size
 from .target_site import Site
 
-ALIKE_SHARE = 0.10  # factors that differ by less are alike: two runs of one state differ by some percent
-SEARCHED = 32  # planners a machine up to which the slopes are asked
+NOISE_SHARE = 0.10  # ratios closer than this count as equal: two runs of one state differ by some percent
+MAX_PLANNERS_PER_MACHINE = 32  # the search for the fewest planners ends at this number
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """A control figure of one planner, its allowance, what was measured and what the slopes say."""
+    """A control figure of one planner: its allowance, its measured value and its predicted value."""
 
     figure: Figure
     allowance: float
@@ -25,14 +29,14 @@
 
     @property
     def ratio(self) -> float | None:
-        """Over the allowance; by the measured figure where there is one, else by the slopes."""
+        """The figure divided by its allowance; uses the prediction only where nothing was measured."""
         value = self.measured if self.measured is not None else self.predicted.value
         return None if value is None else value / self.allowance
 
 
 @dataclass(frozen=True, slots=True)
 class PlannerCount:
-    """A site with so many planners and starts a second, at the target's workers and running tasks."""
+    """The costs at one number of planners and rate of starts, with the target's workers and tasks."""
 
     planners: int
     starts_per_s: float
@@ -40,7 +44,7 @@
 
     @property
     def ratio(self) -> float | None:
-        """The largest of its costs' ratios; None where one of them is not known."""
+        """The largest ratio of any cost; None where the ratio of a cost is not known."""
         ratios = [cost.ratio for cost in self.costs]
         known = [ratio for ratio in ratios if ratio is not None]
         return max(known) if len(known) == len(ratios) else None
@@ -52,12 +56,12 @@
 
     @property
     def is_measured(self) -> bool:
-        """Whether every cost was measured, and none is known by the slopes alone."""
+        """Whether every cost was measured; False where a cost is only predicted."""
         return all(cost.measured is not None for cost in self.costs)
 
 
 def planner_count(site: Site, slopes: Slopes, planners: int, starts_per_s: float) -> PlannerCount:
-    """What one of so many planners costs."""
+    """Build the costs of one planner at this number of planners and rate of starts."""
     target = site.target
     size = Size(target.workers, planners, starts_per_s, target.running)
     allowances = (
@@ -73,30 +77,40 @@
 
 
 def counts_to_show(site: Site, slopes: Slopes) -> list[PlannerCount]:
-    """One, two, four and eight planners a machine, without starts and at each rate that was measured at more
-    than one of these numbers, and at the target's peak."""
+    """Return the costs with one, two, four and eight planners a machine.
+
+    The rates of starts are zero, each rate that was measured at more than one number of planners, and the
+    target's peak.
+    """
     rates = sorted({0.0, *site.common_rates(), site.target.starts_per_s})
     return [planner_count(site, slopes, n, rate) for rate in rates for n in site.planner_counts()]
 
 
 def fewest_within(site: Site, slopes: Slopes, starts_per_s: float) -> int | None:
-    """The fewest planners of which each stays within its allowances, measured or by the slopes. Where so many
-    or more were measured and were not within them, the slopes are not believed."""
+    """Return the smallest number of planners at which every cost is within its allowance, or None.
+
+    A cost is the measured one, or the predicted one where none was measured. A measurement overrides the
+    slopes: numbers up to the largest one that was measured over an allowance are not considered.
+    """
     machines = site.target.planner_machines
-    shown = (planner_count(site, slopes, n, starts_per_s) for n in site.planner_counts())
-    beyond = max((c.planners for c in shown if c.is_measured and not c.holds), default=0)
-    numbers = range(max(machines, beyond + 1), machines * SEARCHED + 1)
+    measured = (planner_count(site, slopes, n, starts_per_s) for n in site.planner_counts())
+    largest_short = max((c.planners for c in measured if c.is_measured and not c.holds), default=0)
+    numbers = range(max(machines, largest_short + 1), machines * MAX_PLANNERS_PER_MACHINE + 1)
     counts = (planner_count(site, slopes, n, starts_per_s) for n in numbers)
     return next((count.planners for count in counts if count.holds), None)
 
 
 def best_measured(site: Site, slopes: Slopes) -> PlannerCount | None:
-    """Of the numbers measured without starts, where all that a planner does is control: the fewest within
-    the allowances, else the fewest that is no more short than noise tells from the least short."""
+    """Return the best number of planners among those measured without starts, or None without any.
+
+    Without starts, all the work of a planner is control. The best is the smallest number within the
+    allowances. Where none is within them, it is the smallest number whose ratio exceeds the lowest ratio by
+    no more than the noise between runs.
+    """
     counts = [planner_count(site, slopes, n, 0.0) for n in site.planner_counts()]
-    short = {count: max(1.0, count.ratio) for count in counts if count.is_measured and count.ratio}
-    if not short:
+    ratios = {count: max(1.0, count.ratio) for count in counts if count.is_measured and count.ratio}
+    if not ratios:
         return None
-    least = min(short.values())
-    bound = least * (1 + ALIKE_SHARE) if least > 1 else 1.0
-    return next(count for count, factor in short.items() if factor <= bound)
+    lowest = min(ratios.values())
+    bound = lowest * (1 + NOISE_SHARE) if lowest > 1 else 1.0
+    return next(count for count, ratio in ratios.items() if ratio <= bound)
--- a/stairplank/scale/platform_files.py
+++ b/stairplank/scale/platform_files.py
@@ -1,4 +1,4 @@
-"""The configuration of a planner of the platform form, as a scale run writes it."""
+"""Writes the configuration files of the platform form's planners for a scale run."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 def planner_config(
     position: int, planners: int, list_port: int, zones: int, descriptors: int
 ) -> dict[str, Any]:
-    """The object that the file of this planner holds."""
+    """Build the configuration of the planner at this position, as its JSON file holds it."""
     settings = {
         "classes": [TASK_CLASS_SETTINGS],
         "contract": CONTRACT,
--- a/stairplank/scale/report.py
+++ b/stairplank/scale/report.py
@@ -1,4 +1,4 @@
-"""The results of a scale run as a text table and a chart."""
+"""Formats the results of a scale run as a text table and a chart."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Column:
-    """A figure under a short head."""
+    """A column of the text table: a figure, its short heading and its number format."""
 
     head: str
     figure: Figure
@@ -58,14 +58,14 @@
 
 
 def aligned(rows: Sequence[Sequence[str]]) -> str:
-    """Rows of cells as columns, the first row as their heads."""
+    """Format rows of cells as right-aligned columns; the first row holds the headings."""
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
     lines = ["  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)) for row in rows]
     return "\n".join(lines) + "\n"
 
 
 def table(results: Results) -> str:
-    """One line for each sample, then the limits of samples."""
+    """Format one line for each sample, followed by the notes of the samples."""
     rows: list[Sequence[str]] = [(*SIZE_HEADS, *(column.head for column in COLUMNS))]
     for sample in results.samples:
         cells = (column.cell(column.figure.read(sample)) for column in COLUMNS)
@@ -77,7 +77,7 @@
 
 
 def chart(results: Results, path: Path) -> None:
-    """The figures of a planner against each size; samples that agree in all other sizes are joined."""
+    """Draw the figures of a planner against each size; a line joins samples that agree in all other sizes."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -90,7 +90,7 @@
         layout="constrained",
         squeeze=False,
     )
-    drawing, panels = grid
+    chart_figure, panels = grid
     for row, figure in enumerate(CHARTED):
         for column, (axis_name, size_of) in enumerate(AXES):
             panel = panels[row][column]
@@ -100,14 +100,17 @@
             panel.set_ylim(bottom=0)
             if panel.lines:
                 panel.legend(fontsize="xx-small")
-    drawing.savefig(path, dpi=100)
-    pyplot.close(drawing)
+    chart_figure.savefig(path, dpi=100)
+    pyplot.close(chart_figure)
 
 
 def _lines(
     samples: Sequence[Sample], axis_name: str, size_of: Callable[[Sample], float], figure: Figure
 ) -> list[tuple[str, list[tuple[float, float]]]]:
-    """Series of two points or more along an axis, each with what it holds; events are no points."""
+    """Return the lines of a panel: each has a label with its constant sizes, and at least two points.
+
+    Samples of events are left out.
+    """
     groups: dict[str, list[tuple[float, float]]] = {}
     for sample in filter(fig.is_plain, samples):
         value = figure.read(sample)
--- a/stairplank/scale/results.py
+++ b/stairplank/scale/results.py
@@ -1,8 +1,8 @@
-"""The results file of a scale run: typed records, written and read as JSON. No measuring here.
+"""The results file of a scale run: typed records, written and read as JSON. This module measures nothing.
 
-A run is a list of samples. A sample is one span of time at one size of the site: which form of the planner,
-how large the site was, what happened meanwhile, and what was counted. Figures of a planner are those of one
-real planner process; a figure that was not measured is None, never zero.
+A run is a list of samples. A sample covers one span of time at one size of the site: the form of the
+planner, the size of the site, the load or event during the span, and the counted figures. The figures of a
+planner belong to one real planner process; a figure that was not measured is None, never zero.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class ResultsError(Exception):
-    """The file is no results file of this version; the text names what is wrong."""
+    """Raised where a file is not a results file of this version; the message names the fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """The site during a sample; ``starts_per_s`` and ``running`` are those of the whole site."""
+    """The size of the site during a sample; ``starts_per_s`` and ``running`` count the whole site."""
 
     workers: int
     planners: int
@@ -31,66 +31,68 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerCost:
-    """Of one real planner process. Rates are per second of the span; bytes are those of messages at the
-    sockets, without headers of packets."""
+    """The figures of one real planner process.
 
-    cpu_share: float | None = None  # of one core
-    memory_mb: float | None = None  # resident
-    connections: float | None = None  # open to workers, mean over the span
+    Rates are per second of the span. Bytes count the messages at the sockets, without packet headers.
+    """
+
+    cpu_share: float | None = None  # processor time as a share of one core
+    memory_mb: float | None = None  # resident memory
+    connections: float | None = None  # open connections to workers, mean over the span
     dials_per_s: float | None = None
-    bytes_per_s: float | None = None  # all messages, both directions
-    control_bytes_per_s: float | None = None  # without the tasks' own messages
+    bytes_per_s: float | None = None  # all messages in both directions
+    control_bytes_per_s: float | None = None  # all messages except those of tasks
     messages_per_s: float | None = None
     control_messages_per_s: float | None = None
-    # Estimated: control bytes with headers of IP and TCP, from counted dials and messages.
+    # Control bytes including IP and TCP headers, estimated from the counted dials and messages.
     control_bytes_with_headers_per_s: float | None = None
-    task_machines: float | None = None  # workers at which tasks of this planner run, mean over the span
+    task_machines: float | None = None  # workers that run tasks of this planner, mean over the span
 
 
 @dataclass(frozen=True, slots=True)
 class PeerCost:
-    """Of the other side, per hollow peer or for the one list process."""
+    """The figures of a planner's peers: of one hollow worker, and of the node list process."""
 
-    worker_connections: float | None = None  # open at one worker, mean over workers
-    worker_dials_per_s: float | None = None  # accepted by one worker, mean over workers
+    worker_connections: float | None = None  # open connections at one worker, mean over workers
+    worker_dials_per_s: float | None = None  # connections that one worker accepted, mean over workers
     worker_bytes_per_s: float | None = None
     worker_messages_per_s: float | None = None
-    list_cpu_share: float | None = None  # of one core, the node list process
+    list_cpu_share: float | None = None  # processor time of the node list process, as a share of one core
     list_bytes_per_s: float | None = None
     list_connections: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class EventTimes:
-    """What an event took, in seconds after it; None where it did not apply or was not measured."""
+    """Times in seconds from an event until its effects; None where one does not apply or was not measured."""
 
-    known_s: float | None = None  # until the planner acts on it (what stood there is released, list taken)
-    ready_s: float | None = None  # 90th percentile of restarted processes until ready
-    caught_up_s: float | None = None  # until the waiting work is at its level before the event again
+    known_s: float | None = None  # until the planner acts on it (releases the tasks or applies the list)
+    ready_s: float | None = None  # until restarted processes are ready, 90th percentile
+    caught_up_s: float | None = None  # until the amount of waiting work is back at its level before the event
     in_force_s: float | None = None  # until the last planner has the changed configuration in force
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One span. ``form``: platform or grpc. ``load``: idle, steady, peak, or the name of an event."""
+    """One measured span. ``form``: platform or grpc. ``load``: idle, steady, peak, or an event's name."""
 
     form: str
     load: str
     size: Size
     span_s: float
-    repeat: int = 0  # of the same size and load within one results file, from 0
+    repeat: int = 0  # number of the repeat of this size and load within one results file, from 0
     planner: PlannerCost = field(default_factory=PlannerCost)
     peers: PeerCost = field(default_factory=PeerCost)
     event: EventTimes = field(default_factory=EventTimes)
-    changes: int = 0  # of the configuration, made in the span
-    note: str = ""  # what the machine could not do, or another limit of this sample
+    changes: int = 0  # configuration changes made in the span
+    note: str = ""  # a limit of this sample, such as a load that the machine did not reach
 
 
 @dataclass(frozen=True, slots=True)
 class Results:
     """A whole run. ``partial``: it was interrupted, or a bound ended it, before all samples were taken."""
 
-    label: str  # what was measured: the state of the program
+    label: str  # the state of the program that was measured
     machine: str  # cores and memory of the machine, as one line
     samples: tuple[Sample, ...] = ()
     partial: bool = False
@@ -99,15 +101,15 @@
 
 
 def write(results: Results, path: str | Path) -> None:
-    """Write the file whole or not at all. Danger: cut off half-way, it would lose what was measured."""
+    """Write the file atomically: an interrupted write in place would lose the samples already measured."""
     target = Path(path)
-    scratch = target.with_suffix(target.suffix + ".new")
-    scratch.write_text(json.dumps(asdict(results), indent=1) + "\n", encoding="utf-8")
-    scratch.replace(target)
+    temporary = target.with_suffix(target.suffix + ".new")
+    temporary.write_text(json.dumps(asdict(results), indent=1) + "\n", encoding="utf-8")
+    temporary.replace(target)
 
 
 def read(path: str | Path) -> Results:
-    """Raises ResultsError."""
+    """Read a results file. Raises ResultsError."""
     try:
         value = json.loads(Path(path).read_text(encoding="utf-8"))
         if value["version"] != VERSION:
--- a/stairplank/scale/roles.py
+++ b/stairplank/scale/roles.py
@@ -1,4 +1,7 @@
-"""What each part of a site holds and spends at the target's size. The states held are data. No I/O."""
+"""Lists the state and the cost of each role of a site at the target's size.
+
+The descriptions of state are constants, not measurements. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleCost:
-    """A role's figures; None where one was not measured."""
+    """The state and figures of one role; a figure that was not measured is None."""
 
     role: str
     state: str
@@ -22,7 +25,7 @@
     bytes_per_s: float | None = None
     cpu_share: float | None = None
     memory_mb: float | None = None
-    wanted: str = ""  # what would measure the figures that no sample has
+    wanted: str = ""  # the measurement that would give the missing figures
 
 
 PLANNER_STATE = {
@@ -51,7 +54,7 @@
 
 
 def _configuration(site: Site) -> RoleCost:
-    """What a planner spends on following the configuration, with nothing published."""
+    """Return the cost to a planner of following the configuration while nothing is published."""
     followed = [sample.planner for sample in site.samples if sample.load == SETTINGS_FOLLOWED]
     messages = [cost.messages_per_s for cost in followed if cost.messages_per_s is not None]
     sent = [cost.bytes_per_s for cost in followed if cost.bytes_per_s is not None]
@@ -65,7 +68,10 @@
 
 
 def role_costs(site: Site, size: Size) -> list[RoleCost]:
-    """One planner, the node list, one worker's side, configuration; clients, which no sample has."""
+    """Return the costs of a planner, the node list, a worker, a client and the configuration.
+
+    No sample measures the clients, so their figures are None.
+    """
 
     def measured(figure: Figure) -> float | None:
         return site.worst(figure, size)
--- a/stairplank/scale/row_list.py
+++ b/stairplank/scale/row_list.py
@@ -1,4 +1,4 @@
-"""Collects the rows of one form of the planner, with what they share filled in. No I/O."""
+"""Collects the capacity rows of one form of the planner and fills in their common fields. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 class RowList:
-    """``reach`` adds a capacity, ``stay`` a cost, ``missing`` what no part of the program carries."""
+    """Builds capacity rows.
+
+    ``reach`` adds a capacity and ``stay`` a cost. ``missing`` and ``missing_within`` add a figure that no
+    part of the program provides.
+    """
 
     def __init__(self, form: Form) -> None:
         self.form = form
@@ -27,7 +31,7 @@
         *,
         computed: bool = False,
     ) -> None:
-        """A figure that has to reach its allowance."""
+        """Add a figure that has to be at least its allowance."""
         row = Row(line, self.form, figure, Unit.COUNT, allowance, Sense.AT_LEAST, mechanism)
         self._add(row, measured, wanted, computed)
 
@@ -43,17 +47,17 @@
         *,
         computed: bool = False,
     ) -> None:
-        """A figure that has to stay within its allowance."""
+        """Add a figure that has to be at most its allowance."""
         row = Row(line, self.form, figure, unit, allowance, Sense.AT_MOST, mechanism)
         self._add(row, measured, wanted, computed)
 
     def missing(self, line: TargetLine, figure: str, allowance: float, gap: str) -> None:
-        """A capacity that nothing carries; ``gap`` says what is there instead."""
+        """Add a capacity that no part of the program provides; ``gap`` describes what exists instead."""
         row = Row(line, self.form, figure, Unit.COUNT, allowance, Sense.AT_LEAST, None, gap=gap)
         self.rows.append(row)
 
     def missing_within(self, line: TargetLine, figure: str, seconds: float, gap: str) -> None:
-        """The same for what has to be done in so many seconds."""
+        """Add a time limit that no part of the program implements; ``gap`` describes what exists instead."""
         row = Row(line, self.form, figure, Unit.SECONDS, seconds, Sense.AT_MOST, None, gap=gap)
         self.rows.append(row)
 
--- a/stairplank/scale/run.py
+++ b/stairplank/scale/run.py
@@ -1,4 +1,4 @@
-"""A scale run: sites one after the other, samples at each, results kept after every sample."""
+"""Runs a scale plan: starts one site after the other, samples each and writes the results each time."""
 
 from __future__ import annotations
 
@@ -22,57 +22,60 @@
 from .site import Site
 from .site_groups import SiteKey, by_site
 
-CHANGES_SPARE_S = 2.0  # for which the list goes on to change beyond a span
+EXTRA_CHANGES_S = 2.0  # the node list keeps changing for this time after the end of a span
 Progress = Callable[[str], None]
 
 
 class Run:
-    """``target`` is the results file; ``progress`` is told what happens."""
+    """A run of one plan. ``target`` is the results file; ``progress`` receives each progress message."""
 
     def __init__(self, plan: Plan, target: Path, label: str, progress: Progress) -> None:
         self._plan = plan
         self._target = target
         self._progress = progress
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self._samples: list[Sample] = []
         self._label = label
-        self._is_whole = True
+        self._is_complete = True
 
     def run(self) -> Results:
-        """Take all samples, or those that the bound of time allows; what was measured when a signal came."""
+        """Take the samples of the plan and return the results.
+
+        The results are partial where the time limit or a signal ended the run early, or a process failed.
+        """
         with signals_raise(), tempfile.TemporaryDirectory(prefix="stairplank-scale-") as work:
             try:
                 for number, (key, specs) in enumerate(by_site(self._plan.samples).items()):
-                    if self._seconds() > self._plan.time_most_s:
+                    if self._elapsed_s() > self._plan.time_most_s:
                         self._progress(f"ended by time-most, {self._plan.time_most_s:g} s")
-                        self._is_whole = False
+                        self._is_complete = False
                         break
-                    self._at_site(key, specs, Path(work) / f"site-{number}")
+                    self._sample_site(key, specs, Path(work) / f"site-{number}")
             except Interrupted as reason:
                 self._progress(f"interrupted by {reason}")
-                self._is_whole = False
-        self._keep(partial=not self._is_whole)
+                self._is_complete = False
+        self._write_results(partial=not self._is_complete)
         return results.read(self._target)
 
-    # One site
+    # Samples
 
-    def _at_site(self, key: SiteKey, specs: list[SampleSpec], folder: Path) -> None:
+    def _sample_site(self, key: SiteKey, specs: list[SampleSpec], folder: Path) -> None:
         try:
             if key.event in SETTINGS_EVENTS:
-                self._at_settings_site(key, specs, folder)
+                self._sample_settings_site(key, specs, folder)
                 return
             site = self._start(key, specs, folder)
             try:
                 for spec in specs:
-                    self._take(site, spec)
+                    self._take_sample(site, spec)
             finally:
                 with deferred():
                     site.end()
         except ChildError as error:
             self._progress(f"not measured: {error}")
-            self._is_whole = False
+            self._is_complete = False
 
-    def _at_settings_site(self, key: SiteKey, specs: list[SampleSpec], folder: Path) -> None:
+    def _sample_settings_site(self, key: SiteKey, specs: list[SampleSpec], folder: Path) -> None:
         self._progress(f"{key.form}: {key.planners} planners that follow a configuration")
         site = SettingsSite(key.planners, folder)
         try:
@@ -86,32 +89,32 @@
         real = bounds.real_planners_of(self._plan, specs[0])
         return Site(FORMS[key.form], key.workers, key.planners, real, self._plan.layout, folder)
 
-    def _take(self, site: Site, spec: SampleSpec) -> None:
+    def _take_sample(self, site: Site, spec: SampleSpec) -> None:
         size = spec.size
         site.generate(0.0, 0.0)
         site.place(size.running, spec.life_s)
         site.generate(size.starts_per_s, spec.life_s)
         time.sleep(self._plan.settle_s)
-        self._add(spec, self._event(site, spec) if spec.is_event else self._span(site, spec))
+        self._add(spec, self._event_sample(site, spec) if spec.is_event else self._span_sample(site, spec))
 
     def _add(self, spec: SampleSpec, sample: Sample) -> None:
         self._samples.append(sample)
-        self._keep(partial=True)
+        self._write_results(partial=True)
         self._progress(f"  {len(self._samples)} of {len(self._plan.samples)}: {describe(spec)}")
 
-    def _span(self, site: Site, spec: SampleSpec) -> Sample:
+    def _span_sample(self, site: Site, spec: SampleSpec) -> Sample:
         if spec.list_changes_per_s:
-            site.change_list(spec.list_changes_per_s, spec.span_s + CHANGES_SPARE_S)
+            site.change_list(spec.list_changes_per_s, spec.span_s + EXTRA_CHANGES_S)
         before = site.snapshot()
         time.sleep(spec.span_s)
         after = site.snapshot()
         planner = planner_cost(before, after, site.real_planners)
         peers = peer_cost(before, after, spec.size.workers)
-        notes = _real_note(site) + _load_note(spec, before.running, after.running, after.waiting)
+        notes = _hollow_planners_note(site) + _load_note(spec, before.running, after.running, after.waiting)
         span_s = round(after.at - before.at, 3)
         return Sample(spec.form, spec.load, spec.size, span_s, spec.repeat, planner, peers, note=notes)
 
-    def _event(self, site: Site, spec: SampleSpec) -> Sample:
+    def _event_sample(self, site: Site, spec: SampleSpec) -> Sample:
         began = time.monotonic()
         observed = events.run(spec.load, site)
         span_s = round(time.monotonic() - began, 3)
@@ -120,23 +123,23 @@
 
     # Results
 
-    def _seconds(self) -> float:
-        return time.monotonic() - self._began
+    def _elapsed_s(self) -> float:
+        return time.monotonic() - self._started_at
 
-    def _keep(self, partial: bool) -> None:
+    def _write_results(self, partial: bool) -> None:
         samples = tuple(self._samples)
-        kept = Results(self._label, machine(), samples, partial, round(self._seconds(), 1))
-        results.write(kept, self._target)
+        current = Results(self._label, machine(), samples, partial, round(self._elapsed_s(), 1))
+        results.write(current, self._target)
 
 
-def _real_note(site: Site) -> str:
+def _hollow_planners_note(site: Site) -> str:
     if site.real_planners == site.planners:
         return ""
     return f"{site.real_planners} of {site.planners} planners real, the others hollow"
 
 
 def _load_note(spec: SampleSpec, before: int, after: int, waiting: int) -> str:
-    """Says where the load was not what was asked for."""
+    """Describe the load of a sample where it differed from the planned load, else return an empty string."""
     drift = max(abs(before - spec.size.running), abs(after - spec.size.running))
     if drift <= max(5, 0.05 * spec.size.running) and waiting <= max(5, spec.size.starts_per_s):
         return ""
--- a/stairplank/scale/settings_change.py
+++ b/stairplank/scale/settings_change.py
@@ -1,7 +1,7 @@
-"""Changes of the settings at planners of the gRPC form: published while they run, and by restarts.
+"""Measures configuration changes at planners of the gRPC form: live changes, and changes by restarts.
 
-All planners are real processes here. They have no workers and no tasks: nothing of what a change costs
-touches those. The text is one of a site with as many tenants as ``TENANTS``.
+All planners are real processes. They have no workers and no tasks, because these do not affect the cost of a
+change. The configuration is that of a site with ``TENANTS`` tenants.
 """
 
 from __future__ import annotations
@@ -25,16 +25,19 @@
 CHANGE_EVERY_S = 1.0
 START_TIMEOUT_S = 60.0
 POLL_S = 0.02
-NO_LIST_PORT = 1  # nobody serves a node list there
+UNUSED_PORT = 1  # no node list service listens on this port
 
 
 def site_text(change: int) -> str:
-    """The configuration after so many changes: another aim each time, as any other key would be."""
+    """Return the configuration after this number of changes.
+
+    Each change sets another latency objective; a change of any other key would cost the same.
+    """
     return grpc_files.site_text(zones=1, tenants=TENANTS, aim_ms=1000 + change)
 
 
 class SettingsSite:
-    """Planners that follow replicas of the configuration service. Starts on construction."""
+    """Planners that follow replicas of the configuration service. The constructor starts all processes."""
 
     def __init__(self, planners: int, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -58,7 +61,7 @@
         self.children.end_all()
 
     def sample(self, spec: SampleSpec) -> Sample:
-        """The sample that is asked for."""
+        """Take the sample that the specification describes."""
         if spec.load == SETTINGS_FOLLOWED:
             return self._span(spec, 0)
         if spec.load == SETTINGS_CHANGE:
@@ -68,7 +71,7 @@
     # Samples
 
     def _span(self, spec: SampleSpec, changes: int) -> Sample:
-        """So many changes, evenly over a span."""
+        """Publish this number of changes, evenly over a span, and measure the cost of a planner."""
         before, cpu_before, began = self._traffic(), self._cpu(), time.monotonic()
         delays = []
         for number in range(changes):
@@ -92,7 +95,7 @@
         )
 
     def _restart(self, spec: SampleSpec) -> Sample:
-        """A change by a file for each planner and a restart of all of them at once."""
+        """Change the configuration by restarting all planners at once with changed files."""
         began = time.monotonic()
         self.changes += 1
         for child in self.real:
@@ -117,22 +120,26 @@
         )
 
     def _change(self) -> float:
-        """Publish a change; seconds from its commit until the last planner has it in force."""
+        """Publish a change; return the seconds from its commit until the last planner has it in force."""
         self.changes += 1
         self.replicas.ask("publish", text=site_text(self.changes))
-        slowest: float = wait_for(self._slowest, START_TIMEOUT_S, self.replicas)[0]
+        slowest: float = wait_for(self._slowest_delay, START_TIMEOUT_S, self.replicas)[0]
         return slowest
 
-    def _slowest(self) -> list[float]:
-        found = self.replicas.ask("slowest", planners=self.planners)
-        return [] if found is None else [found]
+    def _slowest_delay(self) -> list[float]:
+        """Return the longest delay of any planner as a list, empty until all have applied the change.
+
+        It is a list because ``wait_for`` would take a plain delay of 0 as no value.
+        """
+        delay = self.replicas.ask("slowest", planners=self.planners)
+        return [] if delay is None else [delay]
 
     # Planners
 
     def _start(self, position: int, follows: bool) -> Child:
         replicas = self.addresses if follows else ()
         file = grpc_files.write_planner_file(
-            self.folder, position, self.planners, NO_LIST_PORT, site_text(self.changes), replicas
+            self.folder, position, self.planners, UNUSED_PORT, site_text(self.changes), replicas
         )
         arguments, environment = FORMS[GRPC].command(file)
         return self.children.plain(f"planner-{position}", arguments, environment)
@@ -155,7 +162,7 @@
     def _cost(
         self, before: dict[int, Counts], after: dict[int, Counts], cpu_before: list[float], span_s: float
     ) -> PlannerCost:
-        """The mean over all planners."""
+        """Return the mean cost of a planner between two counts of traffic."""
         spent = [after[p].minus(before.get(p, Counts())) for p in sorted(after)]
         cpu = [b - a for a, b in zip(cpu_before, self._cpu(), strict=True)]
         return PlannerCost(
--- a/stairplank/scale/site.py
+++ b/stairplank/scale/site.py
@@ -1,8 +1,8 @@
-"""A site on loopback: real planners beside hollow workers, planners, list and clients.
+"""A site on loopback: real planners with hollow workers, hollow planners, a node list and clients.
 
-Real planners have the first positions of the fleet. In the platform form every planner reaches its peers at
-loopback addresses of its own (``loopback``), so that traffic is counted for each; in the gRPC form planners
-say who they are.
+Real planners take the first positions of the group. To count the traffic of each planner, the platform form
+gives every planner separate loopback addresses for its peers (``loopback``); in the gRPC form a planner
+identifies itself to its peers.
 """
 
 from __future__ import annotations
@@ -28,25 +28,25 @@
 
 @dataclass(slots=True)
 class Snapshot:
-    """All totals of a site at one moment."""
+    """The cumulative counts and current gauges of a site at one moment."""
 
     at: float
-    workers: dict[int, Counts] = field(default_factory=dict)  # by planner
+    workers: dict[int, Counts] = field(default_factory=dict)  # by position of the planner
     task_machines: dict[int, int] = field(default_factory=dict)
     node_list: dict[int, Counts] = field(default_factory=dict)
     clients: dict[int, Counts] = field(default_factory=dict)
-    planner_cpu: list[float] = field(default_factory=list)  # of the real ones
+    planner_cpu: list[float] = field(default_factory=list)  # processor seconds of each real planner
     planner_memory: list[float] = field(default_factory=list)
     list_cpu: float = 0.0
-    held: int = 0  # tasks at workers, the copies that no client knows of included
-    running: int = 0  # tasks of clients
+    held: int = 0  # tasks at workers, including copies that no client knows of
+    running: int = 0  # running tasks as the clients count them
     waiting: int = 0
     placed: int = 0
     refused: int = 0
 
 
 class Site:
-    """Starts on construction; ``end`` ends every process."""
+    """A running site. The constructor starts all processes; ``end`` ends them."""
 
     def __init__(
         self, form: Form, workers: int, planners: int, real_planners: int, layout: Layout, folder: Path
@@ -107,7 +107,7 @@
         return self.form.write_planner_file(self.folder, position, self.planners, self.list_port, self.layout)
 
     def _start_planners(self) -> list[str]:
-        """Their addresses in the order of their positions."""
+        """Start all planners; return their addresses in the order of their positions."""
         self.real = [self._start_real(position) for position in range(self.real_planners)]
         hollow = [str(path) for path in self.files[self.real_planners :]]
         count = len(self.planner_hosts)
@@ -126,21 +126,24 @@
         return served_at(self.form, child.log)
 
     def address_of(self, child: Child) -> str:
-        """Where a real planner serves, once it does."""
+        """Wait until a real planner serves and return its address."""
         address: str = wait_for(lambda: self._served_at(child), START_TIMEOUT_S, child)
         return address
 
     def _wait_for_links(self) -> None:
-        """Where planners keep connections to all workers, until these are up."""
+        """Wait until every planner has a connection to every worker."""
         wanted = self.workers * self.planners
         deadline = time.monotonic() + LINKS_TIMEOUT_S
         while sum(answer["open"] for answer in ask_all(self.worker_hosts, "snapshot")) < wanted:
             if time.monotonic() > deadline:
-                raise self.worker_hosts[0].failure("not every planner has linked to every worker")
+                raise self.worker_hosts[0].failure("not every planner is connected to every worker")
             time.sleep(LINKS_POLL_S)
 
     def restart_planners(self, positions: list[int]) -> list[float]:
-        """Kill and start these real planners; for each the seconds until it served."""
+        """Kill and restart these real planners; return the seconds until each one served.
+
+        A planner that does not serve before the timeout is left out.
+        """
         for position in positions:
             self.children.end(self.real[position])
         began = time.monotonic()
@@ -174,7 +177,7 @@
         ask_all(self.worker_hosts, "crash", names=workers)
 
     def start_again(self, workers: list[str]) -> None:
-        """They come back without their tasks, and the list says so."""
+        """Restart the workers without their tasks and publish their new list entries."""
         rows = [row for answer in ask_all(self.worker_hosts, "start_again", names=workers) for row in answer]
         self.list.ask("publish", rows=rows)
 
@@ -185,11 +188,11 @@
         ask_all(self.worker_hosts, "speak_again", names=workers)
 
     def delist(self, workers: list[str]) -> None:
-        """The list says that they are gone."""
+        """Publish list entries that mark the workers as deleted."""
         self.list.ask("publish", rows=[self.rows[name] | {"health": "DELETED"} for name in workers])
 
     def move_list(self) -> float:
-        """Have every real planner watch another list; seconds until the last one does."""
+        """Switch every real planner to another node list; return the seconds until all of them watch it."""
         moved = self._hollow("list", 1)
         port = moved.ask("start")
         moved.ask("publish", rows=list(self.rows.values()))
@@ -233,10 +236,10 @@
         into[int(planner)] = into.get(int(planner), Counts()).plus(Counts(**values))
 
 
-def wait_for(what: Callable[[], Any], timeout_s: float, child: Child) -> Any:
-    """The first true value. Raises ChildError where the child ends or time is over."""
+def wait_for(read_value: Callable[[], Any], timeout_s: float, child: Child) -> Any:
+    """Poll until the value is true and return it. Raises ChildError if the child ends or the time is up."""
     deadline = time.monotonic() + timeout_s
-    while not (value := what()):
+    while not (value := read_value()):
         if child.process.poll() is not None:
             raise child.failure("has ended")
         if time.monotonic() > deadline:
--- a/stairplank/scale/site_groups.py
+++ b/stairplank/scale/site_groups.py
@@ -1,7 +1,7 @@
-"""Which samples of a scale run are taken at one site, and in which order. No I/O.
+"""Groups the samples of a scale run by site and orders them. No I/O.
 
-A site is started anew for each rate of starts, as tasks that were placed to stand do not end by themselves.
-An empty site can take up any load, so its sample comes first at the next site of the same size.
+Each rate of starts needs a new site, because the running tasks of an earlier sample do not end by themselves.
+An empty site can take any load, so its sample is taken first at another site of the same size.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteKey:
-    """Samples that agree in these are taken at one site."""
+    """The properties of a site: samples with equal keys are taken at the same site."""
 
     form: str
     workers: int
@@ -24,8 +24,8 @@
     event: str
     repeat: int
 
-    def is_size_of(self, other: SiteKey) -> bool:
-        """Whether both sites are built alike."""
+    def has_same_size(self, other: SiteKey) -> bool:
+        """Whether both sites differ at most in their rate of starts."""
         return (self.form, self.workers, self.planners, self.event, self.repeat) == (
             other.form,
             other.workers,
@@ -36,12 +36,12 @@
 
 
 def by_site(samples: Iterable[SampleSpec]) -> dict[SiteKey, list[SampleSpec]]:
-    """The samples of each site in the order in which they are taken."""
+    """Return the samples of each site in the order in which they are taken."""
     groups: dict[SiteKey, list[SampleSpec]] = {}
     for spec in samples:
         groups.setdefault(_key_of(spec), []).append(spec)
     for key in [key for key, specs in groups.items() if not key.event and all(map(_is_empty, specs))]:
-        other = next((each for each in groups if each != key and each.is_size_of(key)), None)
+        other = next((site for site in groups if site != key and site.has_same_size(key)), None)
         if other is not None:
             groups[other] += groups.pop(key)
     for specs in groups.values():
@@ -52,7 +52,7 @@
 def _key_of(spec: SampleSpec) -> SiteKey:
     size, event = spec.size, spec.load if spec.is_event else ""
     if event in SETTINGS_EVENTS:
-        event = SETTINGS_EVENTS[0]  # all at one site
+        event = SETTINGS_EVENTS[0]  # all settings events share one site
     return SiteKey(spec.form, size.workers, size.planners, size.starts_per_s, event, spec.repeat)
 
 
@@ -61,6 +61,6 @@
 
 
 def _order(spec: SampleSpec) -> tuple[int, float, int]:
-    """The sample with fewest running tasks first; a restart of planners last."""
+    """Sort key: fewer running tasks first, then fewer list changes; a restart of planners comes last."""
     event = SETTINGS_EVENTS.index(spec.load) if spec.load in SETTINGS_EVENTS else 0
     return spec.size.running, spec.list_changes_per_s, event
--- a/stairplank/scale/slope_tables.py
+++ b/stairplank/scale/slope_tables.py
@@ -1,4 +1,4 @@
-"""How each figure grows with each size, and the points of what is not straight, as tables. No I/O."""
+"""Tables of the fitted slopes, and of the points of series that are not straight lines. No I/O."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 def slopes_table(slopes: Slopes) -> str:
-    """Constant, slope and residuals of every figure along every axis."""
+    """Return a table of the constant, slope and residuals of every figure along every axis."""
     heads = ("by", "figure", "sizes", "constant", "slope, for each", "residual", "worst", "shape")
-    return table(heads, (_slope_cells(found) for found in _all_series(slopes)))
+    return table(heads, (_slope_cells(series) for series in _all_series(slopes)))
 
 
 def shapes_table(slopes: Slopes) -> str:
-    """The points of the series that are not straight."""
+    """Return a table of the points of the series that are not straight."""
     heads = ("by", "figure", "points, size: value")
-    bent = (found for found in _all_series(slopes) if found.shape is Shape.BENT)
+    bent = (series for series in _all_series(slopes) if series.shape is Shape.BENT)
     return table(heads, ((s.axis.title, s.figure.title, _points(s)) for s in bent))
 
 
@@ -42,20 +42,20 @@
             yield slopes.of(axis, figure)
 
 
-def _slope_cells(found: Series) -> tuple[str, ...]:
-    head = found.axis.title, found.figure.title, _sizes(found)
-    line = found.line
+def _slope_cells(series: Series) -> tuple[str, ...]:
+    head = series.axis.title, series.figure.title, _sizes(series)
+    line = series.line
     if line is None:
-        wanted = f"{NOT_MEASURED}: {len(found.points)} of {LEAST_SIZES} sizes; {found.axis.wanted}"
+        wanted = f"{NOT_MEASURED}: {len(series.points)} of {LEAST_SIZES} sizes; {series.axis.wanted}"
         return (*head, "", "", "", "", wanted)
-    unit = found.figure.unit
+    unit = series.figure.unit
     fitted = amount(line.constant, unit), amount(line.slope, unit)
-    return (*head, *fitted, share(line.rms), share(line.worst), found.shape.value)
+    return (*head, *fitted, share(line.rms), share(line.worst), series.shape.value)
 
 
-def _sizes(found: Series) -> str:
-    return ", ".join(number(point.size) for point in found.points)
+def _sizes(series: Series) -> str:
+    return ", ".join(number(point.size) for point in series.points)
 
 
-def _points(found: Series) -> str:
-    return "; ".join(f"{number(p.size)}: {amount(p.value, found.figure.unit)}" for p in found.points)
+def _points(series: Series) -> str:
+    return "; ".join(f"{number(p.size)}: {amount(p.value, series.figure.unit)}" for p in series.points)
--- a/stairplank/scale/socket_bytes.py
+++ b/stairplank/scale/socket_bytes.py
@@ -1,7 +1,8 @@
-"""What went over gRPC connections, by the kernel's count of each socket (TCP_INFO). Linux only.
+"""Counts the traffic of gRPC connections from the kernel's counters of each socket (TCP_INFO). Linux only.
 
-Task messages are counted as they are said, with the headers of their frames; all other bytes of a socket are
-control. Control messages are estimated from packets: a segment and its acknowledgement are one message.
+Task messages are counted when they are sent or received, with their frame headers; all other bytes of a
+socket are control. Control messages are estimated from packets: a segment and its acknowledgement count as
+one message.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 
 GRPC_FRAME_BYTES, HTTP2_FRAME_BYTES = 5, 9
 INFO_BYTES = 144
-# Of struct tcp_info: bytes acknowledged by and received from the other side, segments out and in.
+# Fields of struct tcp_info: bytes acknowledged by the peer, bytes received, segments sent, segments received.
 INFO = struct.Struct("=120xQQII")
 
 
 @dataclass(slots=True)
 class Usage:
-    """Of one socket so far."""
+    """The bytes and segments of one socket so far, in both directions."""
 
     bytes: int = 0
     segments: int = 0
 
 
 def usage_of(sock: Any, last: Usage) -> Usage:
-    """The kernel's counts; the last known ones for a socket that is closed."""
+    """Read the kernel's counters of a socket; returns ``last`` where the socket is already closed."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, INFO_BYTES)
         acknowledged, received, segments_out, segments_in = INFO.unpack(info[: INFO.size])
@@ -39,12 +40,12 @@
 
 
 class SocketTraffic:
-    """Of one planner."""
+    """Counts the traffic of one planner over all its connections."""
 
     def __init__(self) -> None:
         self.connections = OpenConnections(time.monotonic())
         self._dials = 0
-        self._open: dict[Any, Usage] = {}  # by connection
+        self._open: dict[Any, Usage] = {}  # last counters of each open connection
         self._closed = Usage()
         self._task_messages = self._task_bytes = 0
 
@@ -64,8 +65,8 @@
         self._task_bytes += message.ByteSize() + GRPC_FRAME_BYTES + HTTP2_FRAME_BYTES
 
     def counts(self) -> Counts:
-        """Totals so far."""
-        self._open = {each: usage_of(each.sock, usage) for each, usage in self._open.items()}
+        """Return the totals so far."""
+        self._open = {conn: usage_of(conn.sock, usage) for conn, usage in self._open.items()}
         usages = [self._closed, *self._open.values()]
         messages = sum(usage.segments for usage in usages) // 2
         return Counts(
@@ -79,7 +80,7 @@
 
 
 class TrafficByPlanner(dict[int, SocketTraffic]):
-    """Counts the traffic of light nodes as their observer."""
+    """Counts the traffic of each planner; a hollow node or service calls it as its observer."""
 
     def __missing__(self, planner: int) -> SocketTraffic:
         self[planner] = SocketTraffic()
--- a/stairplank/scale/tables.py
+++ b/stairplank/scale/tables.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, by name, from the results of one or two runs of the same state. No I/O."""
+"""Builds the tables of docs/CAPACITY.md from the results of one or two runs of the same state. No I/O."""
 
 from __future__ import annotations
 
@@ -32,8 +32,11 @@
 
 
 class CapacityTables:
-    """``runs``: the results of one state of the program, the first run first; ``before`` and
-    ``after``: runs of an earlier state and of this one, side by side."""
+    """The tables of the capacity page.
+
+    ``runs`` holds the results of one state of the program, in the order of the runs. ``before`` and ``after``
+    hold runs of an earlier state and of this one, taken side by side.
+    """
 
     def __init__(
         self,
@@ -50,8 +53,8 @@
         self.slopes = {site.form: Slopes(site.samples) for site in self.sites}
 
     def all(self) -> dict[str, str]:
-        """Each table of the page by its name."""
-        found = {
+        """Return each table of the page by its name."""
+        tables = {
             "target": self._target(),
             "runs": self._runs(),
             "capacity": self._capacity(),
@@ -66,20 +69,20 @@
         }
         for site in self.sites:
             slopes, form = self.slopes[site.form], site.form.value
-            found[f"slopes-{form}"] = slopes_table(slopes)
-            found[f"shapes-{form}"] = shapes_table(slopes)
-            found[f"planners-{form}"] = self._planners(site)
-        return found
+            tables[f"slopes-{form}"] = slopes_table(slopes)
+            tables[f"shapes-{form}"] = shapes_table(slopes)
+            tables[f"planners-{form}"] = self._planners(site)
+        return tables
 
     def rows(self) -> list[Row]:
-        """The rows of the capacity table, of both forms, in the order of the target's lines."""
-        found = [row for site in self.sites for row in capacity(site, self.slopes[site.form])]
+        """Return the rows of the capacity table for both forms, in the order of the target's lines."""
+        rows = [row for site in self.sites for row in capacity(site, self.slopes[site.form])]
         order = list(TargetLine)
-        return sorted(found, key=lambda row: order.index(row.line))
+        return sorted(rows, key=lambda row: order.index(row.line))
 
     def _target(self) -> str:
-        asked = described(self.target)
-        return table(("line", "what is asked"), ((line.value, asked[line]) for line in TargetLine))
+        requirements = described(self.target)
+        return table(("line", "what is asked"), ((line.value, requirements[line]) for line in TargetLine))
 
     def _runs(self) -> str:
         heads = ("run", "state of the program", "machine", "samples", "seconds", "whole")
@@ -113,9 +116,9 @@
         body = table([*heads, "largest over its allowance"], map(self._planner_cells, counts))
         peak = self.target.starts_per_s
         standing, at_peak = (fewest_cell(fewest_within(site, slopes, rate)) for rate in (0.0, peak))
-        found = f"{standing} without starts, {at_peak} at the peak"
+        numbers = f"{standing} without starts, {at_peak} at the peak"
         head = "Fewest within all three allowances, by the slopes between and beyond the measured numbers"
-        return f"{body}\n{head}: {found}.\n"
+        return f"{body}\n{head}: {numbers}.\n"
 
     def _planner_cells(self, count: PlannerCount) -> list[str]:
         target, planners = self.target, count.planners
@@ -136,7 +139,7 @@
         return table((*heads, "what would measure the rest"), rows)
 
     def _planners_of(self, site: Site) -> int:
-        """The number that suits best of those measured; without any, one a machine."""
+        """Return the best measured number of planners; one a machine where none was measured."""
         best = best_measured(site, self.slopes[site.form])
         return best.planners if best else self.target.planner_machines
 
--- a/stairplank/scale/target.py
+++ b/stairplank/scale/target.py
@@ -1,4 +1,4 @@
-"""What a site has to carry: the twelve lines of the target, read from a settings file. Decides nothing."""
+"""Reads the target of a site: twelve requirements, each one a line, from a settings file."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class TargetLine(Enum):
-    """The lines of the target, each with the heading that the page gives it."""
+    """The lines of the target; each value is the heading of the line on the capacity page."""
 
     WORKERS = "workers and accelerators"
     STARTS = "jobs a day and starts at the peak"
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Typed figures of one site. Times are in seconds, as those of the results file."""
+    """The required figures of one site. Times are in seconds, as in the results file."""
 
     workers: int
     accelerators: int
@@ -69,7 +69,7 @@
     zones: int
     configuration_changes_per_day: int
     configuration_in_force_s: float
-    control_cpu_share: float  # of one core
+    control_cpu_share: float  # processor time as a share of one core
     control_memory_mb: float
     control_bytes_per_s: float
     planner_machines: int
@@ -81,40 +81,40 @@
 
 
 def load_target(path: str | Path = SHIPPED) -> Target:
-    """Read, check and type a target file. Raises SettingsError."""
+    """Read and validate a target file. Raises SettingsError."""
     return target_from(load_section(path, TARGET))
 
 
 def target_from(section: Section) -> Target:
-    """The typed figures of a section that was checked against ``TARGET``."""
-    one = section.value
+    """Convert a section that was validated against ``TARGET``."""
+    value_of = section.value
     return Target(
-        workers=one("workers"),
-        accelerators=one("accelerators"),
-        jobs_per_day=one("jobs-per-day"),
-        starts_per_s=one("starts-per-second"),
-        running=one("running"),
-        gang_most=one("gang-most"),
-        teams=one("teams"),
-        urgent_start_s=one("urgent-start") / 1e6,
-        regions=one("regions"),
-        zones=one("zones"),
-        configuration_changes_per_day=one("configuration-changes-per-day"),
-        configuration_in_force_s=one("configuration-in-force") / 1e6,
-        control_cpu_share=one("control-cores"),
-        control_memory_mb=one("control-memory-mb"),
-        control_bytes_per_s=one("control-bytes-per-second"),
-        planner_machines=one("planner-machines"),
-        machine_failures_per_day=one("machine-failures-per-day"),
-        machine_restarts_per_day=one("machine-restarts-per-day"),
-        rack_failures_per_year=one("rack-failures-per-year"),
-        zone_failures_per_year=one("zone-failures-per-year"),
-        region_cut_s=one("region-cut") / 1e6,
+        workers=value_of("workers"),
+        accelerators=value_of("accelerators"),
+        jobs_per_day=value_of("jobs-per-day"),
+        starts_per_s=value_of("starts-per-second"),
+        running=value_of("running"),
+        gang_most=value_of("gang-most"),
+        teams=value_of("teams"),
+        urgent_start_s=value_of("urgent-start") / 1e6,
+        regions=value_of("regions"),
+        zones=value_of("zones"),
+        configuration_changes_per_day=value_of("configuration-changes-per-day"),
+        configuration_in_force_s=value_of("configuration-in-force") / 1e6,
+        control_cpu_share=value_of("control-cores"),
+        control_memory_mb=value_of("control-memory-mb"),
+        control_bytes_per_s=value_of("control-bytes-per-second"),
+        planner_machines=value_of("planner-machines"),
+        machine_failures_per_day=value_of("machine-failures-per-day"),
+        machine_restarts_per_day=value_of("machine-restarts-per-day"),
+        rack_failures_per_year=value_of("rack-failures-per-year"),
+        zone_failures_per_year=value_of("zone-failures-per-year"),
+        region_cut_s=value_of("region-cut") / 1e6,
     )
 
 
 def described(target: Target) -> dict[TargetLine, str]:
-    """What each line asks for, as the page writes it."""
+    """Return the requirement of each line as the capacity page writes it."""
     racks, zones = target.rack_failures_per_year, target.zone_failures_per_year
     return {
         TargetLine.WORKERS: f"{target.workers:,} workers, {target.accelerators:,} accelerators among them",
--- a/stairplank/scale/verdicts.py
+++ b/stairplank/scale/verdicts.py
@@ -1,4 +1,4 @@
-"""One row of the capacity table: a figure against its allowance, what carries it, and the verdict. No I/O."""
+"""A row of the capacity table: a figure, its allowance, the code that provides it, the verdict. No I/O."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Form(Enum):
-    """The two forms of the planner, as samples name them."""
+    """The two forms of the planner; samples name the form by its value."""
 
     PLATFORM = "platform"
     GRPC = "grpc"
 
 
 class Verdict(Enum):
-    """What a row says of the target."""
+    """Whether a figure meets the target."""
 
     HOLDS = "holds"
     SHORT = "short"
@@ -32,12 +32,12 @@
     AT_LEAST = "at least"
 
 
-CLOSE_SHARE = 0.10  # a cost so near its allowance holds or fails by less than runs of one state may differ
+CLOSE_SHARE = 0.10  # a cost this near its allowance could be over it in another run of the same state
 
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """The part of the program that carries a figure; ``name`` is found in ``module``."""
+    """The part of the program that provides a figure; ``name`` is defined in ``module``."""
 
     module: str
     name: str
@@ -48,8 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A figure of one line of the target. ``mechanism`` None: no part of the program carries it; ``gap`` says
-    what is there instead. ``wanted`` names what would measure a figure that was not."""
+    """A figure of one line of the target.
+
+    ``mechanism`` is None where no part of the program provides the figure; ``gap`` then describes what exists
+    instead. ``wanted`` names the measurement that would give a missing figure.
+    """
 
     line: TargetLine
     form: Form
@@ -61,11 +64,11 @@
     measured: float | None = None
     wanted: str = ""
     gap: str = ""
-    computed: bool = False  # worked out from measured figures, not measured as it stands
+    computed: bool = False  # computed from measured figures, not measured directly
 
     @property
     def ratio(self) -> float | None:
-        """Above 1 the site is short by so much; None without a measured figure."""
+        """The factor by which the figure is short, if above 1; None where it was not measured."""
         if self.measured is None or self.mechanism is None:
             return None
         if self.sense is Sense.AT_MOST:
@@ -74,7 +77,7 @@
 
     @property
     def is_close(self) -> bool:
-        """Whether a cost holds by less than noise may hide."""
+        """Whether a cost is within its allowance by a margin smaller than the noise between runs."""
         ratio = self.ratio
         return self.sense is Sense.AT_MOST and ratio is not None and 1 - CLOSE_SHARE < ratio <= 1
 
