--- a/stairplank/scale/grpc_peers.py
+++ b/stairplank/scale/grpc_peers.py
@@ -1,4 +1,4 @@
-"""Hollow peers of the gRPC form: light nodes, the stand-in node list, planners; many of each in a process."""
+"""Hollow peers of the gRPC form: processes that run many light nodes, the node list or many planners."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 from .socket_bytes import TrafficByPlanner
 
 POLL_S = 0.02
-FIRST_NODE = 1  # ids of nodes are not 0
+FIRST_NODE = 1  # 0 is not a valid node id
 MODEL = NodeListModel(update_delay_us=10_000, period_us=50_000)
 
 
 class GrpcWorkerHost:
-    """The commands of a process of light nodes."""
+    """Handles the commands sent to the process of light nodes."""
 
     def __init__(self) -> None:
         self._traffic = TrafficByPlanner()
         self._nodes: list[LightNode] = []
 
     def start(self, first: int, count: int, zones: int, rack_size: int) -> list[dict[str, Any]]:
-        """Start so many; the rows of the node list."""
+        """Starts ``count`` nodes. Returns the node list rows of all nodes in this process."""
         for number in range(first, first + count):
             rack = number // rack_size
             node = LightNode(FIRST_NODE + number, None, self._traffic, f"zone-{rack % zones}", f"r{rack}")
             self._nodes.append(node)
-        return [_row(node) for node in self._nodes]
+        return [_node_list_row(node) for node in self._nodes]
 
     def snapshot(self) -> dict[str, Any]:
-        """Totals by planner, and at how many nodes tasks of each planner run."""
+        """Returns the traffic of each planner and the number of nodes that run its tasks, with totals."""
         machines: dict[int, int] = {}
         for node in self._nodes:
             for planner in set(node.held.values()):
@@ -54,13 +54,13 @@
         }
 
 
-def _row(node: LightNode) -> dict[str, Any]:
+def _node_list_row(node: LightNode) -> dict[str, Any]:
     entry = base64.b64encode(node.entry().SerializeToString()).decode()
     return {"host": f"node-{node.id}", "entry": entry}
 
 
-class _CountedListing(NodeListServer):
-    """The stand-in list, with the traffic of each planner's watch."""
+class _CountingNodeListServer(NodeListServer):
+    """A stand-in node list that counts the traffic of each planner's watch."""
 
     def __init__(self, config: NodeListConfig) -> None:
         super().__init__(config)
@@ -76,38 +76,38 @@
 
 
 class GrpcList:
-    """The commands of the node list's process."""
+    """Handles the commands sent to the process of the node list."""
 
     def __init__(self) -> None:
-        self._listing = _CountedListing(NodeListConfig(("127.0.0.1:0",), MODEL, None, ()))
-        self._listing.start()
+        self._server = _CountingNodeListServer(NodeListConfig(("127.0.0.1:0",), MODEL, None, ()))
+        self._server.start()
 
     def start(self) -> int:
-        """Its port."""
-        return int(self._listing.server.addresses[0].rpartition(":")[2])
+        """Returns the port on which the node list listens."""
+        return int(self._server.server.addresses[0].rpartition(":")[2])
 
     def publish(self, rows: list[dict[str, Any]]) -> int:
-        """Tell of these rows; the number of the revision once it is told."""
+        """Adds ``rows`` to the list and waits until they are published. Returns the revision number."""
         entries = [directory_pb2.NodeEntry.FromString(base64.b64decode(row["entry"])) for row in rows]
         for node in node_list_from_proto(directory_pb2.NodeList(nodes=entries)).nodes:
-            self._listing.directory.announced(now_us(), node)
-        while len(self._listing.directory.nodes) < len(rows):
+            self._server.directory.announced(now_us(), node)
+        while len(self._server.directory.nodes) < len(rows):
             gevent.sleep(POLL_S)
-        return self._listing.directory.revision
+        return self._server.directory.revision
 
     def snapshot(self) -> dict[str, Any]:
-        traffic = self._listing.traffic
-        return {"traffic": {planner: asdict(one.counts()) for planner, one in traffic.items()}}
+        traffic = self._server.traffic
+        return {"traffic": {planner: asdict(each.counts()) for planner, each in traffic.items()}}
 
 
 class GrpcPlannerHost:
-    """The commands of a process of hollow planners."""
+    """Handles the commands sent to the process of hollow planners."""
 
     def __init__(self) -> None:
         self._daemons: list[Daemon] = []
 
     def start(self, files: list[str]) -> list[str]:
-        """Start one by each settings file; their addresses."""
+        """Starts one planner per settings file. Returns the planners' addresses."""
         daemons = [Daemon(load_planner(path)) for path in files]
         for daemon in daemons:
             daemon.start()
--- a/stairplank/scale/grpc_replicas.py
+++ b/stairplank/scale/grpc_replicas.py
@@ -1,4 +1,4 @@
-"""The process of a configuration service's replicas in a scale run, with each planner's traffic counted."""
+"""Runs the configuration service's replicas of a scale run in one process and counts traffic by planner."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .socket_bytes import TrafficByPlanner
 
 
-class _CountedReplica(ReplicaServer):
+class _CountingReplicaServer(ReplicaServer):
     def __init__(self, state_file: Path) -> None:
         super().__init__(("127.0.0.1:0",), state_file, text_problems)
         self.traffic = TrafficByPlanner()
@@ -28,30 +28,34 @@
 
 
 class ReplicaHost:
-    """The commands of that process."""
+    """Handles the commands sent to the process of configuration replicas."""
 
     def __init__(self) -> None:
-        self._replicas: list[_CountedReplica] = []
+        self._replicas: list[_CountingReplicaServer] = []
         self._addresses: tuple[str, ...] = ()
 
     def start(self, folder: str, count: int) -> list[str]:
-        """Start so many replicas; their addresses."""
-        self._replicas = [_CountedReplica(Path(folder) / f"replica-{number}.json") for number in range(count)]
+        """Starts ``count`` replicas. Returns their addresses."""
+        self._replicas = [
+            _CountingReplicaServer(Path(folder) / f"replica-{number}.json") for number in range(count)
+        ]
         for replica in self._replicas:
             replica.start()
         self._addresses = tuple(replica.server.addresses[0] for replica in self._replicas)
         return list(self._addresses)
 
     def publish(self, text: str) -> int:
-        """Publish it; the number of the revision. Raises RuntimeError where it was not published."""
+        """Publishes a configuration and returns its revision number. Raises RuntimeError on failure."""
         result = client.publish(self._addresses, text)
         if result.outcome is not PublicationOutcome.PUBLISHED:
-            raise RuntimeError(f"{result.outcome.value}: {result.problems}")
+            raise RuntimeError(f"configuration not published: {result.outcome.value}: {result.problems}")
         return result.revision.number
 
     def slowest(self, planners: int) -> float | None:
-        """Seconds from the commit until the last planner has reported that the committed revision is in
-        force; None while one of so many has not."""
+        """Returns the seconds from the commit until the last planner reported the revision in force.
+
+        Returns None until all ``planners`` planners have reported it.
+        """
         status = client.site_status(self._addresses)
         if not status.in_force_everywhere(planners):
             return None
@@ -59,7 +63,7 @@
         return max(delays, default=0) / 1e6
 
     def snapshot(self) -> dict[str, Any]:
-        """Totals by planner."""
+        """Returns each planner's traffic, summed over the replicas."""
         totals: dict[int, Counts] = {}
         for replica in self._replicas:
             for planner, traffic in replica.traffic.items():
--- a/stairplank/scale/hollow.py
+++ b/stairplank/scale/hollow.py
@@ -1,4 +1,4 @@
-"""``python -m stairplank.scale.hollow FORM ROLE``: a process of hollow peers, commanded by its starter."""
+"""``python -m stairplank.scale.hollow FORM ROLE`` runs hollow peers, on commands of its parent process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def host_of(form: str, role: str) -> Any:
-    """The object whose public methods are the commands."""
+    """Returns the object whose public methods are the commands of this form and role."""
     match form, role:
         case "platform", "workers":
             from .hollow_workers import WorkerHost
@@ -51,7 +51,7 @@
             from .grpc_replicas import ReplicaHost
 
             return ReplicaHost()
-    raise ValueError(f"no role {role!r} in the form {form!r}")
+    raise ValueError(f"unknown role {role!r} of form {form!r}")
 
 
 def commands(host: Any) -> Mapping[str, Handler]:
--- a/stairplank/scale/hollow_planners.py
+++ b/stairplank/scale/hollow_planners.py
@@ -1,4 +1,4 @@
-"""Hollow planners of the platform form: the same core and connections as a real one, many in a process."""
+"""Hollow planners of the platform form: many planners in a process, each with a real core and connections."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class PlannerHost:
-    """The commands of a process of hollow planners."""
+    """Handles the commands sent to the process of hollow planners."""
 
     def __init__(self) -> None:
         self._services: list[Service] = []
 
     def start(self, files: list[str]) -> list[str]:
-        """Start one by each configuration file; their addresses once all serve."""
+        """Starts one planner per settings file. Returns their addresses once all of them listen."""
         services = [Service(path) for path in files]
         for service in services:
             gevent.spawn(service.run)
--- a/stairplank/scale/hollow_workers.py
+++ b/stairplank/scale/hollow_workers.py
@@ -1,8 +1,8 @@
-"""Hollow workers of the platform form: they speak the whole protocol and do no work, hundreds in a process.
+"""Hollow workers of the platform form: they speak the whole protocol and run nothing, hundreds in a process.
 
-A set-up is answered with ``running`` at once and held for the life that its description names; then the
-worker ends it (``stop``, cause 16), on the newest connection of the planner, again on each new one until the
-planner has confirmed it. Bytes and messages are counted for each planner.
+A worker answers a placement with ``running`` at once and keeps the task for the run time in its description.
+It then reports the end (``stop``, cause 16) on the planner's newest connection, and again on each new
+connection until the planner has acknowledged it. Bytes and messages are counted by planner.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from .loopback import Listener
 
 READ_BYTES = 65_536
-LIFE_PREFIX = "life "  # of a task's description: how many seconds it runs; 0 for no end
-CORES, MEMORY = 30.0, 90.0  # free at a worker without tasks
+LIFE_PREFIX = "life "  # in a task's description, before its run time in seconds; 0 means no end
+CORES, MEMORY = 30.0, 90.0  # free capacity of a worker without tasks
 
 
 def description(life_s: float) -> str:
-    """What a client sends so that the task runs for so long; 0 for no end."""
+    """Returns the task description that makes a hollow worker run it for ``life_s``; 0 means no end."""
     return f"{LIFE_PREFIX}{life_s:.3f}"
 
 
@@ -37,14 +37,14 @@
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """A task that this worker holds."""
+    """A task that this worker runs."""
 
     planner: int
     timer: gevent.Greenlet | None = None
 
 
 class PlannerTraffic:
-    """What one worker process exchanged with one planner."""
+    """Counts the traffic between one worker process and one planner."""
 
     def __init__(self) -> None:
         self.counts = Counts()
@@ -56,7 +56,7 @@
 
 
 class Traffic(dict[int, PlannerTraffic]):
-    """By planner."""
+    """Maps a planner to its traffic; an entry is created on first use."""
 
     def __missing__(self, planner: int) -> PlannerTraffic:
         self[planner] = PlannerTraffic()
@@ -64,21 +64,21 @@
 
 
 class HollowWorker:
-    """One worker: a listener, its connections, and the tasks that it holds."""
+    """One worker: its listener, its connections and its running tasks."""
 
     def __init__(self, name: str, zone: str, rack: int, traffic: Traffic) -> None:
         self.name, self.zone, self.rack = name, zone, rack
         self.tasks: dict[str, Task] = {}
-        self.started_ms = 0  # Unix time; 0 where it did not start late
+        self.started_ms = 0  # Unix time of the last restart; 0 if it has not restarted
         self._traffic = traffic
-        self._connections: dict[int, list[Any]] = {}  # by planner, the newest last
-        self._unconfirmed: dict[int, dict[str, Message]] = {}  # ends of tasks, by planner and id
+        self._connections: dict[int, list[Any]] = {}  # sockets by planner, the newest last
+        self._unconfirmed: dict[int, dict[str, Message]] = {}  # task ends, by planner and task id
         self._is_silent = False
         self._listener = Listener()
         self._accepting = gevent.spawn(self._accept)
 
     def row(self) -> dict[str, Any]:
-        """Its line of the node list; ``port`` stands for the address, which differs by planner."""
+        """Returns the worker's node list row. It omits the address, which differs by planner."""
         return {
             "host": self.name,
             "port": self._listener.port,
@@ -97,7 +97,7 @@
     # Faults
 
     def crash(self) -> None:
-        """As a process that dies: nobody listens, connections are reset, tasks are lost."""
+        """Simulates a process crash: closes the listener, resets all connections and drops all tasks."""
         self._accepting.kill()
         self._listener.close()
         for connections in self._connections.values():
@@ -115,7 +115,7 @@
         self._accepting = gevent.spawn(self._accept)
 
     def fall_silent(self) -> None:
-        """As a host that vanishes: it answers nothing, and no connection ends."""
+        """Simulates the loss of a host: nothing is answered, and no connection is closed."""
         self._is_silent = True
         self._accepting.kill()
         self._listener.fall_silent()
@@ -159,7 +159,7 @@
             for line in lines.feed(data):
                 message = jsonlines.decode(line)
                 counts.count(is_control(message.kind), len(line) + 1)
-                self._take(sock, planner, message)
+                self._handle_message(sock, planner, message)
 
     def _send(self, sock: Any, planner: int, message: Message) -> None:
         data = jsonlines.encode(message)
@@ -168,38 +168,38 @@
 
     # Messages
 
-    def _take(self, sock: Any, planner: int, message: Message) -> None:
+    def _handle_message(self, sock: Any, planner: int, message: Message) -> None:
         match message.kind:
             case Kind.HEALTH_CHECK:
-                fields = {"load": self._load()} if message.cause else {}
+                fields = {"load": self._load_report()} if message.cause else {}
                 self._send(sock, planner, Message(Kind.HEALTH_CHECK_RESULT, message.id, fields, 1))
             case Kind.PLACE:
-                self._hold(planner, message)
+                self._start_task(planner, message)
                 self._send(sock, planner, Message(Kind.ANSWER, message.id, body=self.name))
             case Kind.RELEASE:
-                self._drop(message.id)
+                self._release_task(message.id)
                 self._send(sock, planner, Message(Kind.ACKNOWLEDGEMENT, message.id))
             case Kind.ACKNOWLEDGEMENT:
                 self._unconfirmed.get(planner, {}).pop(message.id, None)
 
-    def _load(self) -> str:
-        held = len(self.tasks)
-        cores, memory = max(0.0, CORES - held), max(0.0, MEMORY - 2 * held)
-        return f"x0:{cores:g};x1:{memory:g};utilization:{min(1.0, held / CORES):.3f}"
+    def _load_report(self) -> str:
+        running = len(self.tasks)
+        cores, memory = max(0.0, CORES - running), max(0.0, MEMORY - 2 * running)
+        return f"x0:{cores:g};x1:{memory:g};utilization:{min(1.0, running / CORES):.3f}"
 
-    def _hold(self, planner: int, message: Message) -> None:
+    def _start_task(self, planner: int, message: Message) -> None:
         task = self.tasks.setdefault(message.id, Task(planner))
         life_s = life_of(message.body)
         if life_s and task.timer is None:
-            task.timer = gevent.spawn_later(life_s, self._end, message.id)
+            task.timer = gevent.spawn_later(life_s, self._end_task, message.id)
 
-    def _drop(self, id: str) -> None:
+    def _release_task(self, id: str) -> None:
         task = self.tasks.pop(id, None)
         if task is not None and task.timer is not None:
             task.timer.kill(block=False)
 
-    def _end(self, id: str) -> None:
-        """The task's life is over: tell its planner."""
+    def _end_task(self, id: str) -> None:
+        """Ends a task whose run time is over and reports it to its planner."""
         task = self.tasks.pop(id, None)
         if task is None:
             return
@@ -210,18 +210,18 @@
             try:
                 self._send(connections[-1], task.planner, message)
             except OSError:
-                pass  # said again on the next connection
+                pass  # _serve() sends it again on the next connection
 
 
 class WorkerHost:
-    """The commands of a process of hollow workers."""
+    """Handles the commands sent to the process of hollow workers."""
 
     def __init__(self) -> None:
         self._traffic = Traffic()
         self._workers: dict[str, HollowWorker] = {}
 
     def start(self, first: int, count: int, zones: int, rack_size: int) -> list[dict[str, Any]]:
-        """Start so many; the rows of the node list."""
+        """Starts ``count`` workers. Returns the node list rows of all workers in this process."""
         for number in range(first, first + count):
             name, rack = f"worker-{number:05d}", number // rack_size
             worker = HollowWorker(name, f"zone-{rack % zones}", rack, self._traffic)
@@ -229,7 +229,7 @@
         return [worker.row() for worker in self._workers.values()]
 
     def snapshot(self) -> dict[str, Any]:
-        """Totals by planner, and at how many workers tasks of each planner run."""
+        """Returns the traffic of each planner and the number of workers that run its tasks, with totals."""
         machines: dict[int, int] = {}
         for worker in self._workers.values():
             for planner in worker.task_planners():
@@ -241,23 +241,23 @@
         }
 
     def crash(self, names: list[str]) -> None:
-        for worker in self._mine(names):
+        for worker in self._local_workers(names):
             worker.crash()
 
     def start_again(self, names: list[str]) -> list[dict[str, Any]]:
-        """The new rows of the node list."""
+        """Restarts these workers. Returns their new node list rows."""
         rows = []
-        for worker in self._mine(names):
+        for worker in self._local_workers(names):
             worker.start_again()
             rows.append(worker.row())
         return rows
 
     def fall_silent(self, names: list[str]) -> None:
-        gevent.joinall([gevent.spawn(worker.fall_silent) for worker in self._mine(names)])
+        gevent.joinall([gevent.spawn(worker.fall_silent) for worker in self._local_workers(names)])
 
     def speak_again(self, names: list[str]) -> None:
-        for worker in self._mine(names):
+        for worker in self._local_workers(names):
             worker.speak_again()
 
-    def _mine(self, names: list[str]) -> list[HollowWorker]:
+    def _local_workers(self, names: list[str]) -> list[HollowWorker]:
         return [self._workers[name] for name in names if name in self._workers]
--- a/stairplank/scale/interrupts.py
+++ b/stairplank/scale/interrupts.py
@@ -1,4 +1,4 @@
-"""SIGINT and SIGTERM as an exception, though not amid what must be done whole; of the whole process."""
+"""Turns SIGINT and SIGTERM into an exception, deferred during critical sections, for the whole process."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class Interrupted(Exception):
-    """A signal asks for the end; the text names it."""
+    """Raised on SIGINT or SIGTERM; the text is the name of the signal."""
 
 
 @dataclass(slots=True)
 class _State:
-    deferrals: int = 0  # entered and not left
-    pending: str = ""  # the signal that came meanwhile
+    deferrals: int = 0  # nested deferred() blocks that are active
+    pending: str = ""  # name of the signal that arrived in a deferred() block
 
 
 _state = _State()
@@ -26,7 +26,7 @@
 
 @contextmanager
 def signals_raise() -> Iterator[None]:
-    """The first signal raises Interrupted in here; further ones must not disturb what ends then."""
+    """Raises Interrupted on the first signal in this block; later signals must not disturb the cleanup."""
     before = {number: signal.signal(number, _handle) for number in SIGNALS}
     try:
         yield
@@ -38,8 +38,10 @@
 
 @contextmanager
 def deferred() -> Iterator[None]:
-    """A signal that comes in here raises at the end. Danger: raised between the start of a process and its
-    entry in a list, it would leave that process behind."""
+    """Defers Interrupted to the end of the block.
+
+    An exception between the start of a process and its registration would leave the process running.
+    """
     _state.deferrals += 1
     try:
         yield
--- a/stairplank/scale/load.py
+++ b/stairplank/scale/load.py
@@ -1,4 +1,4 @@
-"""The load that hollow clients put on planners, whatever the form: tasks placed fast, then an open loop."""
+"""The load of hollow clients in both forms: a fast fill with running tasks, then an open arrival process."""
 
 from __future__ import annotations
 
@@ -9,42 +9,45 @@
 
 import gevent
 
-PLACING_MOST = 32  # tasks under way at one planner while they are placed fast
-PLACING_POLL_S = 0.01
-LIFE_FOREVER = 0.0
-WAIT_MS = 6000  # for which a client waits for its answer
+MAX_FILL_IN_FLIGHT = 32  # unanswered requests at one planner during the fast fill
+FILL_POLL_S = 0.01
+NO_END = 0.0
+WAIT_MS = 6000  # how long a request may wait for a placement
 RETRY_S = 0.2
 RECONNECT_S = 0.05
-SERVICES = 200  # to which the tasks belong in turn
+SERVICES = 200  # number of services; tasks are assigned to them in turn
 
 
 class LoadClient:
-    """One client of one planner. Tasks that the planner does not place are asked for again."""
+    """A client of one planner. It retries tasks that the planner did not place."""
 
     def __init__(self, where: str, seed: int) -> None:
         self.where = where
-        self.waiting: dict[str, Any] = {}  # not answered, with what is asked for
-        self.running: dict[str, str] = {}  # by id, the worker
+        self.waiting: dict[str, Any] = {}  # requests without an answer, by id
+        self.running: dict[str, str] = {}  # worker of each running task, by task id
         self.placed = self.refused = self.lost = 0
         self._random = random.Random(seed)
 
     def ask(self, life_s: float) -> None:
-        """Ask for a task of this life; 0 for no end."""
+        """Requests a task that runs for ``life_s``; 0 means no end."""
         raise NotImplementedError
 
     def traffic(self) -> dict[str, Any]:
-        """Fields of its counts."""
+        """Returns this client's traffic counts as fields."""
         raise NotImplementedError
 
     def place(self, running: int, life_s: float) -> None:
-        """Place fast until so many run; their lives are spread over ``life_s``, as if they had run long."""
+        """Requests tasks as fast as possible until ``running`` tasks run.
+
+        Their run times are spread evenly over ``life_s``, like the remaining times in a steady state.
+        """
         while len(self.running) < running:
-            while len(self.waiting) < PLACING_MOST and len(self.running) + len(self.waiting) < running:
-                self.ask(self._random.uniform(0.0, 1.0) * life_s if life_s else LIFE_FOREVER)
-            gevent.sleep(PLACING_POLL_S)
+            while len(self.waiting) < MAX_FILL_IN_FLIGHT and len(self.running) + len(self.waiting) < running:
+                self.ask(self._random.uniform(0.0, 1.0) * life_s if life_s else NO_END)
+            gevent.sleep(FILL_POLL_S)
 
     def generate(self, per_s: float, life_s: float) -> None:
-        """An open loop: arrivals at random times, whatever the answers do."""
+        """Requests tasks at random times, independently of the answers (open loop)."""
         due = time.monotonic()
         while True:
             due += self._random.expovariate(per_s)
@@ -53,7 +56,7 @@
 
 
 class ClientHost:
-    """The commands of the clients' process."""
+    """Handles the commands sent to the process of the clients."""
 
     def __init__(self, kind: type[LoadClient]) -> None:
         self._kind = kind
@@ -62,22 +65,22 @@
         self._marked: list[set[str]] = []
 
     def start(self, planners: list[str]) -> None:
-        """One client for each planner, in the order of the planners."""
+        """Starts one client per planner, in the order of the planners."""
         self._clients = [self._kind(where, seed) for seed, where in enumerate(planners)]
         self._marked = [set() for _ in planners]
 
     def move(self, planner: int, where: str) -> None:
-        """That planner listens elsewhere now."""
+        """Sets the new address of a planner."""
         self._clients[planner].where = where
 
     def place(self, running: int, life_s: float) -> None:
-        """Have so many tasks run at the site, shared by the planners."""
+        """Fills the site until ``running`` tasks run, divided evenly among the planners."""
         shares = _shares(running, len(self._clients))
         pairs = zip(self._clients, shares, strict=True)
         gevent.joinall([gevent.spawn(client.place, share, life_s) for client, share in pairs])
 
     def generate(self, per_s: float, life_s: float) -> None:
-        """Start tasks at this rate of the site from here on; 0 stops it."""
+        """Starts requesting ``per_s`` tasks a second over the whole site; 0 stops the requests."""
         gevent.killall(self._generators)
         self._generators = []
         if per_s:
@@ -95,12 +98,12 @@
         }
 
     def busiest(self) -> str:
-        """The worker at which most tasks run."""
-        found = Counter(worker for client in self._clients for worker in client.running.values())
-        return found.most_common(1)[0][0] if found else ""
+        """Returns the worker with the most running tasks; empty if no task runs."""
+        tasks_by_worker = Counter(worker for client in self._clients for worker in client.running.values())
+        return tasks_by_worker.most_common(1)[0][0] if tasks_by_worker else ""
 
     def mark(self, workers: list[str]) -> int:
-        """Remember the tasks that run at these workers; how many they are."""
+        """Marks the tasks that run at these workers. Returns their number."""
         names = set(workers)
         self._marked = [
             {id for id, worker in client.running.items() if worker in names} for client in self._clients
@@ -108,11 +111,11 @@
         return sum(map(len, self._marked))
 
     def progress(self) -> dict[str, int]:
-        """How many of the marked tasks still run as far as is known here, and how many tasks wait."""
+        """Returns how many marked tasks still run, as far as the clients know, and how many tasks wait."""
         pairs = zip(self._clients, self._marked, strict=True)
-        held = sum(len(marked & client.running.keys()) for client, marked in pairs)
-        return {"marked": held, "waiting": sum(len(client.waiting) for client in self._clients)}
+        still_running = sum(len(marked & client.running.keys()) for client, marked in pairs)
+        return {"marked": still_running, "waiting": sum(len(client.waiting) for client in self._clients)}
 
 
-def _shares(whole: int, parts: int) -> list[int]:
-    return [whole // parts + (number < whole % parts) for number in range(parts)]
+def _shares(total: int, parts: int) -> list[int]:
+    return [total // parts + (number < total % parts) for number in range(parts)]
--- a/stairplank/scale/markdown.py
+++ b/stairplank/scale/markdown.py
@@ -1,4 +1,4 @@
-"""Figures and tables as text of a Markdown page. No I/O."""
+"""Formats figures and tables as Markdown. No I/O."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from .figures import Unit
 
 NOT_MEASURED = "not measured"
-DIGITS = 3
+SIGNIFICANT_DIGITS = 3
 
 
 def number(value: float) -> str:
-    """Three digits that matter, without an exponent."""
+    """Formats a number with at least three significant digits and no exponent."""
     if value == 0:
         return "0"
-    if abs(value) >= 10 ** (DIGITS - 1):
+    if abs(value) >= 10 ** (SIGNIFICANT_DIGITS - 1):
         return f"{value:,.0f}"
-    text = f"{value:.{DIGITS}g}"
+    text = f"{value:.{SIGNIFICANT_DIGITS}g}"
     return f"{value:.6f}".rstrip("0").rstrip(".") if "e" in text else text
 
 
 def amount(value: float | None, unit: Unit) -> str:
-    """A figure with its unit, or that it was not measured."""
+    """Formats a figure with its unit; None becomes ``not measured``."""
     if value is None:
         return NOT_MEASURED
     if unit is Unit.SHARE:
@@ -32,21 +32,21 @@
 
 
 def share(value: float) -> str:
-    """A share in percent."""
+    """Formats a share as a percentage."""
     return f"{number(100 * value)}%"
 
 
 def factor(value: float | None) -> str:
-    """A ratio, as figures over their allowances are written."""
+    """Formats the ratio of a figure to its allowance; None becomes empty."""
     return "" if value is None else f"{value:.2f}"
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """A table, or a line that says that there is nothing to show."""
+def table(headings: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Formats a table; without rows, returns the line ``none``."""
     lines = [_line(row) for row in rows]
     if not lines:
         return "none\n"
-    return "\n".join([_line(heads), _line(["---"] * len(heads)), *lines]) + "\n"
+    return "\n".join([_line(headings), _line(["---"] * len(headings)), *lines]) + "\n"
 
 
 def _line(cells: Sequence[str]) -> str:
--- a/stairplank/scale/noise.py
+++ b/stairplank/scale/noise.py
@@ -1,4 +1,4 @@
-"""Two runs of one state of the program side by side: what differs between them is noise. No I/O."""
+"""Compares two runs of the same program version; the differences between them are noise. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """A figure of the same size and load in two runs; each the mean of its repeats."""
+    """The values of a figure in two runs at the same size and load; each is the mean over the repeats."""
 
     form: str
     load: str
@@ -23,14 +23,14 @@
 
     @property
     def difference(self) -> float:
-        """Of the second run from the first, over the mean of both; 0 where both are 0."""
+        """Returns second minus first, divided by their mean; 0 if the mean is 0."""
         mean = (self.first + self.second) / 2
         return (self.second - self.first) / mean if mean else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Noise:
-    """How far a figure differs between two runs: the median and the largest difference, without signs."""
+    """The median and the largest absolute difference of a figure between two runs."""
 
     figure: Figure
     pairs: int
@@ -39,13 +39,13 @@
 
 
 def pairs(first: Results, second: Results, figures: Iterable[Figure]) -> list[Pair]:
-    """The figures that both runs have, in the order of the first run's samples."""
+    """Returns a pair for each figure that both runs have, in the order of the first run's samples."""
     found: list[Pair] = []
-    chosen = tuple(figures)
-    ours, theirs = _by_size(first), _by_size(second)
-    for key, samples in ours.items():
-        for figure in chosen:
-            a, b = mean(samples, figure), mean(theirs.get(key, []), figure)
+    selected = tuple(figures)
+    first_samples, second_samples = _by_size(first), _by_size(second)
+    for key, samples in first_samples.items():
+        for figure in selected:
+            a, b = mean(samples, figure), mean(second_samples.get(key, []), figure)
             if a is not None and b is not None:
                 form, load, size = key
                 found.append(Pair(form, load, size, figure, a, b))
@@ -53,7 +53,7 @@
 
 
 def by_sample(found: Iterable[Pair]) -> list[dict[Figure, Pair]]:
-    """The pairs of each form, load and size together, by figure."""
+    """Groups pairs by form, load and size. Returns one mapping from figure to pair for each group."""
     groups: dict[tuple[str, str, Size], dict[Figure, Pair]] = {}
     for pair in found:
         groups.setdefault((pair.form, pair.load, pair.size), {})[pair.figure] = pair
@@ -61,7 +61,7 @@
 
 
 def noise(found: Iterable[Pair]) -> list[Noise]:
-    """By figure, in the order in which figures come."""
+    """Returns the noise of each figure, in the order in which the figures first occur."""
     differences: dict[Figure, list[float]] = {}
     for pair in found:
         differences.setdefault(pair.figure, []).append(abs(pair.difference))
@@ -72,7 +72,7 @@
 
 
 def mean(samples: Iterable[Sample], figure: Figure) -> float | None:
-    """The figure's mean over samples that have it; None where none has."""
+    """Returns the figure's mean over the samples that have it; None if no sample has it."""
     values = [value for value in map(figure.read, samples) if value is not None]
     return statistics.fmean(values) if values else None
 
--- a/stairplank/scale/page_files.py
+++ b/stairplank/scale/page_files.py
@@ -1,4 +1,4 @@
-"""Reads results files and a page, and writes the page's tables anew. The only I/O of the capacity page."""
+"""Reads results files and rewrites the tables of the capacity page; all its file access is here."""
 
 from __future__ import annotations
 
@@ -10,22 +10,24 @@
 from .tables import CapacityTables
 from .target import SHIPPED, load_target
 
-RESULTS_NAMES = ("results.json", "results-2.json")  # the run, and a second one of the same state
-# Runs of an earlier state and of this one, each pair side by side on the same machine at the same time.
+RESULTS_NAMES = ("results.json", "results-2.json")  # two runs of the same program version
+# Runs of an earlier program version and of this one; each pair ran in parallel on the same machine.
 BEFORE_NAMES = ("before.json", "before-2.json")
 AFTER_NAMES = ("after.json", "after-2.json")
 
 
 def results_in(folder: Path, names: Sequence[str] = RESULTS_NAMES) -> list[Path]:
-    """The results files that are there, the first run first."""
+    """Returns the results files that exist in ``folder``, in the order of ``names``."""
     return [path for name in names if (path := folder / name).exists()]
 
 
 def tables_from(
     results: Sequence[Path], target: Path = SHIPPED, pairs_folder: Path | None = None
 ) -> dict[str, str]:
-    """Each table of the page by its name; ``pairs_folder`` has the pairs of runs before and after a change.
-    Raises ResultsError, SettingsError."""
+    """Returns each table of the page by its name. Raises ResultsError or SettingsError.
+
+    ``pairs_folder`` contains the pairs of runs from before and after a change.
+    """
     runs: list[Results] = [read(path) for path in results]
     return CapacityTables(load_target(target), runs, *_pairs_in(pairs_folder)).all()
 
@@ -40,7 +42,10 @@
 def write_page(
     page: Path, results: Sequence[Path], target: Path = SHIPPED, pairs_folder: Path | None = None
 ) -> list[str]:
-    """Write the page with its tables made anew; the names of those that changed. Raises PageError too."""
+    """Rewrites the tables of the page and returns the names of the tables that changed.
+
+    Raises PageError, ResultsError or SettingsError.
+    """
     tables = tables_from(results, target, pairs_folder)
     text = page.read_text(encoding="utf-8")
     changed = differing(text, tables)
