--- a/tests/scale/counted_site.py
+++ b/tests/scale/counted_site.py
@@ -1,7 +1,7 @@
-"""A planner's platform core among many workers in simulated time, with what it does counted.
+"""Runs a planner's platform core with many workers in simulated time and counts its work.
 
-Workers let each connection come up at once and see each close at once. Nothing here depends on the speed of
-the machine that runs it.
+Workers accept each connection and detect each close without delay. The counts do not depend on the speed of
+the machine that runs the test.
 """
 
 from __future__ import annotations
@@ -20,14 +20,15 @@
 from stairplank.platform.messages import Cause, Kind, Message  # noqa: E402
 
 ENDED, ANSWERED = Kind.RELEASE, Kind.ANSWER
-FIRST_LATER_TASK = 100_000  # numbers of tasks that are asked for, beside those that are adopted
-# Not by task: totals by kind of thing that happened; the list sorted and cut, as it is with the first task.
+FIRST_LATER_TASK = 100_000  # lowest number of a newly placed task; adopted tasks have lower numbers
+# These tables do not grow with tasks: counters hold one total per event kind, and the sorted and partitioned
+# node list reaches its full size with the first task.
 NOT_BY_TASK = {"counts", "transition_counts", "ready", "parts"}
 
 
 @dataclass(frozen=True)
-class Started:
-    """A task that runs, and the worker at which it does."""
+class RunningTask:
+    """Holds the number of a running task and the number of its worker."""
 
     number: int
     worker: int
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Counts:
-    """Totals since the start of a planner."""
+    """Holds counter totals since a planner's start."""
 
     at: int
     dials: int
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Rates:
-    """What a planner does in a second of simulated time."""
+    """Holds a planner's counts per second of simulated time."""
 
     dials: float
     to_workers: float  # messages
@@ -57,7 +58,7 @@
 
 
 class CountedSite(CoreHarness):
-    """A planner, its workers and one client."""
+    """Simulates one planner, its workers and one client, and counts what the planner does."""
 
     def __init__(self, workers: int, **settings: Any) -> None:
         self.turns = 0
@@ -67,22 +68,22 @@
         self.client_link = 0
         self.last_task = 0
 
-    def count_looks(self) -> list[str]:
-        """The workers at which the planner looks from now on, by name."""
-        looked: list[str] = []
-        look_at = self.core.link_checks._check_machine
+    def record_machine_checks(self) -> list[str]:
+        """Returns a list that receives the name of each worker that the planner checks from now on."""
+        checked_names: list[str] = []
+        check_machine = self.core.link_checks._check_machine
 
-        def counted(machine: Any) -> None:
-            looked.append(machine.name)
-            look_at(machine)
+        def recording_check(machine: Any) -> None:
+            checked_names.append(machine.name)
+            check_machine(machine)
 
-        self.core.link_checks._check_machine = counted  # type: ignore[method-assign]
-        return looked
+        self.core.link_checks._check_machine = recording_check  # type: ignore[method-assign]
+        return checked_names
 
     # Time
 
     def run(self, seconds: float) -> None:
-        """Time passes; the core is called exactly when it wants to be."""
+        """Advances simulated time and calls the core exactly when its timers are due."""
         end = self.now + round(seconds * SECOND)
         while (due := self.core.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
@@ -92,7 +93,7 @@
         self.now = end
 
     def settle(self) -> None:
-        """Connections under way come up, and those that were closed are closed by the worker too."""
+        """Completes all pending dials, and all closes that the planner has begun."""
         while self.dials or self.closing_links:
             if self.dials:
                 link, address = self.dials.popitem()
@@ -106,7 +107,7 @@
         super().feed(*events, after=after)
 
     def rates(self, seconds: float) -> Rates:
-        """What happens in that time, a second."""
+        """Runs for `seconds` and returns the planner's counts per second over that time."""
         before = self.counts()
         self.run(seconds)
         after = self.counts()
@@ -125,50 +126,50 @@
     # Work
 
     def connect_client(self) -> None:
-        """Anew for each piece of work: the planner closes a connection on which nothing is said."""
+        """Connects the client again if the planner has closed its idle connection."""
         if self.client_link in self.closed_clients:
             self.feed(ev.ClientDisconnected(self.client_link))
             self.client_link = 0
         self.client_link = self.client_link or self.add_client()
 
-    def run_tasks_at(self, workers: int, each: int = 1) -> None:
-        """So many tasks run at each of so many workers, as their client hands them over."""
+    def run_tasks_at(self, workers: int, tasks_per_worker: int = 1) -> None:
+        """Lets the planner adopt `tasks_per_worker` running tasks at each worker from client messages."""
         self.connect_client()
         for worker in range(1, workers + 1):
-            for _ in range(each):
+            for _ in range(tasks_per_worker):
                 self.last_task += 1
                 self.request_placement(self.client_link, self.last_task, at=machine_row(worker)["host"])
         self.settle()
 
-    def start_tasks(self, count: int) -> list[Started]:
-        """So many tasks are asked for, each of a service of its own, and start."""
+    def start_tasks(self, count: int) -> list[RunningTask]:
+        """Requests `count` tasks, each of a separate service, and starts them."""
         self.connect_client()
-        started: list[Started] = []
+        started: list[RunningTask] = []
         for number in range(FIRST_LATER_TASK, FIRST_LATER_TASK + count):
             self.request_placement(self.client_link, number, extras=f"cores:1;memory:2;service:{number:016x}")
             self.settle()
             link = self.placements_sent(number)[-1][0]
-            started.append(Started(number, self.core.links.links[link].machine))
+            started.append(RunningTask(number, self.core.links.links[link].machine))
             self.receive_from_machine(link, Message(ANSWERED, task_id(number), body="runs"))
         return started
 
-    def end_tasks(self, started: list[Started]) -> None:
-        """The workers end them, each on a connection that is open now."""
+    def end_tasks(self, started: list[RunningTask]) -> None:
+        """Sends the end of each task from its worker, on a connection that is open now."""
         for task in started:
             link = next(k.number for k in self.core.links.links.values() if k.machine == task.worker)
             self.receive_from_machine(link, Message(ENDED, task_id(task.number), cause=int(Cause.ENDED)))
         self.settle()
 
     def end_adopted(self) -> None:
-        """The client ends everything that it handed over."""
+        """Sends the client's end of every adopted task."""
         for number in range(1, self.last_task + 1):
             self.feed(
                 ev.ClientMessage(self.client_link, Message(ENDED, task_id(number), cause=int(Cause.ENDED)))
             )
         self.settle()
 
-    def leave(self) -> None:
-        """The client goes."""
+    def disconnect_client(self) -> None:
+        """Closes the client's connection to the planner."""
         self.feed(ev.ClientDisconnected(self.client_link))
         self.client_link = 0
 
@@ -181,7 +182,7 @@
         return sum(machine.running_count > 0 for machine in self.core.machines.machines.values())
 
     def tables(self) -> dict[str, int]:
-        """The sizes of all tables of all parts of the core, the decisions' included."""
+        """Returns the size of each table in the core, including those of the decision module."""
         sizes: dict[str, int] = {}
         for part_name, part in vars(self.core).items():
             for table_name, table in getattr(part, "__dict__", {}).items():
--- a/tests/scale/invented.py
+++ b/tests/scale/synthetic_results.py
@@ -1,4 +1,4 @@
-"""Invented results for the tests of the capacity page: figures grow in straight lines with a little noise."""
+"""Builds synthetic results for the capacity page tests: figures grow linearly, with small random noise."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def cost(size: Size, noise: float) -> PlannerCost:
-    """What one planner of that site spends."""
+    """Returns the cost of one planner at a site of the given size, scaled by `noise`."""
     running, starts = size.running / size.planners, size.starts_per_s / size.planners
     cpu = IDLE_CPU + CPU_PER_WORKER * size.workers + CPU_PER_TASK * running + CPU_PER_START * starts
     control = 100 + size.workers + 2 * running
@@ -40,7 +40,7 @@
 
 
 def results(seed: int = 1) -> Results:
-    """A run with every series and some events."""
+    """Returns a synthetic run with every series and some events."""
     rng = random.Random(seed)
     samples: list[Sample] = []
 
--- a/tests/scale/test_capacity_page.py
+++ b/tests/scale/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md has the tables that its results files give, and no others."""
+"""Tests that docs/CAPACITY.md has exactly the tables generated from its results files."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from invented import results
+from synthetic_results import results
 
 from stairplank.scale.page import PageError, differing, tables_of, with_tables
 from stairplank.scale.page_files import RESULTS_NAMES, results_in, tables_from, write_page
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def run_twice(tmp_path: Path) -> list[Path]:
-    """Results files of two invented runs."""
+    """Returns the paths of the results files of two synthetic runs."""
     for seed, name in enumerate(RESULTS_NAMES, 1):
         write(results(seed), tmp_path / name)
     return results_in(tmp_path)
@@ -30,10 +30,10 @@
 def test_the_page_has_the_tables_of_its_results() -> None:
     tables = tables_from(results_in(FOLDER), pairs_folder=FOLDER)
     changed = differing(PAGE.read_text(encoding="utf-8"), tables)
-    assert changed == [], "python scripts/write_capacity_tables.py writes them anew"
+    assert changed == [], "python scripts/write_capacity_tables.py regenerates them"
 
 
-def test_one_figure_altered_by_hand_is_found(tmp_path: Path, run_twice: list[Path]) -> None:
+def test_one_figure_altered_by_hand_is_detected(tmp_path: Path, run_twice: list[Path]) -> None:
     page = tmp_path / "page.md"
     page.write_text(PAGE.read_text(encoding="utf-8"), encoding="utf-8")
     write_page(page, run_twice)
@@ -43,12 +43,12 @@
     for name, body in tables_of(text).items():
         figure = FIGURE.search(body)
         if figure is None:
-            continue  # an empty table
+            continue  # an empty table has no figure to alter
         altered = body[: figure.start()] + "9" + body[figure.start() :]
         assert differing(text.replace(body, altered, 1), tables) == [name]
 
 
-def test_one_figure_altered_in_the_results_is_found(tmp_path: Path, run_twice: list[Path]) -> None:
+def test_one_figure_altered_in_the_results_is_detected(tmp_path: Path, run_twice: list[Path]) -> None:
     page = tmp_path / "page.md"
     page.write_text(PAGE.read_text(encoding="utf-8"), encoding="utf-8")
     write_page(page, run_twice)
@@ -59,7 +59,7 @@
     assert differing(page.read_text(encoding="utf-8"), tables_from(run_twice))
 
 
-def test_tables_are_the_same_each_time(run_twice: list[Path]) -> None:
+def test_tables_are_deterministic(run_twice: list[Path]) -> None:
     assert tables_from(run_twice) == tables_from(run_twice)
 
 
@@ -97,6 +97,6 @@
 
 
 def test_prose_has_no_figures_of_a_run() -> None:
-    """What a run gave stands in tables alone; a unit behind a number in the prose was written by hand."""
+    """Measured figures stand only in the generated tables, so the prose has no number with a unit."""
     prose = re.sub(r"<!-- table: .*?<!-- end -->", "", PAGE.read_text(encoding="utf-8"), flags=re.DOTALL)
     assert re.findall(r"\d[\d.,]*\s?(?:%|MB|KB|B/s|/s|ms|s)\b", prose) == []
--- a/tests/scale/test_capacity_planners.py
+++ b/tests/scale/test_capacity_planners.py
@@ -1,10 +1,10 @@
-"""How many planners: measured beside the slopes, and the fewest that stay within their allowances."""
+"""Tests how the planner count is chosen from measured costs and fitted slopes, within their allowances."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
-from invented import results
+from synthetic_results import results
 
 from stairplank.scale.planner_counts import best_measured, counts_to_show, fewest_within, planner_count
 from stairplank.scale.predict import Slopes
@@ -21,13 +21,13 @@
     return site, Slopes(site.samples)
 
 
-def without(run: Results, planners: int) -> Results:
+def without_planner_count(run: Results, planners: int) -> Results:
     kept = tuple(s for s in run.samples if s.size.planners != planners)
     return replace(run, samples=kept)
 
 
-def costlier(run: Results, planners: int, factor: float) -> Results:
-    """The same, with a planner among so many using so many times the processor time."""
+def with_cpu_scaled(run: Results, planners: int, factor: float) -> Results:
+    """Returns `run` with processor time multiplied by `factor` in samples with `planners` planners."""
 
     def changed(sample: Sample) -> Sample:
         cpu = sample.planner.cpu_share
@@ -38,7 +38,7 @@
     return replace(run, samples=tuple(map(changed, run.samples)))
 
 
-def test_measured_and_predicted_stand_side_by_side() -> None:
+def test_measured_and_predicted_costs_are_shown_together() -> None:
     site, slopes = site_of(results())
     counts = counts_to_show(site, slopes)
     assert [count.planners for count in counts[:4]] == [7, 14, 28, 56]
@@ -49,13 +49,13 @@
             assert abs(cost.measured / cost.predicted.value - 1) < 0.05
 
 
-def test_a_number_that_was_not_measured_goes_by_the_slopes() -> None:
-    site, slopes = site_of(without(results(), 28))
+def test_an_unmeasured_planner_count_is_predicted_from_the_slopes() -> None:
+    site, slopes = site_of(without_planner_count(results(), 28))
     count = planner_count(site, slopes, 28, 0.0)
     assert not count.is_measured and count.ratio is not None
 
 
-def test_the_fewest_within_the_allowances() -> None:
+def test_the_fewest_planners_within_the_allowances() -> None:
     site, slopes = site_of(results())
     assert fewest_within(site, slopes, 0.0) == 7
     site, slopes = site_of(results(), control_cpu_share=0.0148)
@@ -65,16 +65,16 @@
     assert fewest_within(site, slopes, 0.0) is None
 
 
-def test_the_slopes_are_not_believed_against_what_was_measured() -> None:
-    site, slopes = site_of(costlier(results(), 28, 3.0))
+def test_a_measured_cost_overrides_the_slopes() -> None:
+    site, slopes = site_of(with_cpu_scaled(results(), 28, 3.0))
     fewest = fewest_within(site, slopes, 0.0)
     assert fewest is not None and fewest > 28
 
 
-def test_the_best_number_is_the_fewest_that_holds_else_the_least_short() -> None:
+def test_the_best_count_is_the_fewest_within_allowance_or_else_the_nearest_to_it() -> None:
     best = best_measured(*site_of(results()))
     assert best is not None and best.planners == 7
-    best = best_measured(*site_of(costlier(results(), 7, 2.0)))
+    best = best_measured(*site_of(with_cpu_scaled(results(), 7, 2.0)))
     assert best is not None and best.planners == 14
     best = best_measured(*site_of(results(), control_cpu_share=0.001))
-    assert best is not None and best.planners == 28  # more gain less than noise
+    assert best is not None and best.planners == 28  # the gain from more planners is below the noise
--- a/tests/scale/test_capacity_rows.py
+++ b/tests/scale/test_capacity_rows.py
@@ -1,4 +1,4 @@
-"""The capacity table: a row for every line of the target, verdicts, and the parts that carry them."""
+"""Tests the capacity table: a row for every line of the target, its verdict and the code behind it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from types import ModuleType
 
 import pytest
-from invented import results
+from synthetic_results import results
 
 import stairplank.decisions
 import stairplank.interface
@@ -24,12 +24,12 @@
 from stairplank.scale.target_site import Site
 from stairplank.scale.verdicts import Form, Mechanism, Row, Sense, Verdict
 
-PART = Mechanism("stairplank.decisions", "Planner")
-ROW = Row(TargetLine.CONTROL, Form.PLATFORM, "a figure", Unit.COUNT, 10.0, Sense.AT_MOST, PART)
+MECHANISM = Mechanism("stairplank.decisions", "Planner")
+ROW = Row(TargetLine.CONTROL, Form.PLATFORM, "a figure", Unit.COUNT, 10.0, Sense.AT_MOST, MECHANISM)
 
 
 def sources_of(package: ModuleType) -> dict[str, str]:
-    """The source of a package itself and of each of its modules, by name."""
+    """Returns the source text of a package and of each of its modules, by name."""
     names = [info.name for info in pkgutil.iter_modules(package.__path__)]
     modules = {name: importlib.import_module(f"{package.__name__}.{name}") for name in names}
     return {name: inspect.getsource(module) for name, module in {"__init__": package, **modules}.items()}
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("form", Form)
-def test_without_a_run_nothing_is_said_to_hold(form: Form) -> None:
+def test_without_a_run_no_row_holds(form: Form) -> None:
     rows = rows_of(form)
     assert {row.verdict for row in rows} == {Verdict.NOTHING_CARRIES_IT, Verdict.NOT_MEASURED}
     assert all(row.wanted for row in rows if row.verdict is Verdict.NOT_MEASURED)
@@ -67,7 +67,7 @@
     assert replace(reached, measured=0.0).ratio == math.inf
 
 
-def test_what_is_missing_is_ranked() -> None:
+def test_unmet_rows_are_ranked_by_need() -> None:
     rows = [
         replace(ROW, figure="holds", measured=1.0),
         replace(ROW, figure="twice", measured=20.0),
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("form", Form)
-def test_a_size_that_was_not_reached_is_short(form: Form) -> None:
+def test_a_run_below_the_target_size_is_short(form: Form) -> None:
     run = results()
     samples = tuple(s for s in run.samples if s.size.workers <= 410)
     workers = next(r for r in rows_of(form, replace(run, samples=samples)) if r.figure == "workers")
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("form", Form)
-def test_an_event_counts_at_the_targets_size_alone(form: Form) -> None:
+def test_an_event_counts_only_at_the_target_size(form: Form) -> None:
     figure = "a failed rack is known"
     run = results()
     full = next(r for r in rows_of(form, run) if r.figure == figure)
@@ -104,22 +104,22 @@
     small = tuple(replace(s, size=replace(s.size, workers=24)) for s in run.samples)
     small_row = next(r for r in rows_of(form, replace(run, samples=small)) if r.figure == figure)
     assert small_row.verdict is Verdict.NOT_MEASURED and "samples of the event" in small_row.wanted
-    unseen = tuple(replace(s, event=EventTimes()) for s in run.samples)
-    unseen_row = next(r for r in rows_of(form, replace(run, samples=unseen)) if r.figure == figure)
-    assert unseen_row.verdict is Verdict.NOT_MEASURED and "not reached" in unseen_row.wanted
+    unreached = tuple(replace(s, event=EventTimes()) for s in run.samples)
+    unreached_row = next(r for r in rows_of(form, replace(run, samples=unreached)) if r.figure == figure)
+    assert unreached_row.verdict is Verdict.NOT_MEASURED and "not reached" in unreached_row.wanted
 
 
 @pytest.mark.parametrize("form", Form)
-def test_the_parts_that_carry_a_line_are_there(form: Form) -> None:
+def test_the_code_named_for_each_line_exists(form: Form) -> None:
     carriers = CARRIERS[form]
     for field in fields(carriers):
-        part = getattr(carriers, field.name)
-        if part is not None:
-            assert hasattr(importlib.import_module(part.module), part.name), part
+        mechanism = getattr(carriers, field.name)
+        if mechanism is not None:
+            assert hasattr(importlib.import_module(mechanism.module), mechanism.name), mechanism
 
 
-def test_what_nothing_carries_is_missing_still() -> None:
-    """Where one of these fails, the program has grown: its row needs the part that carries it now."""
+def test_target_lines_without_an_implementation_are_still_unimplemented() -> None:
+    """Fails once the code implements such a line; the capacity row must then name the implementing class."""
     decisions = sources_of(stairplank.decisions)
     assert set(decisions) >= {"planner", "selection", "retry", "threshold"} and len(decisions) > 10
     for module, source in decisions.items():
@@ -132,8 +132,8 @@
     assert kind == {"name", "cores", "memory"}
 
 
-def test_settings_are_carried_where_a_running_planner_takes_them() -> None:
-    """The page names a part for settings in force where the program has one, and only there."""
+def test_a_settings_mechanism_is_named_only_where_a_running_planner_applies_changes() -> None:
+    """The page names a mechanism for live settings changes exactly in the forms that have one."""
     reloads = importlib.util.find_spec("stairplank.platform.reload") is not None
     follows = "from ..configuration" in inspect.getsource(stairplank.planner.daemon)
     assert (CARRIERS[Form.PLATFORM].settings is not None) == reloads
--- a/tests/scale/test_capacity_target.py
+++ b/tests/scale/test_capacity_target.py
@@ -1,4 +1,4 @@
-"""The target of the capacity page: the shipped file, and one that is wrong."""
+"""Tests the target of the capacity page: the shipped file, and the errors for an invalid file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from stairplank.settings import SettingsError
 
 
-def test_the_shipped_target_is_the_site_that_the_page_speaks_of() -> None:
+def test_the_shipped_target_is_the_site_described_on_the_page() -> None:
     assert load_target() == Target(
         workers=820,
         accelerators=910,
@@ -42,7 +42,7 @@
     assert all(f"# {number}. " in text for number in range(1, 13))
 
 
-def test_a_target_that_is_wrong_names_line_and_key(tmp_path: Path) -> None:
+def test_errors_in_a_target_name_their_keys(tmp_path: Path) -> None:
     file = tmp_path / "target.conf"
     text = SHIPPED.read_text(encoding="utf-8")
     file.write_text(text.replace("workers 820", "workers none").replace("regions 3\n", ""), encoding="utf-8")
@@ -51,5 +51,5 @@
     assert {problem.key for problem in caught.value.problems} == {"workers", "regions"}
 
 
-def test_every_key_of_a_target_is_needed() -> None:
+def test_every_key_of_a_target_is_required() -> None:
     assert all(key.required for key in TARGET)  # type: ignore[union-attr]
--- a/tests/scale/test_grpc_peers.py
+++ b/tests/scale/test_grpc_peers.py
@@ -1,4 +1,7 @@
-"""Light nodes and the list of the gRPC form under a real planner in this process; what went over sockets."""
+"""Tests hollow nodes and the node list service of the gRPC form with a real planner in the same process.
+
+It also tests the counts of bytes, segments and messages sent over sockets.
+"""
 
 from __future__ import annotations
 
@@ -22,54 +25,54 @@
 WORKERS = 3
 
 
-def until(reached: Callable[[], Any]) -> None:
+def wait_until(condition: Callable[[], Any]) -> None:
     with gevent.Timeout(WAIT_S):
-        while not reached():
+        while not condition():
             gevent.sleep(0.01)
 
 
 class Connection:
-    """Has a socket, as connections have."""
+    """Stands in for a connection; it has only the `sock` attribute."""
 
     def __init__(self, sock: Any) -> None:
         self.sock = sock
 
 
 @pytest.fixture
-def pair() -> Iterator[tuple[Any, Any]]:
+def socket_pair() -> Iterator[tuple[Any, Any]]:
     listener = socket.create_server(("127.0.0.1", 0))
-    near = socket.create_connection(listener.getsockname())
-    far, _ = listener.accept()
-    yield near, far
-    for sock in (listener, near, far):
+    client_sock = socket.create_connection(listener.getsockname())
+    server_sock, _ = listener.accept()
+    yield client_sock, server_sock
+    for sock in (listener, client_sock, server_sock):
         sock.close()
 
 
-def test_bytes_of_a_socket_are_those_of_both_directions(pair: tuple[Any, Any]) -> None:
-    near, far = pair
-    before = usage_of(near, Usage())
-    near.sendall(b"x" * 1000)
-    assert far.recv(4096) == b"x" * 1000
-    far.sendall(b"y" * 300)
-    near.recv(4096)
-    until(lambda: usage_of(near, Usage()).bytes - before.bytes == 1300)
-    assert usage_of(near, Usage()).segments > before.segments
+def test_socket_bytes_count_both_directions(socket_pair: tuple[Any, Any]) -> None:
+    client_sock, server_sock = socket_pair
+    before = usage_of(client_sock, Usage())
+    client_sock.sendall(b"x" * 1000)
+    assert server_sock.recv(4096) == b"x" * 1000
+    server_sock.sendall(b"y" * 300)
+    client_sock.recv(4096)
+    wait_until(lambda: usage_of(client_sock, Usage()).bytes - before.bytes == 1300)
+    assert usage_of(client_sock, Usage()).segments > before.segments
 
 
-def test_a_closed_socket_keeps_what_was_known(pair: tuple[Any, Any]) -> None:
-    near, _ = pair
-    near.close()
-    assert usage_of(near, Usage(7, 8)) == Usage(7, 8)
+def test_a_closed_socket_keeps_its_last_known_usage(socket_pair: tuple[Any, Any]) -> None:
+    client_sock, _ = socket_pair
+    client_sock.close()
+    assert usage_of(client_sock, Usage(7, 8)) == Usage(7, 8)
 
 
-def test_what_is_no_task_message_is_control(pair: tuple[Any, Any]) -> None:
-    near, far = pair
+def test_bytes_outside_task_messages_count_as_control(socket_pair: tuple[Any, Any]) -> None:
+    client_sock, server_sock = socket_pair
     traffic = SocketTraffic()
-    traffic.opened(Connection(near))
+    traffic.opened(Connection(client_sock))
     message = node_pb2.OfferEvent(running=node_pb2.OfferEvent.Running())
-    near.sendall(b"x" * 500)
-    far.recv(4096)
-    until(lambda: traffic.counts().control_bytes >= 500)
+    client_sock.sendall(b"x" * 500)
+    server_sock.recv(4096)
+    wait_until(lambda: traffic.counts().control_bytes >= 500)
     before = traffic.counts()
     traffic.task_message(message)
     after = traffic.counts()
@@ -86,22 +89,22 @@
     assert load_planner(write_planner_file(tmp_path, 1, 7, 7300, site_text(2))).configuration == ()
 
 
-def test_a_planner_places_tasks_at_light_nodes_and_is_counted(tmp_path: Path) -> None:
+def test_a_planner_places_tasks_at_hollow_nodes_and_its_traffic_is_counted(tmp_path: Path) -> None:
     workers, node_list = GrpcWorkerHost(), GrpcList()
     node_list.publish(workers.start(0, WORKERS, zones=2, rack_size=2))
     daemon = Daemon(load_planner(write_planner_file(tmp_path, 4, 7, node_list.start(), site_text(2))))
     daemon.start()
-    until(lambda: workers.snapshot()["open"] == WORKERS)
+    wait_until(lambda: workers.snapshot()["open"] == WORKERS)
     client = GrpcClient(daemon.server.addresses[0], 1)
     client.ask(0.0)
     client.ask(0.2)
-    until(lambda: client.placed == 2)
+    wait_until(lambda: client.placed == 2)
     snapshot = workers.snapshot()
     counts = snapshot["traffic"][4]
     assert list(snapshot["traffic"]) == [4] and snapshot["tasks"] == 2
     assert counts["dials"] == WORKERS and counts["task_messages"] == 4
     assert counts["control_bytes"] > 0
-    until(lambda: len(client.running) == 1)
+    wait_until(lambda: len(client.running) == 1)
     assert workers.snapshot()["tasks"] == 1 and not client.lost
     assert client.traffic()["task_messages"] >= 5
     assert node_list.snapshot()["traffic"][4]["control_bytes"] > 0
--- a/tests/scale/test_scaling_counts_grpc.py
+++ b/tests/scale/test_scaling_counts_grpc.py
@@ -1,6 +1,7 @@
-"""The same for the gRPC planner, in the emulator: links, dials and messages at growing sites.
+"""Checks in the emulator how a gRPC planner's links, dials and messages grow with its site.
 
-Pings of quiet links belong to the transport, which the emulator has not: one a link and keepalive period.
+The counts leave out keepalive pings, one per idle link and keepalive period, because the emulator has no
+transport.
 """
 
 from __future__ import annotations
@@ -42,8 +43,8 @@
 )
 
 
-class CountedWorld(Simulation):
-    """An emulated site without work; what planners dial and say is counted."""
+class CountedSimulation(Simulation):
+    """Emulates a site without tasks and counts the dials and messages of its planners."""
 
     def __init__(self, workers: int) -> None:
         self.dials = 0
@@ -61,50 +62,50 @@
         super().perform(planner, core, actions)
 
     def links_up(self, planner: int) -> int:
-        """Links of that planner that are up."""
+        """Returns how many links of a planner are up."""
         links = self.cores[planner].links.links.values()
         return sum(link.state is LinkState.UP for link in links)
 
 
-def settled(workers: int) -> CountedWorld:
-    """A site of which every planner has linked every worker."""
-    world = CountedWorld(workers)
-    world.run(SETTLE_S * SECOND)
-    return world
+def settled_site(workers: int) -> CountedSimulation:
+    """Returns a site in which every planner has a link to every worker."""
+    simulation = CountedSimulation(workers)
+    simulation.run(SETTLE_S * SECOND)
+    return simulation
 
 
 @pytest.mark.parametrize("workers", SIZES)
 def test_every_planner_links_every_worker_once(workers: int) -> None:
-    world = settled(workers)
-    assert [world.links_up(planner) for planner in range(PLANNERS)] == [workers] * PLANNERS
-    assert world.dials == workers * PLANNERS
-    assert world.to_nodes == workers * PLANNERS  # at each new link the node is asked what it holds
+    simulation = settled_site(workers)
+    assert [simulation.links_up(planner) for planner in range(PLANNERS)] == [workers] * PLANNERS
+    assert simulation.dials == workers * PLANNERS
+    assert simulation.to_nodes == workers * PLANNERS  # one request for the node's tasks per new link
 
 
 @pytest.mark.parametrize("workers", SIZES)
-def test_an_idle_planner_says_nothing_to_workers(workers: int) -> None:
-    world = settled(workers)
-    before = world.dials, world.to_nodes
-    world.run((SETTLE_S + SPAN_S) * SECOND)
-    assert (world.dials, world.to_nodes) == before
+def test_an_idle_planner_sends_nothing_to_workers(workers: int) -> None:
+    simulation = settled_site(workers)
+    before = simulation.dials, simulation.to_nodes
+    simulation.run((SETTLE_S + SPAN_S) * SECOND)
+    assert (simulation.dials, simulation.to_nodes) == before
 
 
 def test_calls_of_idle_cores_do_not_follow_the_workers() -> None:
     events: list[int] = []
     for workers in SIZES:
-        world = settled(workers)
-        before = world.events_played
-        world.run((SETTLE_S + SPAN_S) * SECOND)
-        events.append(world.events_played - before)
+        simulation = settled_site(workers)
+        before = simulation.events_played
+        simulation.run((SETTLE_S + SPAN_S) * SECOND)
+        events.append(simulation.events_played - before)
     assert events == [events[0]] * len(SIZES)
 
 
 @pytest.mark.parametrize("workers", SIZES)
 def test_a_worker_that_restarts_costs_its_own_links(workers: int) -> None:
-    world = settled(workers)
-    before = world.dials
-    world.kill_node(1, SECOND)
-    world.run((SETTLE_S + SPAN_S) * SECOND)
-    assert [world.links_up(planner) for planner in range(PLANNERS)] == [workers] * PLANNERS
-    # Dials that fail while it is away, and one that does not, at each planner; those wait longer each time.
-    assert PLANNERS < world.dials - before <= PLANNERS * 6
+    simulation = settled_site(workers)
+    before = simulation.dials
+    simulation.kill_node(1, SECOND)
+    simulation.run((SETTLE_S + SPAN_S) * SECOND)
+    assert [simulation.links_up(planner) for planner in range(PLANNERS)] == [workers] * PLANNERS
+    # At each planner, dials fail with growing backoff while the worker is down, and one then succeeds.
+    assert PLANNERS < simulation.dials - before <= PLANNERS * 6
