--- a/tests/scale/test_hollow_peers.py
+++ b/tests/scale/test_hollow_peers.py
@@ -1,4 +1,4 @@
-"""Hollow workers and the hollow list speak the protocol, and count what they exchange."""
+"""Tests that hollow workers and the hollow node list speak the protocol and count their traffic."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Planner:
-    """A scripted planner's connection to a peer."""
+    """Connects to a hollow peer as a planner and sends scripted messages."""
 
     def __init__(self, number: int, port: int) -> None:
         self.sock = socket.create_connection((address_for(number), port), WAIT_S)
@@ -33,29 +33,29 @@
         self.sock.sendall(data)
         self.written_bytes += len(data)
 
-    def say(self, message: Message) -> None:
+    def send_message(self, message: Message) -> None:
         self.send(jsonlines.encode(message))
 
-    def line(self) -> bytes:
+    def read_line(self) -> bytes:
         while b"\n" not in self._data:
             data = self.sock.recv(65_536)
-            assert data, "the connection has ended"
+            assert data, "the peer closed the connection"
             self._data += data
         line, _, self._data = self._data.partition(b"\n")
         self.read_bytes += len(line) + 1
         return line
 
-    def message(self) -> Message:
-        return jsonlines.decode(self.line())
+    def read_message(self) -> Message:
+        return jsonlines.decode(self.read_line())
 
-    def set_up(self, life_s: float = 0.0, id: str = TASK) -> None:
+    def send_placement(self, duration_s: float = 0.0, id: str = TASK) -> None:
         fields = {"class": "task", "key": id, "left": "5000"}
-        self.say(Message(Kind.PLACE, id, fields, body=description(life_s)))
+        self.send_message(Message(Kind.PLACE, id, fields, body=description(duration_s)))
 
 
-def until(reached: Callable[[], Any]) -> None:
+def wait_until(condition: Callable[[], Any]) -> None:
     with gevent.Timeout(WAIT_S):
-        while not reached():
+        while not condition():
             gevent.sleep(0.01)
 
 
@@ -76,19 +76,19 @@
     assert [planner_at(address_for(planner)) for planner in planners] == list(planners)
 
 
-def test_a_conversation_is_answered_and_counted_for_its_planner(host: WorkerHost) -> None:
+def test_a_planners_messages_are_answered_and_counted(host: WorkerHost) -> None:
     planner = Planner(3, port_of(host))
-    planner.say(Message(Kind.HEALTH_CHECK, CHECK, cause=1))
-    checked = planner.message()
+    planner.send_message(Message(Kind.HEALTH_CHECK, CHECK, cause=1))
+    checked = planner.read_message()
     assert (checked.kind, checked.id, checked.cause) == (Kind.HEALTH_CHECK_RESULT, CHECK, 1)
     assert checked.fields["load"].startswith("x0:30;x1:90;utilization:")
     control_bytes = planner.read_bytes + planner.written_bytes
-    planner.set_up()
-    answer = planner.message()
+    planner.send_placement()
+    answer = planner.read_message()
     assert (answer.kind, answer.body) == (Kind.ANSWER, "worker-00000")
     assert host.snapshot()["task_machines"] == {3: 1}
-    planner.say(Message(Kind.RELEASE, TASK, cause=int(Cause.CANCELLED)))
-    assert planner.message().kind is Kind.ACKNOWLEDGEMENT
+    planner.send_message(Message(Kind.RELEASE, TASK, cause=int(Cause.CANCELLED)))
+    assert planner.read_message().kind is Kind.ACKNOWLEDGEMENT
     snapshot = host.snapshot()
     counts = snapshot["traffic"][3]
     assert snapshot["tasks"] == 0 and list(snapshot["traffic"]) == [3]
@@ -98,80 +98,80 @@
     assert counts["connection_seconds"] > 0
 
 
-def test_a_task_ends_after_its_life_until_its_planner_has_confirmed(host: WorkerHost) -> None:
+def test_a_tasks_end_is_sent_again_until_its_planner_acknowledges_it(host: WorkerHost) -> None:
     port = port_of(host)
     planner = Planner(0, port)
-    planner.set_up(life_s=0.05)
-    assert planner.message().kind is Kind.ANSWER
-    ended = planner.message()
+    planner.send_placement(duration_s=0.05)
+    assert planner.read_message().kind is Kind.ANSWER
+    ended = planner.read_message()
     assert (ended.kind, ended.id, ended.cause) == (Kind.RELEASE, TASK, Cause.ENDED)
-    again = Planner(0, port)
-    assert again.message() == ended
-    again.say(Message(Kind.ACKNOWLEDGEMENT, TASK))
-    until(lambda: not any(host._workers["worker-00000"]._unconfirmed.values()))
+    reconnected = Planner(0, port)
+    assert reconnected.read_message() == ended
+    reconnected.send_message(Message(Kind.ACKNOWLEDGEMENT, TASK))
+    wait_until(lambda: not any(host._workers["worker-00000"]._unconfirmed.values()))
     last = Planner(0, port)
-    last.say(Message(Kind.HEALTH_CHECK, CHECK, cause=0))
-    assert last.message().kind is Kind.HEALTH_CHECK_RESULT
+    last.send_message(Message(Kind.HEALTH_CHECK, CHECK, cause=0))
+    assert last.read_message().kind is Kind.HEALTH_CHECK_RESULT
 
 
-def test_an_end_is_said_to_the_tasks_own_planner(host: WorkerHost) -> None:
+def test_a_tasks_end_is_sent_only_to_its_own_planner(host: WorkerHost) -> None:
     port = port_of(host)
     first, other = Planner(0, port), Planner(1, port)
-    first.set_up(life_s=0.05)
-    assert first.message().kind is Kind.ANSWER
-    assert first.message().kind is Kind.RELEASE
+    first.send_placement(duration_s=0.05)
+    assert first.read_message().kind is Kind.ANSWER
+    assert first.read_message().kind is Kind.RELEASE
     other.sock.settimeout(0.1)
     with pytest.raises(TimeoutError):
-        other.line()
+        other.read_line()
 
 
 def test_a_crash_resets_connections_and_refuses_dials_until_it_starts_again(host: WorkerHost) -> None:
     port = port_of(host)
     planner = Planner(0, port)
-    planner.set_up()
-    planner.message()
+    planner.send_placement()
+    planner.read_message()
     host.crash(["worker-00000"])
     with pytest.raises(OSError):
-        planner.line()
+        planner.read_line()
     with pytest.raises(ConnectionRefusedError):
         Planner(0, port)
     (row,) = host.start_again(["worker-00000"])
     assert row["port"] == port and row["born_ms"] > 0
-    Planner(0, port).set_up()
-    until(lambda: host.snapshot()["tasks"] == 1)
+    Planner(0, port).send_placement()
+    wait_until(lambda: host.snapshot()["tasks"] == 1)
 
 
 def test_a_silent_worker_answers_neither_dials_nor_messages(host: WorkerHost) -> None:
     port = port_of(host)
     planner = Planner(0, port)
-    planner.set_up()
-    planner.message()
+    planner.send_placement()
+    planner.read_message()
     host.fall_silent(["worker-00000"])
-    planner.say(Message(Kind.HEALTH_CHECK, CHECK, cause=0))
+    planner.send_message(Message(Kind.HEALTH_CHECK, CHECK, cause=0))
     planner.sock.settimeout(0.2)
     with pytest.raises(TimeoutError):
-        planner.line()
+        planner.read_line()
     with pytest.raises(TimeoutError):
         socket.create_connection((address_for(0), port), 0.3)
     host.speak_again(["worker-00000"])
     planner.sock.settimeout(WAIT_S)
-    assert planner.message().kind is Kind.HEALTH_CHECK_RESULT
+    assert planner.read_message().kind is Kind.HEALTH_CHECK_RESULT
     assert host.snapshot()["tasks"] == 1
     Planner(0, port)
 
 
-def test_a_line_that_cannot_be_read_ends_its_connection(host: WorkerHost) -> None:
+def test_an_invalid_line_closes_its_connection(host: WorkerHost) -> None:
     planner = Planner(0, port_of(host))
     planner.send(b"nonsense\n")
     assert planner.sock.recv(10) == b""
 
 
-def test_life_of_a_description() -> None:
+def test_a_description_gives_the_tasks_duration() -> None:
     assert life_of(description(2.5)) == 2.5
     assert life_of(None) == life_of("something else") == 0.0
 
 
-def test_a_listener_is_for_this_machine_alone() -> None:
+def test_a_listener_is_bound_to_the_loopback_device() -> None:
     listener = Listener()
     sock = listener._sock
     assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, 16).rstrip(b"\0") == b"lo"
@@ -181,45 +181,45 @@
 ROW = {"host": "w", "port": 4100, "health": "SERVING", "spare": [30.0, 90.0]}
 
 
-def test_the_list_tells_each_planner_its_own_addresses_and_then_changes() -> None:
+def test_the_list_sends_each_planner_its_own_addresses_and_later_changes() -> None:
     node_list = HollowList()
     node_list.publish([ROW])
     planner = Planner(5, node_list.start())
     planner.send(b"watch 0\n")
-    whole = json.loads(planner.line())
+    whole = json.loads(planner.read_line())
     assert whole["pool"]["whole"] and whole["rev"] == 1
     assert whole["pool"]["hosts"][0]["dial"] == f"{address_for(5)}:4100"
     node_list.publish([ROW | {"health": "DRAINING"}])
-    change = json.loads(planner.line())
+    change = json.loads(planner.read_line())
     assert (change["rev"], change["pool"]["whole"]) == (2, False)
-    assert json.loads(planner.line()) == {"rev": 2}
+    assert json.loads(planner.read_line()) == {"rev": 2}
     counts = node_list.snapshot()["traffic"][5]
     assert counts["control_bytes"] == planner.read_bytes + planner.written_bytes
     assert counts["control_messages"] == 4
 
 
-def test_a_later_watch_is_told_what_came_after_its_number() -> None:
+def test_a_watch_receives_only_changes_after_its_revision() -> None:
     node_list = HollowList()
     for spare in (1.0, 2.0, 3.0):
         node_list.publish([ROW | {"spare": [spare, 1.0]}])
     planner = Planner(0, node_list.start())
     planner.send(b"watch 2\n")
-    notice = json.loads(planner.line())
+    notice = json.loads(planner.read_line())
     assert notice["rev"] == 3 and not notice["pool"]["whole"]
     assert notice["pool"]["hosts"][0]["spare"] == [3.0, 1.0]
 
 
-def test_a_delisted_worker_is_in_no_whole_list_any_more() -> None:
+def test_a_whole_list_omits_a_delisted_worker() -> None:
     node_list = HollowList()
     node_list.publish([ROW, ROW | {"host": "v"}])
     node_list.publish([ROW | {"health": "DELETED"}])
     planner = Planner(0, node_list.start())
     planner.send(b"watch 0\n")
-    assert [row["host"] for row in json.loads(planner.line())["pool"]["hosts"]] == ["v"]
+    assert [row["host"] for row in json.loads(planner.read_line())["pool"]["hosts"]] == ["v"]
 
 
-def test_the_list_changes_at_the_rate_that_is_asked_for() -> None:
+def test_the_list_changes_at_the_requested_rate() -> None:
     node_list = HollowList()
     node_list.publish([ROW])
     node_list.change(per_s=100.0, seconds=0.2)
-    until(lambda: node_list._revision == 21)
+    wait_until(lambda: node_list._revision == 21)
--- a/tests/scale/test_scale_child.py
+++ b/tests/scale/test_scale_child.py
@@ -1,4 +1,4 @@
-"""A commanded process: answers in order, and its end with its starter's, whatever it is doing."""
+"""Tests a child process that takes commands in order and exits with its parent, even amid a command."""
 
 from __future__ import annotations
 
@@ -65,13 +65,13 @@
     assert answer(child) == {"result": 8}
 
 
-def test_it_ends_with_standard_input(child: subprocess.Popen[bytes]) -> None:
+def test_a_child_exits_when_standard_input_closes(child: subprocess.Popen[bytes]) -> None:
     assert child.stdin is not None
     child.stdin.close()
     assert child.wait(WAIT_S) == 3
 
 
-def test_it_ends_with_standard_input_amid_a_command(child: subprocess.Popen[bytes]) -> None:
+def test_a_child_exits_when_standard_input_closes_amid_a_command(child: subprocess.Popen[bytes]) -> None:
     send(child, "double", number=1)
     answer(child)
     send(child, "wait_for_ever")
--- a/tests/scale/test_scale_interrupts.py
+++ b/tests/scale/test_scale_interrupts.py
@@ -1,4 +1,4 @@
-"""A signal ends a run where nothing is half done."""
+"""Tests that a signal interrupts a run, but never inside a deferred section."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         raise AssertionError("the signal did not raise")
 
 
-def test_a_deferred_signal_raises_once_all_is_done() -> None:
+def test_a_deferred_signal_raises_after_the_outermost_section() -> None:
     done = []
     with pytest.raises(Interrupted), signals_raise():
         with deferred():
@@ -32,7 +32,7 @@
     assert done == ["inner", "outer"]
 
 
-def test_further_signals_do_not_disturb_the_end() -> None:
+def test_further_signals_do_not_interrupt_the_cleanup() -> None:
     done = []
     with pytest.raises(Interrupted), signals_raise():
         try:
@@ -43,7 +43,7 @@
     assert done == ["ended"]
 
 
-def test_handlers_are_as_before_afterwards() -> None:
+def test_signal_handlers_are_restored() -> None:
     before = signal.getsignal(signal.SIGTERM)
     with signals_raise():
         assert signal.getsignal(signal.SIGTERM) is not before
--- a/tests/scale/test_scale_plan.py
+++ b/tests/scale/test_scale_plan.py
@@ -1,4 +1,4 @@
-"""The file of a scale run: what it asks for, and what is refused with its place and bound."""
+"""Tests the plan file of a scale run: its samples, and errors with their position and bound."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 @pytest.mark.parametrize("name", ["site", "small"])
-def test_shipped_files_are_good(name: str) -> None:
+def test_shipped_files_are_valid(name: str) -> None:
     assert load_plan(SHIPPED / f"{name}.conf").samples
 
 
-def test_a_load_is_scaled_with_the_workers(tmp_path: Path) -> None:
+def test_a_load_scales_with_the_workers(tmp_path: Path) -> None:
     text = TARGET + "steady 1\nseries s\nworkers 40 80\nload idle steady peak\nend\n"
     sizes = [spec.size for spec in plan_of(tmp_path, text).samples]
     assert sizes == [
@@ -53,7 +53,7 @@
     ]
 
 
-def test_what_two_series_ask_for_is_taken_once_a_repeat(tmp_path: Path) -> None:
+def test_a_sample_in_two_series_is_taken_once_per_repeat(tmp_path: Path) -> None:
     series = "series {}\nload idle peak\nend\n"
     text = TARGET + "repeat 2\n" + series.format("a") + series.format("b")
     specs = plan_of(tmp_path, text).samples
@@ -73,11 +73,11 @@
 
 def test_every_event_is_known(tmp_path: Path) -> None:
     text = TARGET + "".join(f"event {name}\n" for name in EVENTS)
-    wanted = [load for name in EVENTS for load in (SETTINGS_EVENTS if name == SETTINGS_CHANGE else (name,))]
-    assert [spec.load for spec in plan_of(tmp_path, text).samples] == wanted
+    expected = [load for name in EVENTS for load in (SETTINGS_EVENTS if name == SETTINGS_CHANGE else (name,))]
+    assert [spec.load for spec in plan_of(tmp_path, text).samples] == expected
 
 
-def test_an_event_takes_numbers_of_planners(tmp_path: Path) -> None:
+def test_an_event_accepts_planner_counts(tmp_path: Path) -> None:
     samples = plan_of(tmp_path, f"{TARGET}event {RACK_FAILS} 7 14\nevent {SETTINGS_CHANGE} 28\n").samples
     assert [spec.size.planners for spec in samples] == [7, 14, 28, 28, 28]
     assert {spec.form for spec in samples[2:]} == {"grpc"}
@@ -85,13 +85,13 @@
         plan_of(tmp_path, f"{TARGET}event {RACK_FAILS} 0\n")
 
 
-def test_a_task_lives_so_long_that_as_many_run(tmp_path: Path) -> None:
+def test_a_tasks_duration_keeps_the_requested_number_running(tmp_path: Path) -> None:
     (spec,) = plan_of(tmp_path, TARGET + "series s\nload peak\nend\n").samples
     assert spec.life_s == 560 / 8
 
 
 @pytest.mark.parametrize(
-    ("text", "place", "said"),
+    ("text", "position", "expected_text"),
     [
         (TARGET + "colour red\n", "2:1", "unknown keyword"),
         ("series s\nload idle\nend\n", "1:1", "target: is required"),
@@ -110,16 +110,18 @@
         (TARGET + "processes-most 301\nevent rack-fails\n", "2:16", "301 is not within 5 to 300"),
     ],
 )
-def test_bad_input_is_refused_with_its_place(tmp_path: Path, text: str, place: str, said: str) -> None:
+def test_an_invalid_plan_is_rejected_with_its_position(
+    tmp_path: Path, text: str, position: str, expected_text: str
+) -> None:
     with pytest.raises(SettingsError) as caught:
         plan_of(tmp_path, text)
     (problem, *_) = caught.value.problems
-    assert f"run.conf:{place}: " in str(problem)
-    assert said in str(problem)
+    assert f"run.conf:{position}: " in str(problem)
+    assert expected_text in str(problem)
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_text"),
     [
         ("memory-most 100m\nseries s\nworkers 80\nload peak\nend\n", "at most 100 MB may be taken"),
         (
@@ -129,11 +131,15 @@
         ("series s\nworkers 4000\nplanners 200\nrunning 100000\nend\n", "may be taken"),
     ],
 )
-def test_more_than_allowed_is_refused_where_it_is_asked_for(tmp_path: Path, text: str, said: str) -> None:
+def test_a_plan_above_its_limits_is_rejected_at_the_requesting_line(
+    tmp_path: Path, text: str, expected_text: str
+) -> None:
     with pytest.raises(SettingsError) as caught:
         plan_of(tmp_path, TARGET + text)
-    place = "run.conf:4:1: " if "most" in text else "run.conf:3:1: "
-    assert any(place in str(problem) and said in str(problem) for problem in caught.value.problems)
+    position = "run.conf:4:1: " if "most" in text else "run.conf:3:1: "
+    assert any(
+        position in str(problem) and expected_text in str(problem) for problem in caught.value.problems
+    )
 
 
 def test_every_planner_of_the_grpc_form_is_linked_to_every_worker(tmp_path: Path) -> None:
@@ -143,7 +149,9 @@
     assert more_mb > 0.9 * 80 * 7 * bounds.GRPC_LINK_MB
 
 
-def test_at_most_half_of_the_machines_memory(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_plan_is_limited_to_half_of_the_machines_memory(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     class Memory:
         total = 400 * bounds.MEGABYTE
 
@@ -152,7 +160,9 @@
         plan_of(tmp_path, TARGET + "series s\nload peak\nend\n")
 
 
-def test_descriptors_of_the_machine_are_a_bound(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_plan_is_limited_by_the_file_descriptors_of_the_machine(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(bounds.resource, "getrlimit", lambda _: (256, 256))
     with pytest.raises(SettingsError, match="the limit is 256"):
         plan_of(tmp_path, TARGET + "series s\nload peak\nend\n")
--- a/tests/scale/test_scale_results.py
+++ b/tests/scale/test_scale_results.py
@@ -1,4 +1,4 @@
-"""Results: written and read again, sums and rates, two runs side by side."""
+"""Tests results files, the computation of costs from counts, and the comparison of two runs."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return Sample("platform", load, SIZE, 6.0, repeat, planner, PeerCost(list_cpu_share=0.0))
 
 
-def test_results_are_read_as_they_were_written(tmp_path: Path) -> None:
+def test_results_round_trip_through_a_file(tmp_path: Path) -> None:
     event = Sample("platform", "rack-fails", SIZE, 9.0, event=EventTimes(known_s=7.1), note="40 workers")
     written = Results("here", "8 cores", (sample(0.02), event), True, 15.5)
     results.write(written, tmp_path / "r.json")
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "[]", '{"version": 99}', '{"version": 1}'])
-def test_what_is_no_results_file_is_refused(tmp_path: Path, text: str) -> None:
+def test_an_invalid_results_file_is_rejected(tmp_path: Path, text: str) -> None:
     (tmp_path / "r.json").write_text(text)
     with pytest.raises(results.ResultsError):
         results.read(tmp_path / "r.json")
@@ -43,7 +43,7 @@
     assert (counts.messages, counts.bytes, counts.control_bytes) == (2, 130, 30)
 
 
-def test_connections_are_a_mean_over_time() -> None:
+def test_open_connections_are_summed_over_time() -> None:
     connections = OpenConnections(0.0)
     connections.change(2, 1.0)
     connections.change(-1, 3.0)
@@ -87,7 +87,8 @@
     text = compare(first, second)
     lines = [line for line in text.splitlines() if "time of a planner" in line]
     (line,) = [line for line in lines if "platform" in line]
-    assert line.split()[-3:] == ["0.03", "0.06", "+66.7%"]  # of the mean of both
+    # The difference is relative to the mean of both runs.
+    assert line.split()[-3:] == ["0.03", "0.06", "+66.7%"]
     (summary,) = [
         line for line in text.splitlines() if "time of a planner" in line and "platform" not in line
     ]
@@ -97,7 +98,7 @@
     assert "partial: after" in text
 
 
-def test_runs_without_a_common_sample_are_said_to_have_none() -> None:
+def test_runs_without_a_common_sample_are_reported() -> None:
     assert "no sample is in both runs" in compare(Results("a", ""), Results("b", "", (sample(1.0),)))
 
 
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -1,4 +1,4 @@
-"""The command from end to end, on real processes."""
+"""Tests the `scale`, `scale-compare` and `check` commands end to end, with real processes."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     return [sys.executable, "-m", "stairplank", *arguments]
 
 
-def offspring(pid: int) -> list[psutil.Process]:
+def descendants(pid: int) -> list[psutil.Process]:
     return psutil.Process(pid).children(recursive=True)
 
 
-def test_the_small_run_is_whole_in_less_than_a_minute(tmp_path: Path) -> None:
+def test_the_small_run_completes_in_less_than_a_minute(tmp_path: Path) -> None:
     began = time.monotonic()
     done = subprocess.run(
         command("scale", "small", "--out", str(tmp_path)), capture_output=True, text=True, timeout=LIMIT_S
@@ -46,7 +46,7 @@
 
 
 def check_figures(found: Results) -> None:
-    """Each sample has its figures, and they show the load that was asked for."""
+    """Checks that each sample has its figures, and that they match the requested load."""
     for sample in found.samples:
         if sample.load in ("planner-restarts", "list-moves", "settings-change"):
             assert sample.event.ready_s or sample.event.in_force_s
@@ -82,7 +82,7 @@
     assert not any(child.is_running() for child in children)
 
 
-def test_children_end_when_their_starter_is_killed(tmp_path: Path) -> None:
+def test_children_exit_when_their_parent_is_killed(tmp_path: Path) -> None:
     path = tmp_path / "endless.conf"
     path.write_text(ENDLESS)
     run = subprocess.Popen(command("scale", str(path), "--out", str(tmp_path)), stderr=subprocess.DEVNULL)
@@ -96,10 +96,10 @@
 
 
 def wait_for_sample(run: subprocess.Popen[bytes], path: Path) -> list[psutil.Process]:
-    """The run's processes in the middle of a site, once a first sample is there."""
+    """Waits for the first sample and a running site, and returns the run's child processes."""
     deadline = time.monotonic() + LIMIT_S
     while time.monotonic() < deadline:
-        children = offspring(run.pid)
+        children = descendants(run.pid)
         if path.exists() and len(children) >= 5:
             return children
         time.sleep(0.02)
@@ -107,7 +107,7 @@
     raise AssertionError("no sample was taken")
 
 
-def test_a_run_ends_by_its_bound_of_time(tmp_path: Path) -> None:
+def test_a_run_ends_at_its_time_limit(tmp_path: Path) -> None:
     path = tmp_path / "short.conf"
     path.write_text(ENDLESS + "time-most 2s\n")
     done = subprocess.run(
@@ -118,7 +118,7 @@
     assert results.read(tmp_path / "results.json").partial
 
 
-def test_bad_input_is_refused_before_anything_starts(tmp_path: Path) -> None:
+def test_an_invalid_file_is_rejected_before_anything_starts(tmp_path: Path) -> None:
     path = tmp_path / "bad.conf"
     path.write_text(SMALL + "series s\nworkers 0\nend\n")
     done = subprocess.run(
@@ -132,7 +132,7 @@
     assert not (tmp_path / "out").exists()
 
 
-def test_check_knows_the_file(tmp_path: Path) -> None:
+def test_check_recognises_a_scale_file(tmp_path: Path) -> None:
     path = tmp_path / "good.conf"
     path.write_text(ENDLESS)
     done = subprocess.run(command("check", str(path)), capture_output=True, text=True, timeout=LIMIT_S)
@@ -146,7 +146,7 @@
     paths = [str(tmp_path / "a.json"), str(tmp_path / "b.json")]
     done = subprocess.run(command("scale-compare", *paths), capture_output=True, text=True, timeout=LIMIT_S)
     assert done.returncode == 0
-    bad = subprocess.run(
+    invalid = subprocess.run(
         command("scale-compare", paths[0], os.devnull), capture_output=True, text=True, timeout=LIMIT_S
     )
-    assert bad.returncode == 2 and "error:" in bad.stderr
+    assert invalid.returncode == 2 and "error:" in invalid.stderr
--- a/tests/scale/test_settings_change.py
+++ b/tests/scale/test_settings_change.py
@@ -1,4 +1,4 @@
-"""The samples of a changed configuration, on real processes, and the table that they give."""
+"""Tests the samples of a configuration change, with real processes, and the tables made from them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 TEXT = "target workers 1 planners 2 starts 1 running 1\nspan 2s\nevent settings-change\n"
 
 
-def test_a_change_is_taken_by_planners_that_run_and_by_a_restart(tmp_path: Path) -> None:
+def test_a_change_is_measured_in_running_planners_and_with_a_restart(tmp_path: Path) -> None:
     path = tmp_path / "change.conf"
     path.write_text(TEXT)
     command = [sys.executable, "-m", "stairplank", "scale", str(path), "--out", str(tmp_path)]
@@ -34,7 +34,7 @@
     assert (followed.changes, changed.changes, restarted.changes) == (0, 2, 1)
     assert changed.event.in_force_s is not None and changed.event.in_force_s < ALLOWED_S
     assert restarted.event.in_force_s is not None
-    # A stream to each of three replicas; the text travels once a change, whatever the number of replicas.
+    # The planner has a stream to each of three replicas, but receives the text of a change only once.
     assert followed.planner.connections == pytest.approx(3, rel=0.05)
     assert followed.planner.bytes_per_s is not None and changed.planner.bytes_per_s is not None
     text_bytes = int(changed.note.split()[0])
@@ -59,7 +59,7 @@
     return Results("invented", "8 cores", (followed, changed))
 
 
-def test_the_table_takes_the_cost_without_changes_away_and_the_worse_run_for_the_ratio() -> None:
+def test_the_table_subtracts_the_cost_without_changes_and_takes_the_ratio_of_the_worse_run() -> None:
     text = configuration_table(load_target(SHIPPED), [run(0.3, 0.02, 1100.0), run(0.6, 0.03, 2100.0)])
     row = next(line for line in text.splitlines() if "while it runs" in line)
     assert "| 0.3 s | 0.6 s | 15 s | 0.04 |" in row
@@ -68,7 +68,7 @@
     assert before.count("not measured") >= 4
 
 
-def test_before_and_after_show_what_both_have() -> None:
+def test_the_before_and_after_table_shows_common_samples() -> None:
     size, other = Size(820, 7, 0.0, 0), Size(50, 7, 0.0, 0)
 
     def state(cpu_share: float, *sizes: Size) -> Results:
